--- /dev/null
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -0,0 +1,403 @@
+//! Locks the cluster's state machines: seeded plays on a lossy network must lead to exactly the datagrams, views, grants and
+//! stored records that they led to when the digests were taken.
+//!
+//! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line cannot change it. A digest may
+//! only change together with an intended change of behaviour, which the commit then states.
+use rosewall::pcg::Pcg;
+use rosewall::types::{Nanos, Share, WorkerId};
+use rosewall_cluster::file::Joining;
+use rosewall_cluster::node::{Cluster, Effect, Line};
+use rosewall_cluster::register::{self, Document, Message, Register, Stored};
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use test_case::test_case;
+
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
+
+fn below(chance: &mut Pcg, limit: u64) -> u64 {
+    (chance.unit() * limit as f64) as u64
+}
+
+fn add_numbers(digest: &mut Sha256, numbers: &[u64]) {
+    numbers.iter().for_each(|number| digest.update(number.to_le_bytes()));
+}
+
+fn add_bytes(digest: &mut Sha256, bytes: &[u8]) {
+    add_numbers(digest, &[bytes.len() as u64]);
+    digest.update(bytes);
+}
+
+fn short(digest: Sha256) -> String {
+    digest.finalize()[..8].iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn address(at: usize) -> SocketAddr {
+    ([10, 0, 0, at as u8 + 1], 7946).into()
+}
+
+fn worker(number: u8) -> WorkerId {
+    WorkerId { addr: [10, 1, 0, number], port: 80 }
+}
+
+fn worker_number(id: &WorkerId) -> u64 {
+    u64::from(u32::from_be_bytes(id.addr)) << 16 | u64::from(id.port)
+}
+
+enum Next {
+    Deliver { to: usize, from: SocketAddr, bytes: Vec<u8> },
+    Wake(usize),
+    Disturb,
+}
+
+/// Several members on one virtual clock and a network that loses, doubles and delays datagrams.
+struct Members {
+    clusters: Vec<Option<Cluster>>,
+    quorum: usize,
+    now: Nanos,
+    queue: BTreeMap<(Nanos, u64), Next>,
+    serial: u64,
+    chance: Pcg,
+    digest: Sha256,
+    effects: u64,
+}
+
+impl Members {
+    fn new(count: usize, quorum: usize, seed: u64) -> Self {
+        let mut members = Members {
+            clusters: (0..count).map(|_| None).collect(),
+            quorum,
+            now: SECOND,
+            queue: BTreeMap::new(),
+            serial: 0,
+            chance: Pcg::new(seed),
+            digest: Sha256::new(),
+            effects: 0,
+        };
+        (0..count).for_each(|at| members.start(at));
+        members.push(40 * MILLISECOND, Next::Disturb);
+        members
+    }
+
+    fn push(&mut self, delay: Nanos, next: Next) {
+        self.serial += 1;
+        self.queue.insert((self.now + delay, self.serial), next);
+    }
+
+    fn start(&mut self, at: usize) {
+        let joining = Joining {
+            cluster: "lock".to_string(),
+            name: format!("n{at:02}"),
+            listen: address(at),
+            seeds: (0..3).map(address).collect(),
+            keepers: (0..self.quorum).map(|at| format!("n{at:02}")).collect(),
+            through: None,
+            clocks: 0,
+        };
+        let seed = below(&mut self.chance, 1 << 40);
+        self.clusters[at] = Some(Cluster::new(&joining, self.now, seed));
+        self.push(0, Next::Wake(at));
+    }
+
+    fn act(&mut self, at: usize, act: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>)) {
+        let mut effects = Vec::new();
+        let Some(cluster) = &mut self.clusters[at] else { return };
+        act(cluster, self.now, &mut effects);
+        let next_due = cluster.next_due();
+        self.push(next_due.saturating_sub(self.now) + 1_000, Next::Wake(at));
+        for effect in effects {
+            self.effects += 1;
+            self.record(at, &effect);
+            if let Effect::Send { to, bytes } = effect {
+                self.send(at, to, &bytes);
+            }
+        }
+    }
+
+    fn record(&mut self, at: usize, effect: &Effect) {
+        let (now, at) = (self.now, at as u64);
+        let digest = &mut self.digest;
+        match effect {
+            Effect::Send { to, bytes } => {
+                add_numbers(digest, &[now, at, 1, u64::from(to.port())]);
+                add_bytes(digest, to.ip().to_string().as_bytes());
+                add_bytes(digest, bytes);
+            }
+            Effect::View(None) => add_numbers(digest, &[now, at, 2]),
+            Effect::View(Some((rank, count))) => {
+                add_numbers(digest, &[now, at, 3, u64::from(*rank), u64::from(*count)]);
+            }
+            Effect::Right { worker, work, until } => {
+                add_numbers(digest, &[now, at, 4, worker_number(worker), *work, *until]);
+            }
+            Effect::Heard { from, share } => {
+                let numbers = [u64::from(share.halves), u64::from(share.work), u64::from(share.sign)];
+                add_numbers(digest, &[now, at, 5, u64::from(*from), worker_number(&share.worker)]);
+                add_numbers(digest, &numbers);
+            }
+            Effect::Say(Line::Info(_)) => add_numbers(digest, &[now, at, 6]),
+            Effect::Say(Line::Error(_)) => add_numbers(digest, &[now, at, 7]),
+        }
+    }
+
+    fn send(&mut self, from: usize, to: SocketAddr, bytes: &[u8]) {
+        let Some(to) = (0..self.clusters.len()).find(|at| address(*at) == to) else { return };
+        if below(&mut self.chance, 10) == 0 {
+            return;
+        }
+        for _ in 0..1 + u64::from(below(&mut self.chance, 20) == 0) {
+            let delay = (1 + below(&mut self.chance, 3)) * MILLISECOND / 2;
+            let mut bytes = bytes.to_vec();
+            if below(&mut self.chance, 200) == 0 {
+                let at = below(&mut self.chance, bytes.len() as u64) as usize;
+                bytes[at] ^= 1 << below(&mut self.chance, 8);
+            }
+            self.push(delay, Next::Deliver { to, from: address(from), bytes });
+        }
+    }
+
+    /// One of the things that the decisions, the operators or a crash do to a member.
+    fn disturb(&mut self) {
+        let delay = (5 + below(&mut self.chance, 60)) * MILLISECOND;
+        self.push(delay, Next::Disturb);
+        let at = below(&mut self.chance, self.clusters.len() as u64) as usize;
+        let id = worker(below(&mut self.chance, 3) as u8);
+        let work = below(&mut self.chance, 300) * MILLISECOND + 7;
+        match below(&mut self.chance, 40) {
+            0 => self.clusters[at] = None,
+            1 => {
+                self.act(at, |cluster, _, effects| cluster.leave(effects));
+                self.clusters[at] = None;
+            }
+            2..=4 if self.clusters[at].is_none() => self.start(at),
+            5..=14 => self.act(at, |cluster, now, effects| cluster.want(now, id, work, effects)),
+            15..=24 => self.act(at, |cluster, _, _| cluster.joint(id, 4 * SECOND, SECOND)),
+            _ => {
+                let to = below(&mut self.chance, 10) as u16;
+                let share =
+                    Share { worker: id, halves: 3, work: (work / (16 * MILLISECOND)) as u16, sign: 130 };
+                self.act(at, |cluster, now, _| cluster.tell(now, to, share));
+            }
+        }
+    }
+
+    fn play(mut self, until: Nanos) -> (u64, String) {
+        while let Some(((at, _), next)) = self.queue.pop_first() {
+            if at > until {
+                break;
+            }
+            self.now = at;
+            match next {
+                Next::Deliver { to, from, bytes } => {
+                    self.act(to, |cluster, now, effects| cluster.feed(now, from, &bytes, effects));
+                }
+                Next::Wake(at) => {
+                    let due = |cluster: &Cluster| cluster.next_due() <= self.now;
+                    if self.clusters[at].as_ref().is_some_and(due) {
+                        self.act(at, |cluster, now, effects| cluster.due(now, effects));
+                    }
+                }
+                Next::Disturb => self.disturb(),
+            }
+        }
+        (self.effects, short(self.digest))
+    }
+}
+
+#[test_case(5, 3, 3 =>
+    "9180 effects, 6e5159712c9a47a9 e781ed602bc79894 6f528096a92f8535"; "five members of whom three are the quorum")]
+#[test_case(14, 5, 2 =>
+    "26363 effects, 091136f71bfd399e d65c74f96433de91"; "fourteen members of whom five are the quorum")]
+#[test_case(6, 0, 2 =>
+    "8185 effects, 337d84aa37bf0413 98cb2e79cd6963c8"; "no quorum")]
+fn members_send_the_same(count: usize, quorum: usize, seeds: u64) -> String {
+    let plays = (0..seeds).map(|seed| Members::new(count, quorum, seed).play(25 * SECOND));
+    let (effects, digests): (Vec<u64>, Vec<String>) = plays.unzip();
+    format!("{} effects, {}", effects.iter().sum::<u64>(), digests.join(" "))
+}
+
+/// Replicas of the register on a network that loses and reorders, with disks that fail and crashes between.
+struct Replicas {
+    registers: Vec<Register>,
+    disks: Vec<Stored>,
+    network: Vec<(u8, u8, Message)>,
+    writes: Vec<(usize, u64, Stored)>,
+    now: Nanos,
+    chance: Pcg,
+    digest: Sha256,
+    effects: u64,
+}
+
+fn add_ballot(digest: &mut Sha256, ballot: &register::Ballot) {
+    add_numbers(digest, &[ballot.round, u64::from(ballot.by)]);
+}
+
+fn add_document(digest: &mut Sha256, document: &Document) {
+    add_numbers(digest, &[document.version]);
+    add_bytes(digest, document.text.as_bytes());
+    digest.update(document.digest());
+}
+
+fn add_message(digest: &mut Sha256, message: &Message) {
+    match message {
+        Message::Prepare { ballot } => {
+            add_numbers(digest, &[1]);
+            add_ballot(digest, ballot);
+        }
+        Message::Promise { ballot, accepted } => {
+            add_numbers(digest, &[2, u64::from(accepted.is_some())]);
+            add_ballot(digest, ballot);
+            if let Some((ballot, document)) = accepted {
+                add_ballot(digest, ballot);
+                add_document(digest, document);
+            }
+        }
+        Message::Overtaken { ballot, by } => {
+            add_numbers(digest, &[3]);
+            add_ballot(digest, ballot);
+            add_ballot(digest, by);
+        }
+        Message::Accept { ballot, document } => {
+            add_numbers(digest, &[4]);
+            add_ballot(digest, ballot);
+            add_document(digest, document);
+        }
+        Message::Accepted { ballot } => {
+            add_numbers(digest, &[5]);
+            add_ballot(digest, ballot);
+        }
+        Message::Chosen { version, digest: sum } => {
+            add_numbers(digest, &[6, *version]);
+            digest.update(sum);
+        }
+    }
+}
+
+impl Replicas {
+    fn new(count: u8, seed: u64) -> Self {
+        let register = |me| Register::new(me, count, Stored::default(), 0, seed + u64::from(me));
+        Replicas {
+            registers: (0..count).map(register).collect(),
+            disks: vec![Stored::default(); usize::from(count)],
+            network: Vec::new(),
+            writes: Vec::new(),
+            now: 0,
+            chance: Pcg::new(seed),
+            digest: Sha256::new(),
+            effects: 0,
+        }
+    }
+
+    fn act(&mut self, at: usize, act: impl FnOnce(&mut Register, Nanos, &mut Vec<register::Effect>)) {
+        let mut effects = Vec::new();
+        act(&mut self.registers[at], self.now, &mut effects);
+        for effect in effects {
+            self.effects += 1;
+            add_numbers(&mut self.digest, &[self.now, at as u64]);
+            self.carry_out(at, effect);
+        }
+    }
+
+    fn carry_out(&mut self, at: usize, effect: register::Effect) {
+        let digest = &mut self.digest;
+        match effect {
+            register::Effect::Send { to, message } => {
+                add_numbers(digest, &[1, u64::from(to)]);
+                add_message(digest, &message);
+                self.network.push((at as u8, to, message));
+            }
+            register::Effect::Store { serial, record } => {
+                add_numbers(digest, &[2, serial]);
+                add_ballot(digest, &record.promised);
+                if let Some((ballot, document)) = &record.accepted {
+                    add_ballot(digest, ballot);
+                    add_document(digest, document);
+                }
+                add_document(digest, &record.in_force);
+                self.writes.push((at, serial, record));
+            }
+            register::Effect::Ended(outcome) => {
+                let numbers = match outcome {
+                    register::Outcome::Accepted { version } => [3, version, 0],
+                    register::Outcome::Refused { based_on, now } => [4, based_on, now],
+                    register::Outcome::Unknown => [5, 0, 0],
+                    register::Outcome::Busy => [6, 0, 0],
+                    register::Outcome::TooLarge { bytes } => [7, bytes as u64, 0],
+                };
+                add_numbers(digest, &numbers);
+            }
+            register::Effect::InForce(document) => {
+                add_numbers(digest, &[8]);
+                add_document(digest, &document);
+            }
+            register::Effect::Fetch { version, digest: sum } => {
+                add_numbers(digest, &[9, version]);
+                digest.update(sum);
+                let found = self.registers.iter().find_map(|register| register.document(version, &sum));
+                if let Some(document) = found.cloned() {
+                    let document = (*document).clone();
+                    self.act(at, |register, _, effects| {
+                        register.fetched((version, sum), document, effects);
+                    });
+                }
+            }
+        }
+    }
+
+    /// One step: time passes, a message or a write arrives, a change is handed in, or a replica restarts.
+    fn step(&mut self, number: u64) {
+        self.now += below(&mut self.chance, 20) * MILLISECOND;
+        let at = below(&mut self.chance, self.registers.len() as u64) as usize;
+        match below(&mut self.chance, 100) {
+            0 => {
+                let (me, count) = (at as u8, self.registers.len() as u8);
+                self.writes.retain(|(of, ..)| *of != at);
+                self.registers[at] = Register::new(me, count, self.disks[at].clone(), self.now, number);
+            }
+            1..=4 => {
+                let based_on = self.registers[at].in_force().version;
+                let text = format!("settings {number}");
+                self.act(at, |register, now, effects| register.put(now, based_on, &text, effects));
+            }
+            5..=54 if !self.network.is_empty() => {
+                let index = below(&mut self.chance, self.network.len() as u64) as usize;
+                let (from, to, message) = self.network.swap_remove(index);
+                if below(&mut self.chance, 8) != 0 {
+                    let to = usize::from(to);
+                    self.act(to, |register, now, effects| register.feed(now, from, message, effects));
+                }
+            }
+            55..=89 if !self.writes.is_empty() => {
+                let (at, serial, record) = self.writes.remove(0);
+                let well = below(&mut self.chance, 30) != 0;
+                if well {
+                    self.disks[at] = record;
+                }
+                self.act(at, |register, now, effects| register.stored(now, serial, well, effects));
+            }
+            _ => {
+                if self.registers[at].next_due().is_some_and(|due| due <= self.now) {
+                    self.act(at, |register, now, effects| register.due(now, effects));
+                }
+            }
+        }
+    }
+
+    fn play(mut self, steps: u64) -> (u64, String) {
+        (0..steps).for_each(|number| self.step(number));
+        (self.effects, short(self.digest))
+    }
+}
+
+#[test_case(1 =>
+    "5109 effects, ccd7958c72bd2731 e9f1c7a7bc79b004 a745c70c3c1b67c7 02d4afd7ee1349cf 297f91c17c049d57 2c892b13c34179d0"; "one replica")]
+#[test_case(3 =>
+    "18677 effects, 33351834eae3051d 2ef792efb3f92ff4 2a2f6378a6be0be2 b140164ea524b88a d51c7326cb44c701 c15eb53aebdd859e"; "three replicas")]
+#[test_case(5 =>
+    "25407 effects, 71cdc00068bd3871 3732c702a6dae676 985730d854af20d3 8019be16c181e8ae 4af021af66fe1d42 0682859fbb4321a4"; "five replicas")]
+fn the_register_sends_and_stores_the_same(count: u8) -> String {
+    let (effects, digests): (Vec<u64>, Vec<String>) =
+        (0..6).map(|seed| Replicas::new(count, seed).play(6_000)).unzip();
+    format!("{} effects, {}", effects.iter().sum::<u64>(), digests.join(" "))
+}
--- /dev/null
+++ b/crates/node/tests/behaviour_lock.rs
@@ -0,0 +1,471 @@
+//! Locks the engine and the protocols: given bytes from clients, workers and discovery must lead to exactly the bytes and
+//! commands that they led to when the digests were taken.
+//!
+//! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line cannot change it. A digest may
+//! only change together with an intended change of behaviour, which the commit then states.
+use rosewall::Map;
+use rosewall::pcg::Pcg;
+use rosewall::policy::Dispatcher;
+use rosewall::types::{Nanos, Outcome, Share, TxnId, WorkerId};
+use rosewall_node::counters::Counters;
+use rosewall_node::hub::{Effect, Hub, Input};
+use rosewall_node::workers::Workers;
+use rosewall_wire::client::{Heard, Intake, Names, answer, message};
+use rosewall_wire::discovery::{Bulletin, call, listing};
+use rosewall_wire::worker::{Reply, Told};
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use test_case::test_case;
+
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
+
+const SETTINGS: &str = "me=3 posting.most=4 come_back.allowed=true come_back.most=2000000000 tells_start=true \
+    cold.from=0.2 cold.time=6e9 fall.multiple=3 fall.window=1e9 list.mode=asked report.fields= dispatchers=12 \
+    share.allowed=true scheme.count=3 \
+    scheme.0.effect=repeatable scheme.0.group=all scheme.0.window=0 scheme.0.sla=3e8 scheme.0.value=1 \
+    scheme.1.effect=referenced scheme.1.group=zone scheme.1.window=400000000 scheme.1.sla=2e8 scheme.1.value=5 \
+    scheme.2.effect=once-only scheme.2.group=all scheme.2.window=0 scheme.2.sla=5e8 scheme.2.value=9";
+
+fn settings(overrides: &str) -> Map {
+    let text = format!("{SETTINGS} {overrides}");
+    let pairs = text.split_whitespace().filter_map(|word| word.split_once('='));
+    pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
+}
+
+fn names() -> Names {
+    let words = |text: &str| text.split(',').map(str::to_string).collect();
+    Names {
+        schemes: words("thumb,charge,mail"),
+        parties: words("acme,zeta"),
+        zones: words("a,b,c"),
+        kinds: words("m1,m2"),
+    }
+}
+
+fn below(chance: &mut Pcg, limit: u64) -> u64 {
+    (chance.unit() * limit as f64) as u64
+}
+
+fn add_numbers(digest: &mut Sha256, numbers: &[u64]) {
+    numbers.iter().for_each(|number| digest.update(number.to_le_bytes()));
+}
+
+fn add_bytes(digest: &mut Sha256, bytes: &[u8]) {
+    add_numbers(digest, &[bytes.len() as u64]);
+    digest.update(bytes);
+}
+
+fn short(digest: Sha256) -> String {
+    digest.finalize()[..8].iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn worker_number(id: &WorkerId) -> u64 {
+    u64::from(u32::from_be_bytes(id.addr)) << 16 | u64::from(id.port)
+}
+
+fn outcome_number(outcome: Outcome) -> u64 {
+    match outcome {
+        Outcome::Settled => 1,
+        Outcome::Error => 2,
+        Outcome::Unfit => 3,
+        Outcome::Full => 4,
+        Outcome::TimeOut => 5,
+        Outcome::NoConnection => 6,
+        Outcome::Broken => 7,
+        Outcome::Withdrawn => 8,
+        Outcome::Moot => 9,
+    }
+}
+
+enum Next {
+    Arrival,
+    List,
+    Timers,
+    PeerReport,
+    PeerView,
+    Disconnect(TxnId),
+    Answer { request: TxnId, attempt: u8, bytes: Vec<u8>, closes: bool },
+    Stop,
+}
+
+/// Clients, workers, discovery and peers around one engine, in bytes, driven by one seed.
+struct Model {
+    hub: Hub,
+    names: Names,
+    intake: Intake,
+    replies: BTreeMap<(TxnId, u8), Reply>,
+    now: Nanos,
+    queue: BTreeMap<(Nanos, u64), Next>,
+    serial: u64,
+    next_request: TxnId,
+    list_number: u64,
+    chance: Pcg,
+    digest: Sha256,
+    effects: u64,
+}
+
+impl Model {
+    fn new(overrides: &str, seed: u64) -> Self {
+        let dispatcher = Dispatcher::start(SECOND, seed, &settings(overrides)).expect("valid settings");
+        let counters = Rc::new(Counters::default());
+        let mut model = Model {
+            hub: Hub::new(dispatcher, counters, 250 * MILLISECOND, Workers::default()),
+            names: names(),
+            intake: Intake::default(),
+            replies: BTreeMap::new(),
+            now: SECOND,
+            queue: BTreeMap::new(),
+            serial: 0,
+            next_request: 0,
+            list_number: 10,
+            chance: Pcg::new(seed),
+            digest: Sha256::new(),
+            effects: 0,
+        };
+        let list = listing(model.list_text(true).as_bytes(), &model.names).expect("a valid list");
+        let mut effects = Vec::new();
+        model.hub.kept(SECOND, list, &mut effects);
+        model.carry_out(effects);
+        model.push(0, Next::Timers);
+        for (delay, next) in [
+            (5, Next::Arrival),
+            (400, Next::List),
+            (30, Next::PeerReport),
+            (900, Next::PeerView),
+            (14_000, Next::Stop),
+        ] {
+            model.push(delay * MILLISECOND, next);
+        }
+        model
+    }
+
+    fn below(&mut self, limit: u64) -> u64 {
+        below(&mut self.chance, limit)
+    }
+
+    fn push(&mut self, delay: Nanos, next: Next) {
+        self.serial += 1;
+        self.queue.insert((self.now + delay, self.serial), next);
+    }
+
+    fn take(&mut self, input: Input) {
+        let mut effects = Vec::new();
+        self.hub.take(self.now, input, &mut effects);
+        self.carry_out(effects);
+    }
+
+    fn carry_out(&mut self, effects: Vec<Effect>) {
+        for effect in effects {
+            self.effects += 1;
+            let now = self.now;
+            add_numbers(&mut self.digest, &[now]);
+            self.record(&effect);
+            if let Effect::Post(errand) = effect {
+                self.work(errand.txn, errand.leg, errand.worker, errand.id);
+            }
+        }
+        if let Some(due) = self.hub.next_due() {
+            self.push(due.saturating_sub(self.now), Next::Timers);
+        }
+    }
+
+    fn record(&mut self, effect: &Effect) {
+        let keeps_open = self.effects.is_multiple_of(3);
+        let digest = &mut self.digest;
+        match effect {
+            Effect::Answer { txn, answer: given } => {
+                add_numbers(digest, &[1, u64::from(*txn)]);
+                add_bytes(digest, &answer(given, keeps_open));
+            }
+            Effect::Post(errand) => {
+                let (attempt, port) = (u64::from(errand.leg), u64::from(errand.dial.port()));
+                add_numbers(
+                    digest,
+                    &[2, u64::from(errand.txn), attempt, worker_number(&errand.worker), port],
+                );
+                add_numbers(digest, &[errand.connect_within]);
+                add_bytes(digest, errand.id.as_bytes());
+                add_bytes(digest, &errand.message);
+            }
+            Effect::CallOff { txn, leg } => add_numbers(digest, &[3, u64::from(*txn), u64::from(*leg)]),
+            Effect::Cut { txn, leg } => add_numbers(digest, &[4, u64::from(*txn), u64::from(*leg)]),
+            Effect::Done { txn, leg } => add_numbers(digest, &[5, u64::from(*txn), u64::from(*leg)]),
+            Effect::Probe { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
+            Effect::Void { worker, dial } => {
+                let port = dial.map_or(0, |dial| u64::from(dial.port()));
+                add_numbers(digest, &[7, worker_number(worker), port]);
+            }
+            Effect::Tell { to, share } => {
+                let numbers = [u64::from(share.halves), u64::from(share.work), u64::from(share.sign)];
+                add_numbers(digest, &[8, u64::from(*to), worker_number(&share.worker)]);
+                add_numbers(digest, &numbers);
+            }
+            Effect::Want { worker, work } => add_numbers(digest, &[9, worker_number(worker), *work]),
+            Effect::Joint { worker, work, window } => {
+                add_numbers(digest, &[10, worker_number(worker), *work, *window]);
+            }
+            Effect::Follow => {
+                add_numbers(digest, &[11]);
+                add_bytes(digest, &call("10.2.0.1:8500", None));
+                add_bytes(digest, &call("10.2.0.1:8500", Some((self.list_number, 5))));
+            }
+        }
+    }
+
+    /// A worker takes an attempt, and answers in the protocol's lines, or breaks off.
+    fn work(&mut self, request: TxnId, attempt: u8, worker: WorkerId, id: String) {
+        self.replies.insert((request, attempt), Reply::new(id.clone()));
+        let hung = worker.port % 7 == 3;
+        let start = (1 + self.below(40)) * MILLISECOND;
+        let run = (1 + self.below(250)) * MILLISECOND;
+        let line = |state: &str| {
+            let text = format!("{{\"id\":\"{id}\",\"state\":\"{state}\",\"result\":\"r{request}\"}}\n");
+            format!("{:x}\r\n{text}\r\n", text.len())
+        };
+        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        let first = format!("{head}{}", line("started"));
+        let (second, closes) = match self.below(if hung { 8 } else { 60 }) {
+            0 => (line("failed") + "0\r\n\r\n", false),
+            1 => (line("returned") + "0\r\n\r\n", false),
+            2 => (line("lost") + "0\r\n\r\n", true),
+            3 => ("zz\r\n".to_string(), true),
+            4 => (line("progress"), true),
+            _ if hung => return,
+            _ => (line("done") + "0\r\n\r\n", false),
+        };
+        match self.below(50) {
+            0 => {
+                let bytes = b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
+                return self.push(start, Next::Answer { request, attempt, bytes, closes: false });
+            }
+            1 => {
+                let bytes = b"HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno".to_vec();
+                return self.push(start, Next::Answer { request, attempt, bytes, closes: true });
+            }
+            2 => {
+                return self.push(start, Next::Answer { request, attempt, bytes: Vec::new(), closes: true });
+            }
+            _ => {}
+        }
+        let first = Next::Answer { request, attempt, bytes: first.into_bytes(), closes: false };
+        self.push(start, first);
+        let second = Next::Answer { request, attempt, bytes: second.into_bytes(), closes };
+        self.push(start + run, second);
+    }
+
+    fn answer(&mut self, request: TxnId, attempt: u8, bytes: &[u8], closes: bool) {
+        let Some(mut reply) = self.replies.remove(&(request, attempt)) else { return };
+        let piece = 1 + self.below(40) as usize;
+        let mut told = Vec::new();
+        for piece in bytes.chunks(piece) {
+            reply.feed(piece);
+            told.extend(std::iter::from_fn(|| reply.told()));
+        }
+        if closes {
+            told.extend(reply.closed());
+        }
+        let flags = [u64::from(reply.finished()), u64::from(reply.reusable())];
+        add_numbers(&mut self.digest, &flags);
+        self.replies.insert((request, attempt), reply);
+        for told in told {
+            match &told {
+                Told::Started => add_numbers(&mut self.digest, &[21]),
+                Told::Settled(result) => add_bytes(&mut self.digest, result),
+                Told::Ended(outcome) => add_numbers(&mut self.digest, &[22, outcome_number(*outcome)]),
+            }
+            self.take(Input::Told { txn: request, leg: attempt, told });
+        }
+    }
+
+    fn arrive(&mut self) {
+        let delay = self.below(30) * MILLISECOND;
+        self.push(delay, Next::Arrival);
+        let class = ["thumb", "charge", "mail", "none"][self.below(40).min(3 * self.below(40)) as usize % 4];
+        let number = self.below(4_000);
+        let timeout = 0.05 + self.chance.unit() * 2.0;
+        let mut text = format!(
+            "POST /api/{number} HTTP/1.1\r\nRequest-Id: id{number}\r\nRequest-Class: {class}\r\nTenant: zeta\r\n\
+             Request-Timeout: {timeout:.3}\r\nIdempotency-Key: k{number}\r\n"
+        );
+        if self.below(3) != 0 {
+            text += &format!("Work-Hint: {}\r\n", 1_000 * (1 + self.below(200)));
+        }
+        if self.below(3) == 0 {
+            text += &format!("Request-Info: slots={},memory=0.5\r\n", 1 + self.below(2));
+        }
+        text += match self.below(8) {
+            0 => "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+            1 => "Content-Length: 4\r\nExpect: 100-continue\r\n\r\nbody",
+            2 => "Connection: close\r\n\r\n",
+            3 => "Content-Length: 9999999\r\n\r\n",
+            4 => "Content-Length: 4\r\n\r\nbodyGET /healthz HTTP/1.1\r\n\r\n",
+            _ => "Content-Length: 4\r\n\r\nbody",
+        };
+        let mut bytes = text.into_bytes();
+        if self.below(12) == 0 {
+            let at = self.below(bytes.len() as u64) as usize;
+            bytes[at] ^= 1 << self.below(8);
+        }
+        let piece = 1 + self.below(90) as usize;
+        for piece in bytes.chunks(piece) {
+            self.intake.feed(piece);
+            while let Some(heard) = self.intake.next(&self.names) {
+                self.hear(heard);
+            }
+        }
+        let flags = [u64::from(self.intake.idle()), self.intake.held() as u64];
+        add_numbers(&mut self.digest, &flags);
+    }
+
+    fn hear(&mut self, heard: Heard) {
+        match heard {
+            Heard::Continue => add_numbers(&mut self.digest, &[31]),
+            Heard::Ready { keeps } => add_numbers(&mut self.digest, &[32, u64::from(keeps)]),
+            Heard::Bad(status, why) => {
+                add_bytes(&mut self.digest, &message(status, "", why.as_bytes(), false));
+                self.intake = Intake::default();
+            }
+            Heard::Request(request) => {
+                self.next_request += 1;
+                let txn = self.next_request;
+                if self.below(25) == 0 {
+                    let delay = self.below(300) * MILLISECOND;
+                    self.push(delay, Next::Disconnect(txn));
+                }
+                self.take(Input::Arrived { txn, at: self.now, request });
+            }
+        }
+    }
+
+    fn list_text(&mut self, whole: bool) -> String {
+        self.list_number += 1 + self.below(3);
+        let number = self.list_number - 4 * u64::from(self.below(9) == 0);
+        let mut hosts = Vec::new();
+        for at in 0..14 {
+            if !whole && self.below(3) != 0 {
+                continue;
+            }
+            let health = match self.below(30) {
+                0 => "draining",
+                1 => "gone",
+                2 => "unwell",
+                _ => "ready",
+            };
+            let born = if self.below(9) == 0 { self.now / MILLISECOND } else { 0 };
+            let (site, class) = (["a", "b", "c", "d"][at % 4], ["m1", "m2"][at % 2]);
+            hosts.push(format!(
+                "{{\"host\":\"w{at}\",\"dial\":\"127.0.0.1:{}\",\"site\":\"{site}\",\"class\":\"{class}\",\
+                 \"block\":{},\"health\":\"{health}\",\"share\":{},\"born_ms\":{born}}}",
+                9_000 + at,
+                at % 5,
+                1 + at % 3,
+            ));
+        }
+        let hosts =
+            if self.serial == 0 { hosts.join(",").replace("unwell", "ready") } else { hosts.join(",") };
+        format!("{{\"seq\":{number},\"whole\":{whole},\"hosts\":[{hosts}]}}")
+    }
+
+    fn list(&mut self) {
+        let delay = (100 + self.below(800)) * MILLISECOND;
+        self.push(delay, Next::List);
+        let whole = self.below(4) == 0;
+        let text = self.list_text(whole);
+        let bytes = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes();
+        let piece = 1 + self.below(200) as usize;
+        let mut bulletin = Bulletin::default();
+        for piece in bytes.chunks(piece) {
+            if let Ok(Some((text, reusable))) = bulletin.feed(piece) {
+                add_numbers(&mut self.digest, &[41, u64::from(reusable)]);
+                match listing(&text, &self.names) {
+                    Ok(list) => self.take(Input::List(list)),
+                    Err(_) => self.take(Input::ListFailed),
+                }
+            }
+        }
+    }
+
+    fn peer_report(&mut self) {
+        let delay = (5 + self.below(60)) * MILLISECOND;
+        self.push(delay, Next::PeerReport);
+        let worker = rosewall_node::workers::id(&format!("w{}", self.below(14)));
+        let share = Share {
+            worker,
+            halves: self.below(9) as u8,
+            work: self.below(100) as u16,
+            sign: 100 + self.below(50) as u8,
+        };
+        let from = self.below(12) as u16;
+        self.take(Input::Shared { from, share });
+    }
+
+    fn peer_view(&mut self) {
+        let delay = (1 + self.below(4)) * SECOND;
+        self.push(delay, Next::PeerView);
+        let count = 8 + self.below(8) as u16;
+        let view = (self.below(5) != 0).then_some((3, count));
+        self.take(Input::View(view));
+        if self.below(2) == 0 {
+            let worker = rosewall_node::workers::id(&format!("w{}", self.below(14)));
+            let until = self.now + SECOND;
+            self.take(Input::Right { worker, work: 90 * MILLISECOND, until });
+        }
+    }
+
+    fn run_timers(&mut self) {
+        let mut effects = Vec::new();
+        while self.hub.due(self.now, &mut effects) {}
+        if !effects.is_empty() {
+            self.carry_out(effects);
+        } else if let Some(due) = self.hub.next_due().filter(|due| *due > self.now) {
+            self.push(due - self.now, Next::Timers);
+        }
+    }
+
+    fn step(&mut self, next: Next) {
+        match next {
+            Next::Arrival => self.arrive(),
+            Next::List => self.list(),
+            Next::Timers => self.run_timers(),
+            Next::PeerReport => self.peer_report(),
+            Next::PeerView => self.peer_view(),
+            Next::Disconnect(request) => self.take(Input::Left(request)),
+            Next::Answer { request, attempt, bytes, closes } => {
+                self.answer(request, attempt, &bytes, closes);
+            }
+            Next::Stop => self.take(Input::Stop(self.now + 2 * SECOND)),
+        }
+    }
+
+    fn play(mut self, until: Nanos) -> (u64, String) {
+        while let Some(((at, _), next)) = self.queue.pop_first() {
+            if at > until {
+                break;
+            }
+            self.now = at;
+            // One timer event at a time is enough for any number that asked for it.
+            if matches!(next, Next::Timers) {
+                let same = |key: &(Nanos, u64), next: &Next| key.0 == at && matches!(next, Next::Timers);
+                while self.queue.first_key_value().is_some_and(|(key, next)| same(key, next)) {
+                    self.queue.pop_first();
+                }
+            }
+            self.step(next);
+        }
+        (self.effects, short(self.digest))
+    }
+}
+
+#[test_case("" =>
+    "30819 effects, 2df5144c530fe725 3d329e8ff19d5edc 465e314bf967fd93 3aba12fa2920bd1e"; "twelve dispatchers that exchange load")]
+#[test_case("dispatchers=1 me=0 share.allowed=false" =>
+    "7905 effects, dfb4da6096cad6b8 a210fc189f1762f2 005a531532c5e7d6 d4800afddc24d7a1"; "a single dispatcher")]
+#[test_case("rights=true list.mode=pushed" =>
+    "33625 effects, b5ce976889a39cb2 ec1366f6b53d22ab abe7e42744fadfe5 22c6b42ae6f53bb7"; "warm-up grants and a pushed list")]
+fn bytes_and_commands_are_the_same(overrides: &str) -> String {
+    let plays = (0..4).map(|seed| Model::new(overrides, seed).play(18 * SECOND));
+    let (effects, digests): (Vec<u64>, Vec<String>) = plays.unzip();
+    format!("{} effects, {}", effects.iter().sum::<u64>(), digests.join(" "))
+}
--- /dev/null
+++ b/tests/behaviour_lock.rs
@@ -0,0 +1,367 @@
+//! Locks the decisions: seeded event streams must lead to exactly the actions that they led to when the digests were taken.
+//!
+//! Actions enter the digest as numbers, so renaming a type or rewording a log line cannot change it. A digest may only
+//! change together with an intended change of behaviour, which the commit then states.
+use rosewall::Map;
+use rosewall::pcg::Pcg;
+use rosewall::policy::Dispatcher;
+use rosewall::types::{
+    Action, Ended, Event, Listed, Nanos, Outcome, Report, Scope, Share, Standing, Txn, TxnId, WorkerId,
+};
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+use test_case::test_case;
+
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
+
+const BASE_SETTINGS: &str = "me=3 posting.most=4 come_back.allowed=true come_back.most=2e9 tells_start=true \
+    cold.from=0.2 cold.time=6e9 fall.multiple=3 fall.window=1e9 list.mode=asked report.fields=inflight,free-slots \
+    scheme.count=4 \
+    scheme.0.effect=repeatable scheme.0.group=all scheme.0.window=0 scheme.0.sla=3e8 scheme.0.value=1 \
+    scheme.1.effect=referenced scheme.1.group=zone scheme.1.window=400000000 scheme.1.sla=2e8 scheme.1.value=5 \
+    scheme.2.effect=once-only scheme.2.group=all scheme.2.window=0 scheme.2.sla=5e8 scheme.2.value=9 scheme.2.kind=1 \
+    scheme.3.effect=referenced scheme.3.group=cell scheme.3.window=900000000 scheme.3.sla=1e9 scheme.3.value=2 \
+    scheme.0.stretch=2 scheme.1.stretch=2";
+
+/// The base settings with some of them replaced.
+fn settings(overrides: &str) -> Map {
+    let text = format!("{BASE_SETTINGS} {overrides}");
+    let pairs = text.split_whitespace().filter_map(|word| word.split_once('='));
+    pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
+}
+
+/// What the model of the outside world does next.
+enum Next {
+    Arrival,
+    ListChange,
+    PeerReport,
+    PeerView,
+    Timer(u64),
+    Start { request: TxnId, attempt: u8 },
+    End { request: TxnId, attempt: u8, worker: WorkerId },
+    Disconnect(TxnId),
+    ListAnswer,
+    Grant { worker: WorkerId, work: Nanos },
+    Restart,
+    Stop,
+}
+
+/// A model of clients, workers, discovery and peers, driven by one seed.
+struct Model {
+    settings: Map,
+    dispatcher: Dispatcher,
+    chance: Pcg,
+    now: Nanos,
+    queue: BTreeMap<(Nanos, u64), Next>,
+    serial: u64,
+    workers: Vec<Listed>,
+    attempts: BTreeMap<TxnId, u8>,
+    next_request: TxnId,
+    digest: Sha256,
+    actions: u64,
+}
+
+impl Model {
+    fn new(settings: Map, seed: u64) -> Self {
+        let dispatcher = Dispatcher::start(SECOND, seed, &settings).expect("valid settings");
+        let mut model = Model {
+            settings,
+            dispatcher,
+            chance: Pcg::new(seed),
+            now: SECOND,
+            queue: BTreeMap::new(),
+            serial: 0,
+            workers: Vec::new(),
+            attempts: BTreeMap::new(),
+            next_request: 0,
+            digest: Sha256::new(),
+            actions: 0,
+        };
+        let count = 6 + model.below(30);
+        model.workers = (0..count).map(|number| model.worker(number as u8, 0)).collect();
+        for (delay, next) in [
+            (10, Next::Arrival),
+            (700, Next::ListChange),
+            (30, Next::PeerReport),
+            (2_000, Next::PeerView),
+            (11_000, Next::Restart),
+            (27_000, Next::Stop),
+        ] {
+            model.push(delay * MILLISECOND, next);
+        }
+        model.send_list(Scope::Kept);
+        model
+    }
+
+    fn below(&mut self, limit: u64) -> u64 {
+        (self.chance.unit() * limit as f64) as u64
+    }
+
+    fn push(&mut self, delay: Nanos, next: Next) {
+        self.serial += 1;
+        self.queue.insert((self.now + delay, self.serial), next);
+    }
+
+    fn worker(&mut self, number: u8, started: Nanos) -> Listed {
+        Listed {
+            worker: WorkerId { addr: [10, 0, number / 8, number], port: 80 },
+            standing: Standing::Ready,
+            zone: u16::from(number % 3),
+            kind: number % 2,
+            size: 1.0 + f32::from(number % 4) / 2.0,
+            started,
+            group: u16::from(number % 5),
+        }
+    }
+
+    fn send_list(&mut self, scope: Scope) {
+        let entries = if scope == Scope::Failed { Vec::new() } else { self.workers.clone() };
+        self.feed(Event::List { scope, entries });
+    }
+
+    fn feed(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.dispatcher.handle(self.now, event, &mut actions);
+        for action in actions {
+            self.record(&action);
+            self.carry_out(action);
+        }
+    }
+
+    fn numbers(&mut self, numbers: &[u64]) {
+        numbers.iter().for_each(|number| self.digest.update(number.to_le_bytes()));
+    }
+
+    fn record(&mut self, action: &Action) {
+        self.actions += 1;
+        let worker = |id: &WorkerId| u64::from(u32::from_be_bytes(id.addr)) << 16 | u64::from(id.port);
+        let share =
+            |s: &Share| [worker(&s.worker), u64::from(s.halves), u64::from(s.work), u64::from(s.sign)];
+        let now = self.now;
+        match action {
+            Action::Post { txn, worker: id } => self.numbers(&[now, 1, u64::from(*txn), worker(id)]),
+            Action::Probe { worker: id } => self.numbers(&[now, 2, worker(id)]),
+            Action::Decline { txn, come_back } => self.numbers(&[now, 3, u64::from(*txn), *come_back]),
+            Action::Reverse { txn } => self.numbers(&[now, 4, u64::from(*txn)]),
+            Action::Follow => self.numbers(&[now, 5]),
+            Action::Tell { to, share: s } => {
+                self.numbers(&[now, 6, u64::from(*to)]);
+                self.numbers(&share(s));
+            }
+            Action::Want { worker: id, work } => self.numbers(&[now, 7, worker(id), *work]),
+            Action::Joint { worker: id, work, window } => {
+                self.numbers(&[now, 8, worker(id), *work, *window]);
+            }
+            Action::Timer { at, token } => self.numbers(&[now, 9, *at, *token]),
+            Action::Say(_) => self.numbers(&[now, 10]),
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Post { txn, worker } => self.send_attempt(txn, worker),
+            Action::Timer { at, token } => self.push(at.saturating_sub(self.now), Next::Timer(token)),
+            Action::Follow => self.push(80 * MILLISECOND, Next::ListAnswer),
+            Action::Want { worker, work } => {
+                let delay = 1 + self.below(8);
+                self.push(delay * MILLISECOND, Next::Grant { worker, work });
+            }
+            _ => {}
+        }
+    }
+
+    fn send_attempt(&mut self, request: TxnId, worker: WorkerId) {
+        let attempt = self.attempts.entry(request).or_insert(0);
+        let number = *attempt;
+        *attempt += 1;
+        let hung = worker.addr[3] % 11 == 7;
+        let start = (1 + self.below(60)) * MILLISECOND;
+        let run = (2 + self.below(300)) * MILLISECOND;
+        if !hung && self.below(12) != 0 {
+            self.push(start, Next::Start { request, attempt: number });
+        }
+        let end = if hung { 2 * SECOND } else { start + run };
+        self.push(end, Next::End { request, attempt: number, worker });
+    }
+
+    fn arrive(&mut self) {
+        let burst = self.now / (5 * SECOND) % 3 == 1;
+        let gap = if burst { 4 } else { 40 };
+        let delay = (self.chance.unit() * gap as f64 * MILLISECOND as f64) as Nanos;
+        self.push(delay, Next::Arrival);
+        self.next_request += 1;
+        let id = self.next_request;
+        let class = self.below(4) as u8 + u8::from(self.below(200) == 0);
+        let work = (1 + self.below(20) * self.below(20)) * MILLISECOND;
+        let hint = (class != 1 && self.below(4) != 0).then_some(work);
+        let slots = 1.0 + self.below(3) as f32 / 2.0;
+        let memory = self.below(8) as f32 / 2.0;
+        let deadline = self.now + (100 + self.below(2_500)) * MILLISECOND;
+        if self.below(25) == 0 {
+            let delay = (1 + self.below(400)) * MILLISECOND;
+            self.push(delay, Next::Disconnect(id));
+        }
+        self.feed(Event::Arrived(Txn { id, scheme: class, party: 0, hint, slots, memory, expiry: deadline }));
+    }
+
+    fn change_list(&mut self) {
+        let delay = (200 + self.below(900)) * MILLISECOND;
+        self.push(delay, Next::ListChange);
+        let at = self.below(self.workers.len() as u64) as usize;
+        match self.below(6) {
+            0 => self.workers[at].standing = Standing::Draining,
+            1 => self.workers[at].standing = Standing::Gone,
+            2 | 3 => {
+                let started = self.now - self.below(SECOND);
+                self.workers[at].started = started;
+                self.workers[at].standing = Standing::Ready;
+            }
+            4 if self.workers.len() < 60 => {
+                let added = self.worker(100 + self.workers.len() as u8, self.now);
+                self.workers.push(added);
+            }
+            _ => self.workers[at].standing = Standing::Ready,
+        }
+        let scope = match self.below(5) {
+            0 => Scope::Whole,
+            1 => Scope::Failed,
+            _ => Scope::Changes,
+        };
+        self.send_list(scope);
+    }
+
+    fn peer_report(&mut self) {
+        let delay = (5 + self.below(60)) * MILLISECOND;
+        self.push(delay, Next::PeerReport);
+        let at = self.below(self.workers.len() as u64) as usize;
+        let share = Share {
+            worker: self.workers[at].worker,
+            halves: self.below(12) as u8,
+            work: self.below(200) as u16,
+            sign: if self.below(10) == 0 { self.below(3) as u8 } else { 100 + self.below(60) as u8 },
+        };
+        let from = self.below(12) as u16;
+        self.feed(Event::Shared { from, share });
+    }
+
+    fn peer_view(&mut self) {
+        let delay = (1 + self.below(4)) * SECOND;
+        self.push(delay, Next::PeerView);
+        let count = 4 + self.below(30) as u16;
+        let rank = self.below(u64::from(count)) as u16;
+        let view = (self.below(6) != 0).then_some((rank, count));
+        self.feed(Event::View(view));
+    }
+
+    fn report(&mut self) -> Report {
+        let mut values = [0.0; 4];
+        for value in &mut values {
+            *value = match self.below(40) {
+                0 => f32::NAN,
+                1 => -3.0,
+                2 => 1e9,
+                number => number as f32 / 5.0,
+            };
+        }
+        Report { count: self.below(4) as usize, values }
+    }
+
+    fn outcome(&mut self, worker: WorkerId) -> Outcome {
+        let faulty = worker.addr[3] % 9 == 4;
+        if worker.addr[3] % 11 == 7 {
+            return Outcome::TimeOut;
+        }
+        match self.below(if faulty { 16 } else { 90 }) {
+            0 => Outcome::Error,
+            1 => Outcome::Unfit,
+            2 => Outcome::Full,
+            3 => Outcome::TimeOut,
+            4 => Outcome::NoConnection,
+            5 => Outcome::Broken,
+            6 => Outcome::Withdrawn,
+            7 => Outcome::Moot,
+            _ => Outcome::Settled,
+        }
+    }
+
+    fn end(&mut self, request: TxnId, attempt: u8, worker: WorkerId) {
+        let outcome = self.outcome(worker);
+        let complete = outcome == Outcome::Settled;
+        let report = self.report();
+        self.feed(Event::Ended(Ended { txn: request, leg: attempt, outcome, complete, report }));
+    }
+
+    /// A new process of the same dispatcher, which knows the list that the one before had.
+    fn restart(&mut self) {
+        let seed = self.below(1 << 40);
+        self.dispatcher = Dispatcher::start(self.now, seed, &self.settings).expect("valid settings");
+        self.queue.retain(|_, next| {
+            !matches!(next, Next::Timer(_) | Next::Start { .. } | Next::End { .. } | Next::Disconnect(_))
+        });
+        self.attempts.clear();
+        self.send_list(Scope::Kept);
+    }
+
+    fn step(&mut self, next: Next) {
+        match next {
+            Next::Arrival => self.arrive(),
+            Next::ListChange => self.change_list(),
+            Next::PeerReport => self.peer_report(),
+            Next::PeerView => self.peer_view(),
+            Next::Timer(token) => self.feed(Event::Due { token }),
+            Next::Start { request, attempt } => self.feed(Event::Started { txn: request, leg: attempt }),
+            Next::End { request, attempt, worker } => self.end(request, attempt, worker),
+            Next::Disconnect(request) if request % 2 == 0 => {
+                self.feed(Event::Lapsed { txn: request });
+            }
+            Next::Disconnect(request) => self.feed(Event::StreamBegun { txn: request }),
+            Next::ListAnswer => {
+                let scope = if self.below(3) == 0 { Scope::Failed } else { Scope::Whole };
+                self.send_list(scope);
+            }
+            Next::Grant { worker, work } => {
+                let until = self.now + 500 * MILLISECOND;
+                self.feed(Event::Right { worker, work, until });
+            }
+            Next::Restart => self.restart(),
+            Next::Stop => {
+                let by = self.now + 2 * SECOND;
+                self.feed(Event::Closing { by });
+            }
+        }
+    }
+
+    /// Plays until the moment, and returns how many actions were taken and their digest.
+    fn play(mut self, until: Nanos) -> (u64, String) {
+        while let Some(((at, _), next)) = self.queue.pop_first() {
+            if at > until {
+                break;
+            }
+            self.now = at;
+            self.step(next);
+        }
+        let digest = self.digest.finalize();
+        (self.actions, digest[..8].iter().map(|byte| format!("{byte:02x}")).collect())
+    }
+}
+
+#[test_case("dispatchers=1 me=0" =>
+    "111944 actions, 1a8ef36f7bdddcd8 4487861d3a66b362 0b077674cfa0e96d 74e783e3f0e4da42 adf67380baa85eb9 63f63c7af3942a47"; "a single dispatcher")]
+#[test_case("dispatchers=5" =>
+    "117085 actions, 751ad1ce9b35c6cf 9d72a56e2752cf20 81ed180f1fb269cb 6551a1e416be4040 26cc83054dd3b566 a0eb0b15b6230c1b"; "five dispatchers that tell each other nothing")]
+#[test_case("dispatchers=12 share.allowed=true" =>
+    "725105 actions, ae9b9fa095f77a45 88dba367b2176fd3 3147f7cb04ced2fe af400c8276da16d6 b2c1cd4aec48153a 1d8c9738c4e18d90"; "twelve dispatchers that exchange load")]
+#[test_case("dispatchers=300 share.allowed=true rights=true" =>
+    "3578062 actions, 20d41857553c12ff 477899bb4dd37482 728cb1128c8b1bca 8763602aaf32b031 3c96d454c4758e49 40b7fab82d92dbb8"; "three hundred with warm-up grants")]
+#[test_case("dispatchers=40 rights=true list.mode=pushed" =>
+    "125617 actions, b7d1b8cb76e38cca c03c530514ccef6b dd48eeef8eb92147 d599b3e9b8d7a692 3ad2efd385b0d033 23fa58a163d7fa40"; "grants and a pushed list")]
+#[test_case("dispatchers=20 value.by=request zone=1 tells_start=false" =>
+    "109047 actions, b37f219357b621b6 b373a766af3a2c3b a684475a7e3637bc 26386a813677746d 0cf3c6671aa5d204 f583a72442db1b3d"; "worth by request")]
+#[test_case("dispatchers=8 queue.order=random come_back.allowed=false posting.most=2 report.fields=" =>
+    "101267 actions, 421752e89803b65b b103fe18c2f8ea44 0037e72126dcaece 10ba72ba35cfbd4a 525d84f28f8dc057 3bd8106dba16fbbb"; "no reports")]
+fn decisions_are_the_same(overrides: &str) -> String {
+    let plays = (0..6).map(|seed| Model::new(settings(overrides), seed).play(31 * SECOND));
+    let (actions, digests): (Vec<u64>, Vec<String>) = plays.unzip();
+    format!("{} actions, {}", actions.iter().sum::<u64>(), digests.join(" "))
+}
