--- a/crates/rig/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -25,12 +25,12 @@
     #[error("RW-RIG-READ: {path} cannot be read; check the path")]
     Read { path: PathBuf, source: io::Error },
     #[error(
-        "RW-RIG-SCENARIO: {path} is no scenario: {source}; `rosewall-rig draw 1` prints one to start from"
+        "RW-RIG-SCENARIO: {path} is no scenario: {source}; `rosewall-testbed draw 1` prints one to start from"
     )]
     Scenario { path: PathBuf, source: toml::de::Error },
     #[error("RW-RIG-RANGE: {what} is {value}, allowed is {allowed}; change it in the scenario")]
     Range { what: &'static str, value: u64, allowed: &'static str },
-    #[error("RW-RIG-SWEEP: {what}; `rosewall-rig scale --help` lists the names")]
+    #[error("RW-RIG-SWEEP: {what}; `rosewall-testbed scale --help` lists the names")]
     Sweep { what: String },
     #[error(
         "RW-RIG-HOLLOW: the process of hollow ones could not be started or asked ({words}); raise the limits on processes"
--- a/crates/rig/src/main.rs
+++ b/crates/cluster-testbed/src/main.rs
@@ -1,11 +1,11 @@
 //! The command: scenarios played on real processes, one, or many drawn ones side by side.
 use clap::{Parser, Subcommand};
-use rosewall_rig::error::RigError;
-use rosewall_rig::play::{Report, play};
-use rosewall_rig::scale;
-use rosewall_rig::scale::command::Scale;
-use rosewall_rig::scale::map::Ways;
-use rosewall_rig::scenario::Scenario;
+use rosewall_cluster_testbed::error::RigError;
+use rosewall_cluster_testbed::play::{Report, play};
+use rosewall_cluster_testbed::scale;
+use rosewall_cluster_testbed::scale::command::Scale;
+use rosewall_cluster_testbed::scale::map::Ways;
+use rosewall_cluster_testbed::scenario::Scenario;
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "rosewall-rig",
+    name = "rosewall-testbed",
     version,
     about = "Plays processes of rosewalld on loopback, with faults between them, and judges them by the four rules",
     after_help = "Exit codes: 0 no rule broken and no bound passed, 1 one was, 2 the rig could not play.\n\
@@ -176,7 +176,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(fault) => {
-            eprintln!("rosewall-rig: {fault}");
+            eprintln!("rosewall-testbed: {fault}");
             ExitCode::from(2)
         }
     }
--- a/crates/rig/src/play.rs
+++ b/crates/cluster-testbed/src/play.rs
@@ -83,7 +83,7 @@
         scenario.check()?;
         static SERIAL: AtomicU32 = AtomicU32::new(0);
         let (pid, serial) = (std::process::id(), SERIAL.fetch_add(1, Ordering::SeqCst));
-        let folder = std::env::temp_dir().join(format!("rosewall-rig-{pid}-{serial}"));
+        let folder = std::env::temp_dir().join(format!("rosewall-testbed-{pid}-{serial}"));
         std::fs::create_dir_all(&folder)
             .map_err(|source| RigError::Folder { path: folder.clone(), source })?;
         let cold = &scenario.cold;
--- a/crates/rig/src/scale/dispatchers.rs
+++ b/crates/cluster-testbed/src/scale/dispatchers.rs
@@ -3,7 +3,7 @@
 use crate::scale::child::Asked;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use rosewall_drive::node::Node;
+use rosewall_runtime::node::Node;
 use rosewalld::ground::{Listener, Sockets};
 use rosewalld::life::start::load;
 use serde::{Deserialize, Serialize};
--- a/crates/rig/tests/ends.rs
+++ b/crates/cluster-testbed/tests/ends.rs
@@ -4,7 +4,7 @@
 
 /// The processes that were started with a folder of this rig.
 fn of(rig: u32) -> Vec<u32> {
-    let mark = format!("rosewall-rig-{rig}-");
+    let mark = format!("rosewall-testbed-{rig}-");
     let pids = std::fs::read_dir("/proc").unwrap().flatten();
     let pids = pids.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
     let has = |pid: &u32| {
@@ -25,7 +25,7 @@
 /// Guards against processes that outlive a rig that was killed outright.
 #[test]
 fn processes_end_with_the_rig_that_was_killed() {
-    let mut rig = Command::new(env!("CARGO_BIN_EXE_rosewall-rig"))
+    let mut rig = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed"))
         .args(["replay", "1"])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
@@ -41,9 +41,9 @@
 
 #[test]
 fn a_fault_in_a_scenario_is_told_with_what_to_do() {
-    let path = std::env::temp_dir().join(format!("rosewall-rig-fault-{}.toml", std::process::id()));
+    let path = std::env::temp_dir().join(format!("rosewall-testbed-fault-{}.toml", std::process::id()));
     std::fs::write(&path, "secondz = 3\n").unwrap();
-    let run = Command::new(env!("CARGO_BIN_EXE_rosewall-rig")).arg("run").arg(&path).output().unwrap();
+    let run = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed")).arg("run").arg(&path).output().unwrap();
     std::fs::remove_file(&path).unwrap();
     let told = String::from_utf8_lossy(&run.stderr).to_string();
     assert_eq!(run.status.code(), Some(2));
--- a/crates/rig/tests/scale.rs
+++ b/crates/cluster-testbed/tests/scale.rs
@@ -1,7 +1,7 @@
 //! The command `scale`: its verdicts, and what hollow processes are worth.
-use rosewall_rig::scale::fit::{line, predicted};
-use rosewall_rig::scale::map::{Cut, Ways};
-use rosewall_rig::scale::plan::{Fault, Plan};
+use rosewall_cluster_testbed::scale::fit::{line, predicted};
+use rosewall_cluster_testbed::scale::map::{Cut, Ways};
+use rosewall_cluster_testbed::scale::plan::{Fault, Plan};
 use serde_json::Value;
 use std::process::Command;
 use std::sync::Mutex;
@@ -14,15 +14,15 @@
 /// The exit code of the command, and what it printed.
 fn scale(words: &str) -> (Option<i32>, String, String) {
     let _alone = ALONE.lock().unwrap_or_else(|held| held.into_inner());
-    let mut command = Command::new(env!("CARGO_BIN_EXE_rosewall-rig"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed"));
     let out = command.arg("scale").args(words.split_whitespace()).output().unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (out.status.code(), text(&out.stdout), text(&out.stderr))
 }
 
-/// Whether the program under test is built; `cargo test -p rosewall-rig` alone does not build it.
+/// Whether the program under test is built; `cargo test -p rosewall-testbed` alone does not build it.
 fn built() -> bool {
-    let there = rosewall_rig::process::program().exists();
+    let there = rosewall_cluster_testbed::process::program().exists();
     if !there {
         println!("rosewalld is not built: cargo build -p rosewalld");
     }
--- a/crates/node/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -8,9 +8,9 @@
 use rosewall::types::{
     Action, Ended, Event, Nanos, Outcome, Probed, Report, Scope, Share, Standing, Txn, TxnId, WorkerId,
 };
-use rosewall_wire::client::{Answer, Request};
-use rosewall_wire::discovery::Listing;
-use rosewall_wire::worker::{self, Told};
+use rosewall_protocol::client::{Answer, Request};
+use rosewall_protocol::discovery::Listing;
+use rosewall_protocol::worker::{self, Told};
 use rustc_hash::{FxHashMap, FxHashSet};
 use slab::Slab;
 use std::cmp::Reverse;
--- a/crates/node/src/hub_tests.rs
+++ b/crates/engine/src/hub_tests.rs
@@ -5,9 +5,9 @@
 use rosewall::Map;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{Nanos, Outcome, Standing};
-use rosewall_wire::client::{Answer, Request};
-use rosewall_wire::discovery::{Host, Listing};
-use rosewall_wire::worker::Told;
+use rosewall_protocol::client::{Answer, Request};
+use rosewall_protocol::discovery::{Host, Listing};
+use rosewall_protocol::worker::Told;
 use std::rc::Rc;
 use test_case::test_case;
 
--- a/crates/node/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -3,7 +3,7 @@
 use super::pool::{Idle, Pool, REST};
 use super::workers::{Workers, id};
 use rosewall::types::{Nanos, Standing};
-use rosewall_wire::discovery::{Host, Listing};
+use rosewall_protocol::discovery::{Host, Listing};
 use std::rc::Rc;
 use test_case::test_case;
 
--- a/crates/node/src/workers.rs
+++ b/crates/engine/src/workers.rs
@@ -1,7 +1,7 @@
 //! The table of workers: host, id, where to dial, when born.
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::{Listed, Nanos, Standing, WorkerId};
-use rosewall_wire::discovery::{Host, Listing};
+use rosewall_protocol::discovery::{Host, Listing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/node/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -7,12 +7,12 @@
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{Nanos, Outcome, Share, TxnId, WorkerId};
-use rosewall_node::counters::Counters;
-use rosewall_node::hub::{Effect, Hub, Input};
-use rosewall_node::workers::Workers;
-use rosewall_wire::client::{Heard, Intake, Names, answer, message};
-use rosewall_wire::discovery::{Bulletin, call, listing};
-use rosewall_wire::worker::{Reply, Told};
+use rosewall_engine::counters::Counters;
+use rosewall_engine::hub::{Effect, Hub, Input};
+use rosewall_engine::workers::Workers;
+use rosewall_protocol::client::{Heard, Intake, Names, answer, message};
+use rosewall_protocol::discovery::{Bulletin, call, listing};
+use rosewall_protocol::worker::{Reply, Told};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -390,7 +390,7 @@
     fn peer_report(&mut self) {
         let delay = (5 + self.below(60)) * MILLISECOND;
         self.push(delay, Next::PeerReport);
-        let worker = rosewall_node::workers::id(&format!("w{}", self.below(14)));
+        let worker = rosewall_engine::workers::id(&format!("w{}", self.below(14)));
         let share = Share {
             worker,
             halves: self.below(9) as u8,
@@ -408,7 +408,7 @@
         let view = (self.below(5) != 0).then_some((3, count));
         self.take(Input::View(view));
         if self.below(2) == 0 {
-            let worker = rosewall_node::workers::id(&format!("w{}", self.below(14)));
+            let worker = rosewall_engine::workers::id(&format!("w{}", self.below(14)));
             let until = self.now + SECOND;
             self.take(Input::Right { worker, work: 90 * MILLISECOND, until });
         }
--- a/crates/tally/src/main.rs
+++ b/crates/log-stats/src/main.rs
@@ -1,11 +1,11 @@
 //! The command: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug`, and prints its sums by second.
 use clap::Parser;
-use rosewall_tally::Tally;
+use rosewall_log_stats::Tally;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "rosewall-tally", version, about = "Sums the debug logs of many dispatchers by second")]
+#[command(name = "rosewall-log-stats", version, about = "Sums the debug logs of many dispatchers by second")]
 struct Cli {
     /// A log of each dispatcher, as written with ROSEWALL_LOG=debug
     #[arg(required = true)]
@@ -22,7 +22,7 @@
         match std::fs::read(path) {
             Ok(text) => tally.read(&String::from_utf8_lossy(&text)),
             Err(error) => {
-                eprintln!("rosewall-tally: cannot read {}: {error}", path.display());
+                eprintln!("rosewall-log-stats: cannot read {}: {error}", path.display());
                 return ExitCode::from(2);
             }
         }
--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -1,8 +1,8 @@
 //! Several processes of the program, with faults between them. Rules are judged by the workers' and clients' own record;
 //! only who knows whom is read from the logs.
-use rosewall_rig::play::{Report, Stage, play};
-use rosewall_rig::relay::Way;
-use rosewall_rig::scenario::{ColdStart, Fault, Fleet, Load, Scenario, What};
+use rosewall_cluster_testbed::play::{Report, Stage, play};
+use rosewall_cluster_testbed::relay::Way;
+use rosewall_cluster_testbed::scenario::{ColdStart, Fault, Fleet, Load, Scenario, What};
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
 
--- a/crates/rosewalld/tests/daemon.rs
+++ b/crates/rosewalld/tests/daemon.rs
@@ -1,7 +1,7 @@
 //! The program as it is started, spoken to over sockets.
 mod mixed;
 
-use rosewall_rig::stand::{
+use rosewall_cluster_testbed::stand::{
     Act, Client, Daemon, Discovery, Worker, configuration, counter_in, field, host, listen, message, request,
     script, vanished_machine,
 };
--- a/crates/rosewalld/tests/ends.rs
+++ b/crates/rosewalld/tests/ends.rs
@@ -1,5 +1,5 @@
 //! Where something ends while something is still owed: the crossing is forced by the stand-ins. See `docs/ends.md`.
-use rosewall_rig::stand::{
+use rosewall_cluster_testbed::stand::{
     Act, Daemon, Discovery, Worker, configuration, host, request, script, vanished_machine,
 };
 use std::io::{Read, Write};
--- a/crates/rosewalld/tests/mixed/mod.rs
+++ b/crates/rosewalld/tests/mixed/mod.rs
@@ -1,5 +1,7 @@
 //! Dispatchers of the old shape, without talk, and of the new before the same workers.
-use rosewall_rig::stand::{Client, Daemon, Discovery, configuration, field, host, listen, message, request};
+use rosewall_cluster_testbed::stand::{
+    Client, Daemon, Discovery, configuration, field, host, listen, message, request,
+};
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpStream, UdpSocket};
 use std::sync::{Arc, Condvar, Mutex};
--- a/crates/drive/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -5,7 +5,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::Nanos;
-use rosewall_wire::discovery::{self, Bulletin};
+use rosewall_protocol::discovery::{self, Bulletin};
 use std::convert::Infallible;
 use std::future::poll_fn;
 use std::io;
--- a/crates/drive/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,4 +1,4 @@
-//! The drivers: what reads, writes and waits for the machines of `rosewall-wire` and `rosewall-node`. They stand on
+//! The drivers: what reads, writes and waits for the machines of `rosewall-protocol` and `rosewall-engine`. They stand on
 //! one seam, `ground`, and so run the same over sockets and over a virtual network. `node` puts one dispatcher
 //! together; nothing here decides.
 pub mod client;
--- a/crates/drive/src/members.rs
+++ b/crates/runtime/src/members.rs
@@ -6,8 +6,8 @@
 use rosewall::types::{Nanos, Share, WorkerId};
 use rosewall_cluster::node::{Cluster, Effect, Line};
 use rosewall_cluster::wire::MOST;
-use rosewall_node::counters::Counters;
-use rosewall_node::pace::Pace;
+use rosewall_engine::counters::Counters;
+use rosewall_engine::pace::Pace;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
--- a/crates/drive/src/talk.rs
+++ b/crates/runtime/src/talk.rs
@@ -2,9 +2,9 @@
 use crate::ground::{Ground, Mail};
 use futures_lite::future::yield_now;
 use rosewall::types::{Nanos, Share};
-use rosewall_node::counters::Counters;
-use rosewall_node::pace::Pace;
-use rosewall_wire::talk::{LENGTH, datagram, read};
+use rosewall_engine::counters::Counters;
+use rosewall_engine::pace::Pace;
+use rosewall_protocol::talk::{LENGTH, datagram, read};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
--- a/crates/world/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,9 +1,9 @@
 //! The command: worlds by the thousand, one played again, one cut down, faults planted.
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use rosewall_world::explore::{among, explore_by, scenario, shrink};
-use rosewall_world::scenario::{self as file, Scenario};
-use rosewall_world::world::{Report, play};
+use rosewall_simulation::explore::{among, explore_by, scenario, shrink};
+use rosewall_simulation::scenario::{self as file, Scenario};
+use rosewall_simulation::world::{Report, play};
 use std::io::{IsTerminal, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "rosewall-world",
+    name = "rosewall-simulate",
     version,
     about = "Plays dispatchers on a virtual clock and judges them by the four rules"
 )]
@@ -95,7 +95,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(fault) => {
-            eprintln!("rosewall-world: {fault}");
+            eprintln!("rosewall-simulate: {fault}");
             ExitCode::from(2)
         }
     }
@@ -157,7 +157,7 @@
                     let among = dispatchers.map(|count| format!(" --dispatchers {count}"));
                     let (seed, from) = (report.seed, from.unwrap_or_default() + &among.unwrap_or_default());
                     bar.suspend(|| {
-                        print(&format!("seed {seed}: rosewall-world replay --seed {seed}{from} --trace"));
+                        print(&format!("seed {seed}: rosewall-simulate replay --seed {seed}{from} --trace"));
                         show(report);
                     });
                 }
@@ -243,8 +243,8 @@
 #[cfg(feature = "sabotage")]
 fn sabotage(seeds: u64, first: u64, jobs: usize, as_json: bool) -> Result<bool, String> {
     let mut all = true;
-    for fault in rosewall_world::sabotage::all() {
-        let found = rosewall_world::sabotage::find(*fault, first, seeds, jobs);
+    for fault in rosewall_simulation::sabotage::all() {
+        let found = rosewall_simulation::sabotage::find(*fault, first, seeds, jobs);
         all &= found.worlds.is_some();
         print(&match (as_json, found.worlds, found.rule) {
             (true, ..) => json(&found)?,
--- a/crates/world/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -1,8 +1,8 @@
 //! Worlds played as they are in the command: drawn ones by the hundred, and those in which troubles meet by plan.
-use rosewall_world::explore::{among, explore, explore_by, scenario};
-use rosewall_world::judge::{ClassTally, Rule, Tally};
-use rosewall_world::scenario::{read, write};
-use rosewall_world::world::play;
+use rosewall_simulation::explore::{among, explore, explore_by, scenario};
+use rosewall_simulation::judge::{ClassTally, Rule, Tally};
+use rosewall_simulation::scenario::{read, write};
+use rosewall_simulation::world::play;
 use test_case::test_case;
 
 #[test]
@@ -159,8 +159,8 @@
 #[test]
 fn every_fault_planted_on_purpose_is_found() {
     let jobs = std::thread::available_parallelism().map_or(1, |cores| cores.get());
-    for fault in rosewall_world::sabotage::all() {
-        let found = rosewall_world::sabotage::find(*fault, 0, 1000, jobs);
+    for fault in rosewall_simulation::sabotage::all() {
+        let found = rosewall_simulation::sabotage::find(*fault, 0, 1000, jobs);
         assert!(found.worlds.is_some(), "{fault:?} was not found");
     }
 }
