--- a/crates/cluster/src/rights.rs
+++ b/crates/cluster/src/rights.rs
@@ -11,7 +11,7 @@
 const MS: Nanos = 1_000_000;
 /// Works are whole ms of one seat on the way.
 pub const UNIT: Nanos = MS;
-/// A right lasts so long, or half a window: it is asked for by a txn that waits for it. Short, as what a window holds is
+/// A right lasts so long, or half a window: it is asked for by a request that waits for it. Short, as what a window holds is
 /// shared with as much of the next; but longer than the way there and back between distant rooms.
 const LASTS: Nanos = 100 * MS;
 /// So many may be asked for in a second by one process.
--- a/crates/cluster/src/signals.rs
+++ b/crates/cluster/src/signals.rs
@@ -7,7 +7,7 @@
 
 const MS: Nanos = 1_000_000;
 /// How long a line waits for others to the same member: well under the second in which queues change. At 5 ms datagrams alone
-/// made a txn cost 1.6 times as much (processor time, six dispatchers of 130 txns a second, jobs of 10 ms).
+/// made a request cost 1.6 times as much (processor time, six dispatchers of 130 requests a second, jobs of 10 ms).
 const HOLD: Nanos = 25 * MS;
 const LINES: usize = 40;
 /// The unit of a line's age on the way.
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -98,7 +98,7 @@
     pub fn limit(&self, sockets: usize, memory_mb: usize) {
         let (most, memory) = (sockets.saturating_sub(KEPT_BACK).max(2), memory_mb * 1024 * 1024);
         self.most.set(most);
-        // Each client has one txn at a time and a txn one posting; some clients only wait. A quarter of the memory
+        // Each client has one request at a time and a request one posting; some clients only wait. A quarter of the memory
         // is for their connections, half for what they send, the rest for the program.
         self.most_clients.set((most * 3 / 5).min(memory / 4 / CLIENT_BYTES).max(1));
         self.most_bytes.set(memory / 2);
@@ -115,7 +115,7 @@
         Some(slot)
     }
 
-    /// One of the few for clients that are only told that there is no room. Guards against txns that wait at the door
+    /// One of the few for clients that are only told that there is no room. Guards against requests that wait at the door
     /// past their expiry.
     pub fn turned_away(self: &Rc<Self>) -> Option<Slot> {
         let taken = self.turned_away.get();
--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -1,4 +1,4 @@
-//! The hub joins decisions and txns: what it is told goes in with the moment, what is to be done comes out. It alone
+//! The hub joins decisions and requests: what it is told goes in with the moment, what is to be done comes out. It alone
 //! calls `handle`; what follows from an action waits in a queue for its turn.
 use crate::counters::Counters;
 use crate::must;
@@ -6,9 +6,10 @@
 use rosewall::policy::Dispatcher;
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::{
-    Action, Ended, Event, Nanos, Outcome, Probed, Report, Scope, Share, Standing, Txn, TxnId, WorkerId,
+    Action, Ended, Event, Nanos, Outcome, Probed, Report, Request, RequestId, Scope, Share, Standing,
+    WorkerId,
 };
-use rosewall_protocol::client::{Answer, Request};
+use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::Listing;
 use rosewall_protocol::worker::{self, Told};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -19,27 +20,27 @@
 use std::rc::Rc;
 
 /// How much earlier than the client's own the expiry lies that the decisions know. Measured on one core each, a
-/// txn's way in and its answer's way out took up to 0.6 and 0.4 ms (99 of 100); a core shared with a few others adds
+/// request's way in and its answer's way out took up to 0.6 and 0.4 ms (99 of 100); a core shared with a few others adds
 /// their turns, of 3 to 4 ms each.
 const MARGIN: Nanos = 20_000_000;
-/// How many ids of txns that were posted and are over are remembered: about 1 MB, and minutes of one dispatcher's
+/// How many ids of requests that were posted and are over are remembered: about 1 MB, and minutes of one dispatcher's
 /// traffic, longer than any client waits.
 const REMEMBERED: usize = 8192;
-/// How long after an expiry its answer must have been decided: the decisions look at held txns each 25 ms.
+/// How long after an expiry its answer must have been decided: the decisions look at held requests each 25 ms.
 const OWED_FOR: Nanos = 30_000_000;
 
 /// What the hub is told.
 pub enum Input {
     /// A whole request, read at this moment.
     Arrived {
-        txn: TxnId,
+        request_id: RequestId,
         at: Nanos,
-        request: Request,
+        request: ClientRequest,
     },
     /// Its client has closed.
-    Left(TxnId),
+    Left(RequestId),
     Told {
-        txn: TxnId,
+        request_id: RequestId,
         leg: u8,
         told: Told,
     },
@@ -66,7 +67,7 @@
 /// Where a posting goes, and what goes there.
 #[derive(Debug)]
 pub struct Errand {
-    pub txn: TxnId,
+    pub request_id: RequestId,
     pub leg: u8,
     pub worker: WorkerId,
     pub dial: SocketAddr,
@@ -78,25 +79,25 @@
 /// What is to be done, in order.
 #[derive(Debug)]
 pub enum Effect {
-    /// The one final answer of a txn goes to its client.
+    /// The one final answer of a request goes to its client.
     Answer {
-        txn: TxnId,
+        request_id: RequestId,
         answer: Answer,
     },
     Post(Errand),
     /// Its client has left, or its worker takes nothing new: what was not written to its last byte yet is not sent.
     CallOff {
-        txn: TxnId,
+        request_id: RequestId,
         leg: u8,
     },
     /// The posting is given up: its connection closes.
     Cut {
-        txn: TxnId,
+        request_id: RequestId,
         leg: u8,
     },
     /// The posting has ended; whoever carries it may still read what frees its connection.
     Done {
-        txn: TxnId,
+        request_id: RequestId,
         leg: u8,
     },
     Probe {
@@ -131,8 +132,8 @@
 }
 
 struct Held {
-    txn: TxnId,
-    request: Request,
+    request_id: RequestId,
+    request: ClientRequest,
     expiry: Nanos,
     /// Whether the final answer is still to come.
     owed: bool,
@@ -144,15 +145,15 @@
     /// Calls off the postings that are out to such workers.
     fn call_off(&self, to: impl Fn(&WorkerId) -> bool, out: &mut Vec<Effect>) {
         let legs = self.legs.iter().enumerate().filter(|(_, worker)| worker.as_ref().is_some_and(&to));
-        out.extend(legs.map(|(leg, _)| Effect::CallOff { txn: self.txn, leg: leg as u8 }));
+        out.extend(legs.map(|(leg, _)| Effect::CallOff { request_id: self.request_id, leg: leg as u8 }));
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Decisions(u64),
-    Expiry(TxnId),
-    Owed(TxnId),
+    Expiry(RequestId),
+    Owed(RequestId),
 }
 
 pub struct Hub {
@@ -162,9 +163,9 @@
     /// Whether a list of workers is known.
     ready: bool,
     workers: Workers,
-    txns: Slab<Held>,
-    places: FxHashMap<TxnId, usize>,
-    /// The ids of the txns in hand and of those over, the latter also in the order of their ends.
+    requests: Slab<Held>,
+    places: FxHashMap<RequestId, usize>,
+    /// The ids of the requests in hand and of those over, the latter also in the order of their ends.
     ids: FxHashSet<Rc<str>>,
     over: VecDeque<Rc<str>>,
     events: VecDeque<Event>,
@@ -188,7 +189,7 @@
             connect_within,
             ready: false,
             workers,
-            txns: Slab::new(),
+            requests: Slab::new(),
             places: FxHashMap::default(),
             ids: FxHashSet::default(),
             over: VecDeque::new(),
@@ -212,7 +213,7 @@
 
     /// Txns in hand: not answered, or with a posting out.
     pub fn in_hand(&self) -> usize {
-        self.txns.len()
+        self.requests.len()
     }
 
     /// Where a worker is dialled now.
@@ -230,20 +231,20 @@
 
     pub fn take(&mut self, now: Nanos, input: Input, out: &mut Vec<Effect>) {
         match input {
-            Input::Arrived { txn, at, request } => self.arrived(now, txn, at, request, out),
+            Input::Arrived { request_id, at, request } => self.arrived(now, request_id, at, request, out),
             Input::Left(_) if is(Fault::LeftIgnored) => {}
-            Input::Left(txn) => {
-                if let Some(held) = self.held(txn)
+            Input::Left(request_id) => {
+                if let Some(held) = self.held(request_id)
                     && std::mem::take(&mut held.owed)
                 {
                     // Guards against work that is begun for someone who has left while a connection was coming up.
                     held.call_off(|_| true, out);
                     self.counters.clients_left.add();
-                    self.decide(now, Event::Lapsed { txn }, out);
-                    self.settle_up(txn);
+                    self.decide(now, Event::Lapsed { request_id }, out);
+                    self.settle_up(request_id);
                 }
             }
-            Input::Told { txn, leg, told } => self.told(now, txn, leg, told, out),
+            Input::Told { request_id, leg, told } => self.told(now, request_id, leg, told, out),
             Input::Probed(probed) => self.decide(now, Event::Probed(probed), out),
             Input::Shared { from, share } => self.decide(now, Event::Shared { from, share }, out),
             Input::View(place) => self.decide(now, Event::View(place), out),
@@ -273,64 +274,75 @@
         // drain: it has not run, and is placed anew. One whose last bytes are on their way loses 2 ms of its time.
         let mut closed: FxHashSet<WorkerId> = void.iter().copied().collect();
         closed.extend(entries.iter().filter(|e| e.standing != Standing::Ready).map(|e| e.worker));
-        self.txns.iter().for_each(|(_, held)| held.call_off(|worker| closed.contains(worker), out));
+        self.requests.iter().for_each(|(_, held)| held.call_off(|worker| closed.contains(worker), out));
         // Connections to a process that is no more are not used again.
         out.extend(void.into_iter().map(|worker| Effect::Void { worker, dial: None }));
         self.counters.hosts_clashing.more(clashing);
         self.decide(now, Event::List { scope, entries }, out);
     }
 
-    fn held(&mut self, txn: TxnId) -> Option<&mut Held> {
-        let place = *self.places.get(&txn)?;
-        self.txns.get_mut(place)
+    fn held(&mut self, request_id: RequestId) -> Option<&mut Held> {
+        let place = *self.places.get(&request_id)?;
+        self.requests.get_mut(place)
     }
 
-    fn arrived(&mut self, now: Nanos, txn: TxnId, at: Nanos, request: Request, out: &mut Vec<Effect>) {
+    fn arrived(
+        &mut self,
+        now: Nanos,
+        request_id: RequestId,
+        at: Nanos,
+        request: ClientRequest,
+        out: &mut Vec<Effect>,
+    ) {
         // Guards against the id of another client's request: posted again it would run twice.
         if !self.ids.insert(request.id.as_str().into()) && !is(Fault::IdTakenTwice) {
-            return self.give(txn, Answer::Known, out);
+            return self.give(request_id, Answer::Known, out);
         }
         self.counters.requests.add();
         let margin = if is(Fault::LateAnswer) { 0 } else { MARGIN };
         let late = if is(Fault::LateAnswer) { 5 * MARGIN } else { 0 };
         let expiry = (at + request.within + late).saturating_sub(margin);
         let expiry = self.stop_by.map_or(expiry, |by| expiry.min(by));
-        let Request { scheme, party, hint, slots, memory, .. } = request;
-        log::debug!("at={now} txn={txn} arrived scheme={scheme} hint={}", hint.unwrap_or(0));
-        let place = self.txns.insert(Held { txn, request, expiry, owed: true, legs: Vec::new() });
-        self.places.insert(txn, place);
-        self.arm(expiry, Due::Expiry(txn));
-        self.decide(now, Event::Arrived(Txn { id: txn, scheme, party, hint, slots, memory, expiry }), out);
+        let ClientRequest { scheme, party, hint, slots, memory, .. } = request;
+        log::debug!("at={now} txn={request_id} arrived scheme={scheme} hint={}", hint.unwrap_or(0));
+        let place = self.requests.insert(Held { request_id, request, expiry, owed: true, legs: Vec::new() });
+        self.places.insert(request_id, place);
+        self.arm(expiry, Due::Expiry(request_id));
+        self.decide(
+            now,
+            Event::Arrived(Request { id: request_id, scheme, party, hint, slots, memory, expiry }),
+            out,
+        );
     }
 
-    fn is_out(&mut self, txn: TxnId, leg: u8) -> bool {
-        self.held(txn).is_some_and(|held| held.legs.get(usize::from(leg)).is_some_and(Option::is_some))
+    fn is_out(&mut self, request_id: RequestId, leg: u8) -> bool {
+        self.held(request_id).is_some_and(|held| held.legs.get(usize::from(leg)).is_some_and(Option::is_some))
     }
 
-    fn told(&mut self, now: Nanos, txn: TxnId, leg: u8, told: Told, out: &mut Vec<Effect>) {
+    fn told(&mut self, now: Nanos, request_id: RequestId, leg: u8, told: Told, out: &mut Vec<Effect>) {
         // A posting that was ended here may have told something just before.
-        if !self.is_out(txn, leg) {
+        if !self.is_out(request_id, leg) {
             return;
         }
         match told {
             Told::Started => {
-                log::debug!("at={now} txn={txn} leg={leg} started");
+                log::debug!("at={now} txn={request_id} leg={leg} started");
                 self.counters.started.add();
-                self.decide(now, Event::Started { txn, leg }, out);
+                self.decide(now, Event::Started { request_id, leg }, out);
             }
             Told::Settled(result) => {
-                if !self.answer(txn, Answer::Settled(result), out) {
+                if !self.answer(request_id, Answer::Settled(result), out) {
                     self.counters.settled_late.add();
                 }
-                self.end(now, txn, leg, Outcome::Settled, out);
+                self.end(now, request_id, leg, Outcome::Settled, out);
             }
-            Told::Ended(outcome) => self.end(now, txn, leg, outcome, out),
+            Told::Ended(outcome) => self.end(now, request_id, leg, outcome, out),
         }
     }
 
     /// A posting is over: the decisions are told.
-    fn end(&mut self, now: Nanos, txn: TxnId, leg: u8, outcome: Outcome, out: &mut Vec<Effect>) {
-        log::debug!("at={now} txn={txn} leg={leg} ended {outcome:?}");
+    fn end(&mut self, now: Nanos, request_id: RequestId, leg: u8, outcome: Outcome, out: &mut Vec<Effect>) {
+        log::debug!("at={now} txn={request_id} leg={leg} ended {outcome:?}");
         let unrun = is(Fault::BrokenIsUnrun) && outcome == Outcome::Broken;
         let outcome = if unrun { Outcome::NoConnection } else { outcome };
         let counters = &self.counters;
@@ -344,30 +356,30 @@
             Outcome::Broken | Outcome::Withdrawn => counters.ended_broken.add(),
             Outcome::Moot => counters.ended_moot.add(),
         }
-        let Some(held) = self.held(txn) else { return };
+        let Some(held) = self.held(request_id) else { return };
         let complete = !held.owed;
         if held.legs.get_mut(usize::from(leg)).is_some_and(|worker| worker.take().is_some()) {
             // At its end the connection is still read until it is free; at the expiry it goes with the posting.
             out.push(match outcome {
-                Outcome::TimeOut => Effect::Cut { txn, leg },
-                _ => Effect::Done { txn, leg },
+                Outcome::TimeOut => Effect::Cut { request_id, leg },
+                _ => Effect::Done { request_id, leg },
             });
         }
         let report = Report::default();
-        self.decide(now, Event::Ended(Ended { txn, leg, outcome, complete, report }), out);
-        self.settle_up(txn);
+        self.decide(now, Event::Ended(Ended { request_id, leg, outcome, complete, report }), out);
+        self.settle_up(request_id);
     }
 
-    /// Forgets a txn that is answered and has nothing out.
-    fn settle_up(&mut self, txn: TxnId) {
-        let Some(place) = self.places.get(&txn).copied() else { return };
+    /// Forgets a request that is answered and has nothing out.
+    fn settle_up(&mut self, request_id: RequestId) {
+        let Some(place) = self.places.get(&request_id).copied() else { return };
         let over = |held: &Held| !held.owed && held.legs.iter().all(Option::is_none);
-        if is(Fault::TxnKept) && self.txns.get(place).is_some_and(|held| held.legs.len() > 1) {
+        if is(Fault::TxnKept) && self.requests.get(place).is_some_and(|held| held.legs.len() > 1) {
             return;
         }
-        if self.txns.get(place).is_some_and(over) {
-            self.places.remove(&txn);
-            let held = self.txns.remove(place);
+        if self.requests.get(place).is_some_and(over) {
+            self.places.remove(&request_id);
+            let held = self.requests.remove(place);
             if held.legs.is_empty() {
                 self.ids.remove(held.request.id.as_str());
             } else {
@@ -382,16 +394,16 @@
     }
 
     /// Gives the final answer, if it is still owed.
-    fn answer(&mut self, txn: TxnId, answer: Answer, out: &mut Vec<Effect>) -> bool {
-        let owed = self.held(txn).is_some_and(|held| std::mem::take(&mut held.owed));
+    fn answer(&mut self, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) -> bool {
+        let owed = self.held(request_id).is_some_and(|held| std::mem::take(&mut held.owed));
         if owed {
-            self.give(txn, answer, out);
+            self.give(request_id, answer, out);
         }
         owed
     }
 
     /// Counts an answer and sends it.
-    fn give(&self, txn: TxnId, answer: Answer, out: &mut Vec<Effect>) {
+    fn give(&self, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
         let counters = &self.counters;
         match answer {
             Answer::Settled(_) => counters.settled.add(),
@@ -399,7 +411,7 @@
             Answer::Reversed => counters.reversed.add(),
             Answer::Known => counters.requests_known.add(),
         }
-        out.push(Effect::Answer { txn, answer });
+        out.push(Effect::Answer { request_id, answer });
     }
 
     /// Takes the one timer that is due first, if one is; false where none is.
@@ -410,43 +422,43 @@
         let Some(Reverse((_, _, due))) = self.timers.pop() else { return false };
         match due {
             Due::Decisions(token) => self.decide(now, Event::Due { token }, out),
-            Due::Expiry(txn) => self.expired(now, txn, out),
-            Due::Owed(txn) => {
-                let owed = self.held(txn).is_some_and(|held| held.owed);
-                must!(self.counters, !owed, "every txn is answered at its expiry");
+            Due::Expiry(request_id) => self.expired(now, request_id, out),
+            Due::Owed(request_id) => {
+                let owed = self.held(request_id).is_some_and(|held| held.owed);
+                must!(self.counters, !owed, "every request is answered at its expiry");
                 if owed {
-                    self.answer(txn, Answer::Reversed, out);
-                    self.decide(now, Event::Lapsed { txn }, out);
-                    self.settle_up(txn);
+                    self.answer(request_id, Answer::Reversed, out);
+                    self.decide(now, Event::Lapsed { request_id }, out);
+                    self.settle_up(request_id);
                 }
             }
         }
         true
     }
 
-    fn expired(&mut self, now: Nanos, txn: TxnId, out: &mut Vec<Effect>) {
-        let Some(held) = self.held(txn) else { return };
+    fn expired(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
+        let Some(held) = self.held(request_id) else { return };
         if held.expiry > now {
             return;
         }
         for leg in 0..held.legs.len() as u8 {
-            if self.is_out(txn, leg) {
-                self.end(now, txn, leg, Outcome::TimeOut, out);
+            if self.is_out(request_id, leg) {
+                self.end(now, request_id, leg, Outcome::TimeOut, out);
             }
         }
-        self.arm(now + OWED_FOR, Due::Owed(txn));
+        self.arm(now + OWED_FOR, Due::Owed(request_id));
     }
 
     fn stop(&mut self, now: Nanos, by: Nanos, out: &mut Vec<Effect>) {
         self.stop_by = Some(by);
         let mut brought = Vec::new();
-        for (_, held) in &mut self.txns {
+        for (_, held) in &mut self.requests {
             if held.expiry > by {
                 held.expiry = by;
-                brought.push(held.txn);
+                brought.push(held.request_id);
             }
         }
-        brought.into_iter().for_each(|txn| self.arm(by, Due::Expiry(txn)));
+        brought.into_iter().for_each(|request_id| self.arm(by, Due::Expiry(request_id)));
         self.decide(now, Event::Closing { by }, out);
     }
 
@@ -463,10 +475,12 @@
 
     fn act(&mut self, now: Nanos, action: Action, out: &mut Vec<Effect>) {
         match action {
-            Action::Post { txn, worker } => self.post(now, txn, worker, out),
+            Action::Post { request_id, worker } => self.post(now, request_id, worker, out),
             Action::Probe { worker } => self.probe(worker, out),
-            Action::Decline { txn, come_back } => self.refuse(now, txn, Answer::Declined { come_back }, out),
-            Action::Reverse { txn } => self.refuse(now, txn, Answer::Reversed, out),
+            Action::Decline { request_id, come_back } => {
+                self.refuse(now, request_id, Answer::Declined { come_back }, out)
+            }
+            Action::Reverse { request_id } => self.refuse(now, request_id, Answer::Reversed, out),
             Action::Follow => out.push(Effect::Follow),
             Action::Tell { to, share } => out.push(Effect::Tell { to, share }),
             Action::Want { worker, work } => out.push(Effect::Want { worker, work }),
@@ -476,36 +490,36 @@
         }
     }
 
-    fn refuse(&mut self, now: Nanos, txn: TxnId, answer: Answer, out: &mut Vec<Effect>) {
-        log::debug!("at={now} txn={txn} answered {answer:?}");
-        let owed = self.answer(txn, answer, out);
-        must!(self.counters, owed, "only a txn that is owed an answer gets one");
-        self.settle_up(txn);
+    fn refuse(&mut self, now: Nanos, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
+        log::debug!("at={now} txn={request_id} answered {answer:?}");
+        let owed = self.answer(request_id, answer, out);
+        must!(self.counters, owed, "only a request that is owed an answer gets one");
+        self.settle_up(request_id);
     }
 
-    fn post(&mut self, now: Nanos, txn: TxnId, worker: WorkerId, out: &mut Vec<Effect>) {
+    fn post(&mut self, now: Nanos, request_id: RequestId, worker: WorkerId, out: &mut Vec<Effect>) {
         let known = self.workers.reach(worker).map(|(host, dial)| (host.to_string(), dial));
         let connect_within = self.connect_within;
         let counters = self.counters.clone();
-        let Some(held) = self.held(txn) else { return };
+        let Some(held) = self.held(request_id) else { return };
         let (leg, left) = (held.legs.len() as u8, held.expiry.saturating_sub(now));
         let owed = held.owed && left > 0;
-        must!(counters, held.owed, "nothing is posted for a txn that was answered");
+        must!(counters, held.owed, "nothing is posted for a request that was answered");
         let Some((host, dial)) = known.filter(|_| owed) else {
             held.legs.push(None);
             counters.ended_moot.add();
             let (outcome, report) = (Outcome::Moot, Report::default());
-            let ended = Ended { txn, leg, outcome, complete: !owed, report };
+            let ended = Ended { request_id, leg, outcome, complete: !owed, report };
             return self.events.push_back(Event::Ended(ended));
         };
         counters.postings.add();
-        log::debug!("at={now} txn={txn} leg={leg} posted host={host}");
+        log::debug!("at={now} txn={request_id} leg={leg} posted host={host}");
         let message = worker::posting(&host, &held.request, left);
         let id = held.request.id.clone();
         // Half of what is left at most, so that another worker can still be tried after a vanished one.
         let connect_within = connect_within.min(left / 2);
         held.legs.push(Some(worker));
-        out.push(Effect::Post(Errand { txn, leg, worker, dial, id, message, connect_within }));
+        out.push(Effect::Post(Errand { request_id, leg, worker, dial, id, message, connect_within }));
     }
 
     fn probe(&mut self, worker: WorkerId, out: &mut Vec<Effect>) {
--- a/crates/engine/src/hub_tests.rs
+++ b/crates/engine/src/hub_tests.rs
@@ -5,7 +5,7 @@
 use rosewall::Map;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{Nanos, Outcome, Standing};
-use rosewall_protocol::client::{Answer, Request};
+use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::{Host, Listing};
 use rosewall_protocol::worker::Told;
 use std::rc::Rc;
@@ -54,31 +54,37 @@
     hub
 }
 
-fn request(id: &str) -> Request {
-    Request { id: id.into(), within: 500 * MS, hint: Some(5 * MS), slots: 1.0, ..Request::default() }
+fn request(id: &str) -> ClientRequest {
+    ClientRequest {
+        id: id.into(),
+        within: 500 * MS,
+        hint: Some(5 * MS),
+        slots: 1.0,
+        ..ClientRequest::default()
+    }
 }
 
 /// The effects in words, in order.
 fn words(effects: &mut Vec<Effect>) -> Vec<String> {
     let word = |effect| match effect {
-        Effect::Answer { txn, answer } => match answer {
-            Answer::Settled(_) => format!("settled {txn}"),
-            Answer::Declined { .. } => format!("declined {txn}"),
-            Answer::Reversed => format!("reversed {txn}"),
-            Answer::Known => format!("known {txn}"),
+        Effect::Answer { request_id, answer } => match answer {
+            Answer::Settled(_) => format!("settled {request_id}"),
+            Answer::Declined { .. } => format!("declined {request_id}"),
+            Answer::Reversed => format!("reversed {request_id}"),
+            Answer::Known => format!("known {request_id}"),
         },
-        Effect::Post(errand) => format!("post {} {}", errand.txn, errand.leg),
-        Effect::CallOff { txn, leg } => format!("off {txn} {leg}"),
-        Effect::Cut { txn, leg } => format!("cut {txn} {leg}"),
-        Effect::Done { txn, leg } => format!("done {txn} {leg}"),
+        Effect::Post(errand) => format!("post {} {}", errand.request_id, errand.leg),
+        Effect::CallOff { request_id, leg } => format!("off {request_id} {leg}"),
+        Effect::Cut { request_id, leg } => format!("cut {request_id} {leg}"),
+        Effect::Done { request_id, leg } => format!("done {request_id} {leg}"),
         _ => "other".to_string(),
     };
     effects.drain(..).map(word).collect()
 }
 
-fn arrive(hub: &mut Hub, txn: u32, id: &str) -> Vec<String> {
+fn arrive(hub: &mut Hub, request_id: u32, id: &str) -> Vec<String> {
     let mut out = Vec::new();
-    hub.take(MS, Input::Arrived { txn, at: MS, request: request(id) }, &mut out);
+    hub.take(MS, Input::Arrived { request_id, at: MS, request: request(id) }, &mut out);
     words(&mut out)
 }
 
@@ -90,7 +96,7 @@
         (vec!["post 1 0".into()], vec!["known 2".into()])
     );
     let mut out = Vec::new();
-    one.take(9 * MS, Input::Told { txn: 1, leg: 0, told: Told::Settled(Vec::new()) }, &mut out);
+    one.take(9 * MS, Input::Told { request_id: 1, leg: 0, told: Told::Settled(Vec::new()) }, &mut out);
     assert_eq!((words(&mut out), one.in_hand()), (vec!["settled 1".to_string(), "done 1 0".into()], 0));
     assert_eq!(arrive(&mut one, 3, "a"), ["known 3"]);
 }
@@ -102,7 +108,7 @@
 fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
     let (mut hub, mut out) = (hub(effect, Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
-    hub.take(5 * MS, Input::Told { txn: 1, leg: 0, told: Told::Ended(outcome) }, &mut out);
+    hub.take(5 * MS, Input::Told { request_id: 1, leg: 0, told: Told::Ended(outcome) }, &mut out);
     let known = ["done 1 0", "reversed 1", "post 1 1", "declined 1"];
     words(&mut out)
         .iter()
@@ -116,12 +122,12 @@
     arrive(&mut hub, 1, "a");
     hub.take(5 * MS, Input::Left(1), &mut out);
     assert_eq!(words(&mut out), ["off 1 0"]);
-    hub.take(6 * MS, Input::Told { txn: 1, leg: 0, told: Told::Settled(Vec::new()) }, &mut out);
+    hub.take(6 * MS, Input::Told { request_id: 1, leg: 0, told: Told::Settled(Vec::new()) }, &mut out);
     assert_eq!((words(&mut out), hub.in_hand()), (vec!["done 1 0".to_string()], 0));
 }
 
 #[test]
-fn at_its_expiry_a_posting_is_cut_and_the_txn_answered_before_its_client_gives_up() {
+fn at_its_expiry_a_posting_is_cut_and_the_request_answered_before_its_client_gives_up() {
     let (mut hub, mut out) = (hub("once-only", Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
     let mut at = 0;
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -38,7 +38,7 @@
 const REMEMBERED: Nanos = 30_000_000_000;
 
 /// So long after an answer nothing is posted whole over its connection: a second answer to the same posting comes some
-/// milliseconds late if it comes. Guards against one that is taken for the next txn's: as what never ran, it would have
+/// milliseconds late if it comes. Guards against one that is taken for the next request's: as what never ran, it would have
 /// that posted twice.
 pub const REST: Nanos = 10_000_000;
 /// So many postings a second to one worker wait for that, up to a quarter of the time; then one more connection to it is opened,
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -6,7 +6,7 @@
 use rosewall::Map;
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
-use rosewall::types::{Nanos, Outcome, Share, TxnId, WorkerId};
+use rosewall::types::{Nanos, Outcome, RequestId, Share, WorkerId};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::hub::{Effect, Hub, Input};
 use rosewall_engine::workers::Workers;
@@ -85,8 +85,8 @@
     Timers,
     PeerReport,
     PeerView,
-    Disconnect(TxnId),
-    Answer { request: TxnId, attempt: u8, bytes: Vec<u8>, closes: bool },
+    Disconnect(RequestId),
+    Answer { request: RequestId, attempt: u8, bytes: Vec<u8>, closes: bool },
     Stop,
 }
 
@@ -95,11 +95,11 @@
     hub: Hub,
     names: Names,
     intake: Intake,
-    replies: BTreeMap<(TxnId, u8), Reply>,
+    replies: BTreeMap<(RequestId, u8), Reply>,
     now: Nanos,
     queue: BTreeMap<(Nanos, u64), Next>,
     serial: u64,
-    next_request: TxnId,
+    next_request: RequestId,
     list_number: u64,
     chance: Pcg,
     digest: Sha256,
@@ -163,7 +163,7 @@
             add_numbers(&mut self.digest, &[now]);
             self.record(&effect);
             if let Effect::Post(errand) = effect {
-                self.work(errand.txn, errand.leg, errand.worker, errand.id);
+                self.work(errand.request_id, errand.leg, errand.worker, errand.id);
             }
         }
         if let Some(due) = self.hub.next_due() {
@@ -175,23 +175,29 @@
         let keeps_open = self.effects.is_multiple_of(3);
         let digest = &mut self.digest;
         match effect {
-            Effect::Answer { txn, answer: given } => {
-                add_numbers(digest, &[1, u64::from(*txn)]);
+            Effect::Answer { request_id, answer: given } => {
+                add_numbers(digest, &[1, u64::from(*request_id)]);
                 add_bytes(digest, &answer(given, keeps_open));
             }
             Effect::Post(errand) => {
                 let (attempt, port) = (u64::from(errand.leg), u64::from(errand.dial.port()));
                 add_numbers(
                     digest,
-                    &[2, u64::from(errand.txn), attempt, worker_number(&errand.worker), port],
+                    &[2, u64::from(errand.request_id), attempt, worker_number(&errand.worker), port],
                 );
                 add_numbers(digest, &[errand.connect_within]);
                 add_bytes(digest, errand.id.as_bytes());
                 add_bytes(digest, &errand.message);
             }
-            Effect::CallOff { txn, leg } => add_numbers(digest, &[3, u64::from(*txn), u64::from(*leg)]),
-            Effect::Cut { txn, leg } => add_numbers(digest, &[4, u64::from(*txn), u64::from(*leg)]),
-            Effect::Done { txn, leg } => add_numbers(digest, &[5, u64::from(*txn), u64::from(*leg)]),
+            Effect::CallOff { request_id, leg } => {
+                add_numbers(digest, &[3, u64::from(*request_id), u64::from(*leg)])
+            }
+            Effect::Cut { request_id, leg } => {
+                add_numbers(digest, &[4, u64::from(*request_id), u64::from(*leg)])
+            }
+            Effect::Done { request_id, leg } => {
+                add_numbers(digest, &[5, u64::from(*request_id), u64::from(*leg)])
+            }
             Effect::Probe { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
             Effect::Void { worker, dial } => {
                 let port = dial.map_or(0, |dial| u64::from(dial.port()));
@@ -215,7 +221,7 @@
     }
 
     /// A worker takes an attempt, and answers in the protocol's lines, or breaks off.
-    fn work(&mut self, request: TxnId, attempt: u8, worker: WorkerId, id: String) {
+    fn work(&mut self, request: RequestId, attempt: u8, worker: WorkerId, id: String) {
         self.replies.insert((request, attempt), Reply::new(id.clone()));
         let hung = worker.port % 7 == 3;
         let start = (1 + self.below(40)) * MILLISECOND;
@@ -255,7 +261,7 @@
         self.push(start + run, second);
     }
 
-    fn answer(&mut self, request: TxnId, attempt: u8, bytes: &[u8], closes: bool) {
+    fn answer(&mut self, request: RequestId, attempt: u8, bytes: &[u8], closes: bool) {
         let Some(mut reply) = self.replies.remove(&(request, attempt)) else { return };
         let piece = 1 + self.below(40) as usize;
         let mut told = Vec::new();
@@ -275,7 +281,7 @@
                 Told::Settled(result) => add_bytes(&mut self.digest, result),
                 Told::Ended(outcome) => add_numbers(&mut self.digest, &[22, outcome_number(*outcome)]),
             }
-            self.take(Input::Told { txn: request, leg: attempt, told });
+            self.take(Input::Told { request_id: request, leg: attempt, told });
         }
     }
 
@@ -329,12 +335,12 @@
             }
             Heard::Request(request) => {
                 self.next_request += 1;
-                let txn = self.next_request;
+                let request_id = self.next_request;
                 if self.below(25) == 0 {
                     let delay = self.below(300) * MILLISECOND;
-                    self.push(delay, Next::Disconnect(txn));
+                    self.push(delay, Next::Disconnect(request_id));
                 }
-                self.take(Input::Arrived { txn, at: self.now, request });
+                self.take(Input::Arrived { request_id, at: self.now, request });
             }
         }
     }
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -13,7 +13,7 @@
 
 /// One request, as it came. `within` is how long the client waits from when it sent it.
 #[derive(Debug, Default, PartialEq)]
-pub struct Request {
+pub struct ClientRequest {
     pub target: String,
     pub id: String,
     /// What a referenced one's repeats are known by; empty where it has none.
@@ -32,7 +32,7 @@
 pub enum Heard {
     /// The client waits for leave to send its body.
     Continue,
-    Request(Request),
+    Request(ClientRequest),
     /// A question whether this dispatcher is ready.
     Ready {
         keeps: bool,
@@ -56,7 +56,7 @@
 #[derive(Default)]
 pub struct Intake {
     inlet: Inlet,
-    open: Option<(Request, Body)>,
+    open: Option<(ClientRequest, Body)>,
     bad: bool,
 }
 
@@ -139,7 +139,7 @@
 
 enum Head {
     Answer(Heard),
-    Open(Request, Body, bool),
+    Open(ClientRequest, Body, bool),
 }
 
 /// Reads and checks a whole head.
@@ -179,7 +179,12 @@
     Ok(Head::Open(request, body, continues))
 }
 
-fn fields(headers: &[httparse::Header], names: &Names, target: &str, keeps: bool) -> Result<Request, Fault> {
+fn fields(
+    headers: &[httparse::Header],
+    names: &Names,
+    target: &str,
+    keeps: bool,
+) -> Result<ClientRequest, Fault> {
     let need = |name, why| http::one(headers, name)?.filter(|v| !v.is_empty()).ok_or(Fault::Malformed(why));
     let id = need("request-id", "no Request-Id")?;
     let scheme = place(&names.schemes, need("request-class", "no Request-Class")?);
@@ -205,7 +210,7 @@
         }
     }
     let unknown = Fault::Malformed("an unknown Request-Class");
-    Ok(Request {
+    Ok(ClientRequest {
         target: target.to_string(),
         id: id.to_string(),
         reference: http::one(headers, "idempotency-key")?.unwrap_or_default().to_string(),
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -1,5 +1,5 @@
 //! The state machines, fed whole messages, single bytes and garbage.
-use super::client::{Answer, Heard, Intake, Names, Request, answer, place};
+use super::client::{Answer, ClientRequest, Heard, Intake, Names, answer, place};
 use super::discovery::{Bulletin, listing};
 use super::http::{BODY_LIMIT, Fault, HEAD_LIMIT, Inlet};
 use super::talk;
@@ -49,7 +49,7 @@
     Request-Timeout: 0.480\r\nWork-Hint: 250\r\nRequest-Info: slots=2,memory=0.5\r\nCookie: k=7f\r\nIdempotency-Key: 43 66\r\n";
 
 fn expected(body: &str) -> Heard {
-    Heard::Request(Request {
+    Heard::Request(ClientRequest {
         target: "/api/x?y=%20".into(),
         id: "9b1f".into(),
         reference: "43 66".into(),
@@ -127,7 +127,7 @@
 #[test]
 fn a_posting_carries_what_must_go_on() {
     let (target, id, body) = ("/api?q".into(), "9b1f".into(), b"body".to_vec());
-    let request = Request { target, id, body, ..Request::default() };
+    let request = ClientRequest { target, id, body, ..ClientRequest::default() };
     let text = String::from_utf8(posting("w", &request, 1_250_000_000)).unwrap();
     assert_eq!(
         text,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,5 +1,5 @@
 //! The worker side: postings out, what comes back in. One `Reply` a posting.
-use crate::client::Request;
+use crate::client::ClientRequest;
 use crate::http::{self, BODY_LIMIT, Body, Inlet, Whole};
 use rosewall::types::{Nanos, Outcome, Report};
 use serde::Deserialize;
@@ -14,9 +14,9 @@
 }
 
 /// A posting's bytes, in one piece. The reference goes on as it came. Guards against workers that cannot tell a repeat of
-/// a referenced txn from another one.
-pub fn posting(host: &str, request: &Request, within: Nanos) -> Vec<u8> {
-    let Request { target, id, reference, body, .. } = request;
+/// a referenced request from another one.
+pub fn posting(host: &str, request: &ClientRequest, within: Nanos) -> Vec<u8> {
+    let ClientRequest { target, id, reference, body, .. } = request;
     let seconds = within as f64 / 1e9;
     let length = body.len();
     let known =
--- a/crates/rosewalld/src/life/logger.rs
+++ b/crates/rosewalld/src/life/logger.rs
@@ -27,7 +27,7 @@
         metadata.level() <= log::max_level()
     }
 
-    /// Never waits. Guards against a log that no one reads, which would hold up all txns; what finds no room is
+    /// Never waits. Guards against a log that no one reads, which would hold up all requests; what finds no room is
     /// counted and told of as soon as there is some.
     fn log(&self, record: &Record) {
         if !self.enabled(record.metadata()) {
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -6,7 +6,7 @@
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::Nanos;
 use rosewall_engine::budget::{Slot, Waiter};
-use rosewall_protocol::client::{self, Answer, Heard, Intake, Request};
+use rosewall_protocol::client::{self, Answer, ClientRequest, Heard, Intake};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 const PART_MOST: usize = 160 * 1024;
 /// One who was turned away is read for less: those kept waiting by it may have no time left.
 const PART_AWAY: Duration = Duration::from_millis(50);
-/// How long someone at the door waits for room before being told that there is none: a few short txns' time, and short
+/// How long someone at the door waits for room before being told that there is none: a few short requests' time, and short
 /// beside expiries.
 const ROOM_WITHIN: Duration = Duration::from_millis(50);
 /// One who has asked waits so long for the place of one who has not: those may keep it no longer.
@@ -293,13 +293,13 @@
     }
 
     /// Hands a request that was read at `at` to the hub and writes its answer; false where the connection ends with it.
-    async fn carry(&mut self, at: Nanos, request: Request) -> io::Result<bool> {
-        let (txn, keeps, bytes) = (self.shared.next_txn(), request.keeps, request.body.len());
+    async fn carry(&mut self, at: Nanos, request: ClientRequest) -> io::Result<bool> {
+        let (request_id, keeps, bytes) = (self.shared.next_request_id(), request.keeps, request.body.len());
         let (reply, answered) = async_channel::bounded(1);
-        self.shared.tell(News::Arrived { txn, at, request, reply });
+        self.shared.tell(News::Arrived { request_id, at, request, reply });
         let answer = self.answer(&answered, bytes).await;
         let Some(answer) = answer else {
-            self.shared.tell(News::Left(txn));
+            self.shared.tell(News::Left(request_id));
             return Err(io::ErrorKind::UnexpectedEof.into());
         };
         let keeps = keeps && !self.shared.stopping.get();
@@ -307,7 +307,7 @@
             return Ok(false);
         }
         let mut text = client::answer(&answer, keeps);
-        if is(Fault::HalfAnswer) && txn.is_multiple_of(32) {
+        if is(Fault::HalfAnswer) && request_id.is_multiple_of(32) {
             text.pop();
         }
         let written = self.write(&text).await;
@@ -320,7 +320,7 @@
     /// Waits for the answer to a request of so many bytes, and meanwhile for the client to leave; none if it has. Whoever
     /// ends only its sending side has left too: the protocol knows no such client, and it looks like one that closes.
     /// What comes ahead of its turn is kept as far as there is room, and then passed over. Guards against a client that
-    /// sends much and goes: its leave stands behind bytes that no one would read, and its txn would still be posted.
+    /// sends much and goes: its leave stands behind bytes that no one would read, and its request would still be posted.
     async fn answer(&mut self, answered: &Receiver<Answer>, bytes: usize) -> Option<Answer> {
         let mut passed = 0;
         loop {
--- a/crates/runtime/src/hub.rs
+++ b/crates/runtime/src/hub.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use futures_lite::FutureExt;
-use rosewall::types::TxnId;
+use rosewall::types::RequestId;
 use rosewall_engine::hub::{Effect, Hub, Input};
 use rosewall_protocol::client::Answer;
 use rosewall_protocol::discovery::Listing;
@@ -26,9 +26,9 @@
     pub hub: Hub,
     /// Where leave is given to follow the list.
     pub leave: Option<Sender<()>>,
-    /// Where the answer goes, for each txn that is owed one.
-    replies: FxHashMap<TxnId, Sender<Answer>>,
-    out: FxHashMap<(TxnId, u8), Out>,
+    /// Where the answer goes, for each request that is owed one.
+    replies: FxHashMap<RequestId, Sender<Answer>>,
+    out: FxHashMap<(RequestId, u8), Out>,
     effects: Vec<Effect>,
 }
 
@@ -80,15 +80,15 @@
     fn take(&mut self, news: News<G>) {
         let now = self.shared.ground.now();
         let input = match news {
-            News::Arrived { txn, at, request, reply } => {
-                self.replies.insert(txn, reply);
-                Input::Arrived { txn, at, request }
+            News::Arrived { request_id, at, request, reply } => {
+                self.replies.insert(request_id, reply);
+                Input::Arrived { request_id, at, request }
             }
-            News::Left(txn) => {
-                self.replies.remove(&txn);
-                Input::Left(txn)
+            News::Left(request_id) => {
+                self.replies.remove(&request_id);
+                Input::Left(request_id)
             }
-            News::Told { txn, leg, told } => Input::Told { txn, leg, told },
+            News::Told { request_id, leg, told } => Input::Told { request_id, leg, told },
             News::Spare { worker, conn } => {
                 // One that leads elsewhere by now is of no use.
                 if self.hub.dial(worker) == Some(conn.dial) {
@@ -119,8 +119,8 @@
     fn act(&mut self, effect: Effect) {
         let shared = &self.shared;
         match effect {
-            Effect::Answer { txn, answer } => {
-                if let Some(reply) = self.replies.remove(&txn) {
+            Effect::Answer { request_id, answer } => {
+                if let Some(reply) = self.replies.remove(&request_id) {
                     let _ = reply.try_send(answer);
                 }
             }
@@ -131,19 +131,19 @@
                 } else {
                     shared.counters.posted_new.add()
                 }
-                let place = (errand.txn, errand.leg);
+                let place = (errand.request_id, errand.leg);
                 let off = Rc::new(Cell::new(false));
                 let task = shared.ground.spawn(worker::post(shared.clone(), errand, ready, off.clone()));
                 self.out.insert(place, Out { task, off });
             }
-            Effect::CallOff { txn, leg } => {
-                if let Some(out) = self.out.get(&(txn, leg)) {
+            Effect::CallOff { request_id, leg } => {
+                if let Some(out) = self.out.get(&(request_id, leg)) {
                     out.off.set(true);
                 }
             }
-            Effect::Cut { txn, leg } => drop(self.out.remove(&(txn, leg))),
-            Effect::Done { txn, leg } => {
-                if let Some(out) = self.out.remove(&(txn, leg)) {
+            Effect::Cut { request_id, leg } => drop(self.out.remove(&(request_id, leg))),
+            Effect::Done { request_id, leg } => {
+                if let Some(out) = self.out.remove(&(request_id, leg)) {
                     out.task.detach();
                 }
             }
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -3,11 +3,11 @@
 use crate::members::Members;
 use crate::talk::Talk;
 use async_channel::Sender;
-use rosewall::types::{Nanos, Probed, Share, TxnId, WorkerId};
+use rosewall::types::{Nanos, Probed, RequestId, Share, WorkerId};
 use rosewall_engine::budget::{Budget, Slot};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::pool::{Idle, Pool};
-use rosewall_protocol::client::{Answer, Names, Request};
+use rosewall_protocol::client::{Answer, ClientRequest, Names};
 use rosewall_protocol::discovery::Listing;
 use rosewall_protocol::worker::Told;
 use std::cell::{Cell, RefCell};
@@ -31,14 +31,14 @@
 /// What drivers tell the hub.
 pub enum News<G: Ground> {
     Arrived {
-        txn: TxnId,
+        request_id: RequestId,
         at: Nanos,
-        request: Request,
+        request: ClientRequest,
         reply: Sender<Answer>,
     },
-    Left(TxnId),
+    Left(RequestId),
     Told {
-        txn: TxnId,
+        request_id: RequestId,
         leg: u8,
         told: Told,
     },
@@ -76,7 +76,7 @@
     pub stopping: Cell<bool>,
     /// Txns in the hub's hands.
     pub in_hand: Cell<usize>,
-    pub serial: Cell<TxnId>,
+    pub serial: Cell<RequestId>,
     /// When the log last spoke of a request that was turned down.
     pub bad_told: Cell<Nanos>,
     pub news: Sender<News<G>>,
@@ -138,8 +138,8 @@
         }
     }
 
-    /// A number for a txn; it comes again only after all others.
-    pub fn next_txn(&self) -> TxnId {
+    /// A number for a request; it comes again only after all others.
+    pub fn next_request_id(&self) -> RequestId {
         self.serial.set(self.serial.get().wrapping_add(1));
         self.serial.get()
     }
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -134,9 +134,9 @@
     ready: Option<(Conn<G::Stream>, Nanos)>,
     off: Rc<Cell<bool>>,
 ) {
-    let Errand { txn, leg, worker, dial, id, message, connect_within } = errand;
+    let Errand { request_id, leg, worker, dial, id, message, connect_within } = errand;
     let connect_within = Duration::from_nanos(connect_within);
-    let tell = |told| shared.tell(News::Told { txn, leg, told });
+    let tell = |told| shared.tell(News::Told { request_id, leg, told });
     let (mut conn, kept) = match sent(&shared, ready, dial, connect_within, &message, &off).await {
         Ok(sent) => sent,
         Err(outcome) => return tell(Told::Ended(outcome)),
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,7 +1,7 @@
 //! The wire's words to ours and back. No name of the wire is known outside this file, but the settings'.
 use crate::codec::{Fault, Fields, Reply};
 use rosewall::types::{
-    Action, Ended, Event, Listed, Outcome, Probed, Report, Scope, Share, Standing, Txn, WorkerId,
+    Action, Ended, Event, Listed, Outcome, Probed, Report, Request, Scope, Share, Standing, WorkerId,
 };
 use rosewall_settings::{Map, ours};
 
@@ -26,10 +26,10 @@
         }
         10 => return Ok(Incoming::Stop),
         2 => list(&mut f)?,
-        3 => Event::Arrived(txn(&mut f)?),
-        4 => Event::StreamBegun { txn: f.u32()? },
+        3 => Event::Arrived(request(&mut f)?),
+        4 => Event::StreamBegun { request_id: f.u32()? },
         5 => ended(&mut f)?,
-        6 => Event::Lapsed { txn: f.u32()? },
+        6 => Event::Lapsed { request_id: f.u32()? },
         7 => Event::Due { token: f.u64()? },
         8 => probed(&mut f)?,
         9 => match shared(&mut f)? {
@@ -84,12 +84,12 @@
 
 const VALID_HINT: u16 = 1;
 
-fn txn(f: &mut Fields<'_>) -> Result<Txn, Fault> {
+fn request(f: &mut Fields<'_>) -> Result<Request, Fault> {
     let (id, hint, scheme, _entity) = (f.u32()?, f.u64()?, f.u8()?, f.u64()?);
     let (party, expiry, bits, slots) = (f.u16()?, f.u64()?, f.u16()?, f.f32()?);
     let memory = if f.is_empty() { 0.0 } else { f.f32()? };
     let hint = (bits & VALID_HINT != 0 && hint > 0).then_some(hint);
-    Ok(Txn { id, scheme, party, hint, slots, memory, expiry })
+    Ok(Request { id, scheme, party, hint, slots, memory, expiry })
 }
 
 fn outcome(code: u16) -> Result<Outcome, Fault> {
@@ -121,12 +121,12 @@
 }
 
 fn ended(f: &mut Fields<'_>) -> Result<Event, Fault> {
-    let (txn, leg, _worker) = (f.u32()?, f.u8()?, f.address()?);
+    let (request_id, leg, _worker) = (f.u32()?, f.u8()?, f.address()?);
     let (outcome, _latency, complete) = (outcome(f.u16()?)?, f.u64()?, f.u8()? != 0);
     if !f.is_empty() {
         let _note = f.u8()?;
     }
-    Ok(Event::Ended(Ended { txn, leg, outcome, complete, report: report(f)? }))
+    Ok(Event::Ended(Ended { request_id, leg, outcome, complete, report: report(f)? }))
 }
 
 fn probed(f: &mut Fields<'_>) -> Result<Event, Fault> {
@@ -149,8 +149,8 @@
 
 /// News of a posting; that it has started is all that is used.
 fn note(f: &mut Fields<'_>) -> Result<Option<Event>, Fault> {
-    let (txn, _worker, leg, _share) = (f.u32()?, f.address()?, f.u8()?, f.f32()?);
-    Ok((f.u8()? == 1).then_some(Event::Started { txn, leg }))
+    let (request_id, _worker, leg, _share) = (f.u32()?, f.address()?, f.u8()?, f.f32()?);
+    Ok((f.u8()? == 1).then_some(Event::Started { request_id, leg }))
 }
 
 pub fn switch(instance: u32, reply: &mut Reply) {
@@ -159,16 +159,16 @@
 
 pub fn outgoing(action: &Action, reply: &mut Reply) {
     match action {
-        Action::Post { txn, worker } => {
+        Action::Post { request_id, worker } => {
             // No time-out of its own: until the client gives up.
             let (port, within) = (worker.port.to_le_bytes(), 0_u64.to_le_bytes());
-            reply.record(68, &[&txn.to_le_bytes(), &worker.addr, &port, &within]);
+            reply.record(68, &[&request_id.to_le_bytes(), &worker.addr, &port, &within]);
         }
         Action::Probe { worker } => reply.record(75, &[&worker.addr, &worker.port.to_le_bytes()]),
-        Action::Decline { txn, come_back } => {
-            reply.record(65, &[&txn.to_le_bytes(), &come_back.to_le_bytes()]);
+        Action::Decline { request_id, come_back } => {
+            reply.record(65, &[&request_id.to_le_bytes(), &come_back.to_le_bytes()]);
         }
-        Action::Reverse { txn } => reply.record(73, &[&txn.to_le_bytes()]),
+        Action::Reverse { request_id } => reply.record(73, &[&request_id.to_le_bytes()]),
         Action::Follow => reply.record(66, &[&[1]]),
         Action::Tell { to, share: Share { worker, halves, work, sign } } => {
             let (to, length) = (to.to_le_bytes(), (SHARE as u16).to_le_bytes());
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -17,7 +17,7 @@
 const ALONE: f64 = 0.45;
 /// So many hold what is kept of one worker: a part of it must hold a job.
 const HOLDERS: f64 = 2.0;
-/// How long a txn waits for a right: ten times the way there and back inside a data centre.
+/// How long a request waits for a right: ten times the way there and back inside a data centre.
 const ANSWER: Nanos = 5_000_000;
 
 impl Worker {
@@ -112,18 +112,18 @@
         (part * self.bears(worker, now) / holders, if mine && !fresh { self.slots / holders } else { 0.0 })
     }
 
-    /// Whether a txn waits for a right to a cold worker that it would have gone to. Once, and not for long: where none
+    /// Whether a request waits for a right to a cold worker that it would have gone to. Once, and not for long: where none
     /// comes, as all are given or no one answers, it goes on as if there were none. Guards against rights that come when
-    /// their txn has gone elsewhere, which were half of all.
+    /// their request has gone elsewhere, which were half of all.
     pub(crate) fn awaits_right(&mut self, now: Nanos, key: usize, acts: &mut Vec<Action>) -> bool {
-        let hand = &mut self.txns[key];
+        let hand = &mut self.requests[key];
         let Some(at) = self.lacking.filter(|_| self.rights && self.met && !hand.asked && hand.posted == 0)
         else {
             return false;
         };
         hand.asked = true;
         acts.push(Action::Want { worker: self.workers[at].id, work: hand.most as Nanos });
-        acts.push(Action::Timer { at: now + ANSWER, token: token(hand.txn.id, 0) });
+        acts.push(Action::Timer { at: now + ANSWER, token: token(hand.request.id, 0) });
         true
     }
 
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::state::Map;
-use crate::types::{Event, Listed, Scope, Txn};
+use crate::types::{Event, Listed, Request, Scope};
 use test_case::test_case;
 
 const MS: Nanos = 1_000_000;
@@ -134,7 +134,7 @@
 }
 
 fn arrive(d: &mut Dispatcher, now: Nanos) -> Vec<Action> {
-    let txn = Txn {
+    let request = Request {
         id: 1,
         scheme: 0,
         party: 0,
@@ -144,14 +144,14 @@
         expiry: now + 900 * MS,
     };
     let mut acts = Vec::new();
-    d.handle(now, Event::Arrived(txn), &mut acts);
+    d.handle(now, Event::Arrived(request), &mut acts);
     acts
 }
 
 /// It asks once and waits; with the right it goes there, without one it is declined or goes elsewhere, at once after.
 #[test_case(true => true; "the right comes")]
 #[test_case(false => false; "nothing comes")]
-fn a_txn_waits_once_for_a_right_to_a_cold_worker(comes: bool) -> bool {
+fn a_request_waits_once_for_a_right_to_a_cold_worker(comes: bool) -> bool {
     let mut d = (0..4)
         .map(|me| dispatcher(4, me, 1, 1))
         .find(|d| d.own_part(&d.workers[0], 2_000 * MS).1 == 0.0)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! rosewall: decides which worker gets which txn. See `policy` for the decisions and how to call them.
+//! rosewall: decides which worker gets which request. See `policy` for the decisions and how to call them.
 mod joint;
 pub mod pcg;
 pub mod policy;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,7 +4,7 @@
 //! for each event in the order of arrival. The same calls always give the same actions. Times are
 //! nanoseconds on the caller's clock. The interface (events, actions, ids, outcomes) stands in
 //! `types.rs`; the names that the map may hold stand in `docs/design.md`.
-//! How to read it: `TABLE` says what may follow for a txn, `choose` picks its worker, `recut` draws the
+//! How to read it: `TABLE` says what may follow for a request, `choose` picks its worker, `recut` draws the
 //! lanes by DIFFEQAL, `Worker` holds what is believed of a worker, and `handle` joins them.
 use crate::sabotage::{Fault, is};
 use crate::start_delays::{AttemptId, Congestion, Sent};
@@ -15,7 +15,7 @@
 use crate::state::{BINS, Bins, SECOND, below, fade};
 use crate::state::{Told, Trust, Worker, token};
 use crate::types::{Action, Ended, Event, Listed, Nanos, Outcome, Report, Scope, Share, Standing};
-use crate::types::{Txn, TxnId};
+use crate::types::{Request, RequestId};
 
 #[cfg(test)]
 mod tests;
@@ -130,7 +130,7 @@
     }
 }
 
-/// The timers of the beat, each second, and of the next call for the list; others carry a txn's id and leg.
+/// The timers of the beat, each second, and of the next call for the list; others carry a request's id and leg.
 const BEAT: u64 = u64::MAX;
 const ASK: u64 = u64::MAX - 1;
 const BEAT_EVERY: Nanos = 1_000_000_000;
@@ -154,16 +154,18 @@
     pub fn handle(&mut self, now: Nanos, event: Event, acts: &mut Vec<Action>) {
         match event {
             Event::List { scope, entries } => self.list(now, scope, &entries, acts),
-            Event::Arrived(txn) => self.arrived(now, txn, acts),
-            Event::Started { txn, leg } => self.started(now, txn, leg, acts),
-            Event::StreamBegun { txn } | Event::Lapsed { txn } => self.input(now, txn, Input::Left, acts),
+            Event::Arrived(request) => self.arrived(now, request, acts),
+            Event::Started { request_id, leg } => self.started(now, request_id, leg, acts),
+            Event::StreamBegun { request_id } | Event::Lapsed { request_id } => {
+                self.input(now, request_id, Input::Left, acts)
+            }
             Event::Ended(end) => self.ended(now, end, acts),
             Event::Probed(_) => {} // none is asked for
             Event::Shared { from, share } => {
                 if let Some(&at) = self.known.get(&share.worker) {
                     let worker = &mut self.workers[at];
                     worker.hear(now, from, share);
-                    // Guards against a hung worker that each dispatcher finds out with a txn of its own.
+                    // Guards against a hung worker that each dispatcher finds out with a request of its own.
                     if share.sign == Share::SILENT && worker.alive + 300_000_000 < now {
                         worker.trust.add(now, Worker::HALF, 0.8);
                     }
@@ -172,8 +174,8 @@
             Event::View(place) => self.view(now, place),
             Event::Right { worker, work, until } => self.right(worker, work, until),
             // This dispatcher ends: all in hand is answered by then, as at its expiry.
-            Event::Closing { by } => self.txns.iter_mut().for_each(|(_, hand)| {
-                (hand.txn.expiry, hand.due) = (hand.txn.expiry.min(by), hand.due.min(by));
+            Event::Closing { by } => self.requests.iter_mut().for_each(|(_, hand)| {
+                (hand.request.expiry, hand.due) = (hand.request.expiry.min(by), hand.due.min(by));
             }),
             Event::Due { token: BEAT } => self.beat(now, acts),
             Event::Due { token: ASK } => self.follow(now, acts),
@@ -382,7 +384,7 @@
         // Half of what is allowed: a third may come from those not told of its start, the rest is for hints.
         let most = 0.5 * self.says("fall.multiple") * self.unit * worker.size * warmth * window;
         let turns = if self.shares { self.sharers.ceil() } else { SHARERS }.min(self.dispatchers);
-        // Two have a turn at once, and more as it warms, as one has few txns in a window; the part of each
+        // Two have a turn at once, and more as it warms, as one has few requests in a window; the part of each
         // stays what it is at the start. All count alike, by what the list and the settings tell.
         let at_once = (2.0 * warmth / self.says("cold.from").max(0.01)).floor().clamp(1.0, turns);
         let place = (self.says("me") * turns / self.dispatchers) as u64;
@@ -427,12 +429,12 @@
         self.targets = targets;
     }
 
-    /// The place of a txn among its scheme's lanes.
+    /// The place of a request among its scheme's lanes.
     fn lane(&mut self, now: Nanos, key: usize) -> usize {
-        let InHand { txn, work, .. } = self.txns[key];
-        self.recut(now, usize::from(txn.scheme));
-        let scheme = &self.schemes[usize::from(txn.scheme)];
-        // The txn is itself in the histogram: one larger than all before falls on one of the lanes that its
+        let InHand { request, work, .. } = self.requests[key];
+        self.recut(now, usize::from(request.scheme));
+        let scheme = &self.schemes[usize::from(request.scheme)];
+        // The request is itself in the histogram: one larger than all before falls on one of the lanes that its
         // own work fills, not always on the last. Guards against a crowd at the end where few are seen each.
         let place = below(&scheme.bins, work) / scheme.bins.iter().sum::<f64>();
         let last = scheme.ends.last().copied().unwrap_or(0.0);
@@ -440,13 +442,13 @@
         lane.min(scheme.lanes.len().saturating_sub(1))
     }
 
-    /// The worker for a txn, and how long it would wait there: its lane's, or the nearest id neighbour that
+    /// The worker for a request, and how long it would wait there: its lane's, or the nearest id neighbour that
     /// can start it soon enough; failing that, the one with the least to wait.
     fn choose(&mut self, now: Nanos, key: usize, mine: usize) -> Option<(usize, f64, f64)> {
         self.tally(now);
-        let hand = &self.txns[key];
-        let InHand { txn, effect, most, need, doubt, .. } = *hand;
-        let scheme = &self.schemes[usize::from(txn.scheme)];
+        let hand = &self.requests[key];
+        let InHand { request, effect, most, need, doubt, .. } = *hand;
+        let scheme = &self.schemes[usize::from(request.scheme)];
         // Where a repeat is bound to a group, its workers may be any in the list.
         let bound = doubt.filter(|_| effect == Keyed && !is(Fault::WindowIgnored));
         let (lanes, mean) = (if bound.is_some() { &scheme.all } else { &scheme.lanes }, scheme.mean());
@@ -477,7 +479,7 @@
             let (sharing, all) = (if self.shares { 1.0 } else { self.dispatchers }, worker.seats.round());
             let (part, told) = ((all / sharing).max(1.0), worker.told(now).0);
             let seat = worker.out + told + need.min(part) <= part;
-            let doubt = worker.doubt(now, self.distrust, usize::from(txn.scheme), effect);
+            let doubt = worker.doubt(now, self.distrust, usize::from(request.scheme), effect);
             let cold = self.warmth(worker, now) < 1.0;
             if cold && self.budget(worker, now) < most && !is(Fault::ColdIgnored) {
                 self.lacking = self.lacking.or(seat.then_some(at));
@@ -509,16 +511,16 @@
         best
     }
 
-    fn arrived(&mut self, now: Nanos, txn: Txn, acts: &mut Vec<Action>) {
-        let Some(scheme) = self.schemes.get_mut(usize::from(txn.scheme)) else {
+    fn arrived(&mut self, now: Nanos, request: Request, acts: &mut Vec<Action>) {
+        let Some(scheme) = self.schemes.get_mut(usize::from(request.scheme)) else {
             // A scheme that the settings do not name: nothing is known that would make sending it safe.
-            acts.push(Action::Decline { txn: txn.id, come_back: 0 });
+            acts.push(Action::Decline { request_id: request.id, come_back: 0 });
             return;
         };
-        let slots = f64::from(txn.slots).max(1.0);
-        let run = scheme.run(txn.hint, slots, txn.expiry.saturating_sub(now));
+        let slots = f64::from(request.slots).max(1.0);
+        let run = scheme.run(request.hint, slots, request.expiry.saturating_sub(now));
         // A job waits until both its slots and its memory fit; a worker has a unit of memory a slot.
-        let (work, need) = (run * slots, slots.max(f64::from(txn.memory)));
+        let (work, need) = (run * slots, slots.max(f64::from(request.memory)));
         scheme.add(work);
         // Halves in 20 s, or under 150 jobs in up to 60 s, by when the mix moves; what starts tell likewise.
         let seen = self.schemes.iter().map(|scheme| scheme.seen).sum::<f64>();
@@ -527,16 +529,16 @@
         let keep = fade(1.0, self.cut_at, now, 20.0 * SECOND * self.rare);
         self.cut_at = now;
         self.schemes.iter_mut().for_each(|scheme| scheme.age(keep));
-        let scheme = &self.schemes[usize::from(txn.scheme)];
+        let scheme = &self.schemes[usize::from(request.scheme)];
         self.gaps[usize::from(scheme.high)].arrival(now);
-        let due = (now + (scheme.sla + scheme.stretch * run) as Nanos).min(txn.expiry);
-        let key = self.txns.insert(InHand::new(txn, scheme.effect, work, run, need, due));
-        self.held.insert(txn.id, key);
+        let due = (now + (scheme.sla + scheme.stretch * run) as Nanos).min(request.expiry);
+        let key = self.requests.insert(InHand::new(request, scheme.effect, work, run, need, due));
+        self.held.insert(request.id, key);
         self.place(now, key, acts);
     }
 
     fn place(&mut self, now: Nanos, key: usize, acts: &mut Vec<Action>) {
-        let InHand { txn: Txn { id, expiry, .. }, due, run, posted, .. } = self.txns[key];
+        let InHand { request: Request { id, expiry, .. }, due, run, posted, .. } = self.requests[key];
         if posted >= self.most_attempts || now >= expiry {
             return self.input(now, id, Input::GivenUp, acts);
         }
@@ -559,7 +561,7 @@
     /// ones more often, and sooner the more of the last seven to twenty started too late. Guards against a
     /// jam that keeps itself up, and, waits being guesses, against declines while all goes well.
     fn kept(&mut self, now: Nanos, key: usize, wait: f64, strain: f64) -> bool {
-        let class = usize::from(self.txns[key].txn.scheme);
+        let class = usize::from(self.requests[key].request.scheme);
         let worth = self.schemes[class].worth(self.worth_basis);
         let most = self.schemes.iter().map(|class| class.worth(self.worth_basis)).fold(0.0, f64::max);
         let late = self.start_delays.congestion(now, self.rare).late;
@@ -589,20 +591,20 @@
         let chosen = &self.workers[at];
         let cold = self.warmth(chosen, now) < 1.0;
         let from = now.saturating_sub(self.says("fall.window") as Nanos);
-        let hand = &mut self.txns[key];
+        let hand = &mut self.requests[key];
         let worker = &mut self.workers[at];
         worker.spent.retain(|(at, _)| *at >= from);
         let own = if cold { worker.spend(now, hand.most) } else { hand.most };
         worker.spent.push_back((now, own));
         let expected = worker.queue(hand.need, worker.told(now));
         hand.attempts[hand.posted] = Attempt { worker: at, at: now, expected, started: None, out: true };
-        let token = token(hand.txn.id, hand.posted);
-        let id = AttemptId { request: hand.txn.id, number: hand.posted as u8 };
+        let token = token(hand.request.id, hand.posted);
+        let id = AttemptId { request: hand.request.id, number: hand.posted as u8 };
         let time_to_spare = hand.room(now, worker.pace);
         self.start_delays.sent(Sent { id, at: now, expected, time_to_spare, run: hand.run });
         hand.posted += 1;
         hand.stage = next(hand.stage, Input::Posted, hand.effect).0;
-        acts.push(Action::Post { txn: hand.txn.id, worker: worker.id });
+        acts.push(Action::Post { request_id: hand.request.id, worker: worker.id });
         // Overdue: a start later than expected by 300 ms, or without start notes by twice the run. Others'
         // jobs there are, by the lanes, of like size: where none was heard of, one may be ahead. Guards
         // against taking for hung, among many dispatchers, what is only busy with others' work.
@@ -613,9 +615,9 @@
         self.tell(now, at, false, false, acts);
     }
 
-    fn started(&mut self, now: Nanos, txn: TxnId, leg: u8, acts: &mut Vec<Action>) {
-        let Some((key, attempt)) = self.attempt(txn, leg) else { return };
-        self.txns[key].attempts[usize::from(leg)].started = Some(now);
+    fn started(&mut self, now: Nanos, request_id: RequestId, leg: u8, acts: &mut Vec<Action>) {
+        let Some((key, attempt)) = self.attempt(request_id, leg) else { return };
+        self.requests[key].attempts[usize::from(leg)].started = Some(now);
         self.tally(now);
         let worker = &mut self.workers[attempt.worker];
         worker.heard(now, 0.1);
@@ -625,21 +627,21 @@
         }
         (worker.lag, worker.lag_at) = (attempt.delay(now), now);
         self.zones.observe(worker.zone, worker.lag);
-        self.start_delays.started(AttemptId { request: txn, number: leg }, now);
-        let hand = &self.txns[key];
+        self.start_delays.started(AttemptId { request: request_id, number: leg }, now);
+        let hand = &self.requests[key];
         let run = 2.0 * hand.run * worker.pace + 0.5 * SECOND;
-        acts.push(Action::Timer { at: now + run as Nanos, token: token(txn, usize::from(leg)) });
+        acts.push(Action::Timer { at: now + run as Nanos, token: token(request_id, usize::from(leg)) });
     }
 
-    /// A timer of one txn: it is still held, or an attempt is overdue.
+    /// A timer of one request: it is still held, or an attempt is overdue.
     fn watch(&mut self, now: Nanos, token: u64, acts: &mut Vec<Action>) {
-        let (txn, leg) = (token as TxnId, (token >> 32) as usize);
-        let Some(&key) = self.held.get(&txn) else { return };
-        let hand = &self.txns[key];
+        let (request_id, leg) = (token as RequestId, (token >> 32) as usize);
+        let Some(&key) = self.held.get(&request_id) else { return };
+        let hand = &self.requests[key];
         if matches!(hand.stage, Held | Doubted) && leg == hand.posted {
             return self.place(now, key, acts);
         }
-        let Some((_, attempt)) = self.attempt(txn, leg as u8) else { return };
+        let Some((_, attempt)) = self.attempt(request_id, leg as u8) else { return };
         let worker = &mut self.workers[attempt.worker];
         // A worker that has shown life since is only busy; one that has not may be hung.
         let silent = attempt.started.is_none() && worker.alive < attempt.at;
@@ -654,15 +656,15 @@
     }
 
     fn ended(&mut self, now: Nanos, end: Ended, acts: &mut Vec<Action>) {
-        let Ended { txn, leg, outcome, complete, report } = end;
-        let Some((key, attempt)) = self.attempt(txn, leg) else { return };
+        let Ended { request_id, leg, outcome, complete, report } = end;
+        let Some((key, attempt)) = self.attempt(request_id, leg) else { return };
         if outcome == Outcome::Settled {
             self.learn_seats(now, key, attempt.worker);
         }
-        self.txns[key].attempts[usize::from(leg)].out = false;
-        self.start_delays.ended(AttemptId { request: txn, number: leg });
+        self.requests[key].attempts[usize::from(leg)].out = false;
+        self.start_delays.ended(AttemptId { request: request_id, number: leg });
         self.read_report(now, attempt.worker, report);
-        let InHand { run, due, txn: Txn { scheme, hint, .. }, .. } = self.txns[key];
+        let InHand { run, due, request: Request { scheme, hint, .. }, .. } = self.requests[key];
         let scheme = usize::from(scheme);
         let warm = self.warmth(&self.workers[attempt.worker], now) >= 1.0;
         let mut slow = false;
@@ -671,7 +673,7 @@
             worker.refused(now);
         }
         if sorted(outcome) == Input::NotRun {
-            // Its wait is this txn's whole room. Guards against a worker that is full, dead or drains
+            // Its wait is this request's whole room. Guards against a worker that is full, dead or drains
             // unannounced: answering at once, it would look idle and draw all that waits.
             (worker.lag, worker.lag_at) = (worker.lag.max(due.saturating_sub(now) as f64), now);
         }
@@ -711,11 +713,11 @@
             self.keep_to(now);
         }
         let input = if complete { Input::Settled } else { sorted(outcome) };
-        let hand = &mut self.txns[key];
+        let hand = &mut self.requests[key];
         if input == Input::MayHaveRun {
             hand.doubt.get_or_insert((attempt.worker, attempt.at));
         }
-        self.input(now, txn, input, acts);
+        self.input(now, request_id, input, acts);
     }
 
     fn read_report(&mut self, now: Nanos, at: usize, report: Report) {
@@ -743,10 +745,10 @@
         self.others += 0.1 * (worker.others - self.others);
     }
 
-    /// Runs one input for a txn through the table and carries out what follows.
-    fn input(&mut self, now: Nanos, txn: TxnId, input: Input, acts: &mut Vec<Action>) {
-        let Some(&key) = self.held.get(&txn) else { return };
-        let hand = &mut self.txns[key];
+    /// Runs one input for a request through the table and carries out what follows.
+    fn input(&mut self, now: Nanos, request_id: RequestId, input: Input, acts: &mut Vec<Action>) {
+        let Some(&key) = self.held.get(&request_id) else { return };
+        let hand = &mut self.requests[key];
         let effect = if is(Fault::OnceOnlyAgain) { Idempotent } else { hand.effect };
         let (stage, step) = next(hand.stage, input, effect);
         hand.stage = stage;
@@ -757,14 +759,14 @@
                 // Come back when a usual job has had time to end.
                 let most = self.says("come_back.allowed") * self.says("come_back.most");
                 let come_back = most.min(0.5 * SECOND) as Nanos;
-                acts.push(Action::Decline { txn, come_back });
+                acts.push(Action::Decline { request_id, come_back });
             }
-            Step::Reverse => acts.push(Action::Reverse { txn }),
+            Step::Reverse => acts.push(Action::Reverse { request_id }),
         }
-        let hand = &self.txns[key];
+        let hand = &self.requests[key];
         if hand.stage == Answered && hand.attempts[..hand.posted].iter().all(|attempt| !attempt.out) {
-            self.held.remove(&txn);
-            self.txns.remove(key);
+            self.held.remove(&request_id);
+            self.requests.remove(key);
         }
     }
 }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -47,8 +47,8 @@
     among(2, 0, warm(workers))
 }
 
-fn txn(id: TxnId, scheme: u8, hint: Nanos, now: Nanos) -> Txn {
-    Txn { id, scheme, party: 0, hint: Some(hint), slots: 1.0, memory: 0.5, expiry: now + 5_000 * MS }
+fn request(id: RequestId, scheme: u8, hint: Nanos, now: Nanos) -> Request {
+    Request { id, scheme, party: 0, hint: Some(hint), slots: 1.0, memory: 0.5, expiry: now + 5_000 * MS }
 }
 
 fn handle(d: &mut Dispatcher, now: Nanos, event: Event) -> Vec<Action> {
@@ -106,11 +106,11 @@
 
 /// Guards against a crowd at the end: of many that have seen one job each, a larger one goes anywhere.
 #[test]
-fn a_txn_larger_than_all_before_falls_on_the_lanes_that_its_work_fills() {
+fn a_request_larger_than_all_before_falls_on_the_lanes_that_its_work_fills() {
     let lane = |hint: Nanos| {
         let mut d = dispatcher(10);
         d.schemes[0].bins[bin_of(1e6)] = 1e6;
-        let acts = handle(&mut d, MS, Event::Arrived(txn(1, 0, hint * MS, 0)));
+        let acts = handle(&mut d, MS, Event::Arrived(request(1, 0, hint * MS, 0)));
         let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
         worker.addr[3]
     };
@@ -152,7 +152,7 @@
     let mut d = dispatcher(2);
     handle(&mut d, MS, Event::List { scope: Scope::Changes, entries: vec![entry(0, standing, 0)] });
     for n in 0..20 {
-        let acts = handle(&mut d, 2 * MS, Event::Arrived(txn(n, 0, 10 * MS, 0)));
+        let acts = handle(&mut d, 2 * MS, Event::Arrived(request(n, 0, 10 * MS, 0)));
         assert!(acts.iter().all(|act| !matches!(act, Action::Post { worker, .. } if *worker == id(0))));
     }
 }
@@ -195,7 +195,7 @@
     d.schemes[0].sla = 90.0 * SECOND;
     let entries = vec![entry(0, Standing::Ready, started * MS)];
     handle(&mut d, started * MS, Event::List { scope: Scope::Changes, entries });
-    let one = |n| Txn { expiry: 99_000 * MS, ..txn(n, 0, 300 * MS, at * MS) };
+    let one = |n| Request { expiry: 99_000 * MS, ..request(n, 0, 300 * MS, at * MS) };
     let posts = (0..20).map(|n| handle(&mut d, at * MS, Event::Arrived(one(n))));
     posts.flatten().filter(|act| matches!(act, Action::Post { .. })).count()
 }
@@ -209,8 +209,8 @@
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
     handle(&mut d, 2_000 * MS, Event::List { scope: Scope::Kept, entries });
     starts_of_late(&mut d, at * MS, lag, 32);
-    !handle(&mut d, at * MS, Event::Arrived(txn(1, 0, 20 * MS, at * MS))).is_empty()
-        && d.txns.iter().any(|(_, hand)| hand.posted == 1)
+    !handle(&mut d, at * MS, Event::Arrived(request(1, 0, 20 * MS, at * MS))).is_empty()
+        && d.requests.iter().any(|(_, hand)| hand.posted == 1)
 }
 
 /// Most of a large fleet's list is out of date. Guards against lanes that lead nowhere for as long as no one tells.
@@ -252,11 +252,15 @@
         handle(&mut d, started, Event::List { scope: Scope::Whole, entries: list.clone() });
         for n in 100..120 {
             let (now, hint) = (started + u64::from(n - 100) * 200 * MS + u64::from(me) * MS, hint());
-            for act in handle(&mut d, now, Event::Arrived(txn(n, 0, hint, now))) {
-                let Action::Post { worker, txn } = act else { continue };
+            for act in handle(&mut d, now, Event::Arrived(request(n, 0, hint, now))) {
+                let Action::Post { worker, request_id } = act else { continue };
                 sent.push((worker.addr[3], now, hint as f64 / SECOND));
                 let (outcome, report) = (Outcome::Settled, Report::default());
-                handle(&mut d, now, Event::Ended(Ended { txn, leg: 0, outcome, complete: true, report }));
+                handle(
+                    &mut d,
+                    now,
+                    Event::Ended(Ended { request_id, leg: 0, outcome, complete: true, report }),
+                );
             }
         }
     }
@@ -282,9 +286,9 @@
 #[test]
 fn no_worker_declines_only_when_it_can_no_longer_be_in_time() {
     let mut d = dispatcher(0);
-    assert!(handle(&mut d, 0, Event::Arrived(txn(1, 2, 100 * MS, 0))).is_empty());
+    assert!(handle(&mut d, 0, Event::Arrived(request(1, 2, 100 * MS, 0))).is_empty());
     let acts = handle(&mut d, 450 * MS, Event::Due { token: token(1, 0) });
-    assert!(matches!(acts[..], [Action::Decline { txn: 1, .. }]));
+    assert!(matches!(acts[..], [Action::Decline { request_id: 1, .. }]));
 }
 
 #[test]
@@ -300,7 +304,7 @@
 #[test_case(1.99, 0 => false; "cheap ones go first")]
 fn turned_away(strain: f64, scheme: u8) -> bool {
     let mut d = dispatcher(1);
-    let key = d.txns.insert(InHand::new(txn(1, scheme, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(InHand::new(request(1, scheme, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
     d.kept(0, key, 0.0, strain)
 }
 
@@ -311,17 +315,17 @@
     (d.unseen, d.workers[0].alive) = (1.0, alive * MS);
     let now = now.max(1) * MS + 60_000 * MS * u64::from(alive == 0);
     let mut acts = Vec::new();
-    d.handle(now, Event::Arrived(txn(1, 0, 800 * MS, now)), &mut acts);
+    d.handle(now, Event::Arrived(request(1, 0, 800 * MS, now)), &mut acts);
     acts.iter().any(|act| matches!(act, Action::Timer { at, .. } if *at > now + 1_000 * MS))
 }
 
-/// Guards against small txns turned away for the waits that large ones can bear.
+/// Guards against small requests turned away for the waits that large ones can bear.
 #[test_case(10_000, 5_000 => true; "half of a large room")]
 #[test_case(100, 5_000 => false; "many of a small room")]
 fn delays_count_by_the_room_they_fill(hint: Nanos, wait: Nanos) -> bool {
     let mut d = dispatcher(1);
-    drop(handle(&mut d, MS, Event::Arrived(Txn { expiry: 60_000 * MS, ..txn(1, 0, hint * MS, 0) })));
-    handle(&mut d, wait * MS, Event::Started { txn: 1, leg: 0 });
+    drop(handle(&mut d, MS, Event::Arrived(Request { expiry: 60_000 * MS, ..request(1, 0, hint * MS, 0) })));
+    handle(&mut d, wait * MS, Event::Started { request_id: 1, leg: 0 });
     d.start_delays.congestion(wait * MS, 1.0).delay < 0.2
 }
 
@@ -332,7 +336,7 @@
     let mut d = dispatcher(1);
     d.rare = rare;
     starts_of_late(&mut d, 10_000 * MS, 0.0, 32);
-    let key = d.txns.insert(InHand::new(txn(1, 2, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(InHand::new(request(1, 2, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
     (0..20).all(|_| d.kept(13_000 * MS, key, 0.0, 0.6))
 }
 
@@ -360,8 +364,8 @@
         [Action::Post { worker, .. }] => worker,
         _ => panic!("{acts:?}"),
     };
-    let first = posted_to(&handle(&mut d, MS, Event::Arrived(txn(1, 0, 100 * MS, MS))));
-    let ended = Ended { txn: 1, leg: 0, outcome, complete: false, report: Report::default() };
+    let first = posted_to(&handle(&mut d, MS, Event::Arrived(request(1, 0, 100 * MS, MS))));
+    let ended = Ended { request_id: 1, leg: 0, outcome, complete: false, report: Report::default() };
     assert_ne!(posted_to(&handle(&mut d, 2 * MS, Event::Ended(ended))), first);
     assert!(d.workers[d.known[&first]].lag > 0.2 * SECOND);
 }
@@ -371,9 +375,9 @@
 #[test_case(Outcome::Error => (false, 0.5); "the worker may be")]
 fn who_is_blamed(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
-    handle(&mut d, 0, Event::Arrived(txn(1, 0, 100 * MS, 0)));
-    let ended = Ended { txn: 1, leg: 0, outcome, complete: false, report: Report::default() };
-    let reversed = handle(&mut d, 0, Event::Ended(ended)) == [Action::Reverse { txn: 1 }];
+    handle(&mut d, 0, Event::Arrived(request(1, 0, 100 * MS, 0)));
+    let ended = Ended { request_id: 1, leg: 0, outcome, complete: false, report: Report::default() };
+    let reversed = handle(&mut d, 0, Event::Ended(ended)) == [Action::Reverse { request_id: 1 }];
     (reversed, d.workers[0].trust.distrust)
 }
 
@@ -382,10 +386,10 @@
 #[test_case(false => (true, 2.0); "nothing starts")]
 fn silence_where_others_start(starts: bool) -> (bool, f64) {
     let mut d = dispatcher(1);
-    handle(&mut d, MS, Event::Arrived(txn(1, 2, 100 * MS, MS)));
-    handle(&mut d, 50 * MS, Event::Arrived(txn(2, 0, 100 * MS, 50 * MS)));
+    handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, MS)));
+    handle(&mut d, 50 * MS, Event::Arrived(request(2, 0, 100 * MS, 50 * MS)));
     if starts {
-        handle(&mut d, 60 * MS, Event::Started { txn: 2, leg: 0 });
+        handle(&mut d, 60 * MS, Event::Started { request_id: 2, leg: 0 });
     }
     handle(&mut d, 600 * MS, Event::Due { token: token(1, 0) });
     d.tally(600 * MS);
@@ -401,21 +405,22 @@
     for n in 0..12 {
         let scheme = failing.get(n as usize % 2).copied().unwrap_or(2);
         let outcome = if failing.contains(&scheme) { Outcome::Error } else { Outcome::Settled };
-        handle(&mut d, 0, Event::Arrived(txn(n, scheme, 100 * MS, 0)));
-        handle(&mut d, 0, Event::Started { txn: n, leg: 0 });
-        let ended = Ended { txn: n, leg: 0, outcome, complete: false, report: Report::default() };
+        handle(&mut d, 0, Event::Arrived(request(n, scheme, 100 * MS, 0)));
+        handle(&mut d, 0, Event::Started { request_id: n, leg: 0 });
+        let ended = Ended { request_id: n, leg: 0, outcome, complete: false, report: Report::default() };
         handle(&mut d, 0, Event::Ended(ended));
     }
     let late = 20 * SECOND as Nanos;
     [0, 1, 2].map(|scheme| d.workers[0].doubt(late, 0.0, scheme, Idempotent) > 0.25)
 }
 
-/// Guards against a txn posted again to the worker that has just failed it.
+/// Guards against a request posted again to the worker that has just failed it.
 #[test]
-fn a_txn_goes_elsewhere_after_an_error() {
+fn a_request_goes_elsewhere_after_an_error() {
     let mut d = dispatcher(2);
-    let mut acts = handle(&mut d, 0, Event::Arrived(txn(1, 0, 100 * MS, 0)));
-    let ended = Ended { txn: 1, leg: 0, outcome: Outcome::Error, complete: false, report: Report::default() };
+    let mut acts = handle(&mut d, 0, Event::Arrived(request(1, 0, 100 * MS, 0)));
+    let ended =
+        Ended { request_id: 1, leg: 0, outcome: Outcome::Error, complete: false, report: Report::default() };
     let [Action::Post { worker: first, .. }] = acts[..] else { panic!("{acts:?}") };
     d.workers.iter_mut().for_each(|worker| (worker.lag, worker.lag_at) = (0.1 * SECOND, 0));
     d.distrust = 0.9;
@@ -426,7 +431,7 @@
 #[test]
 fn late_reports_do_not_add_seats() {
     let mut d = dispatcher(1);
-    (0..4).for_each(|n| drop(handle(&mut d, 0, Event::Arrived(txn(n, 0, 100 * MS, 0)))));
+    (0..4).for_each(|n| drop(handle(&mut d, 0, Event::Arrived(request(n, 0, 100 * MS, 0)))));
     let report = Report { count: 2, values: [0.0, 2.0, 0.0, 0.0] };
     d.read_report(MS, 0, report);
     assert_eq!(d.workers[0].seats, 2.0);
@@ -442,10 +447,10 @@
 #[test_case(0, 9, 240 => 2.0; "the others were to end long ago")]
 fn seats_by_jobs_that_surely_ran_together(restarted: Nanos, third: Nanos, settled: Nanos) -> f64 {
     let mut d = dispatcher(1);
-    (0..3).for_each(|n| drop(handle(&mut d, 0, Event::Arrived(txn(n, 0, 100 * MS, 0)))));
-    (0..2).for_each(|txn| drop(handle(&mut d, MS, Event::Started { txn, leg: 0 })));
+    (0..3).for_each(|n| drop(handle(&mut d, 0, Event::Arrived(request(n, 0, 100 * MS, 0)))));
+    (0..2).for_each(|request_id| drop(handle(&mut d, MS, Event::Started { request_id, leg: 0 })));
     d.workers[0].started = restarted * MS;
-    handle(&mut d, third * MS, Event::Started { txn: 2, leg: 0 });
+    handle(&mut d, third * MS, Event::Started { request_id: 2, leg: 0 });
     handle(&mut d, settled * MS, ended(0, 0, Outcome::Settled));
     d.workers[0].seats
 }
@@ -474,12 +479,12 @@
         |n: u16| Listed { worker: WorkerId { addr: [10; 4], port: n }, ..entry(0, Standing::Ready, 0) };
     let mut d = among(dispatchers, dispatchers - 1, (0..workers).map(listed).collect());
     let acts: Vec<Action> =
-        (1..40).flat_map(|n| handle(&mut d, 0, Event::Arrived(txn(n, 2, 100 * MS, 0)))).collect();
+        (1..40).flat_map(|n| handle(&mut d, 0, Event::Arrived(request(n, 2, 100 * MS, 0)))).collect();
     let (posted, wanted) = (acts.iter().any(|act| matches!(act, Action::Post { .. })), workers > 0);
     assert!(posted == wanted && d.schemes[2].lanes.len() <= usize::from(workers));
 }
 
-/// What a long sequence remembers of one txn, to hold the rules against.
+/// What a long sequence remembers of one request, to hold the rules against.
 #[derive(Default)]
 struct Record {
     scheme: u8,
@@ -507,7 +512,7 @@
     let fleet = usize::from(workers);
     let (mut standing, mut started) = (vec![Standing::Ready; fleet], vec![0; fleet]);
     let mut timers: Vec<(Nanos, u64)> = Vec::new();
-    let mut txns: BTreeMap<TxnId, Record> = BTreeMap::new();
+    let mut requests: BTreeMap<RequestId, Record> = BTreeMap::new();
     let (mut cold, mut unit): (Vec<(usize, Nanos, f64)>, f64) = (Vec::new(), 0.0);
     for step in 1..6_000_u32 {
         let now = u64::from(step) * 10 * MS;
@@ -529,12 +534,12 @@
             let share = Share { worker: id(n as u8), halves: halves as u8, work, sign: sign as u8 };
             events.push(Event::Shared { from, share });
         }
-        for (id, record) in &mut txns {
+        for (id, record) in &mut requests {
             let odds = dice.unit();
-            assert!(record.answers > 0 || now <= record.expiry + 10 * MS, "a txn without its answer");
+            assert!(record.answers > 0 || now <= record.expiry + 10 * MS, "a request without its answer");
             if odds < 0.01 && record.answers == 0 && now < record.expiry {
                 record.answers += 1;
-                events.push(Event::Lapsed { txn: *id });
+                events.push(Event::Lapsed { request_id: *id });
             } else if let Some(&(leg, worker, at)) = record.out.first() {
                 let outcome = match odds {
                     _ if record.answers == 0 && now >= record.expiry => Outcome::TimeOut,
@@ -544,7 +549,7 @@
                     0.05..0.06 => Outcome::Error,
                     0.06..0.07 => Outcome::Broken,
                     0.07..0.2 => {
-                        events.push(Event::Started { txn: *id, leg });
+                        events.push(Event::Started { request_id: *id, leg });
                         continue;
                     }
                     _ => continue,
@@ -556,13 +561,13 @@
                     record.first_doubt.get_or_insert((worker, at));
                 }
                 let report = Report::default();
-                events.push(Event::Ended(Ended { txn: *id, leg, outcome, complete, report }));
+                events.push(Event::Ended(Ended { request_id: *id, leg, outcome, complete, report }));
             }
         }
         if dice.unit() < 0.5 && step < 5_000 {
             let scheme = (dice.unit() * 3.0) as u8;
-            let one = txn(step, scheme, (20.0 + dice.unit() * 400.0) as Nanos * MS, now);
-            txns.insert(step, Record { scheme, expiry: one.expiry, ..Record::default() });
+            let one = request(step, scheme, (20.0 + dice.unit() * 400.0) as Nanos * MS, now);
+            requests.insert(step, Record { scheme, expiry: one.expiry, ..Record::default() });
             events.push(Event::Arrived(one));
         }
         let due = timers.extract_if(.., |(at, _)| *at <= now);
@@ -572,9 +577,9 @@
             for act in acts.drain(..) {
                 match act {
                     Action::Timer { at, token } => timers.push((at.max(now + 1), token)),
-                    Action::Post { txn, worker, .. } => {
+                    Action::Post { request_id, worker, .. } => {
                         let n = usize::from(worker.addr[3]);
-                        let record = txns.get_mut(&txn).unwrap();
+                        let record = requests.get_mut(&request_id).unwrap();
                         assert!(record.answers == 0 && now < record.expiry, "posted after its answer");
                         assert!(record.out.is_empty(), "two attempts out");
                         assert!(standing[n] == Standing::Ready, "posted to a worker that leaves");
@@ -582,7 +587,7 @@
                             assert!(record.scheme == 1, "an effect twice");
                             assert!(first % 2 == n % 2 && now < since + 400 * MS, "outside group or window");
                         }
-                        let work = d.txns[d.held[&txn]].work;
+                        let work = d.requests[d.held[&request_id]].work;
                         // In hinted work a second, by the most that was ever believed: beliefs move meanwhile.
                         unit = unit.max(d.unit);
                         cold.push((n, now, work));
@@ -597,8 +602,8 @@
                         record.out.push((record.sent, n, now));
                         record.sent += 1;
                     }
-                    Action::Decline { txn, .. } | Action::Reverse { txn } => {
-                        let record = txns.get_mut(&txn).unwrap();
+                    Action::Decline { request_id, .. } | Action::Reverse { request_id } => {
+                        let record = requests.get_mut(&request_id).unwrap();
                         record.answers += 1;
                         assert!(now <= record.expiry + 10 * MS, "answered late");
                         let doubted = record.scheme > 0 && record.first_doubt.is_some();
@@ -610,12 +615,12 @@
             }
         }
     }
-    assert!(txns.values().all(|record| record.answers == 1), "a txn without its one answer");
-    assert!(d.txns.is_empty(), "kept {:?}", d.txns.iter().next());
-    assert!(txns.values().any(|record| record.sent > u8::from(workers > 1)));
+    assert!(requests.values().all(|record| record.answers == 1), "a request without its one answer");
+    assert!(d.requests.is_empty(), "kept {:?}", d.requests.iter().next());
+    assert!(requests.values().any(|record| record.sent > u8::from(workers > 1)));
 }
 
-/// A dispatcher that ends answers all by the moment given: guards against txns with later expiries that are
+/// A dispatcher that ends answers all by the moment given: guards against requests with later expiries that are
 /// posted again, or held, until it is killed.
 #[test_case(0, true => vec!["decline"]; "a repeatable one that is out is not posted again")]
 #[test_case(1, true => vec!["reverse"]; "a referenced one that is out")]
@@ -623,12 +628,14 @@
 #[test_case(2, false => vec!["decline"]; "a once-only one that is held")]
 fn closing_brings_expiries_forward(scheme: u8, out: bool) -> Vec<&'static str> {
     let mut d = dispatcher(if out { 2 } else { 0 });
-    let posted = handle(&mut d, 0, Event::Arrived(txn(1, scheme, 100 * MS, 0)));
+    let posted = handle(&mut d, 0, Event::Arrived(request(1, scheme, 100 * MS, 0)));
     assert_eq!(posted.len(), usize::from(out));
     handle(&mut d, MS, Event::Closing { by: 50 * MS });
     let outcome = Outcome::TimeOut;
     let event = match out {
-        true => Event::Ended(Ended { txn: 1, leg: 0, outcome, complete: false, report: Report::default() }),
+        true => {
+            Event::Ended(Ended { request_id: 1, leg: 0, outcome, complete: false, report: Report::default() })
+        }
         false => Event::Due { token: token(1, 0) },
     };
     let word = |act: &Action| match act {
@@ -659,7 +666,7 @@
 fn a_worker_is_free_by_what_others_told(told: Option<(u8, u16)>, at: Nanos) -> bool {
     let mut d = sharing(3, 2);
     let post = |d: &mut Dispatcher, id, now| {
-        let acts = handle(d, now, Event::Arrived(txn(id, 2, 100 * MS, now)));
+        let acts = handle(d, now, Event::Arrived(request(id, 2, 100 * MS, now)));
         acts.into_iter()
             .find_map(|act| if let Action::Post { worker, .. } = act { Some(worker) } else { None })
     };
@@ -676,12 +683,12 @@
     post(&mut d, 2, at * MS) == Some(mine)
 }
 
-fn settled(txn: TxnId) -> Event {
+fn settled(request_id: RequestId) -> Event {
     let (outcome, report) = (Outcome::Settled, Report::default());
-    Event::Ended(Ended { txn, leg: 0, outcome, complete: true, report })
+    Event::Ended(Ended { request_id, leg: 0, outcome, complete: true, report })
 }
 
-/// Guards against a slow or hung worker that each dispatcher finds out with txns of its own.
+/// Guards against a slow or hung worker that each dispatcher finds out with requests of its own.
 #[test_case(Share::UNKNOWN => (100, 0); "nothing known")]
 #[test_case(Share::sign_of(4.0) => (200, 0); "a pace, as one job more")]
 #[test_case(Share::SILENT => (100, 80); "silence, as its own")]
@@ -698,8 +705,8 @@
 #[test_case(false, 400 => 100; "where no one tells of others")]
 fn jobs_that_still_run_tell_the_pace(shares: bool, age: Nanos) -> i64 {
     let mut d = if shares { sharing(3, 1) } else { dispatcher(1) };
-    drop(handle(&mut d, MS, Event::Arrived(txn(1, 2, 100 * MS, 0))));
-    handle(&mut d, MS, Event::Started { txn: 1, leg: 0 });
+    drop(handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0))));
+    handle(&mut d, MS, Event::Started { request_id: 1, leg: 0 });
     d.tally((age + 1) * MS);
     (d.workers[0].seen_pace().0 * 100.0).round() as i64
 }
@@ -717,7 +724,7 @@
 #[test_case(1, 20 => Vec::<(u16, u8)>::new(); "no one to tell")]
 fn what_is_out_is_told(dispatchers: u32, end: Nanos) -> Vec<(u16, u8)> {
     let mut d = sharing(dispatchers, 2);
-    let mut acts = handle(&mut d, MS, Event::Arrived(txn(1, 2, 100 * MS, 0)));
+    let mut acts = handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0)));
     acts.extend(handle(&mut d, end * MS, settled(1)));
     told(&acts)
 }
@@ -735,8 +742,8 @@
 #[test]
 fn those_are_told_who_keep_to_the_worker() {
     let mut d = numbered(7, 40, 30);
-    let acts = handle(&mut d, MS, Event::Arrived(txn(1, 2, 100 * MS, 0)));
-    let at = d.txns[0].attempts[0].worker;
+    let acts = handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0)));
+    let at = d.requests[0].attempts[0].worker;
     let keep = (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).schemes[0].lanes.contains(&at));
     assert_eq!(told(&acts), keep.map(|me| (me as u16, 2)).collect::<Vec<_>>());
 }
@@ -757,9 +764,9 @@
     }
 }
 
-fn ended(txn: TxnId, leg: u8, outcome: Outcome) -> Event {
+fn ended(request_id: RequestId, leg: u8, outcome: Outcome) -> Event {
     Event::Ended(Ended {
-        txn,
+        request_id,
         leg,
         outcome,
         complete: outcome == Outcome::Settled,
@@ -773,8 +780,8 @@
     let mut d = dispatcher(2);
     for id in 1..=4 {
         let now = u64::from(id) * 500 * MS;
-        handle(&mut d, now, Event::Arrived(txn(id, 0, 100 * MS, now)));
-        handle(&mut d, now, Event::Started { txn: id, leg: 0 });
+        handle(&mut d, now, Event::Arrived(request(id, 0, 100 * MS, now)));
+        handle(&mut d, now, Event::Started { request_id: id, leg: 0 });
         handle(&mut d, now + 200 * MS, ended(id, 0, Outcome::Settled));
     }
     handle(&mut d, 3_000 * MS, Event::Due { token: BEAT });
@@ -786,16 +793,16 @@
     assert!(d.workers.iter().any(|worker| worker.paced == 0.0));
 }
 
-/// Guards against turning txns away on a quiet day, as a slow worker leaves them little room: that is no queue.
+/// Guards against turning requests away on a quiet day, as a slow worker leaves them little room: that is no queue.
 #[test]
 fn what_a_slow_worker_makes_late_is_no_overload() {
     let mut d = dispatcher(1);
     d.workers[0].pace = 4.0;
     for id in 1..=20 {
         let now = u64::from(id) * 1_000 * MS;
-        let acts = handle(&mut d, now, Event::Arrived(txn(id, 0, 300 * MS, now)));
+        let acts = handle(&mut d, now, Event::Arrived(request(id, 0, 300 * MS, now)));
         assert!(matches!(acts[..], [Action::Post { .. }]), "{acts:?}");
-        handle(&mut d, now + MS, Event::Started { txn: id, leg: 0 });
+        handle(&mut d, now + MS, Event::Started { request_id: id, leg: 0 });
         handle(&mut d, now + 900 * MS, ended(id, 0, Outcome::Settled));
     }
     assert_eq!(d.start_delays.congestion(21_000 * MS, 1.0).late, 0.0);
@@ -810,7 +817,7 @@
     d.workers[0].of[0].add(0, 3.0 * Worker::HALF, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
-        let acts = handle(&mut d, now, Event::Arrived(txn(id, scheme, 50 * MS, now)));
+        let acts = handle(&mut d, now, Event::Arrived(request(id, scheme, 50 * MS, now)));
         let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
         handle(&mut d, now, ended(id, 0, Outcome::Settled));
         worker == super::tests::id(0)
@@ -832,7 +839,7 @@
     assert!(acts.contains(&Action::Say("2 absurd figures in reports".into())), "{acts:?}");
 }
 
-/// Guards against a jam kept up: where starts are late, what a slow worker leaves of a txn's room is what counts.
+/// Guards against a jam kept up: where starts are late, what a slow worker leaves of a request's room is what counts.
 #[test_case(0 => true; "no start late: sent")]
 #[test_case(9 => false; "those of late: turned away")]
 fn a_slow_worker_with_a_queue_takes_less_where_starts_are_late(late: u32) -> bool {
@@ -843,7 +850,7 @@
     (worker.pace, worker.paced, worker.lag, worker.lag_at) = (2.6, 9.0, 200.0 * 1e6, now);
     d.unseen = 0.0;
     starts_of_late(&mut d, now, 0.0, late);
-    let acts = handle(&mut d, now, Event::Arrived(txn(1, 0, 300 * MS, now)));
+    let acts = handle(&mut d, now, Event::Arrived(request(1, 0, 300 * MS, now)));
     matches!(acts[..], [Action::Post { .. }])
 }
 
@@ -854,9 +861,9 @@
     let mut d = dispatcher(1);
     d.workers[0].started = 1;
     let attempt = Attempt { started: Some(MS), out: true, ..Attempt::default() };
-    let mut hand = InHand::new(txn(1, 0, 100 * MS, 0), Idempotent, 1e8, 1e8, 1.0, 500 * MS);
+    let mut hand = InHand::new(request(1, 0, 100 * MS, 0), Idempotent, 1e8, 1e8, 1.0, 500 * MS);
     (hand.stage, hand.posted, hand.attempts[0]) = (Out, 1, attempt);
-    let key = d.txns.insert(hand);
+    let key = d.requests.insert(hand);
     d.held.insert(1, key);
     handle(&mut d, 400 * MS, ended(1, 0, Outcome::Settled));
     assert!((1.1..1.4).contains(&d.workers[0].pace) && d.paces.is_empty(), "{}", d.workers[0].pace);
@@ -869,7 +876,7 @@
 #[test_case(50, Some(60) => 0; "to the process before, and settled since")]
 fn a_cold_workers_budget_holds_what_went_there_unknowing(posted: Nanos, settled: Option<Nanos>) -> usize {
     let mut d = dispatcher(1);
-    handle(&mut d, posted * MS, Event::Arrived(txn(1, 2, 100 * MS, posted * MS)));
+    handle(&mut d, posted * MS, Event::Arrived(request(1, 2, 100 * MS, posted * MS)));
     settled.into_iter().for_each(|at| drop(handle(&mut d, at * MS, ended(1, 0, Outcome::Settled))));
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
     handle(&mut d, 900 * MS, Event::List { scope: Scope::Changes, entries });
@@ -915,13 +922,13 @@
     let mut d = dispatcher(1);
     (0..5).for_each(|_| d.schemes[2].add(100e6));
     d.turned = turned;
-    let key = d.txns.insert(InHand::new(txn(1, scheme, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(InHand::new(request(1, scheme, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
     // A second's wait: half of its own room, two and a half times theirs.
     d.kept(0, key, SECOND, 0.5)
 }
 
 /// Guards against users who give no hints: a figure out of the air had each worker look slow by what it happened to run, and
-/// txns turned away for it.
+/// requests turned away for it.
 #[test_case(None, None => (500, 300); "none gives a hint")]
 #[test_case(Some(40), None => (40, 40); "those before gave one")]
 #[test_case(None, Some(40) => (40, 300); "it gives one itself")]
@@ -930,14 +937,14 @@
     hint: Option<Nanos>,
 ) -> (u64, u64) {
     let mut d = dispatcher(4);
-    let mut run = |id: TxnId, scheme: u8, hint: Option<Nanos>, took: Nanos| {
+    let mut run = |id: RequestId, scheme: u8, hint: Option<Nanos>, took: Nanos| {
         let now = Nanos::from(id) * 2_000 * MS;
-        let txn = Txn { hint: hint.map(|hint| hint * MS), ..txn(id, scheme, 0, now) };
-        drop(handle(&mut d, now, Event::Arrived(txn)));
-        let run = d.txns[d.held[&id]].run / MS as f64;
-        drop(handle(&mut d, now, Event::Started { txn: id, leg: 0 }));
+        let request = Request { hint: hint.map(|hint| hint * MS), ..request(id, scheme, 0, now) };
+        drop(handle(&mut d, now, Event::Arrived(request)));
+        let run = d.requests[d.held[&id]].run / MS as f64;
+        drop(handle(&mut d, now, Event::Started { request_id: id, leg: 0 }));
         let report = Report::default();
-        let end = Ended { txn: id, leg: 0, outcome: Outcome::Settled, complete: true, report };
+        let end = Ended { request_id: id, leg: 0, outcome: Outcome::Settled, complete: true, report };
         drop(handle(&mut d, now + took * MS, Event::Ended(end)));
         run.round() as u64
     };
@@ -948,7 +955,7 @@
     (run(20, 0, hint, 1), run(21, 2, None, 1))
 }
 
-/// Guards against a cold worker pushed over by txns that run longer than those before: without a hint each counts twice.
+/// Guards against a cold worker pushed over by requests that run longer than those before: without a hint each counts twice.
 #[test_case(Some(100 * MS) => 3; "of a known size")]
 #[test_case(None => 1; "of none, taken for as much")]
 fn a_cold_worker_gets_fewer_of_unknown_size(hint: Option<Nanos>) -> usize {
@@ -956,7 +963,7 @@
     (d.schemes[0].sla, d.schemes[0].ran) = (90.0 * SECOND, (1e8, 1.0));
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
     handle(&mut d, 100 * MS, Event::List { scope: Scope::Changes, entries });
-    let one = |n| Txn { hint, expiry: 99_000 * MS, ..txn(n, 0, 0, 2_000 * MS) };
+    let one = |n| Request { hint, expiry: 99_000 * MS, ..request(n, 0, 0, 2_000 * MS) };
     let posts = (0..20).map(|n| handle(&mut d, 2_000 * MS, Event::Arrived(one(n))));
     posts.flatten().filter(|act| matches!(act, Action::Post { .. })).count()
 }
@@ -975,8 +982,8 @@
     d
 }
 
-fn without_hint(id: TxnId, class: u8, now: Nanos) -> Txn {
-    Txn { hint: None, ..txn(id, class, 0, now) }
+fn without_hint(id: RequestId, class: u8, now: Nanos) -> Request {
+    Request { hint: None, ..request(id, class, 0, now) }
 }
 
 /// Guards against classes that all look alike until one of each has settled, which took a third of a day where a
@@ -991,7 +998,7 @@
         let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
         lanes[usize::from(class == 2)].push(worker.addr[3]);
         let report = Report::default();
-        let end = Ended { txn: id, leg: 0, outcome: Outcome::Full, complete: true, report };
+        let end = Ended { request_id: id, leg: 0, outcome: Outcome::Full, complete: true, report };
         handle(&mut d, now + MS, Event::Ended(end));
     }
     let mean = |lanes: &[u8]| lanes.iter().map(|lane| f64::from(*lane)).sum::<f64>() / lanes.len() as f64;
@@ -1010,7 +1017,7 @@
     // Wanted within its SLA time and twice its run.
     let room = d.schemes[0].sla + 10e6;
     (d.workers[last].lag, d.workers[last].lag_at) = (part * 0.3 * d.unseen * room, now);
-    let acts = handle(&mut d, now, Event::Arrived(txn(1, 0, 10 * MS, now)));
+    let acts = handle(&mut d, now, Event::Arrived(request(1, 0, 10 * MS, now)));
     let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
     d.schemes[0].lanes.iter().position(|at| d.workers[*at].id == worker).unwrap()
 }
@@ -1041,7 +1048,7 @@
     lanes[..7].iter().for_each(|at| d.workers[*at].zone = 2);
     d.zones.observe(1, 2e6);
     d.zones.observe(2, 80e6);
-    let acts = handle(&mut d, now, Event::Arrived(txn(1, class, hint * MS, now)));
+    let acts = handle(&mut d, now, Event::Arrived(request(1, class, hint * MS, now)));
     let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
     d.workers[d.known[&worker]].zone == 1
 }
@@ -1053,8 +1060,8 @@
     let at = d.schemes[0].lanes[0];
     d.schemes[0].lanes.truncate(1);
     d.workers[at].zone = 2;
-    handle(&mut d, 0, Event::Arrived(txn(1, 0, 10 * MS, 0)));
-    handle(&mut d, 80 * MS, Event::Started { txn: 1, leg: 0 });
+    handle(&mut d, 0, Event::Arrived(request(1, 0, 10 * MS, 0)));
+    handle(&mut d, 80 * MS, Event::Started { request_id: 1, leg: 0 });
     assert_eq!((d.zones.extra(2), d.zones.extra(1)), (80e6, 0.0));
 }
 
@@ -1065,10 +1072,10 @@
     let mut d = one_of_a_large_fleet();
     let now = 100_000 * MS;
     starts_of_late(&mut d, now, 0.5, 0);
-    let request = Txn { expiry: now + 3_000 * MS, ..without_hint(1, 2, now) };
+    let request = Request { expiry: now + 3_000 * MS, ..without_hint(1, 2, now) };
     let acts = handle(&mut d, now, Event::Arrived(request));
     assert!(matches!(acts[..], [Action::Post { .. }]), "{acts:?}");
-    let hand = &d.txns[d.held[&1]];
+    let hand = &d.requests[d.held[&1]];
     assert_eq!((hand.run, hand.room(now, 1.0)), (750e6, 2_250e6));
 }
 
@@ -1078,9 +1085,9 @@
 #[test_case(500 => true; "two a second")]
 fn a_burst_is_turned_away_before_any_of_it_has_started(gap: Nanos) -> bool {
     let mut d = among(300, 0, warm(200));
-    let sent = |id: &TxnId| {
+    let sent = |id: &RequestId| {
         let now = (10_000 + Nanos::from(*id) * gap) * MS;
-        let acts = handle(&mut d, now, Event::Arrived(txn(*id, 2, 100 * MS, now)));
+        let acts = handle(&mut d, now, Event::Arrived(request(*id, 2, 100 * MS, now)));
         matches!(acts[..], [Action::Post { .. }])
     };
     let sent = (0..16).filter(sent).count();
@@ -1103,8 +1110,8 @@
 /// How many of 100 requests of a class are kept that would wait for 0.8 s where all of the dearest are turned away.
 fn kept_of_100(mut d: Dispatcher, class: u8) -> usize {
     let room = if class == 2 { 4e9 } else { 4e8 };
-    let hand = InHand::new(txn(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0);
-    let key = d.txns.insert(hand);
+    let hand = InHand::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0);
+    let key = d.requests.insert(hand);
     let kept = |_: &usize| {
         d.turned = 1.0;
         d.kept(0, key, 0.8e9, 0.8e9 / room)
--- a/src/sabotage.rs
+++ b/src/sabotage.rs
@@ -4,9 +4,9 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A once-only txn is posted again after it may have run.
+    /// A once-only request is posted again after it may have run.
     OnceOnlyAgain,
-    /// A referenced txn is repeated out of its group and window.
+    /// A referenced request is repeated out of its group and window.
     WindowIgnored,
     /// A worker that drains still gets new work.
     GraceIgnored,
@@ -20,11 +20,11 @@
     TimerLost,
     /// An old list overrides a new one.
     OldListWins,
-    /// A client that has left is not noticed, and its txn is posted all the same.
+    /// A client that has left is not noticed, and its request is posted all the same.
     LeftIgnored,
     /// The connection of a posting that ended badly is never closed.
     ConnectionLeaked,
-    /// The id of a txn in hand is taken again.
+    /// The id of a request in hand is taken again.
     IdTakenTwice,
     /// A connection that broke after the last byte counts as one that never came up.
     BrokenIsUnrun,
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -4,7 +4,7 @@
 //! as if it started now: its delay is at least its age, so it can raise the estimate and never lower it. Guards against a
 //! queue that is noticed only once it has been worked off: starts alone tell how long the queue was when they were sent.
 use crate::state::{SECOND, fade};
-use crate::types::{Nanos, TxnId};
+use crate::types::{Nanos, RequestId};
 use std::collections::VecDeque;
 
 /// The newest attempt weighs a fifth of all. In a large fleet a dispatcher sends one to five a second, and a burst fills
@@ -20,7 +20,7 @@
 /// One attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptId {
-    pub request: TxnId,
+    pub request: RequestId,
     pub number: u8,
 }
 
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -5,13 +5,13 @@
 const RARITY: f64 = 1.0;
 
 /// Sends attempt `request` at `at` ms: it has 100 ms to spare, of which nothing is expected to be spent.
-fn send(delays: &mut StartDelays, request: TxnId, at: Nanos) -> AttemptId {
+fn send(delays: &mut StartDelays, request: RequestId, at: Nanos) -> AttemptId {
     let id = AttemptId { request, number: 0 };
     delays.sent(Sent { id, at: at * MS, expected: 0.0, time_to_spare: 1e8, run: 1e7 });
     id
 }
 
-fn send_all(delays: &mut StartDelays, requests: std::ops::Range<TxnId>, at: Nanos) {
+fn send_all(delays: &mut StartDelays, requests: std::ops::Range<RequestId>, at: Nanos) {
     for request in requests {
         send(delays, request, at);
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decisions remember, as plain data. None of it crosses the interface and nothing is decided here.
 use crate::pcg::Pcg;
 use crate::start_delays::StartDelays;
-use crate::types::{Nanos, Share, Standing, Txn, TxnId, WorkerId};
+use crate::types::{Nanos, Request, RequestId, Share, Standing, WorkerId};
 use crate::zones::ZoneDelays;
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -15,9 +15,9 @@
     value * (-(now.saturating_sub(since) as f64) / half).exp2()
 }
 
-/// The timer of one attempt of a txn.
-pub(crate) fn token(txn: TxnId, leg: usize) -> u64 {
-    u64::from(txn) | (leg as u64) << 32
+/// The timer of one attempt of a request.
+pub(crate) fn token(request_id: RequestId, leg: usize) -> u64 {
+    u64::from(request_id) | (leg as u64) << 32
 }
 
 /// Settings under our names; the decisions and the programs pick from it what they need.
@@ -104,12 +104,12 @@
     pub out: bool,
 }
 
-/// Attempts kept for one txn; where more are allowed, no more than these are made.
+/// Attempts kept for one request; where more are allowed, no more than these are made.
 pub const MOST_ATTEMPTS: usize = 6;
 
 #[derive(Debug)]
 pub struct InHand {
-    pub txn: Txn,
+    pub request: Request,
     pub effect: Effect,
     pub stage: Stage,
     /// Hint times slots, and what counts for a cold worker: of one without a hint twice as much. Guards against a cold
@@ -129,11 +129,11 @@
 }
 
 impl InHand {
-    pub fn new(txn: Txn, effect: Effect, work: f64, run: f64, need: f64, due: Nanos) -> Self {
+    pub fn new(request: Request, effect: Effect, work: f64, run: f64, need: f64, due: Nanos) -> Self {
         let attempts = [Attempt::default(); MOST_ATTEMPTS];
-        let most = work * if txn.hint.is_some() { 1.0 } else { 2.0 };
+        let most = work * if request.hint.is_some() { 1.0 } else { 2.0 };
         InHand {
-            txn,
+            request,
             effect,
             stage: Stage::Held,
             work,
@@ -429,7 +429,7 @@
         self.seen *= keep;
     }
 
-    /// How long a txn is taken to run: as it hints, else as those like it did. Guards against users who give no hints, for
+    /// How long a request is taken to run: as it hints, else as those like it did. Guards against users who give no hints, for
     /// whom a figure out of the air has each worker look slow or fast by what it happened to run.
     pub fn run(&mut self, hint: Option<Nanos>, slots: f64, waits: Nanos) -> f64 {
         self.hinted |= hint.is_some();
@@ -527,8 +527,8 @@
     pub(crate) schemes: Vec<Scheme>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) known: FxHashMap<WorkerId, usize>,
-    pub(crate) txns: Slab<InHand>,
-    pub(crate) held: FxHashMap<TxnId, usize>,
+    pub(crate) requests: Slab<InHand>,
+    pub(crate) held: FxHashMap<RequestId, usize>,
     pub(crate) gaps: [Gaps; 2],
     /// Where a report has its free slots and its jobs in flight.
     pub(crate) report_at: [Option<usize>; 2],
@@ -553,7 +553,7 @@
     /// Whether rights to cold workers are given by one of the dispatchers, and when this one started.
     pub(crate) rights: bool,
     pub(crate) begun: Nanos,
-    /// The cold worker, nearest to its lane, for which the txn last looked at lacked a right.
+    /// The cold worker, nearest to its lane, for which the request last looked at lacked a right.
     pub(crate) lacking: Option<usize>,
     pub(crate) unseen: f64,
     /// How many dispatchers keep to one worker.
@@ -569,7 +569,7 @@
     pub(crate) start_delays: StartDelays,
     pub(crate) worth_basis: WorthBasis,
     pub(crate) others: f64,
-    /// The part of the dearest txns turned away, of the last seven to twenty.
+    /// The part of the dearest requests turned away, of the last seven to twenty.
     pub(crate) turned: f64,
     /// Figures in reports that cannot be, since the log was told.
     pub(crate) absurd: u64,
@@ -640,7 +640,7 @@
         }
     }
 
-    /// A txn settled at a worker: its kind has seats for the jobs that ran there together, as far as that is sure, for a
+    /// A request settled at a worker: its kind has seats for the jobs that ran there together, as far as that is sure, for a
     /// quarter of their time at least and for twice it at most. Guards against a cold worker pushed over where starts are told
     /// sooner than the ends before them, and by jobs that were lost or never began.
     pub(crate) fn learn_seats(&mut self, now: Nanos, settled: usize, at: usize) {
@@ -655,10 +655,10 @@
             key == settled || (0.25 * run..=2.0 * run).contains(&age)
         };
         let running = self
-            .txns
+            .requests
             .iter()
             .filter(|(key, hand)| hand.attempts[..hand.posted].iter().any(|leg| sure(*key, hand, leg)));
-        let running = running.map(|(_, hand)| f64::from(hand.txn.slots)).sum();
+        let running = running.map(|(_, hand)| f64::from(hand.request.slots)).sum();
         self.seats(worker.kind, running);
     }
 
@@ -668,7 +668,7 @@
             let worker = &mut self.workers[at];
             (worker.out, worker.running, worker.ahead, worker.over) = (0.0, 0.0, 0.0, (0.0, 0.0));
         }
-        for (_, hand) in &self.txns {
+        for (_, hand) in &self.requests {
             for attempt in hand.attempts[..hand.posted].iter().filter(|attempt| attempt.out) {
                 self.touched.push(attempt.worker);
                 let worker = &mut self.workers[attempt.worker];
@@ -688,7 +688,7 @@
                     }
                     // What an earlier process ran is lost. Guards against taking its jobs for more seats.
                     let lives = started >= worker.started;
-                    worker.running += if lives { f64::from(hand.txn.slots) } else { 0.0 };
+                    worker.running += if lives { f64::from(hand.request.slots) } else { 0.0 };
                 } else {
                     let delay = attempt.delay(now);
                     if delay > fade(worker.lag, worker.lag_at, now, SECOND) {
@@ -699,10 +699,10 @@
         }
     }
 
-    /// An attempt that is still out, and the place of its txn.
-    pub(crate) fn attempt(&self, txn: TxnId, leg: u8) -> Option<(usize, Attempt)> {
-        let key = *self.held.get(&txn)?;
-        let hand = &self.txns[key];
+    /// An attempt that is still out, and the place of its request.
+    pub(crate) fn attempt(&self, request_id: RequestId, leg: u8) -> Option<(usize, Attempt)> {
+        let key = *self.held.get(&request_id)?;
+        let hand = &self.requests[key];
         let attempt = hand.attempts[..hand.posted].get(usize::from(leg))?;
         attempt.out.then_some((key, *attempt))
     }
--- a/src/types.rs
+++ b/src/types.rs
@@ -2,7 +2,7 @@
 
 /// Times and spans, in whole nanoseconds.
 pub type Nanos = u64;
-pub type TxnId = u32;
+pub type RequestId = u32;
 
 /// A worker's address, as it was given; its order is the order of the lanes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -69,8 +69,8 @@
 
 /// A request as it comes in. `expiry` is the moment at which the client stops waiting.
 #[derive(Clone, Copy, Debug)]
-pub struct Txn {
-    pub id: TxnId,
+pub struct Request {
+    pub id: RequestId,
     pub scheme: u8,
     pub party: u16,
     pub hint: Option<Nanos>,
@@ -79,10 +79,10 @@
     pub expiry: Nanos,
 }
 
-/// How a posting ended; `complete` when the txn has its final answer with it or had it before.
+/// How a posting ended; `complete` when the request has its final answer with it or had it before.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
-    pub txn: TxnId,
+    pub request_id: RequestId,
     pub leg: u8,
     pub outcome: Outcome,
     pub complete: bool,
@@ -129,13 +129,13 @@
         scope: Scope,
         entries: Vec<Listed>,
     },
-    Arrived(Txn),
+    Arrived(Request),
     Started {
-        txn: TxnId,
+        request_id: RequestId,
         leg: u8,
     },
     StreamBegun {
-        txn: TxnId,
+        request_id: RequestId,
     },
     Ended(Ended),
     Probed(Probed),
@@ -153,7 +153,7 @@
         until: Nanos,
     },
     Lapsed {
-        txn: TxnId,
+        request_id: RequestId,
     },
     Due {
         token: u64,
@@ -167,18 +167,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Post {
-        txn: TxnId,
+        request_id: RequestId,
         worker: WorkerId,
     },
     Probe {
         worker: WorkerId,
     },
     Decline {
-        txn: TxnId,
+        request_id: RequestId,
         come_back: Nanos,
     },
     Reverse {
-        txn: TxnId,
+        request_id: RequestId,
     },
     Follow,
     /// To another dispatcher, by its number; only where the settings allow it.
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -6,7 +6,8 @@
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
-    Action, Ended, Event, Listed, Nanos, Outcome, Report, Scope, Share, Standing, Txn, TxnId, WorkerId,
+    Action, Ended, Event, Listed, Nanos, Outcome, Report, Request, RequestId, Scope, Share, Standing,
+    WorkerId,
 };
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -38,9 +39,9 @@
     PeerReport,
     PeerView,
     Timer(u64),
-    Start { request: TxnId, attempt: u8 },
-    End { request: TxnId, attempt: u8, worker: WorkerId },
-    Disconnect(TxnId),
+    Start { request: RequestId, attempt: u8 },
+    End { request: RequestId, attempt: u8, worker: WorkerId },
+    Disconnect(RequestId),
     ListAnswer,
     Grant { worker: WorkerId, work: Nanos },
     Restart,
@@ -56,8 +57,8 @@
     queue: BTreeMap<(Nanos, u64), Next>,
     serial: u64,
     workers: Vec<Listed>,
-    attempts: BTreeMap<TxnId, u8>,
-    next_request: TxnId,
+    attempts: BTreeMap<RequestId, u8>,
+    next_request: RequestId,
     digest: Sha256,
     actions: u64,
 }
@@ -140,10 +141,14 @@
             |s: &Share| [worker(&s.worker), u64::from(s.halves), u64::from(s.work), u64::from(s.sign)];
         let now = self.now;
         match action {
-            Action::Post { txn, worker: id } => self.numbers(&[now, 1, u64::from(*txn), worker(id)]),
+            Action::Post { request_id, worker: id } => {
+                self.numbers(&[now, 1, u64::from(*request_id), worker(id)])
+            }
             Action::Probe { worker: id } => self.numbers(&[now, 2, worker(id)]),
-            Action::Decline { txn, come_back } => self.numbers(&[now, 3, u64::from(*txn), *come_back]),
-            Action::Reverse { txn } => self.numbers(&[now, 4, u64::from(*txn)]),
+            Action::Decline { request_id, come_back } => {
+                self.numbers(&[now, 3, u64::from(*request_id), *come_back])
+            }
+            Action::Reverse { request_id } => self.numbers(&[now, 4, u64::from(*request_id)]),
             Action::Follow => self.numbers(&[now, 5]),
             Action::Tell { to, share: s } => {
                 self.numbers(&[now, 6, u64::from(*to)]);
@@ -160,7 +165,7 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Post { txn, worker } => self.send_attempt(txn, worker),
+            Action::Post { request_id, worker } => self.send_attempt(request_id, worker),
             Action::Timer { at, token } => self.push(at.saturating_sub(self.now), Next::Timer(token)),
             Action::Follow => self.push(80 * MILLISECOND, Next::ListAnswer),
             Action::Want { worker, work } => {
@@ -171,7 +176,7 @@
         }
     }
 
-    fn send_attempt(&mut self, request: TxnId, worker: WorkerId) {
+    fn send_attempt(&mut self, request: RequestId, worker: WorkerId) {
         let attempt = self.attempts.entry(request).or_insert(0);
         let number = *attempt;
         *attempt += 1;
@@ -202,7 +207,15 @@
             let delay = (1 + self.below(400)) * MILLISECOND;
             self.push(delay, Next::Disconnect(id));
         }
-        self.feed(Event::Arrived(Txn { id, scheme: class, party: 0, hint, slots, memory, expiry: deadline }));
+        self.feed(Event::Arrived(Request {
+            id,
+            scheme: class,
+            party: 0,
+            hint,
+            slots,
+            memory,
+            expiry: deadline,
+        }));
     }
 
     fn change_list(&mut self) {
@@ -285,11 +298,11 @@
         }
     }
 
-    fn end(&mut self, request: TxnId, attempt: u8, worker: WorkerId) {
+    fn end(&mut self, request: RequestId, attempt: u8, worker: WorkerId) {
         let outcome = self.outcome(worker);
         let complete = outcome == Outcome::Settled;
         let report = self.report();
-        self.feed(Event::Ended(Ended { txn: request, leg: attempt, outcome, complete, report }));
+        self.feed(Event::Ended(Ended { request_id: request, leg: attempt, outcome, complete, report }));
     }
 
     /// A new process of the same dispatcher, which knows the list that the one before had.
@@ -310,12 +323,14 @@
             Next::PeerReport => self.peer_report(),
             Next::PeerView => self.peer_view(),
             Next::Timer(token) => self.feed(Event::Due { token }),
-            Next::Start { request, attempt } => self.feed(Event::Started { txn: request, leg: attempt }),
+            Next::Start { request, attempt } => {
+                self.feed(Event::Started { request_id: request, leg: attempt })
+            }
             Next::End { request, attempt, worker } => self.end(request, attempt, worker),
             Next::Disconnect(request) if request % 2 == 0 => {
-                self.feed(Event::Lapsed { txn: request });
+                self.feed(Event::Lapsed { request_id: request });
             }
-            Next::Disconnect(request) => self.feed(Event::StreamBegun { txn: request }),
+            Next::Disconnect(request) => self.feed(Event::StreamBegun { request_id: request }),
             Next::ListAnswer => {
                 let scope = if self.below(3) == 0 { Scope::Failed } else { Scope::Whole };
                 self.send_list(scope);
