--- a/crates/engine/src/given.rs
+++ b/crates/engine/src/given.rs
@@ -65,13 +65,13 @@
     let mut map = ours(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())));
     if file.talk.is_none()
         && file.cluster.is_none()
-        && map.get("share.allowed").is_some_and(|allowed| allowed != "false")
+        && map.get("peer_load.allowed").is_some_and(|allowed| allowed != "false")
     {
         // Guards against decisions that tell what nothing here could carry.
         log::warn!(
             "no talk between dispatchers: the settings allow it, but the file gives no addresses for it"
         );
-        map.insert("share.allowed".into(), "false".into());
+        map.insert("peer_load.allowed".into(), "false".into());
     }
     let (listen, discovery, known) = (file.listen, file.discovery, file.known.to_string().into_bytes());
     let (talk, cluster, joining) = (file.talk, file.cluster, None);
@@ -85,7 +85,7 @@
         if self.talk.is_some() {
             return Err(ClusterError::TalkAndCluster);
         }
-        self.map.insert("rights".into(), "true".to_string());
+        self.map.insert("warm_up_grants".into(), "true".to_string());
         self.joining = Some(joining);
         Ok(())
     }
@@ -95,13 +95,13 @@
 pub fn check(given: &Given) -> Result<(), String> {
     Dispatcher::start(0, given.seed, &given.map)?;
     // Guards against a stop that goes on past the kill, where expiries are shorter than those assumed in place of them.
-    for at in 0..pick::<usize>(&given.map, "scheme.count")? {
-        pick::<Nanos>(&given.map, &format!("scheme.{at}.expiry"))?;
+    for at in 0..pick::<usize>(&given.map, "class.count")? {
+        pick::<Nanos>(&given.map, &format!("class.{at}.deadline"))?;
     }
     // Guards against lists that never come, or calls that cost others, where a word is not known.
-    let mode: String = pick(&given.map, "list.mode")?;
-    if !["pushed", "asked"].contains(&mode.as_str()) {
-        return Err(format!("setting list.mode cannot be read: {mode:?}"));
+    let mode: String = pick(&given.map, "endpoints.mode")?;
+    if !["pushed", "polled"].contains(&mode.as_str()) {
+        return Err(format!("setting endpoints.mode cannot be read: {mode:?}"));
     }
     if let Some(talk) = &given.talk {
         let (me, all) = (pick::<usize>(&given.map, "me")?, pick::<usize>(&given.map, "dispatchers")?);
@@ -149,10 +149,10 @@
     };
     let listed = |name: &str| map.get(name).map(|text| text.split(',').map(str::to_string).collect());
     Names {
-        schemes: numbered("scheme"),
-        parties: numbered("party"),
+        classes: numbered("class"),
+        tenants: numbered("tenant"),
         zones: listed("zones").unwrap_or_default(),
-        kinds: listed("kinds").unwrap_or_default(),
+        worker_types: listed("worker_types").unwrap_or_default(),
     }
 }
 
@@ -164,7 +164,7 @@
 
 /// How long after the signal to stop all must be answered.
 pub fn stop_within(map: &Map) -> Nanos {
-    let expiry = |at: usize| pick::<Nanos>(map, &format!("scheme.{at}.expiry")).ok();
+    let expiry = |at: usize| pick::<Nanos>(map, &format!("class.{at}.deadline")).ok();
     let longest = (0..).map_while(expiry).max().unwrap_or(LONGEST);
     longest.min(LONGEST) + MORE - SPARE
 }
--- a/crates/engine/src/given_tests.rs
+++ b/crates/engine/src/given_tests.rs
@@ -9,12 +9,12 @@
     "FamilyInfo":{"ClassStretch":[2.0,1.5]},"Schemes":[{"Name":"thumb","Idempotency":"once"},{"Name":"x,y"}]}}"#;
 
 #[test_case("me", "2"; "a number")]
-#[test_case("probe.allowed", "true"; "a nested value")]
+#[test_case("health_check.allowed", "true"; "a nested value")]
 #[test_case("zones", "a_b,c"; "a list of words")]
-#[test_case("scheme.count", "2"; "a count")]
-#[test_case("scheme.0.effect", "once-only"; "a word of theirs")]
-#[test_case("scheme.1.stretch", "1.5"; "a value for each scheme")]
-#[test_case("party.0.name", "once"; "a name that is a word elsewhere")]
+#[test_case("class.count", "2"; "a count")]
+#[test_case("class.0.idempotency", "non-idempotent"; "a word of theirs")]
+#[test_case("class.1.objective_stretch", "1.5"; "a value for each class")]
+#[test_case("tenant.0.name", "once"; "a name that is a word elsewhere")]
 fn settings_become_a_plain_map(name: &str, value: &str) {
     let given = read(GIVEN.as_bytes()).unwrap();
     assert_eq!(given.map.get(name).map(String::as_str), Some(value));
@@ -24,7 +24,7 @@
 fn names_are_found_in_their_order() {
     let names = names(&read(GIVEN.as_bytes()).unwrap().map);
     assert_eq!(
-        (names.schemes, names.parties),
+        (names.classes, names.tenants),
         (vec!["thumb".into(), "x_y".into()], vec!["once".to_string()])
     );
     assert_eq!(names.zones, ["a_b", "c"]);
@@ -55,11 +55,11 @@
 
 #[test_case("", "" => Ok(()); "as it should be")]
 #[test_case("\"Me\":1", "\"Me\":2" => Err("setting me is out of range: 2 of 2 dispatchers".into()); "a number that is not there")]
-#[test_case("\"Peers\":true", "\"Peers\":\"often\"" => Err("setting share.allowed cannot be read: \"often\"".into()); "a wrong form")]
-#[test_case("\"ColdFrom\":0.2", "\"ColdFrom\":-1" => Err("setting cold.from is out of range: -1".into()); "below nothing")]
-#[test_case("\"ColdFrom\":0.2,", "" => Err("setting cold.from is missing".into()); "left out")]
-#[test_case("\"ExpiryNs\":1,", "" => Err("setting scheme.0.expiry is missing".into()); "no expiry, by which a stop goes")]
-#[test_case("\"pushed\"", "\"push\"" => Err("setting list.mode cannot be read: \"push\"".into()); "a mode that is not known")]
+#[test_case("\"Peers\":true", "\"Peers\":\"often\"" => Err("setting peer_load.allowed cannot be read: \"often\"".into()); "a wrong form")]
+#[test_case("\"ColdFrom\":0.2", "\"ColdFrom\":-1" => Err("setting slow_start.from is out of range: -1".into()); "below nothing")]
+#[test_case("\"ColdFrom\":0.2,", "" => Err("setting slow_start.from is missing".into()); "left out")]
+#[test_case("\"ExpiryNs\":1,", "" => Err("setting class.0.deadline is missing".into()); "no expiry, by which a stop goes")]
+#[test_case("\"pushed\"", "\"push\"" => Err("setting endpoints.mode cannot be read: \"push\"".into()); "a mode that is not known")]
 #[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses for 2 dispatchers".into()); "a peer too many")]
 #[test_case("7001\",\"peers", "7009\",\"peers" => Err("talk.listen 127.0.0.1:7009 is not the address of number 1 in talk.peers".into()); "another's address")]
 fn a_configuration_is_checked(from: &str, to: &str) -> Result<(), String> {
@@ -70,7 +70,7 @@
 #[test_case("talk" => "true"; "with addresses")]
 #[test_case("other" => "false"; "without")]
 fn talk_is_off_without_addresses(name: &str) -> String {
-    read(WHOLE.replacen("talk", name, 1).as_bytes()).unwrap().map["share.allowed"].clone()
+    read(WHOLE.replacen("talk", name, 1).as_bytes()).unwrap().map["peer_load.allowed"].clone()
 }
 
 #[test_case(&[0; 8] => 3; "no more than a second's at once")]
@@ -89,5 +89,5 @@
     let joining = rosewall_cluster::file::read("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
     let mut given = read(WHOLE.replacen("talk", "talkless", 1).as_bytes()).unwrap();
     given.join(joining).unwrap();
-    assert_eq!(given.map["rights"], "true");
+    assert_eq!(given.map["warm_up_grants"], "true");
 }
--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -303,14 +303,14 @@
         let late = if is(Fault::LateAnswer) { 5 * MARGIN } else { 0 };
         let expiry = (at + request.within + late).saturating_sub(margin);
         let expiry = self.stop_by.map_or(expiry, |by| expiry.min(by));
-        let ClientRequest { scheme, party, hint, slots, memory, .. } = request;
-        log::debug!("at={now} txn={request_id} arrived scheme={scheme} hint={}", hint.unwrap_or(0));
+        let ClientRequest { class, tenant, hint, slots, memory, .. } = request;
+        log::debug!("at={now} txn={request_id} arrived scheme={class} hint={}", hint.unwrap_or(0));
         let place = self.requests.insert(Held { request_id, request, expiry, owed: true, legs: Vec::new() });
         self.places.insert(request_id, place);
         self.arm(expiry, Due::Expiry(request_id));
         self.decide(
             now,
-            Event::Arrived(Request { id: request_id, scheme, party, hint, slots, memory, expiry }),
+            Event::Arrived(Request { id: request_id, class, tenant, hint, slots, memory, expiry }),
             out,
         );
     }
--- a/crates/engine/src/hub_tests.rs
+++ b/crates/engine/src/hub_tests.rs
@@ -13,28 +13,28 @@
 
 const MS: Nanos = 1_000_000;
 
-/// One scheme with this effect, and one worker that is listed so, or none.
+/// One class with this effect, and one worker that is listed so, or none.
 fn hub(effect: &str, standing: Option<Standing>) -> Hub {
     let settings = [
-        ("scheme.count", "1"),
-        ("scheme.0.effect", effect),
-        ("scheme.0.group", "all"),
-        ("scheme.0.sla", "400000000"),
-        ("scheme.0.window", "5000000000"),
-        ("scheme.0.value", "1"),
+        ("class.count", "1"),
+        ("class.0.idempotency", effect),
+        ("class.0.retry_scope", "all"),
+        ("class.0.latency_objective", "400000000"),
+        ("class.0.retry_window", "5000000000"),
+        ("class.0.priority_weight", "1"),
         ("me", "0"),
         ("dispatchers", "1"),
-        ("come_back.allowed", "true"),
-        ("come_back.most", "2000000000"),
-        ("probe.allowed", "false"),
-        ("tells_start", "true"),
-        ("cold.from", "0.2"),
-        ("cold.time", "1000000000"),
-        ("fall.multiple", "4"),
-        ("fall.window", "1000000000"),
-        ("posting.most", "3"),
+        ("retry_after.allowed", "true"),
+        ("retry_after.max", "2000000000"),
+        ("health_check.allowed", "false"),
+        ("start_notes", "true"),
+        ("slow_start.from", "0.2"),
+        ("slow_start.duration", "1000000000"),
+        ("overload.multiple", "4"),
+        ("overload.window", "1000000000"),
+        ("attempts.max", "3"),
         ("report.fields", ""),
-        ("list.mode", "pushed"),
+        ("endpoints.mode", "pushed"),
     ];
     let map: Map = settings.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect();
     let dispatcher = Dispatcher::start(0, 1, &map).unwrap();
@@ -44,7 +44,7 @@
         dial: Some(([127, 0, 0, 1], 9).into()),
         standing,
         zone: 0,
-        kind: 0,
+        worker_type: 0,
         group: 0,
         size: 1.0,
         born: 0,
@@ -90,7 +90,7 @@
 
 #[test]
 fn an_id_in_hand_or_posted_is_known_and_one_never_posted_is_not() {
-    let mut one = hub("once-only", Some(Standing::Ready));
+    let mut one = hub("non-idempotent", Some(Standing::Ready));
     assert_eq!(
         (arrive(&mut one, 1, "a"), arrive(&mut one, 2, "a")),
         (vec!["post 1 0".into()], vec!["known 2".into()])
@@ -102,9 +102,9 @@
 }
 
 /// What breaks after it may have run is not sent again where that could do harm.
-#[test_case("once-only", Outcome::Broken => vec!["done 1 0", "reversed 1"]; "once-only, may have run")]
-#[test_case("once-only", Outcome::Full => vec!["done 1 0", "post 1 1"]; "once-only, proven unrun")]
-#[test_case("repeatable", Outcome::Broken => vec!["done 1 0", "post 1 1"]; "repeatable, may have run")]
+#[test_case("non-idempotent", Outcome::Broken => vec!["done 1 0", "reversed 1"]; "once-only, may have run")]
+#[test_case("non-idempotent", Outcome::Full => vec!["done 1 0", "post 1 1"]; "once-only, proven unrun")]
+#[test_case("idempotent", Outcome::Broken => vec!["done 1 0", "post 1 1"]; "repeatable, may have run")]
 fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
     let (mut hub, mut out) = (hub(effect, Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
@@ -118,7 +118,7 @@
 
 #[test]
 fn a_client_that_leaves_has_its_posting_called_off_and_gets_no_answer() {
-    let (mut hub, mut out) = (hub("once-only", Some(Standing::Ready)), Vec::new());
+    let (mut hub, mut out) = (hub("non-idempotent", Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
     hub.take(5 * MS, Input::Left(1), &mut out);
     assert_eq!(words(&mut out), ["off 1 0"]);
@@ -128,7 +128,7 @@
 
 #[test]
 fn at_its_expiry_a_posting_is_cut_and_the_request_answered_before_its_client_gives_up() {
-    let (mut hub, mut out) = (hub("once-only", Some(Standing::Ready)), Vec::new());
+    let (mut hub, mut out) = (hub("non-idempotent", Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
     let mut at = 0;
     while let Some(due) = hub.next_due().filter(|due| *due < 2_000 * MS) {
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_stop_brings_all_forward_to_its_moment() {
-    let (mut hub, mut out) = (hub("once-only", Some(Standing::Ready)), Vec::new());
+    let (mut hub, mut out) = (hub("non-idempotent", Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
     hub.take(10 * MS, Input::Stop(100 * MS), &mut out);
     while hub.next_due().is_some_and(|due| due <= 100 * MS) {
@@ -155,6 +155,6 @@
 #[test_case(None; "no worker is known")]
 #[test_case(Some(Standing::Draining); "the only one drains")]
 fn nothing_is_posted_without_a_worker_that_is_ready(standing: Option<Standing>) {
-    let mut hub = hub("once-only", standing);
+    let mut hub = hub("non-idempotent", standing);
     assert_eq!(arrive(&mut hub, 1, "a"), Vec::<String>::new());
 }
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -9,7 +9,7 @@
 
 fn host(name: &str, port: u16, standing: Standing, born: u64) -> Host {
     let dial = Some(([127, 0, 0, 1], port).into());
-    Host { host: name.into(), dial, standing, zone: 0, kind: 0, group: 0, size: 1.0, born }
+    Host { host: name.into(), dial, standing, zone: 0, worker_type: 0, group: 0, size: 1.0, born }
 }
 
 fn list(whole: bool, hosts: Vec<Host>) -> Listing {
--- a/crates/engine/src/workers.rs
+++ b/crates/engine/src/workers.rs
@@ -92,7 +92,7 @@
             true => self.by_id.keys().copied().collect(),
             false => BTreeSet::new(),
         };
-        for Host { host, dial, standing, zone, kind, group, size, born } in listing.hosts {
+        for Host { host, dial, standing, zone, worker_type, group, size, born } in listing.hosts {
             let worker = id(&host);
             let started = self.started(now, born);
             let new = || Site { host: host.clone(), dial, born, started, standing };
@@ -116,7 +116,7 @@
             (site.dial, site.born, site.standing) = (dial, born, standing);
             let started = site.started;
             log::debug!("at={now} host={host} listed {standing:?} born={born}");
-            entries.push(Listed { worker, standing, zone, kind, size, started, group });
+            entries.push(Listed { worker, standing, zone, worker_type, size, started, group });
         }
         // Whoever a whole list leaves out is gone.
         for worker in &left {
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -21,12 +21,12 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-const SETTINGS: &str = "me=3 posting.most=4 come_back.allowed=true come_back.most=2000000000 tells_start=true \
-    cold.from=0.2 cold.time=6e9 fall.multiple=3 fall.window=1e9 list.mode=asked report.fields= dispatchers=12 \
-    share.allowed=true scheme.count=3 \
-    scheme.0.effect=repeatable scheme.0.group=all scheme.0.window=0 scheme.0.sla=3e8 scheme.0.value=1 \
-    scheme.1.effect=referenced scheme.1.group=zone scheme.1.window=400000000 scheme.1.sla=2e8 scheme.1.value=5 \
-    scheme.2.effect=once-only scheme.2.group=all scheme.2.window=0 scheme.2.sla=5e8 scheme.2.value=9";
+const SETTINGS: &str = "me=3 attempts.max=4 retry_after.allowed=true retry_after.max=2000000000 start_notes=true \
+    slow_start.from=0.2 slow_start.duration=6e9 overload.multiple=3 overload.window=1e9 endpoints.mode=polled report.fields= dispatchers=12 \
+    peer_load.allowed=true class.count=3 \
+    class.0.idempotency=idempotent class.0.retry_scope=all class.0.retry_window=0 class.0.latency_objective=3e8 class.0.priority_weight=1 \
+    class.1.idempotency=idempotent-with-key class.1.retry_scope=zone class.1.retry_window=400000000 class.1.latency_objective=2e8 class.1.priority_weight=5 \
+    class.2.idempotency=non-idempotent class.2.retry_scope=all class.2.retry_window=0 class.2.latency_objective=5e8 class.2.priority_weight=9";
 
 fn settings(overrides: &str) -> Map {
     let text = format!("{SETTINGS} {overrides}");
@@ -37,10 +37,10 @@
 fn names() -> Names {
     let words = |text: &str| text.split(',').map(str::to_string).collect();
     Names {
-        schemes: words("thumb,charge,mail"),
-        parties: words("acme,zeta"),
+        classes: words("thumb,charge,mail"),
+        tenants: words("acme,zeta"),
         zones: words("a,b,c"),
-        kinds: words("m1,m2"),
+        worker_types: words("m1,m2"),
     }
 }
 
@@ -466,9 +466,9 @@
 
 #[test_case("" =>
     "30819 effects, 2df5144c530fe725 3d329e8ff19d5edc 465e314bf967fd93 3aba12fa2920bd1e"; "twelve dispatchers that exchange load")]
-#[test_case("dispatchers=1 me=0 share.allowed=false" =>
+#[test_case("dispatchers=1 me=0 peer_load.allowed=false" =>
     "7905 effects, dfb4da6096cad6b8 a210fc189f1762f2 005a531532c5e7d6 d4800afddc24d7a1"; "a single dispatcher")]
-#[test_case("rights=true list.mode=pushed" =>
+#[test_case("warm_up_grants=true endpoints.mode=pushed" =>
     "33625 effects, b5ce976889a39cb2 ec1366f6b53d22ab abe7e42744fadfe5 22c6b42ae6f53bb7"; "warm-up grants and a pushed list")]
 fn bytes_and_commands_are_the_same(overrides: &str) -> String {
     let plays = (0..4).map(|seed| Model::new(overrides, seed).play(18 * SECOND));
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -5,10 +5,10 @@
 /// The names that the settings list; a place in the list is what the decisions know.
 #[derive(Debug, Default)]
 pub struct Names {
-    pub schemes: Vec<String>,
-    pub parties: Vec<String>,
+    pub classes: Vec<String>,
+    pub tenants: Vec<String>,
     pub zones: Vec<String>,
-    pub kinds: Vec<String>,
+    pub worker_types: Vec<String>,
 }
 
 /// One request, as it came. `within` is how long the client waits from when it sent it.
@@ -18,8 +18,8 @@
     pub id: String,
     /// What a referenced one's repeats are known by; empty where it has none.
     pub reference: String,
-    pub scheme: u8,
-    pub party: u16,
+    pub class: u8,
+    pub tenant: u16,
     pub within: Nanos,
     pub hint: Option<Nanos>,
     pub slots: f32,
@@ -187,10 +187,10 @@
 ) -> Result<ClientRequest, Fault> {
     let need = |name, why| http::one(headers, name)?.filter(|v| !v.is_empty()).ok_or(Fault::Malformed(why));
     let id = need("request-id", "no Request-Id")?;
-    let scheme = place(&names.schemes, need("request-class", "no Request-Class")?);
-    let party = match names.parties.is_empty() {
+    let class = place(&names.classes, need("request-class", "no Request-Class")?);
+    let tenant = match names.tenants.is_empty() {
         true => Some(0),
-        false => place(&names.parties, need("tenant", "no Tenant")?),
+        false => place(&names.tenants, need("tenant", "no Tenant")?),
     };
     let within =
         decimal(need("request-timeout", "no Request-Timeout")?).filter(|seconds| *seconds < 86_400.0);
@@ -214,8 +214,8 @@
         target: target.to_string(),
         id: id.to_string(),
         reference: http::one(headers, "idempotency-key")?.unwrap_or_default().to_string(),
-        scheme: scheme.and_then(|at| u8::try_from(at).ok()).ok_or(unknown)?,
-        party: party.and_then(|at| u16::try_from(at).ok()).ok_or(Fault::Malformed("an unknown Tenant"))?,
+        class: class.and_then(|at| u8::try_from(at).ok()).ok_or(unknown)?,
+        tenant: tenant.and_then(|at| u16::try_from(at).ok()).ok_or(Fault::Malformed("an unknown Tenant"))?,
         within: (within.ok_or(Fault::Malformed("the Request-Timeout cannot be read"))? * 1e9) as Nanos,
         hint: hint.map(|micros| (micros * 1e3) as Nanos).filter(|hint| *hint > 0),
         slots,
--- a/crates/protocol/src/cuts_tests.rs
+++ b/crates/protocol/src/cuts_tests.rs
@@ -8,7 +8,12 @@
 
 fn names() -> Names {
     let words = |text: &str| text.split(',').map(str::to_string).collect();
-    Names { schemes: words("thumb,charge"), parties: words("acme"), zones: words("a"), kinds: words("m1") }
+    Names {
+        classes: words("thumb,charge"),
+        tenants: words("acme"),
+        zones: words("a"),
+        worker_types: words("m1"),
+    }
 }
 
 /// The bytes in pieces that end at these places.
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -14,7 +14,7 @@
     pub dial: Option<SocketAddr>,
     pub standing: Standing,
     pub zone: u16,
-    pub kind: u8,
+    pub worker_type: u8,
     pub group: u16,
     pub size: f32,
     pub born: Nanos,
@@ -78,12 +78,13 @@
         }
         // A zone or kind that the settings do not name matches none of them.
         let zone = place(&names.zones, &raw.site).and_then(|at| u16::try_from(at).ok()).unwrap_or(u16::MAX);
-        let kind = place(&names.kinds, &raw.class).and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX);
+        let worker_type =
+            place(&names.worker_types, &raw.class).and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX);
         let (group, size, born) = (raw.block, raw.share, raw.born_ms.saturating_mul(1_000_000));
         if raw.host.is_empty() || !size.is_finite() {
             return Err(format!("an entry without sense for {:?}", raw.host));
         }
-        Ok(Host { host: raw.host, dial, standing, zone, kind, group, size, born })
+        Ok(Host { host: raw.host, dial, standing, zone, worker_type, group, size, born })
     };
     let hosts = raw.hosts.into_iter().map(host).collect::<Result<_, _>>()?;
     Ok(Listing { seq: raw.seq, whole: raw.whole, hosts })
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -12,10 +12,10 @@
 fn names() -> Names {
     let words = |text: &str| text.split(',').map(str::to_string).collect();
     Names {
-        schemes: words("thumb,charge"),
-        parties: words("acme,zeta"),
+        classes: words("thumb,charge"),
+        tenants: words("acme,zeta"),
         zones: words("a,b"),
-        kinds: words("m1"),
+        worker_types: words("m1"),
     }
 }
 
@@ -53,8 +53,8 @@
         target: "/api/x?y=%20".into(),
         id: "9b1f".into(),
         reference: "43 66".into(),
-        scheme: 1,
-        party: 1,
+        class: 1,
+        tenant: 1,
         within: 480_000_000,
         hint: Some(250_000),
         slots: 2.0,
@@ -238,7 +238,7 @@
     let list = listing(text.as_bytes(), &names()).unwrap();
     let host = &list.hosts[0];
     assert_eq!((list.seq, list.whole, host.host.as_str()), (41, true, "w"));
-    assert_eq!((host.standing, host.zone, host.kind, host.group), (Standing::Ready, 1, 0, 3));
+    assert_eq!((host.standing, host.zone, host.worker_type, host.group), (Standing::Ready, 1, 0, 3));
     assert_eq!((host.size, host.born, host.dial.unwrap().port()), (1.5, 2_000_000, 3000));
 }
 
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -53,9 +53,9 @@
         });
         let dispatcher = Dispatcher::start(now, given.seed, map)?;
         // What settings need not name: a common keep-alive time of servers, and a connect time for one data centre.
-        let idle = pick::<Nanos>(map, "connection.idle").unwrap_or(5_000_000_000);
-        let connect_within = pick::<Nanos>(map, "connection.within").unwrap_or(250_000_000);
-        let report = map.get("report.theirs").map(String::as_str).unwrap_or_default();
+        let idle = pick::<Nanos>(map, "connection.idle_timeout").unwrap_or(5_000_000_000);
+        let connect_within = pick::<Nanos>(map, "connect.timeout").unwrap_or(250_000_000);
+        let report = map.get("report.wire_fields").map(String::as_str).unwrap_or_default();
         let talk = match &given.talk {
             Some(talk) => {
                 let mail = ground.mail(talk.listen, None);
@@ -86,7 +86,9 @@
             None => None,
         };
         let workers = match &given.joining {
-            Some(joining) => Workers::by_own_clock(joining.clocks, pick(map, "cold.time").unwrap_or(0)),
+            Some(joining) => {
+                Workers::by_own_clock(joining.clocks, pick(map, "slow_start.duration").unwrap_or(0))
+            }
             None => Workers::default(),
         };
         let shared = Rc::new(Shared {
@@ -105,7 +107,7 @@
             talk,
             members,
         });
-        let asked = map.get("list.mode").is_some_and(|mode| mode == "asked");
+        let asked = map.get("endpoints.mode").is_some_and(|mode| mode == "asked");
         let (leave, left) = async_channel::unbounded();
         let hub = Hub::new(dispatcher, counters, connect_within, workers);
         let mut hub = HubDriver::new(shared.clone(), news, hub, asked.then_some(leave));
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -54,9 +54,9 @@
     => "record of code 7: a field of 8 bytes overruns its end by 5"; "short field")]
 #[test_case(vec![vec![7, 255, 0, 0, 0]]
     => "record of code 7: a field of 255 bytes overruns its end by 255"; "record too long")]
-#[test_case(vec![on(3), create("")] => "setting scheme.count is missing"; "no settings")]
+#[test_case(vec![on(3), create("")] => "setting class.count is missing"; "no settings")]
 #[test_case(vec![on(3), create(&SETTINGS.replace("=4.0", "=four"))]
-    => "setting fall.multiple cannot be read: \"four\""; "unreadable setting")]
+    => "setting overload.multiple cannot be read: \"four\""; "unreadable setting")]
 fn malformed(records: Vec<Vec<u8>>) -> String {
     answer(&records).unwrap_err()
 }
@@ -78,7 +78,7 @@
         if share.halves == 4 && share.work == 8)
 }
 
-#[test_case("Bounds.Peers", "true", "share.allowed"; "messages between dispatchers")]
+#[test_case("Bounds.Peers", "true", "peer_load.allowed"; "messages between dispatchers")]
 #[test_case("ScoreParts.TailPart", "0.2", "score.tail"; "the tail's part")]
 #[test_case("ScoreParts.MissAllowed", "0.02", "score.miss_allowed"; "misses allowed")]
 fn settings_have_names_of_ours(theirs: &str, value: &str, ours: &str) {
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -76,8 +76,8 @@
             0 => Standing::Gone,
             other => return Err(format!("unknown availability {other} of a worker")),
         };
-        let (zone, kind, size, started, group) = (f.u16()?, f.u8()?, f.f32()?, f.u64()?, f.u16()?);
-        entries.push(Listed { worker: worker(f)?, standing, zone, kind, size, started, group });
+        let (zone, worker_type, size, started, group) = (f.u16()?, f.u8()?, f.f32()?, f.u64()?, f.u16()?);
+        entries.push(Listed { worker: worker(f)?, standing, zone, worker_type, size, started, group });
     }
     Ok(Event::List { scope, entries })
 }
@@ -85,11 +85,11 @@
 const VALID_HINT: u16 = 1;
 
 fn request(f: &mut Fields<'_>) -> Result<Request, Fault> {
-    let (id, hint, scheme, _entity) = (f.u32()?, f.u64()?, f.u8()?, f.u64()?);
-    let (party, expiry, bits, slots) = (f.u16()?, f.u64()?, f.u16()?, f.f32()?);
+    let (id, hint, class, _entity) = (f.u32()?, f.u64()?, f.u8()?, f.u64()?);
+    let (tenant, expiry, bits, slots) = (f.u16()?, f.u64()?, f.u16()?, f.f32()?);
     let memory = if f.is_empty() { 0.0 } else { f.f32()? };
     let hint = (bits & VALID_HINT != 0 && hint > 0).then_some(hint);
-    Ok(Request { id, scheme, party, hint, slots, memory, expiry })
+    Ok(Request { id, class, tenant, hint, slots, memory, expiry })
 }
 
 fn outcome(code: u16) -> Result<Outcome, Fault> {
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -93,9 +93,9 @@
 
     /// What a cold worker bears in any window that has begun by now: by what it could do at the window's start.
     fn bears(&self, worker: &Worker, now: Nanos) -> f64 {
-        let window = self.says("fall.window").max(1.0);
+        let window = self.says("overload.window").max(1.0);
         let warmth = self.warmth(worker, now.saturating_sub(window as Nanos));
-        self.says("fall.multiple") * self.unit * worker.size * warmth * window
+        self.says("overload.multiple") * self.unit * worker.size * warmth * window
     }
 
     /// What this one may send a cold worker in any window without asking, and for how many it stands there: the two whose
@@ -108,7 +108,7 @@
         let (me, slots) = (self.says("me") as u64, self.slots as u64);
         let mine = me < slots && (me + slots - of % slots) % slots < holders as u64;
         // What a process before this one sent may still count.
-        let fresh = now < self.begun + self.says("fall.window") as Nanos;
+        let fresh = now < self.begun + self.says("overload.window") as Nanos;
         (part * self.bears(worker, now) / holders, if mine && !fresh { self.slots / holders } else { 0.0 })
     }
 
@@ -129,10 +129,10 @@
 
     /// Says what all together may be given for each cold worker; 0 for one that has just become warm.
     pub(crate) fn tell_joint(&self, now: Nanos, acts: &mut Vec<Action>) {
-        let window = self.says("fall.window") as Nanos;
+        let window = self.says("overload.window") as Nanos;
         for worker in self.workers.iter().filter(|_| self.rights) {
             let cold = worker.standing == Standing::Ready && self.warmth(worker, now) < 1.0;
-            let lately = worker.started + self.says("cold.time") as Nanos + 5_000_000_000 > now;
+            let lately = worker.started + self.says("slow_start.duration") as Nanos + 5_000_000_000 > now;
             if cold || (worker.started > 0 && lately) {
                 let work = if cold { GIVEN * self.bears(worker, now) } else { 0.0 };
                 acts.push(Action::Joint { worker: worker.id, work: work as Nanos, window });
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -4,9 +4,9 @@
 use test_case::test_case;
 
 const MS: Nanos = 1_000_000;
-const SETTINGS: &str = "posting.most=3 come_back.allowed=true come_back.most=2e9 tells_start=true cold.from=0.2 \
-    cold.time=6e9 fall.multiple=1.5 fall.window=1e9 report.fields=none list.mode=pushed scheme.count=1 rights=true \
-    scheme.0.effect=repeatable scheme.0.group=all scheme.0.window=0 scheme.0.sla=3e8 scheme.0.value=1";
+const SETTINGS: &str = "attempts.max=3 retry_after.allowed=true retry_after.max=2e9 start_notes=true slow_start.from=0.2 \
+    slow_start.duration=6e9 overload.multiple=1.5 overload.window=1e9 report.fields=none endpoints.mode=pushed class.count=1 warm_up_grants=true \
+    class.0.idempotency=idempotent class.0.retry_scope=all class.0.retry_window=0 class.0.latency_objective=3e8 class.0.priority_weight=1";
 
 fn worker(n: u8) -> WorkerId {
     WorkerId { addr: [10, 0, 0, n], port: 9 }
@@ -22,7 +22,7 @@
     let entry = |n: u8| {
         let started = if n + cold >= workers { MS } else { 0 };
         let standing = Standing::Ready;
-        Listed { worker: worker(n), standing, zone: 0, kind: 0, size: 1.0, started, group: 0 }
+        Listed { worker: worker(n), standing, zone: 0, worker_type: 0, size: 1.0, started, group: 0 }
     };
     let entries = (0..workers).map(entry).collect();
     d.handle(MS, Event::List { scope: Scope::Whole, entries }, &mut Vec::new());
@@ -38,7 +38,7 @@
     let hand = |me: u16| {
         let mut d = dispatcher(members, me, workers, 0);
         seen(&mut d, Some((me, members)));
-        d.schemes[0].lanes.clone()
+        d.classes[0].lanes.clone()
     };
     (0..members).map(hand).collect()
 }
@@ -136,8 +136,8 @@
 fn arrive(d: &mut Dispatcher, now: Nanos) -> Vec<Action> {
     let request = Request {
         id: 1,
-        scheme: 0,
-        party: 0,
+        class: 0,
+        tenant: 0,
         hint: Some(60 * MS),
         slots: 1.0,
         memory: 0.0,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -11,7 +11,7 @@
 pub use crate::state::Dispatcher;
 use crate::state::Effect::{Idempotent, Keyed, NonIdempotent};
 use crate::state::Stage::{Again, Answered, Doubted, Held, Out};
-use crate::state::{Attempt, Effect, InHand, Input, Map, Scheme, Stage, Step};
+use crate::state::{Attempt, Effect, InHand, Input, Map, RequestClass, Stage, Step};
 use crate::state::{BINS, Bins, SECOND, below, fade};
 use crate::state::{Told, Trust, Worker, token};
 use crate::types::{Action, Ended, Event, Listed, Nanos, Outcome, Report, Scope, Share, Standing};
@@ -113,11 +113,11 @@
     /// Distrust halves in 5 s: several times the time between attempts to one worker at low traffic.
     pub(crate) const HALF: f64 = 5.0 * SECOND;
     /// Distrust above the fleet's mean: when all look bad at once, no one is worse than another. Or what
-    /// errors of the scheme left, for which starts do not make up; of any, for what cannot be posted again.
-    /// Guards against a worker that starts all and fails most, or one scheme.
-    fn doubt(&self, now: Nanos, mean: f64, scheme: usize, effect: Effect) -> f64 {
+    /// errors of the class left, for which starts do not make up; of any, for what cannot be posted again.
+    /// Guards against a worker that starts all and fails most, or one class.
+    fn doubt(&self, now: Nanos, mean: f64, class: usize, effect: Effect) -> f64 {
         let all = (self.trust.now(now, Worker::HALF) - mean).clamp(0.0, 0.95);
-        let of = self.of.iter().enumerate().filter(|(at, _)| *at == scheme || effect == NonIdempotent);
+        let of = self.of.iter().enumerate().filter(|(at, _)| *at == class || effect == NonIdempotent);
         of.map(|(_, trust)| trust.now(now, 3.0 * Worker::HALF)).fold(all, f64::max)
     }
 
@@ -142,11 +142,11 @@
 impl Dispatcher {
     pub fn start(now: Nanos, seed: u64, map: &Map) -> Result<Self, String> {
         let mut new = Self::read(now, seed, map)?;
-        let mut values: Vec<f64> = new.schemes.iter().map(|scheme| scheme.value).collect();
+        let mut values: Vec<f64> = new.classes.iter().map(|class| class.value).collect();
         values.sort_by(f64::total_cmp);
         let count = values.len();
         let median = if count == 0 { 0.0 } else { (values[(count - 1) / 2] + values[count / 2]) / 2.0 };
-        new.schemes.iter_mut().for_each(|scheme| scheme.high = scheme.value > median);
+        new.classes.iter_mut().for_each(|class| class.high = class.value > median);
         new.shares &= new.dispatchers > 1.0;
         Ok(new)
     }
@@ -201,7 +201,7 @@
         }
         for w in &mut self.workers {
             // Until it has run a job, what its kind has shown.
-            if let Some((mean, _)) = self.paces.get(usize::from(w.kind)).filter(|_| w.paced == 0.0) {
+            if let Some((mean, _)) = self.paces.get(usize::from(w.worker_type)).filter(|_| w.paced == 0.0) {
                 w.own_pace = *mean;
             }
             w.blend(now);
@@ -234,8 +234,8 @@
         let sign = if silent { Share::SILENT } else { known };
         let share = Share { worker: id, halves: (2.0 * out).ceil() as u8, work: (ahead / 16e6) as u16, sign };
         let (me, all) = (self.me, self.dispatchers as usize);
-        let place = |s: &Scheme| Some((s.all.iter().position(|worker| *worker == at)?, s.all.len()));
-        let Some((place, n)) = self.schemes.iter().find_map(place) else { return };
+        let place = |s: &RequestClass| Some((s.all.iter().position(|worker| *worker == at)?, s.all.len()));
+        let Some((place, n)) = self.classes.iter().find_map(place) else { return };
         let m = self.stretches(n);
         if self.met {
             return acts.extend(self.dealt_to(place, n, m).map(|to| Action::Tell { to, share }));
@@ -294,7 +294,7 @@
         for entry in entries {
             let at = *self.known.entry(entry.worker).or_insert(self.workers.len());
             if at == self.workers.len() {
-                self.workers.push(Worker::new(entry.worker, entry.started, self.schemes.len()));
+                self.workers.push(Worker::new(entry.worker, entry.started, self.classes.len()));
             }
             let worker = &mut self.workers[at];
             if entry.started != worker.started {
@@ -306,7 +306,8 @@
                 (worker.refusals, worker.refused_till) = (0, 0);
                 worker.started = entry.started;
             }
-            (worker.standing, worker.zone, worker.kind) = (entry.standing, entry.zone, entry.kind);
+            (worker.standing, worker.zone, worker.worker_type) =
+                (entry.standing, entry.zone, entry.worker_type);
             if entry.standing == Standing::Draining && is(Fault::GraceIgnored) {
                 worker.standing = Standing::Ready;
             }
@@ -319,9 +320,11 @@
         let mut order: Vec<usize> = (0..self.workers.len()).collect();
         order.retain(|at| self.workers[*at].standing == Standing::Ready);
         order.sort_unstable_by_key(|at| self.workers[*at].id);
-        for scheme in &mut self.schemes {
-            let fits = |w: &usize| scheme.kind < 0 || i64::from(self.workers[*w].kind) == scheme.kind;
-            scheme.all = order.iter().copied().filter(fits).collect();
+        for class in &mut self.classes {
+            let fits = |w: &usize| {
+                class.worker_type < 0 || i64::from(self.workers[*w].worker_type) == class.worker_type
+            };
+            class.all = order.iter().copied().filter(fits).collect();
         }
         self.keep_to(now);
         self.survey(now);
@@ -338,11 +341,11 @@
         (8.0_f64.max(FEW_SHARERS * each).min(most).ceil() as usize).min(n)
     }
 
-    /// Which workers each scheme's lanes are: one of each stretch of ids, by turns over the dispatchers.
+    /// Which workers each class's lanes are: one of each stretch of ids, by turns over the dispatchers.
     pub(crate) fn keep_to(&mut self, now: Nanos) {
         self.sharers = 1.0;
-        for at in 0..self.schemes.len() {
-            let (me, all) = (self.me, &self.schemes[at].all);
+        for at in 0..self.classes.len() {
+            let (me, all) = (self.me, &self.classes[at].all);
             let n = all.len();
             let m = self.stretches(n);
             let pick = |lane: usize| {
@@ -359,7 +362,7 @@
                 all.find(|at| !self.workers[*at].refuses(now)).unwrap_or(among[turn])
             };
             let lanes = if self.met { self.dealt(now, all, m) } else { (0..m).map(pick).collect() };
-            self.schemes[at].lanes = lanes;
+            self.classes[at].lanes = lanes;
             self.sharers = f64::max(self.sharers, self.dispatchers * m as f64 / (n as f64).max(1.0));
         }
     }
@@ -369,8 +372,8 @@
         if worker.started == 0 {
             return 1.0;
         }
-        let (age, from) = (now.saturating_sub(worker.started) as f64, self.says("cold.from"));
-        (from + (1.0 - from) * age / self.says("cold.time").max(1.0)).min(1.0)
+        let (age, from) = (now.saturating_sub(worker.started) as f64, self.says("slow_start.from"));
+        (from + (1.0 - from) * age / self.says("slow_start.duration").max(1.0)).min(1.0)
     }
 
     /// What one dispatcher may send to a cold worker in any window, and for how many of those that keep to it
@@ -380,13 +383,13 @@
         if self.rights {
             return self.own_part(worker, now);
         }
-        let (warmth, window) = (self.warmth(worker, now), self.says("fall.window").max(1.0));
+        let (warmth, window) = (self.warmth(worker, now), self.says("overload.window").max(1.0));
         // Half of what is allowed: a third may come from those not told of its start, the rest is for hints.
-        let most = 0.5 * self.says("fall.multiple") * self.unit * worker.size * warmth * window;
+        let most = 0.5 * self.says("overload.multiple") * self.unit * worker.size * warmth * window;
         let turns = if self.shares { self.sharers.ceil() } else { SHARERS }.min(self.dispatchers);
         // Two have a turn at once, and more as it warms, as one has few requests in a window; the part of each
         // stays what it is at the start. All count alike, by what the list and the settings tell.
-        let at_once = (2.0 * warmth / self.says("cold.from").max(0.01)).floor().clamp(1.0, turns);
+        let at_once = (2.0 * warmth / self.says("slow_start.from").max(0.01)).floor().clamp(1.0, turns);
         let place = (self.says("me") * turns / self.dispatchers) as u64;
         let [a, b, c, d] = worker.id.addr.map(u64::from);
         let of = a + b + c + d + u64::from(worker.id.port);
@@ -399,47 +402,47 @@
     /// What this dispatcher may still send to a cold worker now.
     pub(crate) fn budget(&self, worker: &Worker, now: Nanos) -> f64 {
         let (most, part) = self.turn(worker, now);
-        let from = now.saturating_sub(self.says("fall.window") as Nanos);
+        let from = now.saturating_sub(self.says("overload.window") as Nanos);
         let spent = worker.spent.iter().filter(|(at, _)| *at >= from).map(|(_, work)| work);
         let own = if part > 0.0 { most - spent.sum::<f64>() } else { 0.0 };
         if self.rights { own.max(0.0) + worker.granted(now) } else { own }
     }
 
-    /// Draws a scheme's lanes anew.
+    /// Draws a class's lanes anew.
     fn recut(&mut self, now: Nanos, at: usize) {
         let (r, low, high) = corrections(self.gaps[0].estimate, self.gaps[1].estimate);
-        let lone = self.schemes.iter().all(|scheme| scheme.high == self.schemes[0].high);
+        let lone = self.classes.iter().all(|class| class.high == self.classes[0].high);
         let mut whole = [0.0; BINS];
-        for scheme in self.schemes.iter().filter(|scheme| scheme.kind == self.schemes[at].kind) {
-            whole.iter_mut().zip(&scheme.bins).for_each(|(sum, work)| *sum += work);
+        for class in self.classes.iter().filter(|class| class.worker_type == self.classes[at].worker_type) {
+            whole.iter_mut().zip(&class.bins).for_each(|(sum, work)| *sum += work);
         }
-        let effect = self.schemes[at].effect;
+        let effect = self.classes[at].effect;
         let mut targets = std::mem::take(&mut self.targets);
         targets.clear();
-        targets.extend(shifts(self.schemes[at].lanes.len(), r).zip(&self.schemes[at].lanes).map(|(p, w)| {
+        targets.extend(shifts(self.classes[at].lanes.len(), r).zip(&self.classes[at].lanes).map(|(p, w)| {
             let (worker, warmth) = (&self.workers[*w], self.warmth(&self.workers[*w], now));
             // One that is sent to by turns has the whole of its part in its turn.
             let turn = if warmth < 1.0 { self.turn(worker, now).1 } else { 1.0 };
             let part = if self.rights && self.met { warmth } else { warmth.min(1.0) * turn };
             (1.0 + p) * worker.size * (1.0 - worker.doubt(now, self.distrust, at, effect)) * part
         }));
-        let scheme = &mut self.schemes[at];
-        let shift = if lone { 0.0 } else { [low, high][usize::from(scheme.high)] };
-        cut(&whole, &scheme.bins, &targets, shifts(targets.len(), shift), &mut scheme.ends);
+        let class = &mut self.classes[at];
+        let shift = if lone { 0.0 } else { [low, high][usize::from(class.high)] };
+        cut(&whole, &class.bins, &targets, shifts(targets.len(), shift), &mut class.ends);
         self.targets = targets;
     }
 
-    /// The place of a request among its scheme's lanes.
+    /// The place of a request among its class's lanes.
     fn lane(&mut self, now: Nanos, key: usize) -> usize {
         let InHand { request, work, .. } = self.requests[key];
-        self.recut(now, usize::from(request.scheme));
-        let scheme = &self.schemes[usize::from(request.scheme)];
+        self.recut(now, usize::from(request.class));
+        let class = &self.classes[usize::from(request.class)];
         // The request is itself in the histogram: one larger than all before falls on one of the lanes that its
         // own work fills, not always on the last. Guards against a crowd at the end where few are seen each.
-        let place = below(&scheme.bins, work) / scheme.bins.iter().sum::<f64>();
-        let last = scheme.ends.last().copied().unwrap_or(0.0);
-        let lane = scheme.ends.partition_point(|end| *end <= place * last);
-        lane.min(scheme.lanes.len().saturating_sub(1))
+        let place = below(&class.bins, work) / class.bins.iter().sum::<f64>();
+        let last = class.ends.last().copied().unwrap_or(0.0);
+        let lane = class.ends.partition_point(|end| *end <= place * last);
+        lane.min(class.lanes.len().saturating_sub(1))
     }
 
     /// The worker for a request, and how long it would wait there: its lane's, or the nearest id neighbour that
@@ -448,10 +451,10 @@
         self.tally(now);
         let hand = &self.requests[key];
         let InHand { request, effect, most, need, doubt, .. } = *hand;
-        let scheme = &self.schemes[usize::from(request.scheme)];
+        let class = &self.classes[usize::from(request.class)];
         // Where a repeat is bound to a group, its workers may be any in the list.
         let bound = doubt.filter(|_| effect == Keyed && !is(Fault::WindowIgnored));
-        let (lanes, mean) = (if bound.is_some() { &scheme.all } else { &scheme.lanes }, scheme.mean());
+        let (lanes, mean) = (if bound.is_some() { &class.all } else { &class.lanes }, class.mean());
         let Congestion { delay, late } = self.start_delays.congestion(now, self.rare);
         let fleet = self.unseen * delay;
         // Guards against lanes that hold all sizes once the whole fleet has queues of which each sees little.
@@ -465,12 +468,12 @@
             let Some(&at) = lane.and_then(|lane| lanes.get(lane)) else { continue };
             if let Some((first, since)) = bound {
                 let (a, b) = (&self.workers[first], &self.workers[at]);
-                let drops = match scheme.group.as_str() {
+                let drops = match class.group.as_str() {
                     "all" => true,
                     "zone" => a.zone == b.zone,
                     _ => a.group == b.group,
                 };
-                if !drops || now >= since + scheme.window {
+                if !drops || now >= since + class.window {
                     continue;
                 }
             }
@@ -479,7 +482,7 @@
             let (sharing, all) = (if self.shares { 1.0 } else { self.dispatchers }, worker.seats.round());
             let (part, told) = ((all / sharing).max(1.0), worker.told(now).0);
             let seat = worker.out + told + need.min(part) <= part;
-            let doubt = worker.doubt(now, self.distrust, usize::from(request.scheme), effect);
+            let doubt = worker.doubt(now, self.distrust, usize::from(request.class), effect);
             let cold = self.warmth(worker, now) < 1.0;
             if cold && self.budget(worker, now) < most && !is(Fault::ColdIgnored) {
                 self.lacking = self.lacking.or(seat.then_some(at));
@@ -512,27 +515,27 @@
     }
 
     fn arrived(&mut self, now: Nanos, request: Request, acts: &mut Vec<Action>) {
-        let Some(scheme) = self.schemes.get_mut(usize::from(request.scheme)) else {
-            // A scheme that the settings do not name: nothing is known that would make sending it safe.
+        let Some(class) = self.classes.get_mut(usize::from(request.class)) else {
+            // A class that the settings do not name: nothing is known that would make sending it safe.
             acts.push(Action::Decline { request_id: request.id, come_back: 0 });
             return;
         };
         let slots = f64::from(request.slots).max(1.0);
-        let run = scheme.run(request.hint, slots, request.expiry.saturating_sub(now));
+        let run = class.run(request.hint, slots, request.expiry.saturating_sub(now));
         // A job waits until both its slots and its memory fit; a worker has a unit of memory a slot.
         let (work, need) = (run * slots, slots.max(f64::from(request.memory)));
-        scheme.add(work);
+        class.add(work);
         // Halves in 20 s, or under 150 jobs in up to 60 s, by when the mix moves; what starts tell likewise.
-        let seen = self.schemes.iter().map(|scheme| scheme.seen).sum::<f64>();
+        let seen = self.classes.iter().map(|class| class.seen).sum::<f64>();
         self.rare = (150.0 / seen).clamp(1.0, 3.0);
-        self.mean = self.schemes.iter().flat_map(|scheme| &scheme.bins).sum::<f64>() / seen;
+        self.mean = self.classes.iter().flat_map(|class| &class.bins).sum::<f64>() / seen;
         let keep = fade(1.0, self.cut_at, now, 20.0 * SECOND * self.rare);
         self.cut_at = now;
-        self.schemes.iter_mut().for_each(|scheme| scheme.age(keep));
-        let scheme = &self.schemes[usize::from(request.scheme)];
-        self.gaps[usize::from(scheme.high)].arrival(now);
-        let due = (now + (scheme.sla + scheme.stretch * run) as Nanos).min(request.expiry);
-        let key = self.requests.insert(InHand::new(request, scheme.effect, work, run, need, due));
+        self.classes.iter_mut().for_each(|class| class.age(keep));
+        let class = &self.classes[usize::from(request.class)];
+        self.gaps[usize::from(class.high)].arrival(now);
+        let due = (now + (class.sla + class.stretch * run) as Nanos).min(request.expiry);
+        let key = self.requests.insert(InHand::new(request, class.effect, work, run, need, due));
         self.held.insert(request.id, key);
         self.place(now, key, acts);
     }
@@ -561,9 +564,9 @@
     /// ones more often, and sooner the more of the last seven to twenty started too late. Guards against a
     /// jam that keeps itself up, and, waits being guesses, against declines while all goes well.
     fn kept(&mut self, now: Nanos, key: usize, wait: f64, strain: f64) -> bool {
-        let class = usize::from(self.requests[key].request.scheme);
-        let worth = self.schemes[class].worth(self.worth_basis);
-        let most = self.schemes.iter().map(|class| class.worth(self.worth_basis)).fold(0.0, f64::max);
+        let class = usize::from(self.requests[key].request.class);
+        let worth = self.classes[class].worth(self.worth_basis);
+        let most = self.classes.iter().map(|class| class.worth(self.worth_basis)).fold(0.0, f64::max);
         let late = self.start_delays.congestion(now, self.rare).late;
         let strain = strain + self.turned * self.pressure(class, wait, strain);
         let fits = (3.0 - 2.0 * strain * (1.0 + 3.0 * late)).clamp(0.0, 1.0);
@@ -577,8 +580,8 @@
     /// How much more a wait strains another class than the one that would add to it, as far as the other is worth
     /// as much. Guards against queues that only the class with the longest time to spare can bear: it alone was served.
     fn pressure(&self, class: usize, wait: f64, strain: f64) -> f64 {
-        let worth = self.schemes[class].worth(self.worth_basis);
-        let others = self.schemes.iter().enumerate().filter(|(at, other)| *at != class && other.seen > 0.0);
+        let worth = self.classes[class].worth(self.worth_basis);
+        let others = self.classes.iter().enumerate().filter(|(at, other)| *at != class && other.seen > 0.0);
         let strains = others.map(|(_, other)| {
             let part = (other.worth(self.worth_basis) / worth).min(1.0);
             part * ((wait / other.usual_room()).min(HOPELESS) - strain)
@@ -587,10 +590,10 @@
     }
 
     fn post(&mut self, now: Nanos, key: usize, at: usize, cost: f64, acts: &mut Vec<Action>) {
-        let tells_start = self.says("tells_start") > 0.0;
+        let start_notes = self.says("start_notes") > 0.0;
         let chosen = &self.workers[at];
         let cold = self.warmth(chosen, now) < 1.0;
-        let from = now.saturating_sub(self.says("fall.window") as Nanos);
+        let from = now.saturating_sub(self.says("overload.window") as Nanos);
         let hand = &mut self.requests[key];
         let worker = &mut self.workers[at];
         worker.spent.retain(|(at, _)| *at >= from);
@@ -609,7 +612,7 @@
         // jobs there are, by the lanes, of like size: where none was heard of, one may be ahead. Guards
         // against taking for hung, among many dispatchers, what is only busy with others' work.
         let ahead = self.unseen * (1.0 - fade(1.0, worker.alive, now, SECOND));
-        let run = if tells_start { ahead } else { 2.0 } * hand.run * worker.pace;
+        let run = if start_notes { ahead } else { 2.0 } * hand.run * worker.pace;
         let overdue = now + (cost.min(2.0 * SECOND) * 1.5 + run + 0.3 * SECOND) as Nanos;
         acts.push(Action::Timer { at: overdue, token });
         self.tell(now, at, false, false, acts);
@@ -664,8 +667,8 @@
         self.requests[key].attempts[usize::from(leg)].out = false;
         self.start_delays.ended(AttemptId { request: request_id, number: leg });
         self.read_report(now, attempt.worker, report);
-        let InHand { run, due, request: Request { scheme, hint, .. }, .. } = self.requests[key];
-        let scheme = usize::from(scheme);
+        let InHand { run, due, request: Request { class, hint, .. }, .. } = self.requests[key];
+        let class = usize::from(class);
         let warm = self.warmth(&self.workers[attempt.worker], now) >= 1.0;
         let mut slow = false;
         let worker = &mut self.workers[attempt.worker];
@@ -680,7 +683,7 @@
         match outcome {
             Outcome::Settled => {
                 if let Some(from) = attempt.started {
-                    self.schemes[scheme].learn(hint, (now - from) as f64);
+                    self.classes[class].learn(hint, (now - from) as f64);
                     // One job tells little of a worker's pace (its hint may be off): a tenth at a time, the
                     // first ones more. Guards against a slow worker to which each sends few jobs.
                     let pace = ((now - from) as f64 / run).clamp(0.2, 10.0);
@@ -690,19 +693,19 @@
                     worker.own_pace += (pace - worker.own_pace) / (worker.paced + 1.0);
                     worker.blend(now);
                     if warm {
-                        let kind = usize::from(worker.kind);
-                        self.paces.resize(self.paces.len().max(kind + 1), (1.0, 0.0));
-                        let (mean, count) = &mut self.paces[kind];
+                        let worker_type = usize::from(worker.worker_type);
+                        self.paces.resize(self.paces.len().max(worker_type + 1), (1.0, 0.0));
+                        let (mean, count) = &mut self.paces[worker_type];
                         *count = (*count + 1.0).min(50.0);
                         *mean += (pace - *mean) / *count;
                     }
                 }
                 worker.heard(now, 0.2);
-                worker.of[scheme].add(now, 3.0 * Worker::HALF, -0.2);
+                worker.of[class].add(now, 3.0 * Worker::HALF, -0.2);
             }
             Outcome::Error => {
                 worker.trust.add(now, Worker::HALF, 0.5);
-                worker.of[scheme].add(now, 3.0 * Worker::HALF, 0.3);
+                worker.of[class].add(now, 3.0 * Worker::HALF, 0.3);
             }
             Outcome::TimeOut => worker.trust.add(now, Worker::HALF, 0.5),
             Outcome::NoConnection | Outcome::Broken => worker.trust.add(now, Worker::HALF, 0.6),
@@ -732,9 +735,9 @@
         }
         self.tally(now);
         // Free slots come with noise, of which the most seen would be the worst: a fifth of the way each.
-        let (kind, seats) = (self.workers[at].kind, self.workers[at].seats);
+        let (worker_type, seats) = (self.workers[at].worker_type, self.workers[at].seats);
         if let Some(free) = free.filter(|free| *free > seats + 0.25) {
-            self.seats(kind, seats + 0.2 * (free - seats));
+            self.seats(worker_type, seats + 0.2 * (free - seats));
         }
         let worker = &mut self.workers[at];
         let by_slots = free.map(|free| worker.seats - free - worker.running);
@@ -757,7 +760,7 @@
             Step::Place => return self.place(now, key, acts),
             Step::Decline => {
                 // Come back when a usual job has had time to end.
-                let most = self.says("come_back.allowed") * self.says("come_back.most");
+                let most = self.says("retry_after.allowed") * self.says("retry_after.max");
                 let come_back = most.min(0.5 * SECOND) as Nanos;
                 acts.push(Action::Decline { request_id, come_back });
             }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -6,13 +6,13 @@
 use test_case::test_case;
 
 const MS: Nanos = 1_000_000;
-const SETTINGS: &str = "dispatchers=2 me=0 posting.most=4 come_back.allowed=true \
-    come_back.most=2000000000 tells_start=true cold.from=0.2 cold.time=10e9 fall.multiple=3 fall.window=1e9 \
-    report.fields=inflight,free-slots list.mode=asked scheme.count=3 \
-    scheme.0.effect=repeatable scheme.0.group=all scheme.0.window=0 scheme.0.sla=3e8 scheme.0.value=1 \
-    scheme.1.effect=referenced scheme.1.group=cell scheme.1.window=400000000 scheme.1.sla=3e8 scheme.1.value=5 \
-    scheme.2.effect=once-only scheme.2.group=all scheme.2.window=0 scheme.2.sla=3e8 scheme.2.value=9 \
-    scheme.0.stretch=2 scheme.1.stretch=2 scheme.2.stretch=2";
+const SETTINGS: &str = "dispatchers=2 me=0 attempts.max=4 retry_after.allowed=true \
+    retry_after.max=2000000000 start_notes=true slow_start.from=0.2 slow_start.duration=10e9 overload.multiple=3 overload.window=1e9 \
+    report.fields=inflight,free-slots endpoints.mode=polled class.count=3 \
+    class.0.idempotency=idempotent class.0.retry_scope=all class.0.retry_window=0 class.0.latency_objective=3e8 class.0.priority_weight=1 \
+    class.1.idempotency=idempotent-with-key class.1.retry_scope=cell class.1.retry_window=400000000 class.1.latency_objective=3e8 class.1.priority_weight=5 \
+    class.2.idempotency=non-idempotent class.2.retry_scope=all class.2.retry_window=0 class.2.latency_objective=3e8 class.2.priority_weight=9 \
+    class.0.objective_stretch=2 class.1.objective_stretch=2 class.2.objective_stretch=2";
 
 fn settings() -> Map {
     let pair = |word: &str| word.split_once('=').map(|(name, value)| (name.to_string(), value.to_string()));
@@ -24,7 +24,7 @@
 }
 
 fn entry(n: u8, standing: Standing, started: Nanos) -> Listed {
-    Listed { worker: id(n), standing, zone: 0, kind: 0, size: 2.0, started, group: u16::from(n % 2) }
+    Listed { worker: id(n), standing, zone: 0, worker_type: 0, size: 2.0, started, group: u16::from(n % 2) }
 }
 
 /// One of so many dispatchers, with the list it kept.
@@ -47,8 +47,8 @@
     among(2, 0, warm(workers))
 }
 
-fn request(id: RequestId, scheme: u8, hint: Nanos, now: Nanos) -> Request {
-    Request { id, scheme, party: 0, hint: Some(hint), slots: 1.0, memory: 0.5, expiry: now + 5_000 * MS }
+fn request(id: RequestId, class: u8, hint: Nanos, now: Nanos) -> Request {
+    Request { id, class, tenant: 0, hint: Some(hint), slots: 1.0, memory: 0.5, expiry: now + 5_000 * MS }
 }
 
 fn handle(d: &mut Dispatcher, now: Nanos, event: Event) -> Vec<Action> {
@@ -109,7 +109,7 @@
 fn a_request_larger_than_all_before_falls_on_the_lanes_that_its_work_fills() {
     let lane = |hint: Nanos| {
         let mut d = dispatcher(10);
-        d.schemes[0].bins[bin_of(1e6)] = 1e6;
+        d.classes[0].bins[bin_of(1e6)] = 1e6;
         let acts = handle(&mut d, MS, Event::Arrived(request(1, 0, hint * MS, 0)));
         let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
         worker.addr[3]
@@ -192,7 +192,7 @@
 #[test_case(100, 3, 7_000 => 1; "more take turns at once as it warms")]
 fn budget_of_a_cold_worker(started: Nanos, me: u32, at: Nanos) -> usize {
     let mut d = among(12, me, Vec::new());
-    d.schemes[0].sla = 90.0 * SECOND;
+    d.classes[0].sla = 90.0 * SECOND;
     let entries = vec![entry(0, Standing::Ready, started * MS)];
     handle(&mut d, started * MS, Event::List { scope: Scope::Changes, entries });
     let one = |n| Request { expiry: 99_000 * MS, ..request(n, 0, 300 * MS, at * MS) };
@@ -217,13 +217,13 @@
 #[test]
 fn a_worker_that_takes_no_connection_has_no_lane_for_a_while() {
     let mut d = among(100, 3, warm(60));
-    let first = d.schemes[0].lanes[2];
+    let first = d.classes[0].lanes[2];
     (0..2).for_each(|_| d.workers[first].refused(0));
     d.keep_to(0);
-    let other = d.schemes[0].lanes[2];
-    assert!(first != other && d.schemes[0].lanes.len() == 8);
+    let other = d.classes[0].lanes[2];
+    assert!(first != other && d.classes[0].lanes.len() == 8);
     d.keep_to(1_000 * MS);
-    assert_eq!(d.schemes[0].lanes[2], first);
+    assert_eq!(d.classes[0].lanes[2], first);
     // Twice as long each time in a row, until it gives a sign of life.
     d.workers[first].refused(1_000 * MS);
     assert!(d.workers[first].refuses(2_999 * MS) && !d.workers[first].refuses(3_000 * MS));
@@ -233,7 +233,7 @@
     d.workers[first].refused(2_000 * MS);
     d.workers.iter_mut().enumerate().filter(|(at, _)| *at != first).for_each(|(_, w)| w.started = 1);
     d.keep_to(2_000 * MS);
-    assert_eq!(d.schemes[0].lanes[2], first);
+    assert_eq!(d.classes[0].lanes[2], first);
 }
 
 /// Most of a large fleet is replaced at once. Guards against parts of a cold worker's budget in which no job fits,
@@ -248,7 +248,7 @@
     for me in 0..dispatchers {
         let (mut d, mut dice) = (among(dispatchers, me, warm(workers)), Pcg::new(u64::from(me)));
         let mut hint = || (20.0 + dice.unit() * 140.0) as Nanos * MS;
-        (0..60).for_each(|_| d.schemes[0].add(hint() as f64));
+        (0..60).for_each(|_| d.classes[0].add(hint() as f64));
         handle(&mut d, started, Event::List { scope: Scope::Whole, entries: list.clone() });
         for n in 100..120 {
             let (now, hint) = (started + u64::from(n - 100) * 200 * MS + u64::from(me) * MS, hint());
@@ -302,9 +302,9 @@
 #[test_case(0.5, 2 => true; "room to spare")]
 #[test_case(2.1, 2 => false; "would come late")]
 #[test_case(1.99, 0 => false; "cheap ones go first")]
-fn turned_away(strain: f64, scheme: u8) -> bool {
+fn turned_away(strain: f64, class: u8) -> bool {
     let mut d = dispatcher(1);
-    let key = d.requests.insert(InHand::new(request(1, scheme, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(InHand::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
     d.kept(0, key, 0.0, strain)
 }
 
@@ -349,8 +349,8 @@
     let (mut users, mut lanes) = (vec![0; usize::from(workers)], 0);
     for me in 0..dispatchers {
         let d = among(dispatchers, me, warm(workers));
-        lanes = d.schemes[0].lanes.len();
-        d.schemes[0].lanes.iter().for_each(|at| users[*at] += 1);
+        lanes = d.classes[0].lanes.len();
+        d.classes[0].lanes.iter().for_each(|at| users[*at] += 1);
     }
     (lanes, users.iter().copied().min().unwrap(), users.iter().copied().max().unwrap())
 }
@@ -397,21 +397,21 @@
 }
 
 /// Guards against a worker that starts all and fails most: its starts had it trusted again at once.
-#[test_case(&[0] => [true, false, false]; "one scheme")]
-#[test_case(&[0, 1] => [true, true, false]; "two schemes")]
+#[test_case(&[0] => [true, false, false]; "one class")]
+#[test_case(&[0, 1] => [true, true, false]; "two classes")]
 #[test_case(&[] => [false; 3]; "none")]
 fn errors_are_held_against_the_scheme(failing: &[u8]) -> [bool; 3] {
     let mut d = dispatcher(1);
     for n in 0..12 {
-        let scheme = failing.get(n as usize % 2).copied().unwrap_or(2);
-        let outcome = if failing.contains(&scheme) { Outcome::Error } else { Outcome::Settled };
-        handle(&mut d, 0, Event::Arrived(request(n, scheme, 100 * MS, 0)));
+        let class = failing.get(n as usize % 2).copied().unwrap_or(2);
+        let outcome = if failing.contains(&class) { Outcome::Error } else { Outcome::Settled };
+        handle(&mut d, 0, Event::Arrived(request(n, class, 100 * MS, 0)));
         handle(&mut d, 0, Event::Started { request_id: n, leg: 0 });
         let ended = Ended { request_id: n, leg: 0, outcome, complete: false, report: Report::default() };
         handle(&mut d, 0, Event::Ended(ended));
     }
     let late = 20 * SECOND as Nanos;
-    [0, 1, 2].map(|scheme| d.workers[0].doubt(late, 0.0, scheme, Idempotent) > 0.25)
+    [0, 1, 2].map(|class| d.workers[0].doubt(late, 0.0, class, Idempotent) > 0.25)
 }
 
 /// Guards against a request posted again to the worker that has just failed it.
@@ -481,13 +481,13 @@
     let acts: Vec<Action> =
         (1..40).flat_map(|n| handle(&mut d, 0, Event::Arrived(request(n, 2, 100 * MS, 0)))).collect();
     let (posted, wanted) = (acts.iter().any(|act| matches!(act, Action::Post { .. })), workers > 0);
-    assert!(posted == wanted && d.schemes[2].lanes.len() <= usize::from(workers));
+    assert!(posted == wanted && d.classes[2].lanes.len() <= usize::from(workers));
 }
 
 /// What a long sequence remembers of one request, to hold the rules against.
 #[derive(Default)]
 struct Record {
-    scheme: u8,
+    class: u8,
     expiry: Nanos,
     answers: usize,
     out: Vec<(u8, usize, Nanos)>,
@@ -518,7 +518,7 @@
         let now = u64::from(step) * 10 * MS;
         let mut events = Vec::new();
         if dice.unit() < 0.02 {
-            let kept = &d.schemes[0].lanes;
+            let kept = &d.classes[0].lanes;
             let any = (dice.unit() * f64::from(workers)) as usize;
             let n = if fleet > 6 && !kept.is_empty() { kept[any % kept.len()] } else { any };
             standing[n] = [Standing::Ready, Standing::Draining, Standing::Gone][(dice.unit() * 3.0) as usize];
@@ -565,9 +565,9 @@
             }
         }
         if dice.unit() < 0.5 && step < 5_000 {
-            let scheme = (dice.unit() * 3.0) as u8;
-            let one = request(step, scheme, (20.0 + dice.unit() * 400.0) as Nanos * MS, now);
-            requests.insert(step, Record { scheme, expiry: one.expiry, ..Record::default() });
+            let class = (dice.unit() * 3.0) as u8;
+            let one = request(step, class, (20.0 + dice.unit() * 400.0) as Nanos * MS, now);
+            requests.insert(step, Record { class, expiry: one.expiry, ..Record::default() });
             events.push(Event::Arrived(one));
         }
         let due = timers.extract_if(.., |(at, _)| *at <= now);
@@ -583,8 +583,8 @@
                         assert!(record.answers == 0 && now < record.expiry, "posted after its answer");
                         assert!(record.out.is_empty(), "two attempts out");
                         assert!(standing[n] == Standing::Ready, "posted to a worker that leaves");
-                        if let (1.., Some((first, since))) = (record.scheme, record.first_doubt) {
-                            assert!(record.scheme == 1, "an effect twice");
+                        if let (1.., Some((first, since))) = (record.class, record.first_doubt) {
+                            assert!(record.class == 1, "an effect twice");
                             assert!(first % 2 == n % 2 && now < since + 400 * MS, "outside group or window");
                         }
                         let work = d.requests[d.held[&request_id]].work;
@@ -606,7 +606,7 @@
                         let record = requests.get_mut(&request_id).unwrap();
                         record.answers += 1;
                         assert!(now <= record.expiry + 10 * MS, "answered late");
-                        let doubted = record.scheme > 0 && record.first_doubt.is_some();
+                        let doubted = record.class > 0 && record.first_doubt.is_some();
                         let declined = matches!(act, Action::Decline { .. });
                         assert!(!(declined && (doubted || !record.out.is_empty())), "declined in doubt");
                     }
@@ -626,9 +626,9 @@
 #[test_case(1, true => vec!["reverse"]; "a referenced one that is out")]
 #[test_case(2, true => vec!["reverse"]; "a once-only one that is out")]
 #[test_case(2, false => vec!["decline"]; "a once-only one that is held")]
-fn closing_brings_expiries_forward(scheme: u8, out: bool) -> Vec<&'static str> {
+fn closing_brings_expiries_forward(class: u8, out: bool) -> Vec<&'static str> {
     let mut d = dispatcher(if out { 2 } else { 0 });
-    let posted = handle(&mut d, 0, Event::Arrived(request(1, scheme, 100 * MS, 0)));
+    let posted = handle(&mut d, 0, Event::Arrived(request(1, class, 100 * MS, 0)));
     assert_eq!(posted.len(), usize::from(out));
     handle(&mut d, MS, Event::Closing { by: 50 * MS });
     let outcome = Outcome::TimeOut;
@@ -650,7 +650,7 @@
 fn sharing(dispatchers: u32, workers: u8) -> Dispatcher {
     let mut map = settings();
     map.insert("dispatchers".into(), dispatchers.to_string());
-    map.insert("share.allowed".into(), "true".into());
+    map.insert("peer_load.allowed".into(), "true".into());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
     d.handle(0, Event::List { scope: Scope::Kept, entries: warm(workers) }, &mut Vec::new());
     d
@@ -744,7 +744,7 @@
     let mut d = numbered(7, 40, 30);
     let acts = handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0)));
     let at = d.requests[0].attempts[0].worker;
-    let keep = (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).schemes[0].lanes.contains(&at));
+    let keep = (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).classes[0].lanes.contains(&at));
     assert_eq!(told(&acts), keep.map(|me| (me as u16, 2)).collect::<Vec<_>>());
 }
 
@@ -753,7 +753,7 @@
 fn a_cold_workers_budget_is_kept_by_all_who_share_it() {
     for at in (0..60_u64).map(|part| part * 500 * MS) {
         let mut keepers: Vec<Dispatcher> = (0..130).map(|me| numbered(me, 130, 34)).collect();
-        keepers.retain(|d| d.schemes[0].lanes.contains(&9));
+        keepers.retain(|d| d.classes[0].lanes.contains(&9));
         let budget = |d: &mut Dispatcher| {
             d.workers[9].started = 1;
             d.survey(at);
@@ -811,13 +811,13 @@
 /// Guards against workers that fail by turns: what can be repeated finds out, and the rest keeps away for a while.
 #[test_case(2, 1_000 => false; "once-only, soon after")]
 #[test_case(2, 60_000 => true; "once-only, a minute after")]
-#[test_case(1, 1_000 => true; "another scheme that may be repeated")]
-fn goes_where_another_scheme_has_failed(scheme: u8, after: Nanos) -> bool {
+#[test_case(1, 1_000 => true; "another class that may be repeated")]
+fn goes_where_another_scheme_has_failed(class: u8, after: Nanos) -> bool {
     let mut d = dispatcher(2);
     d.workers[0].of[0].add(0, 3.0 * Worker::HALF, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
-        let acts = handle(&mut d, now, Event::Arrived(request(id, scheme, 50 * MS, now)));
+        let acts = handle(&mut d, now, Event::Arrived(request(id, class, 50 * MS, now)));
         let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
         handle(&mut d, now, ended(id, 0, Outcome::Settled));
         worker == super::tests::id(0)
@@ -899,7 +899,7 @@
 #[test_case(13 => 13; "four to a worker of more")]
 #[test_case(100 => 8; "eight lanes at least, however many share them")]
 fn lanes_kept_with_sharing(dispatchers: u32) -> usize {
-    sharing(dispatchers, 40).schemes[0].lanes.len()
+    sharing(dispatchers, 40).classes[0].lanes.len()
 }
 
 /// Guards against cold workers left idle: a kind's pace for workers not yet seen is no sign of less capacity.
@@ -918,11 +918,11 @@
 #[test_case(0, 0.0 => true; "the dearest are taken")]
 #[test_case(0, 0.9 => false; "the dearest are turned away")]
 #[test_case(2, 0.9 => true; "itself the dearest")]
-fn the_room_of_dearer_schemes_counts(scheme: u8, turned: f64) -> bool {
+fn the_room_of_dearer_schemes_counts(class: u8, turned: f64) -> bool {
     let mut d = dispatcher(1);
-    (0..5).for_each(|_| d.schemes[2].add(100e6));
+    (0..5).for_each(|_| d.classes[2].add(100e6));
     d.turned = turned;
-    let key = d.requests.insert(InHand::new(request(1, scheme, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(InHand::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
     // A second's wait: half of its own room, two and a half times theirs.
     d.kept(0, key, SECOND, 0.5)
 }
@@ -937,9 +937,9 @@
     hint: Option<Nanos>,
 ) -> (u64, u64) {
     let mut d = dispatcher(4);
-    let mut run = |id: RequestId, scheme: u8, hint: Option<Nanos>, took: Nanos| {
+    let mut run = |id: RequestId, class: u8, hint: Option<Nanos>, took: Nanos| {
         let now = Nanos::from(id) * 2_000 * MS;
-        let request = Request { hint: hint.map(|hint| hint * MS), ..request(id, scheme, 0, now) };
+        let request = Request { hint: hint.map(|hint| hint * MS), ..request(id, class, 0, now) };
         drop(handle(&mut d, now, Event::Arrived(request)));
         let run = d.requests[d.held[&id]].run / MS as f64;
         drop(handle(&mut d, now, Event::Started { request_id: id, leg: 0 }));
@@ -960,7 +960,7 @@
 #[test_case(None => 1; "of none, taken for as much")]
 fn a_cold_worker_gets_fewer_of_unknown_size(hint: Option<Nanos>) -> usize {
     let mut d = among(12, 0, Vec::new());
-    (d.schemes[0].sla, d.schemes[0].ran) = (90.0 * SECOND, (1e8, 1.0));
+    (d.classes[0].sla, d.classes[0].ran) = (90.0 * SECOND, (1e8, 1.0));
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
     handle(&mut d, 100 * MS, Event::List { scope: Scope::Changes, entries });
     let one = |n| Request { hint, expiry: 99_000 * MS, ..request(n, 0, 0, 2_000 * MS) };
@@ -971,9 +971,12 @@
 /// One of 300 dispatchers with 200 workers. Class 0 is wanted within 60 ms, class 2 within 3 s.
 fn one_of_a_large_fleet() -> Dispatcher {
     let mut map = settings();
-    for (name, value) in
-        [("dispatchers", "300"), ("zone", "1"), ("scheme.0.sla", "6e7"), ("scheme.2.sla", "3e9")]
-    {
+    for (name, value) in [
+        ("dispatchers", "300"),
+        ("zone", "1"),
+        ("class.0.latency_objective", "6e7"),
+        ("class.2.latency_objective", "3e9"),
+    ] {
         map.insert(name.into(), value.into());
     }
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
@@ -1010,16 +1013,16 @@
 fn lane_where_all_have_queues(mut d: Dispatcher, part: f64) -> usize {
     let now = 100_000 * MS;
     starts_of_late(&mut d, now, 0.3, 0);
-    d.schemes[0].bins[bin_of(1e7)] = 1e7;
-    d.schemes[2].bins[bin_of(2e9)] = 2e10;
-    (d.schemes[0].seen, d.schemes[2].seen) = (1.0, 10.0);
-    let last = *d.schemes[0].lanes.last().unwrap();
+    d.classes[0].bins[bin_of(1e7)] = 1e7;
+    d.classes[2].bins[bin_of(2e9)] = 2e10;
+    (d.classes[0].seen, d.classes[2].seen) = (1.0, 10.0);
+    let last = *d.classes[0].lanes.last().unwrap();
     // Wanted within its SLA time and twice its run.
-    let room = d.schemes[0].sla + 10e6;
+    let room = d.classes[0].sla + 10e6;
     (d.workers[last].lag, d.workers[last].lag_at) = (part * 0.3 * d.unseen * room, now);
     let acts = handle(&mut d, now, Event::Arrived(request(1, 0, 10 * MS, now)));
     let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
-    d.schemes[0].lanes.iter().position(|at| d.workers[*at].id == worker).unwrap()
+    d.classes[0].lanes.iter().position(|at| d.workers[*at].id == worker).unwrap()
 }
 
 /// Guards against short requests that stand behind long ones: where the whole fleet has queues, who looks least busy is
@@ -1044,7 +1047,7 @@
 fn requests_go_to_another_zone_if_they_can_bear_the_way(class: u8, hint: Nanos) -> bool {
     let mut d = one_of_a_large_fleet();
     let now = 100_000 * MS;
-    let lanes = d.schemes[0].lanes.clone();
+    let lanes = d.classes[0].lanes.clone();
     lanes[..7].iter().for_each(|at| d.workers[*at].zone = 2);
     d.zones.observe(1, 2e6);
     d.zones.observe(2, 80e6);
@@ -1057,8 +1060,8 @@
 #[test]
 fn a_start_tells_the_way_to_its_zone() {
     let mut d = one_of_a_large_fleet();
-    let at = d.schemes[0].lanes[0];
-    d.schemes[0].lanes.truncate(1);
+    let at = d.classes[0].lanes[0];
+    d.classes[0].lanes.truncate(1);
     d.workers[at].zone = 2;
     handle(&mut d, 0, Event::Arrived(request(1, 0, 10 * MS, 0)));
     handle(&mut d, 80 * MS, Event::Started { request_id: 1, leg: 0 });
@@ -1098,12 +1101,16 @@
 fn short_beside_long(basis: &str, short_value: f64) -> Dispatcher {
     let mut map = settings();
     let value = short_value.to_string();
-    for (name, value) in [("scheme.2.sla", "3e9"), ("scheme.0.value", value.as_str()), ("value.by", basis)] {
+    for (name, value) in [
+        ("class.2.latency_objective", "3e9"),
+        ("class.0.priority_weight", value.as_str()),
+        ("priority_weight.basis", basis),
+    ] {
         map.insert(name.into(), value.into());
     }
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
-    d.schemes[0].add(1e8);
-    d.schemes[2].add(1e9);
+    d.classes[0].add(1e8);
+    d.classes[2].add(1e9);
     d
 }
 
@@ -1132,6 +1139,6 @@
 #[test_case("request", 1.0 => 0.9; "ten times the work for one request")]
 fn worth_goes_by_what_the_settings_reckon_by(basis: &str, short_value: f64) -> f64 {
     let d = short_beside_long(basis, short_value);
-    let ratio = d.schemes[2].worth(d.worth_basis) / d.schemes[0].worth(d.worth_basis);
+    let ratio = d.classes[2].worth(d.worth_basis) / d.classes[0].worth(d.worth_basis);
     (ratio * 1e6).round() / 1e6
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -54,10 +54,10 @@
 impl WorthBasis {
     /// Reads the setting; without it, worth goes by work.
     fn read(map: &Map) -> Result<Self, String> {
-        match pick_or(map, "value.by", "work".to_string())?.as_str() {
+        match pick_or(map, "priority_weight.basis", "work".to_string())?.as_str() {
             "work" => Ok(WorthBasis::Work),
             "request" => Ok(WorthBasis::Request),
-            other => Err(format!("setting value.by cannot be read: {other:?}")),
+            other => Err(format!("setting priority_weight.basis cannot be read: {other:?}")),
         }
     }
 }
@@ -199,7 +199,7 @@
     pub id: WorkerId,
     pub standing: Standing,
     pub zone: u16,
-    pub kind: u8,
+    pub worker_type: u8,
     pub group: u16,
     pub size: f64,
     pub started: Nanos,
@@ -213,7 +213,7 @@
     pub own_pace: f64,
     pub over: (f64, f64),
     pub trust: Trust,
-    /// What errors of each scheme left.
+    /// What errors of each class left.
     pub of: Vec<Trust>,
     /// Silent since an attempt that should have started: its next start has it trusted again.
     pub silent: bool,
@@ -248,8 +248,8 @@
 
 impl Worker {
     /// One just heard of: two seats, and the pace of the hints.
-    pub fn new(id: WorkerId, started: Nanos, schemes: usize) -> Self {
-        let of = vec![Trust::default(); schemes];
+    pub fn new(id: WorkerId, started: Nanos, classes: usize) -> Self {
+        let of = vec![Trust::default(); classes];
         Worker { id, started, of, seats: 2.0, pace: 1.0, own_pace: 1.0, ..Worker::default() }
     }
 
@@ -368,14 +368,14 @@
 /// left for the queue, so that the first is sent.
 const FIRST_RUN_MOST: f64 = 0.25;
 
-pub struct Scheme {
+pub struct RequestClass {
     pub effect: Effect,
     pub group: String,
     pub window: Nanos,
     pub sla: f64,
     pub stretch: f64,
     pub value: f64,
-    pub kind: i64,
+    pub worker_type: i64,
     pub high: bool,
     pub bins: Bins,
     pub seen: f64,
@@ -387,27 +387,27 @@
     /// All ready workers that may take it, and those of them that this dispatcher keeps to, in id order.
     pub all: Vec<usize>,
     pub lanes: Vec<usize>,
-    /// The work of this scheme at which each lane ends.
+    /// The work of this class at which each lane ends.
     pub ends: Vec<f64>,
 }
 
-impl Scheme {
+impl RequestClass {
     pub fn read(map: &Map, at: usize) -> Result<Self, String> {
-        let name = |part: &str| format!("scheme.{at}.{part}");
-        let sla = pick::<f64>(map, &name("sla"))?;
-        Ok(Scheme {
-            effect: match pick::<String>(map, &name("effect"))?.as_str() {
-                "repeatable" => Effect::Idempotent,
-                "referenced" => Effect::Keyed,
-                "once-only" => Effect::NonIdempotent,
-                other => return Err(format!("setting {} cannot be read: {other:?}", name("effect"))),
+        let name = |part: &str| format!("class.{at}.{part}");
+        let sla = pick::<f64>(map, &name("latency_objective"))?;
+        Ok(RequestClass {
+            effect: match pick::<String>(map, &name("idempotency"))?.as_str() {
+                "idempotent" => Effect::Idempotent,
+                "idempotent-with-key" => Effect::Keyed,
+                "non-idempotent" => Effect::NonIdempotent,
+                other => return Err(format!("setting {} cannot be read: {other:?}", name("idempotency"))),
             },
-            group: pick(map, &name("group"))?,
-            window: pick(map, &name("window"))?,
+            group: pick(map, &name("retry_scope"))?,
+            window: pick(map, &name("retry_window"))?,
             sla,
-            stretch: pick_or(map, &name("stretch"), 0.0)?,
-            value: pick(map, &name("value"))?,
-            kind: pick_or(map, &name("kind"), -1)?,
+            stretch: pick_or(map, &name("objective_stretch"), 0.0)?,
+            value: pick(map, &name("priority_weight"))?,
+            worker_type: pick_or(map, &name("worker_type"), -1)?,
             high: false,
             bins: [0.0; BINS],
             seen: 0.0,
@@ -524,7 +524,7 @@
 #[derive(Default)]
 pub struct Dispatcher {
     pub(crate) chance: Pcg,
-    pub(crate) schemes: Vec<Scheme>,
+    pub(crate) classes: Vec<RequestClass>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) known: FxHashMap<WorkerId, usize>,
     pub(crate) requests: Slab<InHand>,
@@ -584,13 +584,13 @@
 }
 
 /// The settings without which nothing can be decided; a missing one ends the start.
-const FIGURES: &str = "me come_back.allowed come_back.most tells_start \
-    cold.from cold.time fall.multiple fall.window";
+const FIGURES: &str = "me retry_after.allowed retry_after.max start_notes \
+    slow_start.from slow_start.duration overload.multiple overload.window";
 
 impl Dispatcher {
     pub(crate) fn read(now: Nanos, seed: u64, map: &Map) -> Result<Self, String> {
-        let count: usize = pick(map, "scheme.count")?;
-        let schemes = (0..count).map(|at| Scheme::read(map, at)).collect::<Result<Vec<_>, _>>()?;
+        let count: usize = pick(map, "class.count")?;
+        let classes = (0..count).map(|at| RequestClass::read(map, at)).collect::<Result<Vec<_>, _>>()?;
         let mut figures = BTreeMap::new();
         for name in FIGURES.split_whitespace() {
             let number = || pick::<f64>(map, name);
@@ -602,23 +602,23 @@
         }
         let fields: String = pick(map, "report.fields")?;
         let dispatchers = pick::<f64>(map, "dispatchers")?.max(1.0);
-        let (shares, me) = (pick_or(map, "share.allowed", false)?, figures["me"]);
+        let (shares, me) = (pick_or(map, "peer_load.allowed", false)?, figures["me"]);
         if shares && !(dispatchers <= 65_535.0 && me < dispatchers) {
             return Err(format!("setting me is out of range: {me} of {dispatchers} dispatchers"));
         }
         Ok(Dispatcher {
             chance: Pcg::new(seed),
-            schemes,
+            classes,
             dispatchers,
             me: me as usize,
             slots: dispatchers,
-            rights: pick_or(map, "rights", false)?,
+            rights: pick_or(map, "warm_up_grants", false)?,
             begun: now,
             unseen: 1.0 - 1.0 / dispatchers,
-            most_attempts: pick::<usize>(map, "posting.most")?.min(MOST_ATTEMPTS),
+            most_attempts: pick::<usize>(map, "attempts.max")?.min(MOST_ATTEMPTS),
             report_at: ["free-slots", "inflight"].map(|name| fields.split(',').position(|f| f == name)),
             figures,
-            list_asked: pick::<String>(map, "list.mode")? == "asked",
+            list_asked: pick::<String>(map, "endpoints.mode")? == "polled",
             shares,
             first_come: pick_or::<String>(map, "queue.order", "fifo".to_string())? == "fifo",
             worth_basis: WorthBasis::read(map)?,
@@ -634,8 +634,10 @@
     }
 
     /// Workers of one kind have as many seats as any of them was seen to fill.
-    pub(crate) fn seats(&mut self, kind: u8, seen: f64) {
-        for worker in self.workers.iter_mut().filter(|worker| worker.kind == kind && worker.seats < seen) {
+    pub(crate) fn seats(&mut self, worker_type: u8, seen: f64) {
+        for worker in
+            self.workers.iter_mut().filter(|worker| worker.worker_type == worker_type && worker.seats < seen)
+        {
             worker.seats = seen;
         }
     }
@@ -659,7 +661,7 @@
             .iter()
             .filter(|(key, hand)| hand.attempts[..hand.posted].iter().any(|leg| sure(*key, hand, leg)));
         let running = running.map(|(_, hand)| f64::from(hand.request.slots)).sum();
-        self.seats(worker.kind, running);
+        self.seats(worker.worker_type, running);
     }
 
     /// Brings up to date what follows from the attempts out and from the clock.
--- a/src/types.rs
+++ b/src/types.rs
@@ -31,7 +31,7 @@
     pub worker: WorkerId,
     pub standing: Standing,
     pub zone: u16,
-    pub kind: u8,
+    pub worker_type: u8,
     pub size: f32,
     pub started: Nanos,
     pub group: u16,
@@ -71,8 +71,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     pub id: RequestId,
-    pub scheme: u8,
-    pub party: u16,
+    pub class: u8,
+    pub tenant: u16,
     pub hint: Option<Nanos>,
     pub slots: f32,
     pub memory: f32,
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -16,14 +16,14 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-const BASE_SETTINGS: &str = "me=3 posting.most=4 come_back.allowed=true come_back.most=2e9 tells_start=true \
-    cold.from=0.2 cold.time=6e9 fall.multiple=3 fall.window=1e9 list.mode=asked report.fields=inflight,free-slots \
-    scheme.count=4 \
-    scheme.0.effect=repeatable scheme.0.group=all scheme.0.window=0 scheme.0.sla=3e8 scheme.0.value=1 \
-    scheme.1.effect=referenced scheme.1.group=zone scheme.1.window=400000000 scheme.1.sla=2e8 scheme.1.value=5 \
-    scheme.2.effect=once-only scheme.2.group=all scheme.2.window=0 scheme.2.sla=5e8 scheme.2.value=9 scheme.2.kind=1 \
-    scheme.3.effect=referenced scheme.3.group=cell scheme.3.window=900000000 scheme.3.sla=1e9 scheme.3.value=2 \
-    scheme.0.stretch=2 scheme.1.stretch=2";
+const BASE_SETTINGS: &str = "me=3 attempts.max=4 retry_after.allowed=true retry_after.max=2e9 start_notes=true \
+    slow_start.from=0.2 slow_start.duration=6e9 overload.multiple=3 overload.window=1e9 endpoints.mode=polled report.fields=inflight,free-slots \
+    class.count=4 \
+    class.0.idempotency=idempotent class.0.retry_scope=all class.0.retry_window=0 class.0.latency_objective=3e8 class.0.priority_weight=1 \
+    class.1.idempotency=idempotent-with-key class.1.retry_scope=zone class.1.retry_window=400000000 class.1.latency_objective=2e8 class.1.priority_weight=5 \
+    class.2.idempotency=non-idempotent class.2.retry_scope=all class.2.retry_window=0 class.2.latency_objective=5e8 class.2.priority_weight=9 class.2.worker_type=1 \
+    class.3.idempotency=idempotent-with-key class.3.retry_scope=cell class.3.retry_window=900000000 class.3.latency_objective=1e9 class.3.priority_weight=2 \
+    class.0.objective_stretch=2 class.1.objective_stretch=2";
 
 /// The base settings with some of them replaced.
 fn settings(overrides: &str) -> Map {
@@ -109,7 +109,7 @@
             worker: WorkerId { addr: [10, 0, number / 8, number], port: 80 },
             standing: Standing::Ready,
             zone: u16::from(number % 3),
-            kind: number % 2,
+            worker_type: number % 2,
             size: 1.0 + f32::from(number % 4) / 2.0,
             started,
             group: u16::from(number % 5),
@@ -209,8 +209,8 @@
         }
         self.feed(Event::Arrived(Request {
             id,
-            scheme: class,
-            party: 0,
+            class: class,
+            tenant: 0,
             hint,
             slots,
             memory,
@@ -365,15 +365,15 @@
     "111944 actions, 1a8ef36f7bdddcd8 4487861d3a66b362 0b077674cfa0e96d 74e783e3f0e4da42 adf67380baa85eb9 63f63c7af3942a47"; "a single dispatcher")]
 #[test_case("dispatchers=5" =>
     "117085 actions, 751ad1ce9b35c6cf 9d72a56e2752cf20 81ed180f1fb269cb 6551a1e416be4040 26cc83054dd3b566 a0eb0b15b6230c1b"; "five dispatchers that tell each other nothing")]
-#[test_case("dispatchers=12 share.allowed=true" =>
+#[test_case("dispatchers=12 peer_load.allowed=true" =>
     "725105 actions, ae9b9fa095f77a45 88dba367b2176fd3 3147f7cb04ced2fe af400c8276da16d6 b2c1cd4aec48153a 1d8c9738c4e18d90"; "twelve dispatchers that exchange load")]
-#[test_case("dispatchers=300 share.allowed=true rights=true" =>
+#[test_case("dispatchers=300 peer_load.allowed=true warm_up_grants=true" =>
     "3578062 actions, 20d41857553c12ff 477899bb4dd37482 728cb1128c8b1bca 8763602aaf32b031 3c96d454c4758e49 40b7fab82d92dbb8"; "three hundred with warm-up grants")]
-#[test_case("dispatchers=40 rights=true list.mode=pushed" =>
+#[test_case("dispatchers=40 warm_up_grants=true endpoints.mode=pushed" =>
     "125617 actions, b7d1b8cb76e38cca c03c530514ccef6b dd48eeef8eb92147 d599b3e9b8d7a692 3ad2efd385b0d033 23fa58a163d7fa40"; "grants and a pushed list")]
-#[test_case("dispatchers=20 value.by=request zone=1 tells_start=false" =>
+#[test_case("dispatchers=20 priority_weight.basis=request zone=1 start_notes=false" =>
     "109047 actions, b37f219357b621b6 b373a766af3a2c3b a684475a7e3637bc 26386a813677746d 0cf3c6671aa5d204 f583a72442db1b3d"; "worth by request")]
-#[test_case("dispatchers=8 queue.order=random come_back.allowed=false posting.most=2 report.fields=" =>
+#[test_case("dispatchers=8 queue.order=random retry_after.allowed=false attempts.max=2 report.fields=" =>
     "101267 actions, 421752e89803b65b b103fe18c2f8ea44 0037e72126dcaece 10ba72ba35cfbd4a 525d84f28f8dc057 3bd8106dba16fbbb"; "no reports")]
 fn decisions_are_the_same(overrides: &str) -> String {
     let plays = (0..6).map(|seed| Model::new(settings(overrides), seed).play(31 * SECOND));
