--- a/crates/cluster/src/field.rs
+++ b/crates/cluster/src/field.rs
@@ -179,7 +179,9 @@
     fn carry(&mut self, at: usize, effects: Vec<Effect>) {
         let (now, way) = (self.now, self.way);
         for effect in effects {
-            let Some(node) = &mut self.nodes[at] else { return };
+            let Some(node) = &mut self.nodes[at] else {
+                return;
+            };
             match effect {
                 Effect::Send { to, bytes } => {
                     (node.bytes, node.datagrams) = (node.bytes + bytes.len() as u64, node.datagrams + 1);
@@ -215,11 +217,15 @@
     /// Plays on until a moment.
     pub fn run(&mut self, until: Nanos) {
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
-            let Some(Reverse((at, _, event))) = self.queue.pop() else { return };
+            let Some(Reverse((at, _, event))) = self.queue.pop() else {
+                return;
+            };
             self.now = self.now.max(at);
             match event {
                 Event::Deliver { to, from, bytes } => {
-                    let Some(at) = self.addresses.get(&to).copied() else { continue };
+                    let Some(at) = self.addresses.get(&to).copied() else {
+                        continue;
+                    };
                     let paused = self.paused(at);
                     if let Some(node) = &mut self.nodes[at].as_mut().filter(|_| paused) {
                         // A socket's buffer holds so many.
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -491,7 +491,9 @@
                 }
             }
         };
-        let Some(member) = self.members.get(&name) else { return };
+        let Some(member) = self.members.get(&name) else {
+            return;
+        };
         let (addr, suspect) = (member.record.addr, member.record.standing == Suspect);
         let mut parts = Vec::new();
         if suspect {
@@ -512,12 +514,16 @@
 
     /// No answer so far: others try.
     fn ask_others(&mut self, now: Nanos, out: &mut Out) {
-        let Some(Probe { seq, name, ask_at: Some(at), .. }) = &self.probe else { return };
+        let Some(Probe { seq, name, ask_at: Some(at), .. }) = &self.probe else {
+            return;
+        };
         if *at > now {
             return;
         }
         let (seq, name) = (*seq, name.clone());
-        let Some(addr) = self.members.get(&name).map(|member| member.record.addr) else { return };
+        let Some(addr) = self.members.get(&name).map(|member| member.record.addr) else {
+            return;
+        };
         let helpers = self.some(HELPERS, Some(&name));
         if let Some(probe) = &mut self.probe {
             (probe.ask_at, probe.silent) = (None, helpers.len());
@@ -529,12 +535,16 @@
 
     /// A probe that was not answered by the end of its period.
     fn conclude(&mut self, now: Nanos, out: &mut Out) {
-        let Some(Probe { name, silent, .. }) = self.probe.take() else { return };
+        let Some(Probe { name, silent, .. }) = self.probe.take() else {
+            return;
+        };
         // Where none of the helpers says anything, the fault may be on this side; one may be dead as well.
         if silent > 0 && silent == HELPERS.min(self.count().saturating_sub(2)) {
             self.health = (self.health + 1).min(HEALTH_MOST);
         }
-        let Some(member) = self.members.get(&name) else { return };
+        let Some(member) = self.members.get(&name) else {
+            return;
+        };
         let record = Record { standing: Suspect, by: hash(self.me.name.as_bytes()), ..member.record.clone() };
         out.push((record.addr, vec![Part::Record(record.clone())]));
         self.merge(now, record);
@@ -781,8 +791,12 @@
         }
         let most = self.repeats();
         for _ in 0..self.news.len().min(12) {
-            let Some(name) = self.news.pop_front() else { break };
-            let Some(member) = self.members.get_mut(&name) else { continue };
+            let Some(name) = self.news.pop_front() else {
+                break;
+            };
+            let Some(member) = self.members.get_mut(&name) else {
+                continue;
+            };
             if !draft.add(&Part::Record(member.record.clone())) {
                 self.news.push_front(name);
                 break;
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -240,7 +240,9 @@
     }
 
     fn ask_lease(&mut self, now: Nanos) {
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(keeper) = &mut self.keeper else {
+            return;
+        };
         if self.members.aside() {
             return;
         }
@@ -252,7 +254,9 @@
                 })
         };
         let first = self.keepers.iter().find(|name| lives(name)) == Some(&me.name);
-        let Some(seq) = self.candidate.begin(now, first) else { return };
+        let Some(seq) = self.candidate.begin(now, first) else {
+            return;
+        };
         let (name, count) = (me.name.clone(), self.keepers.len());
         if keeper.ask(now, &name, me.start) {
             self.candidate.promise(now, seq, &name, count);
@@ -379,7 +383,9 @@
         else {
             return;
         };
-        let Some(seq) = self.holder.want(now, worker, work * UNIT) else { return };
+        let Some(seq) = self.holder.want(now, worker, work * UNIT) else {
+            return;
+        };
         if own {
             let by = (hash(self.members.me.name.as_bytes()), self.members.me.start);
             let (work, lasts) = self.give(now, by, seq, worker, work * UNIT);
--- a/crates/cluster/src/register.rs
+++ b/crates/cluster/src/register.rs
@@ -425,7 +425,9 @@
         if !self.majority(heard) {
             return;
         }
-        let Some(proposal) = &mut self.proposal else { return };
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
         let before = proposal.best.as_ref().map(|(_, document)| document.clone());
         let before = before.unwrap_or_else(|| {
             if is(Fault::AcceptedIgnored) { self.stored.in_force.clone() } else { Rc::default() }
--- a/crates/cluster/src/rights.rs
+++ b/crates/cluster/src/rights.rs
@@ -62,7 +62,9 @@
         worker: WorkerId,
         work: Nanos,
     ) -> (Nanos, Nanos) {
-        let Some(purse) = self.purses.get_mut(&worker) else { return (0, 0) };
+        let Some(purse) = self.purses.get_mut(&worker) else {
+            return (0, 0);
+        };
         let lasts = Giver::lasts(purse.window);
         // A window, and as long as a right lasts: a right may be spent at its very end.
         let span = long(purse.window + if is(Fault::RightsLinger) { 0 } else { lasts });
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -102,7 +102,9 @@
 
     fn act(&mut self, at: usize, act: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
-        let Some(cluster) = &mut self.clusters[at] else { return };
+        let Some(cluster) = &mut self.clusters[at] else {
+            return;
+        };
         act(cluster, self.now, &mut effects);
         let next_due = cluster.next_due();
         self.push(next_due.saturating_sub(self.now) + 1_000, Next::Wake(at));
@@ -142,7 +144,9 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: &[u8]) {
-        let Some(to) = (0..self.clusters.len()).find(|at| address(*at) == to) else { return };
+        let Some(to) = (0..self.clusters.len()).find(|at| address(*at) == to) else {
+            return;
+        };
         if below(&mut self.chance, 10) == 0 {
             return;
         }
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -16,7 +16,7 @@
 /// What a client's connection holds before its request is large: the buffer it is read by, a head and its task.
 const CLIENT_BYTES: usize = 32 * 1024;
 
-/// Copies there may be of the bytes a client has sent: as read, as a body, as a posting, and as much of an answer.
+/// Copies there may be of the bytes a client has sent: as read, as a body, as an attempt, and as much of an answer.
 const COPIES: usize = 4;
 
 /// A client that means to ask does so as it connects, within some round trips of a slow network. One that has not
@@ -63,7 +63,9 @@
 impl Slot {
     /// Counts the bytes that a client's requests hold now; false where there is no room for them.
     pub fn hold(&self, bytes: usize) -> bool {
-        let Some(held) = &self.client else { return true };
+        let Some(held) = &self.client else {
+            return true;
+        };
         let all = self.budget.bytes.get() - held.get() + bytes * COPIES;
         let fits = bytes * COPIES <= held.get() || all <= self.budget.most_bytes.get();
         if fits {
@@ -110,13 +112,17 @@
     }
 
     pub fn client(self: &Rc<Self>) -> Option<Slot> {
-        let slot = if self.has_client_room() { self.slot(Some(Cell::new(0)))? } else { return None };
+        let slot = if self.has_client_room() {
+            self.slot(Some(Cell::new(0)))?
+        } else {
+            return None;
+        };
         self.clients.set(self.clients.get() + 1);
         Some(slot)
     }
 
     /// One of the few for clients that are only told that there is no room. Guards against requests that wait at the door
-    /// past their expiry.
+    /// past their deadline.
     pub fn turned_away(self: &Rc<Self>) -> Option<Slot> {
         let taken = self.turned_away.get();
         (taken < TO_TURN_AWAY).then(|| {
--- a/crates/engine/src/given.rs
+++ b/crates/engine/src/given.rs
@@ -94,7 +94,7 @@
 /// Whether the dispatcher can start with this; an error names what is wrong and its value.
 pub fn check(given: &Given) -> Result<(), String> {
     Dispatcher::start(0, given.seed, &given.map)?;
-    // Guards against a stop that goes on past the kill, where expiries are shorter than those assumed in place of them.
+    // Guards against a stop that goes on past the kill, where deadlines are shorter than those assumed in place of them.
     for at in 0..pick::<usize>(&given.map, "class.count")? {
         pick::<Nanos>(&given.map, &format!("class.{at}.deadline"))?;
     }
@@ -121,7 +121,9 @@
 /// The settings as path=value pairs: parts joined by points, a list of plain values by commas, a list of objects
 /// by its count and places. Spaces and commas inside a value become underlines.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let below = |name: &str| {
+        if path.is_empty() { name.to_string() } else { format!("{path}.{name}") }
+    };
     match value {
         Value::Object(fields) => fields.iter().for_each(|(name, value)| flatten(&below(name), value, pairs)),
         Value::Array(values) if values.iter().any(Value::is_object) => {
@@ -156,7 +158,7 @@
     }
 }
 
-/// The protocol: no kill sooner than the longest expiry, 3 s at most, and 0.7 s more.
+/// The protocol: no kill sooner than the longest deadline, 3 s at most, and 0.7 s more.
 const LONGEST: Nanos = 3_000_000_000;
 const MORE: Nanos = 700_000_000;
 /// Of that, kept for deciding and writing the last answers.
@@ -164,7 +166,7 @@
 
 /// How long after the signal to stop all must be answered.
 pub fn stop_within(map: &Map) -> Nanos {
-    let expiry = |at: usize| pick::<Nanos>(map, &format!("class.{at}.deadline")).ok();
-    let longest = (0..).map_while(expiry).max().unwrap_or(LONGEST);
+    let deadline = |at: usize| pick::<Nanos>(map, &format!("class.{at}.deadline")).ok();
+    let longest = (0..).map_while(deadline).max().unwrap_or(LONGEST);
     longest.min(LONGEST) + MORE - SPARE
 }
--- a/crates/engine/src/given_tests.rs
+++ b/crates/engine/src/given_tests.rs
@@ -37,13 +37,13 @@
     assert!(read(GIVEN.replace(from, to).as_bytes()).is_err());
 }
 
-/// The kill comes the longest expiry, 3 s at most, and 0.7 s after the signal, and not sooner.
-#[test_case(&["1000000000"] => 1_400_000_000; "short expiries")]
+/// The kill comes the longest deadline, 3 s at most, and 0.7 s after the signal, and not sooner.
+#[test_case(&["1000000000"] => 1_400_000_000; "short deadlines")]
 #[test_case(&["1000000000", "2000000000"] => 2_400_000_000; "the longest counts")]
 #[test_case(&["20000000000"] => 3_400_000_000; "long ones")]
-fn a_stop_answers_before_the_kill(expiries: &[&str]) -> u64 {
-    let paths: Vec<String> = (0..expiries.len()).map(|at| format!("Schemes.{at}.ExpiryNs")).collect();
-    stop_within(&ours(paths.iter().map(String::as_str).zip(expiries.iter().copied())))
+fn a_stop_answers_before_the_kill(deadlines: &[&str]) -> u64 {
+    let paths: Vec<String> = (0..deadlines.len()).map(|at| format!("Schemes.{at}.ExpiryNs")).collect();
+    stop_within(&ours(paths.iter().map(String::as_str).zip(deadlines.iter().copied())))
 }
 
 const WHOLE: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ff","limits":{"memory_mb":192,"sockets":64},
@@ -58,7 +58,7 @@
 #[test_case("\"Peers\":true", "\"Peers\":\"often\"" => Err("setting peer_load.allowed cannot be read: \"often\"".into()); "a wrong form")]
 #[test_case("\"ColdFrom\":0.2", "\"ColdFrom\":-1" => Err("setting slow_start.from is out of range: -1".into()); "below nothing")]
 #[test_case("\"ColdFrom\":0.2,", "" => Err("setting slow_start.from is missing".into()); "left out")]
-#[test_case("\"ExpiryNs\":1,", "" => Err("setting class.0.deadline is missing".into()); "no expiry, by which a stop goes")]
+#[test_case("\"ExpiryNs\":1,", "" => Err("setting class.0.deadline is missing".into()); "no deadline, by which a stop goes")]
 #[test_case("\"pushed\"", "\"push\"" => Err("setting endpoints.mode cannot be read: \"push\"".into()); "a mode that is not known")]
 #[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses for 2 dispatchers".into()); "a peer too many")]
 #[test_case("7001\",\"peers", "7009\",\"peers" => Err("talk.listen 127.0.0.1:7009 is not the address of number 1 in talk.peers".into()); "another's address")]
--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -19,14 +19,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How much earlier than the client's own the expiry lies that the decisions know. Measured on one core each, a
+/// How much earlier than the client's own the deadline lies that the decisions know. Measured on one core each, a
 /// request's way in and its answer's way out took up to 0.6 and 0.4 ms (99 of 100); a core shared with a few others adds
 /// their turns, of 3 to 4 ms each.
 const MARGIN: Nanos = 20_000_000;
 /// How many ids of requests that were posted and are over are remembered: about 1 MB, and minutes of one dispatcher's
 /// traffic, longer than any client waits.
 const REMEMBERED: usize = 8192;
-/// How long after an expiry its answer must have been decided: the decisions look at held requests each 25 ms.
+/// How long after an deadline its answer must have been decided: the decisions look at held requests each 25 ms.
 const OWED_FOR: Nanos = 30_000_000;
 
 /// What the hub is told.
@@ -41,7 +41,7 @@
     Left(RequestId),
     Told {
         request_id: RequestId,
-        leg: u8,
+        attempt_index: u8,
         told: Told,
     },
     Probed(Probed),
@@ -64,11 +64,11 @@
     Stop(Nanos),
 }
 
-/// Where a posting goes, and what goes there.
+/// Where an attempt goes, and what goes there.
 #[derive(Debug)]
-pub struct Errand {
+pub struct OutboundAttempt {
     pub request_id: RequestId,
-    pub leg: u8,
+    pub attempt_index: u8,
     pub worker: WorkerId,
     pub dial: SocketAddr,
     pub id: String,
@@ -84,21 +84,21 @@
         request_id: RequestId,
         answer: Answer,
     },
-    Post(Errand),
+    SendAttempt(OutboundAttempt),
     /// Its client has left, or its worker takes nothing new: what was not written to its last byte yet is not sent.
-    CallOff {
+    CancelUnsent {
         request_id: RequestId,
-        leg: u8,
+        attempt_index: u8,
     },
-    /// The posting is given up: its connection closes.
-    Cut {
+    /// The attempt is given up: its connection closes.
+    Abort {
         request_id: RequestId,
-        leg: u8,
+        attempt_index: u8,
     },
-    /// The posting has ended; whoever carries it may still read what frees its connection.
-    Done {
+    /// The attempt has ended; whoever carries it may still read what frees its connection.
+    Finished {
         request_id: RequestId,
-        leg: u8,
+        attempt_index: u8,
     },
     Probe {
         worker: WorkerId,
@@ -107,7 +107,7 @@
         limit: Nanos,
     },
     /// Idle connections to the worker that do not lead here are not used again.
-    Void {
+    EvictIdle {
         worker: WorkerId,
         dial: Option<SocketAddr>,
     },
@@ -131,28 +131,32 @@
     Follow,
 }
 
-struct Held {
+struct ActiveRequest {
     request_id: RequestId,
     request: ClientRequest,
-    expiry: Nanos,
+    deadline: Nanos,
     /// Whether the final answer is still to come.
     owed: bool,
     /// The postings: the worker of each that is out.
-    legs: Vec<Option<WorkerId>>,
+    attempts: Vec<Option<WorkerId>>,
 }
 
-impl Held {
-    /// Calls off the postings that are out to such workers.
-    fn call_off(&self, to: impl Fn(&WorkerId) -> bool, out: &mut Vec<Effect>) {
-        let legs = self.legs.iter().enumerate().filter(|(_, worker)| worker.as_ref().is_some_and(&to));
-        out.extend(legs.map(|(leg, _)| Effect::CallOff { request_id: self.request_id, leg: leg as u8 }));
+impl ActiveRequest {
+    /// Calls off the attempts that are out to such workers.
+    fn cancel_unsent(&self, to: impl Fn(&WorkerId) -> bool, out: &mut Vec<Effect>) {
+        let attempts =
+            self.attempts.iter().enumerate().filter(|(_, worker)| worker.as_ref().is_some_and(&to));
+        out.extend(attempts.map(|(attempt_index, _)| Effect::CancelUnsent {
+            request_id: self.request_id,
+            attempt_index: attempt_index as u8,
+        }));
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Decisions(u64),
-    Expiry(RequestId),
+    Deadline(RequestId),
     Owed(RequestId),
 }
 
@@ -163,7 +167,7 @@
     /// Whether a list of workers is known.
     ready: bool,
     workers: Workers,
-    requests: Slab<Held>,
+    requests: Slab<ActiveRequest>,
     places: FxHashMap<RequestId, usize>,
     /// The ids of the requests in hand and of those over, the latter also in the order of their ends.
     ids: FxHashSet<Rc<str>>,
@@ -211,8 +215,8 @@
         self.ready
     }
 
-    /// Txns in hand: not answered, or with a posting out.
-    pub fn in_hand(&self) -> usize {
+    /// Txns in hand: not answered, or with an attempt out.
+    pub fn active_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -223,7 +227,7 @@
 
     fn arm(&mut self, at: Nanos, due: Due) {
         self.armed += 1;
-        if is(Fault::TimerLost) && matches!(due, Due::Expiry(_)) && self.armed.is_multiple_of(16) {
+        if is(Fault::TimerLost) && matches!(due, Due::Deadline(_)) && self.armed.is_multiple_of(16) {
             return;
         }
         self.timers.push(Reverse((at, self.armed, due)));
@@ -234,17 +238,19 @@
             Input::Arrived { request_id, at, request } => self.arrived(now, request_id, at, request, out),
             Input::Left(_) if is(Fault::LeftIgnored) => {}
             Input::Left(request_id) => {
-                if let Some(held) = self.held(request_id)
-                    && std::mem::take(&mut held.owed)
+                if let Some(active) = self.active(request_id)
+                    && std::mem::take(&mut active.owed)
                 {
                     // Guards against work that is begun for someone who has left while a connection was coming up.
-                    held.call_off(|_| true, out);
+                    active.cancel_unsent(|_| true, out);
                     self.counters.clients_left.add();
                     self.decide(now, Event::Lapsed { request_id }, out);
                     self.settle_up(request_id);
                 }
             }
-            Input::Told { request_id, leg, told } => self.told(now, request_id, leg, told, out),
+            Input::Told { request_id, attempt_index, told } => {
+                self.told(now, request_id, attempt_index, told, out)
+            }
             Input::Probed(probed) => self.decide(now, Event::Probed(probed), out),
             Input::Shared { from, share } => self.decide(now, Event::Shared { from, share }, out),
             Input::View(place) => self.decide(now, Event::View(place), out),
@@ -270,18 +276,20 @@
     fn list(&mut self, now: Nanos, scope: Scope, listing: Listing, out: &mut Vec<Effect>) {
         self.ready |= scope != Scope::Kept || !listing.hosts.is_empty();
         let (entries, void, clashing) = self.workers.take(now, listing);
-        // Guards against a posting that waits for its connection, and goes out over it after its worker was told to
+        // Guards against an attempt that waits for its connection, and goes out over it after its worker was told to
         // drain: it has not run, and is placed anew. One whose last bytes are on their way loses 2 ms of its time.
         let mut closed: FxHashSet<WorkerId> = void.iter().copied().collect();
         closed.extend(entries.iter().filter(|e| e.standing != Standing::Ready).map(|e| e.worker));
-        self.requests.iter().for_each(|(_, held)| held.call_off(|worker| closed.contains(worker), out));
+        self.requests
+            .iter()
+            .for_each(|(_, active)| active.cancel_unsent(|worker| closed.contains(worker), out));
         // Connections to a process that is no more are not used again.
-        out.extend(void.into_iter().map(|worker| Effect::Void { worker, dial: None }));
+        out.extend(void.into_iter().map(|worker| Effect::EvictIdle { worker, dial: None }));
         self.counters.hosts_clashing.more(clashing);
         self.decide(now, Event::List { scope, entries }, out);
     }
 
-    fn held(&mut self, request_id: RequestId) -> Option<&mut Held> {
+    fn active(&mut self, request_id: RequestId) -> Option<&mut ActiveRequest> {
         let place = *self.places.get(&request_id)?;
         self.requests.get_mut(place)
     }
@@ -301,48 +309,70 @@
         self.counters.requests.add();
         let margin = if is(Fault::LateAnswer) { 0 } else { MARGIN };
         let late = if is(Fault::LateAnswer) { 5 * MARGIN } else { 0 };
-        let expiry = (at + request.within + late).saturating_sub(margin);
-        let expiry = self.stop_by.map_or(expiry, |by| expiry.min(by));
+        let deadline = (at + request.within + late).saturating_sub(margin);
+        let deadline = self.stop_by.map_or(deadline, |by| deadline.min(by));
         let ClientRequest { class, tenant, hint, slots, memory, .. } = request;
         log::debug!("at={now} txn={request_id} arrived scheme={class} hint={}", hint.unwrap_or(0));
-        let place = self.requests.insert(Held { request_id, request, expiry, owed: true, legs: Vec::new() });
+        let place = self.requests.insert(ActiveRequest {
+            request_id,
+            request,
+            deadline,
+            owed: true,
+            attempts: Vec::new(),
+        });
         self.places.insert(request_id, place);
-        self.arm(expiry, Due::Expiry(request_id));
+        self.arm(deadline, Due::Deadline(request_id));
         self.decide(
             now,
-            Event::Arrived(Request { id: request_id, class, tenant, hint, slots, memory, expiry }),
+            Event::Arrived(Request { id: request_id, class, tenant, hint, slots, memory, deadline }),
             out,
         );
     }
 
-    fn is_out(&mut self, request_id: RequestId, leg: u8) -> bool {
-        self.held(request_id).is_some_and(|held| held.legs.get(usize::from(leg)).is_some_and(Option::is_some))
+    fn is_out(&mut self, request_id: RequestId, attempt_index: u8) -> bool {
+        self.active(request_id).is_some_and(|active| {
+            active.attempts.get(usize::from(attempt_index)).is_some_and(Option::is_some)
+        })
     }
 
-    fn told(&mut self, now: Nanos, request_id: RequestId, leg: u8, told: Told, out: &mut Vec<Effect>) {
-        // A posting that was ended here may have told something just before.
-        if !self.is_out(request_id, leg) {
+    fn told(
+        &mut self,
+        now: Nanos,
+        request_id: RequestId,
+        attempt_index: u8,
+        told: Told,
+        out: &mut Vec<Effect>,
+    ) {
+        // A attempt that was ended here may have told something just before.
+        if !self.is_out(request_id, attempt_index) {
             return;
         }
         match told {
             Told::Started => {
-                log::debug!("at={now} txn={request_id} leg={leg} started");
+                log::debug!("at={now} txn={request_id} leg={attempt_index} started");
                 self.counters.started.add();
-                self.decide(now, Event::Started { request_id, leg }, out);
+                self.decide(now, Event::Started { request_id, attempt_index }, out);
             }
             Told::Settled(result) => {
                 if !self.answer(request_id, Answer::Settled(result), out) {
                     self.counters.settled_late.add();
                 }
-                self.end(now, request_id, leg, Outcome::Settled, out);
+                self.end(now, request_id, attempt_index, Outcome::Settled, out);
             }
-            Told::Ended(outcome) => self.end(now, request_id, leg, outcome, out),
+            Told::Ended(outcome) => self.end(now, request_id, attempt_index, outcome, out),
         }
     }
 
-    /// A posting is over: the decisions are told.
-    fn end(&mut self, now: Nanos, request_id: RequestId, leg: u8, outcome: Outcome, out: &mut Vec<Effect>) {
-        log::debug!("at={now} txn={request_id} leg={leg} ended {outcome:?}");
+    /// A attempt is over: the decisions are told.
+    fn end(
+        &mut self,
+        now: Nanos,
+        request_id: RequestId,
+        attempt_index: u8,
+        outcome: Outcome,
+        out: &mut Vec<Effect>,
+    ) {
+        log::debug!("at={now} txn={request_id} leg={attempt_index} ended {outcome:?}");
         let unrun = is(Fault::BrokenIsUnrun) && outcome == Outcome::Broken;
         let outcome = if unrun { Outcome::NoConnection } else { outcome };
         let counters = &self.counters;
@@ -356,34 +386,38 @@
             Outcome::Broken | Outcome::Withdrawn => counters.ended_broken.add(),
             Outcome::Moot => counters.ended_moot.add(),
         }
-        let Some(held) = self.held(request_id) else { return };
-        let complete = !held.owed;
-        if held.legs.get_mut(usize::from(leg)).is_some_and(|worker| worker.take().is_some()) {
-            // At its end the connection is still read until it is free; at the expiry it goes with the posting.
+        let Some(active) = self.active(request_id) else {
+            return;
+        };
+        let complete = !active.owed;
+        if active.attempts.get_mut(usize::from(attempt_index)).is_some_and(|worker| worker.take().is_some()) {
+            // At its end the connection is still read until it is free; at the deadline it goes with the attempt.
             out.push(match outcome {
-                Outcome::TimeOut => Effect::Cut { request_id, leg },
-                _ => Effect::Done { request_id, leg },
+                Outcome::TimeOut => Effect::Abort { request_id, attempt_index },
+                _ => Effect::Finished { request_id, attempt_index },
             });
         }
         let report = Report::default();
-        self.decide(now, Event::Ended(Ended { request_id, leg, outcome, complete, report }), out);
+        self.decide(now, Event::Ended(Ended { request_id, attempt_index, outcome, complete, report }), out);
         self.settle_up(request_id);
     }
 
     /// Forgets a request that is answered and has nothing out.
     fn settle_up(&mut self, request_id: RequestId) {
-        let Some(place) = self.places.get(&request_id).copied() else { return };
-        let over = |held: &Held| !held.owed && held.legs.iter().all(Option::is_none);
-        if is(Fault::TxnKept) && self.requests.get(place).is_some_and(|held| held.legs.len() > 1) {
+        let Some(place) = self.places.get(&request_id).copied() else {
+            return;
+        };
+        let over = |active: &ActiveRequest| !active.owed && active.attempts.iter().all(Option::is_none);
+        if is(Fault::TxnKept) && self.requests.get(place).is_some_and(|active| active.attempts.len() > 1) {
             return;
         }
         if self.requests.get(place).is_some_and(over) {
             self.places.remove(&request_id);
-            let held = self.requests.remove(place);
-            if held.legs.is_empty() {
-                self.ids.remove(held.request.id.as_str());
+            let active = self.requests.remove(place);
+            if active.attempts.is_empty() {
+                self.ids.remove(active.request.id.as_str());
             } else {
-                self.over.extend(self.ids.get(held.request.id.as_str()).cloned());
+                self.over.extend(self.ids.get(active.request.id.as_str()).cloned());
             }
             if self.over.len() > REMEMBERED
                 && let Some(id) = self.over.pop_front()
@@ -395,7 +429,7 @@
 
     /// Gives the final answer, if it is still owed.
     fn answer(&mut self, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) -> bool {
-        let owed = self.held(request_id).is_some_and(|held| std::mem::take(&mut held.owed));
+        let owed = self.active(request_id).is_some_and(|active| std::mem::take(&mut active.owed));
         if owed {
             self.give(request_id, answer, out);
         }
@@ -419,13 +453,15 @@
         if self.next_due().is_none_or(|at| at > now) {
             return false;
         }
-        let Some(Reverse((_, _, due))) = self.timers.pop() else { return false };
+        let Some(Reverse((_, _, due))) = self.timers.pop() else {
+            return false;
+        };
         match due {
             Due::Decisions(token) => self.decide(now, Event::Due { token }, out),
-            Due::Expiry(request_id) => self.expired(now, request_id, out),
+            Due::Deadline(request_id) => self.deadline_reached(now, request_id, out),
             Due::Owed(request_id) => {
-                let owed = self.held(request_id).is_some_and(|held| held.owed);
-                must!(self.counters, !owed, "every request is answered at its expiry");
+                let owed = self.active(request_id).is_some_and(|active| active.owed);
+                must!(self.counters, !owed, "every request is answered at its deadline");
                 if owed {
                     self.answer(request_id, Answer::Reversed, out);
                     self.decide(now, Event::Lapsed { request_id }, out);
@@ -436,14 +472,16 @@
         true
     }
 
-    fn expired(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
-        let Some(held) = self.held(request_id) else { return };
-        if held.expiry > now {
+    fn deadline_reached(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
+        let Some(active) = self.active(request_id) else {
+            return;
+        };
+        if active.deadline > now {
             return;
         }
-        for leg in 0..held.legs.len() as u8 {
-            if self.is_out(request_id, leg) {
-                self.end(now, request_id, leg, Outcome::TimeOut, out);
+        for attempt_index in 0..active.attempts.len() as u8 {
+            if self.is_out(request_id, attempt_index) {
+                self.end(now, request_id, attempt_index, Outcome::TimeOut, out);
             }
         }
         self.arm(now + OWED_FOR, Due::Owed(request_id));
@@ -452,13 +490,13 @@
     fn stop(&mut self, now: Nanos, by: Nanos, out: &mut Vec<Effect>) {
         self.stop_by = Some(by);
         let mut brought = Vec::new();
-        for (_, held) in &mut self.requests {
-            if held.expiry > by {
-                held.expiry = by;
-                brought.push(held.request_id);
+        for (_, active) in &mut self.requests {
+            if active.deadline > by {
+                active.deadline = by;
+                brought.push(active.request_id);
             }
         }
-        brought.into_iter().for_each(|request_id| self.arm(by, Due::Expiry(request_id)));
+        brought.into_iter().for_each(|request_id| self.arm(by, Due::Deadline(request_id)));
         self.decide(now, Event::Closing { by }, out);
     }
 
@@ -501,25 +539,35 @@
         let known = self.workers.reach(worker).map(|(host, dial)| (host.to_string(), dial));
         let connect_within = self.connect_within;
         let counters = self.counters.clone();
-        let Some(held) = self.held(request_id) else { return };
-        let (leg, left) = (held.legs.len() as u8, held.expiry.saturating_sub(now));
-        let owed = held.owed && left > 0;
-        must!(counters, held.owed, "nothing is posted for a request that was answered");
+        let Some(active) = self.active(request_id) else {
+            return;
+        };
+        let (attempt_index, left) = (active.attempts.len() as u8, active.deadline.saturating_sub(now));
+        let owed = active.owed && left > 0;
+        must!(counters, active.owed, "nothing is posted for a request that was answered");
         let Some((host, dial)) = known.filter(|_| owed) else {
-            held.legs.push(None);
+            active.attempts.push(None);
             counters.ended_moot.add();
             let (outcome, report) = (Outcome::Moot, Report::default());
-            let ended = Ended { request_id, leg, outcome, complete: !owed, report };
+            let ended = Ended { request_id, attempt_index, outcome, complete: !owed, report };
             return self.events.push_back(Event::Ended(ended));
         };
         counters.postings.add();
-        log::debug!("at={now} txn={request_id} leg={leg} posted host={host}");
-        let message = worker::posting(&host, &held.request, left);
-        let id = held.request.id.clone();
+        log::debug!("at={now} txn={request_id} leg={attempt_index} posted host={host}");
+        let message = worker::posting(&host, &active.request, left);
+        let id = active.request.id.clone();
         // Half of what is left at most, so that another worker can still be tried after a vanished one.
         let connect_within = connect_within.min(left / 2);
-        held.legs.push(Some(worker));
-        out.push(Effect::Post(Errand { request_id, leg, worker, dial, id, message, connect_within }));
+        active.attempts.push(Some(worker));
+        out.push(Effect::SendAttempt(OutboundAttempt {
+            request_id,
+            attempt_index,
+            worker,
+            dial,
+            id,
+            message,
+            connect_within,
+        }));
     }
 
     fn probe(&mut self, worker: WorkerId, out: &mut Vec<Effect>) {
--- a/crates/engine/src/hub_tests.rs
+++ b/crates/engine/src/hub_tests.rs
@@ -73,10 +73,12 @@
             Answer::Reversed => format!("reversed {request_id}"),
             Answer::Known => format!("known {request_id}"),
         },
-        Effect::Post(errand) => format!("post {} {}", errand.request_id, errand.leg),
-        Effect::CallOff { request_id, leg } => format!("off {request_id} {leg}"),
-        Effect::Cut { request_id, leg } => format!("cut {request_id} {leg}"),
-        Effect::Done { request_id, leg } => format!("done {request_id} {leg}"),
+        Effect::SendAttempt(attempt) => {
+            format!("post {} {}", attempt.request_id, attempt.attempt_index)
+        }
+        Effect::CancelUnsent { request_id, attempt_index } => format!("off {request_id} {attempt_index}"),
+        Effect::Abort { request_id, attempt_index } => format!("cut {request_id} {attempt_index}"),
+        Effect::Finished { request_id, attempt_index } => format!("done {request_id} {attempt_index}"),
         _ => "other".to_string(),
     };
     effects.drain(..).map(word).collect()
@@ -96,8 +98,15 @@
         (vec!["post 1 0".into()], vec!["known 2".into()])
     );
     let mut out = Vec::new();
-    one.take(9 * MS, Input::Told { request_id: 1, leg: 0, told: Told::Settled(Vec::new()) }, &mut out);
-    assert_eq!((words(&mut out), one.in_hand()), (vec!["settled 1".to_string(), "done 1 0".into()], 0));
+    one.take(
+        9 * MS,
+        Input::Told { request_id: 1, attempt_index: 0, told: Told::Settled(Vec::new()) },
+        &mut out,
+    );
+    assert_eq!(
+        (words(&mut out), one.active_requests()),
+        (vec!["settled 1".to_string(), "done 1 0".into()], 0)
+    );
     assert_eq!(arrive(&mut one, 3, "a"), ["known 3"]);
 }
 
@@ -108,7 +117,7 @@
 fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
     let (mut hub, mut out) = (hub(effect, Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
-    hub.take(5 * MS, Input::Told { request_id: 1, leg: 0, told: Told::Ended(outcome) }, &mut out);
+    hub.take(5 * MS, Input::Told { request_id: 1, attempt_index: 0, told: Told::Ended(outcome) }, &mut out);
     let known = ["done 1 0", "reversed 1", "post 1 1", "declined 1"];
     words(&mut out)
         .iter()
@@ -122,12 +131,16 @@
     arrive(&mut hub, 1, "a");
     hub.take(5 * MS, Input::Left(1), &mut out);
     assert_eq!(words(&mut out), ["off 1 0"]);
-    hub.take(6 * MS, Input::Told { request_id: 1, leg: 0, told: Told::Settled(Vec::new()) }, &mut out);
-    assert_eq!((words(&mut out), hub.in_hand()), (vec!["done 1 0".to_string()], 0));
+    hub.take(
+        6 * MS,
+        Input::Told { request_id: 1, attempt_index: 0, told: Told::Settled(Vec::new()) },
+        &mut out,
+    );
+    assert_eq!((words(&mut out), hub.active_requests()), (vec!["done 1 0".to_string()], 0));
 }
 
 #[test]
-fn at_its_expiry_a_posting_is_cut_and_the_request_answered_before_its_client_gives_up() {
+fn at_its_deadline_an_attempt_is_cut_and_the_request_answered_before_its_client_gives_up() {
     let (mut hub, mut out) = (hub("non-idempotent", Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
     let mut at = 0;
@@ -149,7 +162,10 @@
     while hub.next_due().is_some_and(|due| due <= 100 * MS) {
         hub.due(100 * MS, &mut out);
     }
-    assert_eq!((words(&mut out), hub.in_hand()), (vec!["cut 1 0".to_string(), "reversed 1".into()], 0));
+    assert_eq!(
+        (words(&mut out), hub.active_requests()),
+        (vec!["cut 1 0".to_string(), "reversed 1".into()], 0)
+    );
 }
 
 #[test_case(None; "no worker is known")]
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -5,7 +5,7 @@
 
 /// What the pool asks of a connection.
 pub trait Idle {
-    /// Whether it is open and silent. Guards against a posting on a connection that the worker has closed,
+    /// Whether it is open and silent. Guards against an attempt on a connection that the worker has closed,
     /// or on which an answer to an earlier one still comes.
     fn sound(&self) -> bool;
 }
@@ -19,7 +19,7 @@
 /// The connections to one worker, the one used last at the end.
 struct Line<C> {
     kept: Vec<Kept<C>>,
-    /// How many postings were to wait for a rest, since a moment.
+    /// How many attempts were to wait for a rest, since a moment.
     waits: (u32, Nanos),
 }
 
@@ -37,12 +37,12 @@
 /// a day if it was chance.
 const REMEMBERED: Nanos = 30_000_000_000;
 
-/// So long after an answer nothing is posted whole over its connection: a second answer to the same posting comes some
+/// So long after an answer nothing is posted whole over its connection: a second answer to the same attempt comes some
 /// milliseconds late if it comes. Guards against one that is taken for the next request's: as what never ran, it would have
 /// that posted twice.
 pub const REST: Nanos = 10_000_000;
-/// So many postings a second to one worker wait for that, up to a quarter of the time; then one more connection to it is opened,
-/// until there are enough that each rests. Guards against a wait for each posting at a busy dispatcher, and against several
+/// So many attempts a second to one worker wait for that, up to a quarter of the time; then one more connection to it is opened,
+/// until there are enough that each rests. Guards against a wait for each attempt at a busy dispatcher, and against several
 /// connections for who posts one by one.
 const WAITS: u32 = 25;
 const WAITS_WITHIN: Nanos = 1_000_000_000;
@@ -51,7 +51,7 @@
 
 impl<C: Idle> Pool<C> {
     /// The worker closes what was idle for `limit`. Three fifths leave seconds for clocks and for the
-    /// posting that is being written.
+    /// attempt that is being written.
     pub fn new(limit: Nanos) -> Self {
         let (idle, reaps) = (BTreeMap::new(), VecDeque::new());
         Pool { idle, keep: limit / 5 * 3, broke: Nanos::MAX, broke_at: 0, reaps }
@@ -77,7 +77,9 @@
     /// that have rested the one used last; else the one that has rested longest, unless too many waited so of late.
     pub fn take(&mut self, now: Nanos, worker: WorkerId) -> (Option<(C, Nanos)>, usize) {
         let (mut stale, keep) = (0, self.keep(now));
-        let Some(Line { kept, waits }) = self.idle.get_mut(&worker) else { return (None, 0) };
+        let Some(Line { kept, waits }) = self.idle.get_mut(&worker) else {
+            return (None, 0);
+        };
         let mut sound = |Kept { conn, since, .. }: Kept<C>| {
             let sound = now < since + keep && conn.sound();
             stale += usize::from(!sound);
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -44,8 +44,8 @@
 fn descriptors_are_given_back_and_leave_room_for_postings() {
     let budget = Rc::new(Budget::new(32 + 10, 192));
     let clients: Vec<_> = std::iter::from_fn(|| budget.client()).collect();
-    let postings: Vec<_> = std::iter::from_fn(|| budget.worker()).collect();
-    assert_eq!((clients.len(), postings.len(), budget.clients()), (6, 4, 6));
+    let attempts: Vec<_> = std::iter::from_fn(|| budget.worker()).collect();
+    assert_eq!((clients.len(), attempts.len(), budget.clients()), (6, 4, 6));
     drop(clients);
     assert!(budget.client().is_some() && budget.worker().is_some());
     assert_eq!(budget.clients(), 0);
@@ -159,8 +159,8 @@
     pool.take(now, id("a")).0.map(|(_, since)| (now - since) / MS)
 }
 
-/// Guards against a wait before each posting of a busy dispatcher, and against a connection more for one that posts twice now
-/// and then. Each posting comes 1 ms after the last answer, and the next so much later.
+/// Guards against a wait before each attempt of a busy dispatcher, and against a connection more for one that posts twice now
+/// and then. Each attempt comes 1 ms after the last answer, and the next so much later.
 #[test_case(1, 25 => true; "a few wait")]
 #[test_case(1, 26 => false; "with one more another connection is opened")]
 #[test_case(45, 60 => true; "one now and then waits")]
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -162,8 +162,8 @@
             let now = self.now;
             add_numbers(&mut self.digest, &[now]);
             self.record(&effect);
-            if let Effect::Post(errand) = effect {
-                self.work(errand.request_id, errand.leg, errand.worker, errand.id);
+            if let Effect::SendAttempt(attempt) = effect {
+                self.work(attempt.request_id, attempt.attempt_index, attempt.worker, attempt.id);
             }
         }
         if let Some(due) = self.hub.next_due() {
@@ -179,27 +179,27 @@
                 add_numbers(digest, &[1, u64::from(*request_id)]);
                 add_bytes(digest, &answer(given, keeps_open));
             }
-            Effect::Post(errand) => {
-                let (attempt, port) = (u64::from(errand.leg), u64::from(errand.dial.port()));
+            Effect::SendAttempt(attempt) => {
+                let (index, port) = (u64::from(attempt.attempt_index), u64::from(attempt.dial.port()));
                 add_numbers(
                     digest,
-                    &[2, u64::from(errand.request_id), attempt, worker_number(&errand.worker), port],
+                    &[2, u64::from(attempt.request_id), index, worker_number(&attempt.worker), port],
                 );
-                add_numbers(digest, &[errand.connect_within]);
-                add_bytes(digest, errand.id.as_bytes());
-                add_bytes(digest, &errand.message);
+                add_numbers(digest, &[attempt.connect_within]);
+                add_bytes(digest, attempt.id.as_bytes());
+                add_bytes(digest, &attempt.message);
             }
-            Effect::CallOff { request_id, leg } => {
-                add_numbers(digest, &[3, u64::from(*request_id), u64::from(*leg)])
+            Effect::CancelUnsent { request_id, attempt_index } => {
+                add_numbers(digest, &[3, u64::from(*request_id), u64::from(*attempt_index)])
             }
-            Effect::Cut { request_id, leg } => {
-                add_numbers(digest, &[4, u64::from(*request_id), u64::from(*leg)])
+            Effect::Abort { request_id, attempt_index } => {
+                add_numbers(digest, &[4, u64::from(*request_id), u64::from(*attempt_index)])
             }
-            Effect::Done { request_id, leg } => {
-                add_numbers(digest, &[5, u64::from(*request_id), u64::from(*leg)])
+            Effect::Finished { request_id, attempt_index } => {
+                add_numbers(digest, &[5, u64::from(*request_id), u64::from(*attempt_index)])
             }
             Effect::Probe { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
-            Effect::Void { worker, dial } => {
+            Effect::EvictIdle { worker, dial } => {
                 let port = dial.map_or(0, |dial| u64::from(dial.port()));
                 add_numbers(digest, &[7, worker_number(worker), port]);
             }
@@ -262,7 +262,9 @@
     }
 
     fn answer(&mut self, request: RequestId, attempt: u8, bytes: &[u8], closes: bool) {
-        let Some(mut reply) = self.replies.remove(&(request, attempt)) else { return };
+        let Some(mut reply) = self.replies.remove(&(request, attempt)) else {
+            return;
+        };
         let piece = 1 + self.below(40) as usize;
         let mut told = Vec::new();
         for piece in bytes.chunks(piece) {
@@ -281,7 +283,7 @@
                 Told::Settled(result) => add_bytes(&mut self.digest, result),
                 Told::Ended(outcome) => add_numbers(&mut self.digest, &[22, outcome_number(*outcome)]),
             }
-            self.take(Input::Told { request_id: request, leg: attempt, told });
+            self.take(Input::Told { request_id: request, attempt_index: attempt, told });
         }
     }
 
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -71,7 +71,11 @@
 /// A plain decimal: digits, and perhaps a point.
 fn decimal(text: &str) -> Option<f64> {
     let plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    let number = if plain { text.parse::<f64>().ok()? } else { return None };
+    let number = if plain {
+        text.parse::<f64>().ok()?
+    } else {
+        return None;
+    };
     // A day and more, or as many slots, is no figure of a request.
     (number < 86_400e6).then_some(number)
 }
@@ -116,7 +120,9 @@
         let mut asks = false;
         if self.open.is_none() {
             self.inlet.skip_empty_lines();
-            let Some(end) = self.inlet.head()? else { return Ok(None) };
+            let Some(end) = self.inlet.head()? else {
+                return Ok(None);
+            };
             match head(&self.inlet.bytes[..end], names)? {
                 Head::Answer(heard) => {
                     self.inlet.drop_front(end);
@@ -129,7 +135,9 @@
                 }
             }
         }
-        let Some((request, body)) = &mut self.open else { return Ok(None) };
+        let Some((request, body)) = &mut self.open else {
+            return Ok(None);
+        };
         if body.advance(&mut self.inlet, &mut request.body, BODY_LIMIT)? {
             return Ok(self.open.take().map(|(request, _)| Heard::Request(request)));
         }
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -46,7 +46,9 @@
         &mut self,
         read: impl FnOnce(u16, bool, &[Header]) -> Result<T, Fault>,
     ) -> Result<Option<T>, Fault> {
-        let Some(end) = self.head()? else { return Ok(None) };
+        let Some(end) = self.head()? else {
+            return Ok(None);
+        };
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
         let status = match parsed.parse(&self.bytes[..end]) {
@@ -238,7 +240,9 @@
             let read = |status, keeps, headers: &[Header]| Ok((status, keeps, Body::new(headers, true)?));
             self.open = self.inlet.answer(read)?;
         }
-        let Some((_, keeps, body)) = &mut self.open else { return Ok(None) };
+        let Some((_, keeps, body)) = &mut self.open else {
+            return Ok(None);
+        };
         if !body.advance(&mut self.inlet, &mut self.text, limit)? {
             return Ok(None);
         }
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_posting_carries_what_must_go_on() {
+fn an_attempt_carries_what_must_go_on() {
     let (target, id, body) = ("/api?q".into(), "9b1f".into(), b"body".to_vec());
     let request = ClientRequest { target, id, body, ..ClientRequest::default() };
     let text = String::from_utf8(posting("w", &request, 1_250_000_000)).unwrap();
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,10 +1,10 @@
-//! The worker side: postings out, what comes back in. One `Reply` a posting.
+//! The worker side: attempts out, what comes back in. One `Reply` an attempt.
 use crate::client::ClientRequest;
 use crate::http::{self, BODY_LIMIT, Body, Inlet, Whole};
 use rosewall::types::{Nanos, Outcome, Report};
 use serde::Deserialize;
 
-/// What a worker tells of a posting.
+/// What a worker tells of an attempt.
 #[derive(Debug, PartialEq)]
 pub enum Told {
     Started,
@@ -13,7 +13,7 @@
     Ended(Outcome),
 }
 
-/// A posting's bytes, in one piece. The reference goes on as it came. Guards against workers that cannot tell a repeat of
+/// A attempt's bytes, in one piece. The reference goes on as it came. Guards against workers that cannot tell a repeat of
 /// a referenced request from another one.
 pub fn posting(host: &str, request: &ClientRequest, within: Nanos) -> Vec<u8> {
     let ClientRequest { target, id, reference, body, .. } = request;
@@ -52,7 +52,7 @@
     Tell(Told),
 }
 
-/// Reads the answer to one posting, however its bytes are cut.
+/// Reads the answer to one attempt, however its bytes are cut.
 pub struct Reply {
     id: String,
     inlet: Inlet,
@@ -83,7 +83,7 @@
         self.broken || self.body.as_ref().is_some_and(Body::done)
     }
 
-    /// Whether the next posting may go over the same connection.
+    /// Whether the next attempt may go over the same connection.
     pub fn reusable(&self) -> bool {
         !self.broken && self.finished() && self.keeps && self.inlet.bytes.is_empty()
     }
@@ -112,7 +112,7 @@
         None
     }
 
-    /// What the end of the connection tells, if the end of the posting was not told before.
+    /// What the end of the connection tells, if the end of the attempt was not told before.
     pub fn closed(&mut self) -> Option<Told> {
         let ended = std::mem::replace(&mut self.ended, true);
         self.broken = true;
@@ -125,7 +125,9 @@
         if self.fed > ANSWER_LIMIT {
             return None;
         }
-        let Some(body) = &mut self.body else { return self.head() };
+        let Some(body) = &mut self.body else {
+            return self.head();
+        };
         let done = body.advance(&mut self.inlet, &mut self.lines, BODY_LIMIT).ok()?;
         if !self.streams {
             self.lines.clear();
@@ -209,7 +211,9 @@
     };
     let mut report = Report::default();
     for (place, field) in report.values.iter_mut().zip(fields) {
-        let Some(value) = value(field).filter(|value| value.is_finite()) else { return Report::default() };
+        let Some(value) = value(field).filter(|value| value.is_finite()) else {
+            return Report::default();
+        };
         (*place, report.count) = (value, report.count + 1);
     }
     report
--- a/crates/rosewalld/src/ground.rs
+++ b/crates/rosewalld/src/ground.rs
@@ -68,8 +68,12 @@
 impl Mail for Datagrams {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let socket = self.socket.get_ref();
-        let Some(relay) = self.through else { return socket.send_to(bytes, to).map(drop) };
-        let IpAddr::V4(ip) = to.ip() else { return Err(ErrorKind::Unsupported.into()) };
+        let Some(relay) = self.through else {
+            return socket.send_to(bytes, to).map(drop);
+        };
+        let IpAddr::V4(ip) = to.ip() else {
+            return Err(ErrorKind::Unsupported.into());
+        };
         let mut whole = Vec::with_capacity(PREFIX + bytes.len());
         whole.extend(ip.octets());
         whole.extend(to.port().to_be_bytes());
--- a/crates/rosewalld/tests/mixed/mod.rs
+++ b/crates/rosewalld/tests/mixed/mod.rs
@@ -88,7 +88,9 @@
         settings["Contract"]["FallMultiple"] = [MULTIPLE, multiple][me % 2].into();
         if me % 2 == 1 {
             settings["Bounds"]["Peers"] = true.into();
-            let address = |at: usize| if lost && at != me { free() } else { peers[at].clone() };
+            let address = |at: usize| {
+                if lost && at != me { free() } else { peers[at].clone() }
+            };
             let peers: Vec<String> = (0..4).map(address).collect();
             given["talk"] = serde_json::json!({"listen": peers[me], "peers": peers});
         }
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// A first request must be whole within this time of its connection, a later one of its first byte: it spans two lost
-/// packets, and is short beside expiries, so that a crowd that trickles or says nothing is soon gone.
+/// packets, and is short beside deadlines, so that a crowd that trickles or says nothing is soon gone.
 const REQUEST_WITHIN: Duration = Duration::from_secs(2);
 /// A silent connection that has asked before is closed after this time; it costs a client one new connection.
 const IDLE_WITHIN: Duration = Duration::from_secs(60);
@@ -27,7 +27,7 @@
 /// One who was turned away is read for less: those kept waiting by it may have no time left.
 const PART_AWAY: Duration = Duration::from_millis(50);
 /// How long someone at the door waits for room before being told that there is none: a few short requests' time, and short
-/// beside expiries.
+/// beside deadlines.
 const ROOM_WITHIN: Duration = Duration::from_millis(50);
 /// One who has asked waits so long for the place of one who has not: those may keep it no longer.
 const ASKER_WITHIN: Duration = Duration::from_millis(100);
@@ -198,7 +198,7 @@
                     return self.part().await;
                 }
                 Heard::Request(request) => {
-                    // What was there at once had been sent before. Guards against an expiry that counts from when a
+                    // What was there at once had been sent before. Guards against an deadline that counts from when a
                     // full door let its client in, later than the client's own.
                     let (accepted, waited) = self.door;
                     let sent = first && self.now() <= accepted + nanos(PAUSE);
--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -77,7 +77,9 @@
             None
         };
         let moved = async { moves.recv().await.ok() };
-        let Some(mut to) = stays.or(moved).await else { return };
+        let Some(mut to) = stays.or(moved).await else {
+            return;
+        };
         // Until the new one has told its first list the old one goes on. Guards against changes that no one hears
         // while the configuration names an agent that does not answer yet.
         old = loop {
--- a/crates/runtime/src/hub.rs
+++ b/crates/runtime/src/hub.rs
@@ -13,7 +13,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A posting that is out; dropping it closes its connection.
+/// A attempt that is out; dropping it closes its connection.
 struct Out {
     task: Task<()>,
     /// Whether it was called off.
@@ -88,7 +88,7 @@
                 self.replies.remove(&request_id);
                 Input::Left(request_id)
             }
-            News::Told { request_id, leg, told } => Input::Told { request_id, leg, told },
+            News::Told { request_id, attempt_index, told } => Input::Told { request_id, attempt_index, told },
             News::Spare { worker, conn } => {
                 // One that leads elsewhere by now is of no use.
                 if self.hub.dial(worker) == Some(conn.dial) {
@@ -113,7 +113,7 @@
         effects.drain(..).for_each(|effect| self.act(effect));
         self.effects = effects;
         self.shared.ready.set(self.hub.ready());
-        self.shared.in_hand.set(self.hub.in_hand());
+        self.shared.active_requests.set(self.hub.active_requests());
     }
 
     fn act(&mut self, effect: Effect) {
@@ -124,33 +124,35 @@
                     let _ = reply.try_send(answer);
                 }
             }
-            Effect::Post(errand) => {
-                let ready = shared.pooled(errand.worker);
+            Effect::SendAttempt(attempt) => {
+                let ready = shared.pooled(attempt.worker);
                 if ready.is_some() {
                     shared.counters.posted_again.add()
                 } else {
                     shared.counters.posted_new.add()
                 }
-                let place = (errand.request_id, errand.leg);
+                let place = (attempt.request_id, attempt.attempt_index);
                 let off = Rc::new(Cell::new(false));
-                let task = shared.ground.spawn(worker::post(shared.clone(), errand, ready, off.clone()));
+                let task = shared.ground.spawn(worker::post(shared.clone(), attempt, ready, off.clone()));
                 self.out.insert(place, Out { task, off });
             }
-            Effect::CallOff { request_id, leg } => {
-                if let Some(out) = self.out.get(&(request_id, leg)) {
+            Effect::CancelUnsent { request_id, attempt_index } => {
+                if let Some(out) = self.out.get(&(request_id, attempt_index)) {
                     out.off.set(true);
                 }
             }
-            Effect::Cut { request_id, leg } => drop(self.out.remove(&(request_id, leg))),
-            Effect::Done { request_id, leg } => {
-                if let Some(out) = self.out.remove(&(request_id, leg)) {
+            Effect::Abort { request_id, attempt_index } => {
+                drop(self.out.remove(&(request_id, attempt_index)))
+            }
+            Effect::Finished { request_id, attempt_index } => {
+                if let Some(out) = self.out.remove(&(request_id, attempt_index)) {
                     out.task.detach();
                 }
             }
             Effect::Probe { worker, dial, host, limit } => {
                 shared.ground.spawn(worker::sound(shared.clone(), worker, dial, host, limit)).detach();
             }
-            Effect::Void { worker, dial } => shared.pool.borrow_mut().drop_worker(worker, dial),
+            Effect::EvictIdle { worker, dial } => shared.pool.borrow_mut().drop_worker(worker, dial),
             Effect::Tell { to, share } => {
                 let now = shared.ground.now();
                 match (&shared.members, &shared.talk) {
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -99,7 +99,7 @@
             pool: RefCell::new(Pool::new(idle)),
             ready: Cell::new(false),
             stopping: Cell::new(false),
-            in_hand: Cell::new(0),
+            active_requests: Cell::new(0),
             serial: Cell::new(0),
             bad_told: Cell::new(0),
             news: tell,
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -39,7 +39,7 @@
     Left(RequestId),
     Told {
         request_id: RequestId,
-        leg: u8,
+        attempt_index: u8,
         told: Told,
     },
     Spare {
@@ -75,7 +75,7 @@
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
     /// Txns in the hub's hands.
-    pub in_hand: Cell<usize>,
+    pub active_requests: Cell<usize>,
     pub serial: Cell<RequestId>,
     /// When the log last spoke of a request that was turned down.
     pub bad_told: Cell<Nanos>,
--- a/crates/runtime/src/talk.rs
+++ b/crates/runtime/src/talk.rs
@@ -26,7 +26,9 @@
 
     /// To one peer. What cannot be sent is lost, as any datagram may be.
     pub fn tell(&self, now: Nanos, counters: &Counters, to: u16, share: &Share) {
-        let Some(peer) = self.peers.get(usize::from(to)) else { return counters.told_lost.add() };
+        let Some(peer) = self.peers.get(usize::from(to)) else {
+            return counters.told_lost.add();
+        };
         let allowed = self.out.borrow_mut().allows(now);
         if allowed && self.mail.send(&datagram(self.me, share), *peer).is_ok() {
             counters.told.add();
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -1,11 +1,11 @@
-//! Reads and writes for the worker side: one task a posting, one a probe.
+//! Reads and writes for the worker side: one task an attempt, one a probe.
 use crate::ground::{Ground, Look, Stream, nanos, pause, within};
 use crate::shared::{Conn, News, Shared};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::{Nanos, Outcome, Probed, Report, WorkerId};
 use rosewall_engine::budget::Slot;
-use rosewall_engine::hub::Errand;
+use rosewall_engine::hub::OutboundAttempt;
 use rosewall_engine::pool::REST;
 use rosewall_protocol::worker::{Reply, Sounding, Told, probe};
 use std::cell::Cell;
@@ -72,7 +72,9 @@
     off: &Cell<bool>,
     kept: Option<Nanos>,
 ) -> bool {
-    let Some((last, most)) = message.split_last() else { return false };
+    let Some((last, most)) = message.split_last() else {
+        return false;
+    };
     if conn.stream.write_all(most).await.is_err() {
         return false;
     }
@@ -90,7 +92,7 @@
     !off.get() && conn.stream.write_all(&[*last]).await.is_ok()
 }
 
-/// Sends a posting over the kept connection, or over a new one where there is none or that one is dead; gives since when
+/// Sends an attempt over the kept connection, or over a new one where there is none or that one is dead; gives since when
 /// a kept one was idle. What could not be written whole never ran, and from there on nothing is sent again here.
 async fn sent<G: Ground>(
     shared: &Shared<G>,
@@ -108,7 +110,9 @@
         match within(ground, limit, writing).await {
             Ok(true) => return Ok((conn, Some(since))),
             Ok(false) => {}
-            Err(_) => return Err(if off.get() { Outcome::Moot } else { Outcome::NoConnection }),
+            Err(_) => {
+                return Err(if off.get() { Outcome::Moot } else { Outcome::NoConnection });
+            }
         }
         if off.get() {
             return Err(Outcome::Moot);
@@ -127,16 +131,16 @@
     Err(if off.get() { Outcome::Moot } else { Outcome::NoConnection })
 }
 
-/// Carries one posting, unless it is called off before its last byte; what it ended in is told once.
+/// Carries one attempt, unless it is called off before its last byte; what it ended in is told once.
 pub async fn post<G: Ground>(
     shared: Rc<Shared<G>>,
-    errand: Errand,
+    attempt: OutboundAttempt,
     ready: Option<(Conn<G::Stream>, Nanos)>,
     off: Rc<Cell<bool>>,
 ) {
-    let Errand { request_id, leg, worker, dial, id, message, connect_within } = errand;
+    let OutboundAttempt { request_id, attempt_index, worker, dial, id, message, connect_within } = attempt;
     let connect_within = Duration::from_nanos(connect_within);
-    let tell = |told| shared.tell(News::Told { request_id, leg, told });
+    let tell = |told| shared.tell(News::Told { request_id, attempt_index, told });
     let (mut conn, kept) = match sent(&shared, ready, dial, connect_within, &message, &off).await {
         Ok(sent) => sent,
         Err(outcome) => return tell(Told::Ended(outcome)),
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -582,7 +582,7 @@
                 ("connections", core.net.borrow().machines[place.machine].open, REST_OPEN),
                 ("tasks", place.tasks.get(), REST_TASKS),
                 ("timers", core.timers(place.machine), REST_TIMERS),
-                ("txns", shared.in_hand.get(), 0),
+                ("txns", shared.active_requests.get(), 0),
                 ("counted descriptors", shared.budget.used(), 0),
             ];
             for (what, count, most) in holds {
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -86,10 +86,10 @@
 
 fn request(f: &mut Fields<'_>) -> Result<Request, Fault> {
     let (id, hint, class, _entity) = (f.u32()?, f.u64()?, f.u8()?, f.u64()?);
-    let (tenant, expiry, bits, slots) = (f.u16()?, f.u64()?, f.u16()?, f.f32()?);
+    let (tenant, deadline, bits, slots) = (f.u16()?, f.u64()?, f.u16()?, f.f32()?);
     let memory = if f.is_empty() { 0.0 } else { f.f32()? };
     let hint = (bits & VALID_HINT != 0 && hint > 0).then_some(hint);
-    Ok(Request { id, class, tenant, hint, slots, memory, expiry })
+    Ok(Request { id, class, tenant, hint, slots, memory, deadline })
 }
 
 fn outcome(code: u16) -> Result<Outcome, Fault> {
@@ -121,12 +121,12 @@
 }
 
 fn ended(f: &mut Fields<'_>) -> Result<Event, Fault> {
-    let (request_id, leg, _worker) = (f.u32()?, f.u8()?, f.address()?);
+    let (request_id, attempt_index, _worker) = (f.u32()?, f.u8()?, f.address()?);
     let (outcome, _latency, complete) = (outcome(f.u16()?)?, f.u64()?, f.u8()? != 0);
     if !f.is_empty() {
         let _note = f.u8()?;
     }
-    Ok(Event::Ended(Ended { request_id, leg, outcome, complete, report: report(f)? }))
+    Ok(Event::Ended(Ended { request_id, attempt_index, outcome, complete, report: report(f)? }))
 }
 
 fn probed(f: &mut Fields<'_>) -> Result<Event, Fault> {
@@ -149,8 +149,8 @@
 
 /// News of a posting; that it has started is all that is used.
 fn note(f: &mut Fields<'_>) -> Result<Option<Event>, Fault> {
-    let (request_id, _worker, leg, _share) = (f.u32()?, f.address()?, f.u8()?, f.f32()?);
-    Ok((f.u8()? == 1).then_some(Event::Started { request_id, leg }))
+    let (request_id, _worker, attempt_index, _share) = (f.u32()?, f.address()?, f.u8()?, f.f32()?);
+    Ok((f.u8()? == 1).then_some(Event::Started { request_id, attempt_index }))
 }
 
 pub fn switch(instance: u32, reply: &mut Reply) {
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -64,16 +64,16 @@
         let place = |lane: usize| (lane * n + self.me * m % n) / m;
         let sound = |place: usize| !self.workers[all[place]].refuses(now);
         let warm = |place: usize| self.warmth(&self.workers[all[place]], now) >= 1.0;
-        let mut hand: Vec<usize> = (0..m).map(place).collect();
+        let mut active: Vec<usize> = (0..m).map(place).collect();
         for lane in 0..m {
-            if !sound(hand[lane]) {
-                let mut others = (1..n).map(|step| (hand[lane] + step) % n);
-                let other = others.find(|place| sound(*place) && warm(*place) && !hand.contains(place));
-                hand[lane] = other.unwrap_or(hand[lane]);
+            if !sound(active[lane]) {
+                let mut others = (1..n).map(|step| (active[lane] + step) % n);
+                let other = others.find(|place| sound(*place) && warm(*place) && !active.contains(place));
+                active[lane] = other.unwrap_or(active[lane]);
             }
         }
-        hand.sort_unstable();
-        hand.into_iter().map(|place| all[place]).collect()
+        active.sort_unstable();
+        active.into_iter().map(|place| all[place]).collect()
     }
 
     /// The other dispatchers that keep to the worker at a place.
@@ -116,14 +116,15 @@
     /// comes, as all are given or no one answers, it goes on as if there were none. Guards against rights that come when
     /// their request has gone elsewhere, which were half of all.
     pub(crate) fn awaits_right(&mut self, now: Nanos, key: usize, acts: &mut Vec<Action>) -> bool {
-        let hand = &mut self.requests[key];
-        let Some(at) = self.lacking.filter(|_| self.rights && self.met && !hand.asked && hand.posted == 0)
+        let active = &mut self.requests[key];
+        let Some(at) =
+            self.lacking.filter(|_| self.rights && self.met && !active.asked && active.attempts_sent == 0)
         else {
             return false;
         };
-        hand.asked = true;
-        acts.push(Action::Want { worker: self.workers[at].id, work: hand.most as Nanos });
-        acts.push(Action::Timer { at: now + ANSWER, token: token(hand.request.id, 0) });
+        active.asked = true;
+        acts.push(Action::Want { worker: self.workers[at].id, work: active.most as Nanos });
+        acts.push(Action::Timer { at: now + ANSWER, token: token(active.request.id, 0) });
         true
     }
 
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -35,12 +35,12 @@
 
 /// The workers that each of so many keeps to.
 fn hands(members: u16, workers: u8) -> Vec<Vec<usize>> {
-    let hand = |me: u16| {
+    let active = |me: u16| {
         let mut d = dispatcher(members, me, workers, 0);
         seen(&mut d, Some((me, members)));
         d.classes[0].lanes.clone()
     };
-    (0..members).map(hand).collect()
+    (0..members).map(active).collect()
 }
 
 #[test_case(5, 12; "few dispatchers, more workers")]
@@ -50,11 +50,11 @@
 #[test_case(7, 3; "three workers")]
 fn keepers_of_two_workers_differ_by_one_at_most(members: u16, workers: u8) {
     let mut count = vec![0; usize::from(workers)];
-    for hand in hands(members, workers) {
-        let mut apart = hand.clone();
+    for active in hands(members, workers) {
+        let mut apart = active.clone();
         apart.dedup();
-        assert_eq!(apart.len(), hand.len(), "a worker twice in one hand");
-        hand.iter().for_each(|at| count[*at] += 1);
+        assert_eq!(apart.len(), active.len(), "a worker twice in one hand");
+        active.iter().for_each(|at| count[*at] += 1);
     }
     let (least, most) = (count.iter().min().unwrap(), count.iter().max().unwrap());
     assert!(most - least <= 1, "{count:?}");
@@ -141,7 +141,7 @@
         hint: Some(60 * MS),
         slots: 1.0,
         memory: 0.0,
-        expiry: now + 900 * MS,
+        deadline: now + 900 * MS,
     };
     let mut acts = Vec::new();
     d.handle(now, Event::Arrived(request), &mut acts);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -11,7 +11,7 @@
 pub use crate::state::Dispatcher;
 use crate::state::Effect::{Idempotent, Keyed, NonIdempotent};
 use crate::state::Stage::{Again, Answered, Doubted, Held, Out};
-use crate::state::{Attempt, Effect, InHand, Input, Map, RequestClass, Stage, Step};
+use crate::state::{ActiveRequest, Attempt, Effect, Input, Map, RequestClass, Stage, Step};
 use crate::state::{BINS, Bins, SECOND, below, fade};
 use crate::state::{Told, Trust, Worker, token};
 use crate::types::{Action, Ended, Event, Listed, Nanos, Outcome, Report, Scope, Share, Standing};
@@ -130,7 +130,7 @@
     }
 }
 
-/// The timers of the beat, each second, and of the next call for the list; others carry a request's id and leg.
+/// The timers of the beat, each second, and of the next call for the list; others carry a request's id and attempt.
 const BEAT: u64 = u64::MAX;
 const ASK: u64 = u64::MAX - 1;
 const BEAT_EVERY: Nanos = 1_000_000_000;
@@ -155,7 +155,9 @@
         match event {
             Event::List { scope, entries } => self.list(now, scope, &entries, acts),
             Event::Arrived(request) => self.arrived(now, request, acts),
-            Event::Started { request_id, leg } => self.started(now, request_id, leg, acts),
+            Event::Started { request_id, attempt_index } => {
+                self.started(now, request_id, attempt_index, acts)
+            }
             Event::StreamBegun { request_id } | Event::Lapsed { request_id } => {
                 self.input(now, request_id, Input::Left, acts)
             }
@@ -173,9 +175,9 @@
             }
             Event::View(place) => self.view(now, place),
             Event::Right { worker, work, until } => self.right(worker, work, until),
-            // This dispatcher ends: all in hand is answered by then, as at its expiry.
-            Event::Closing { by } => self.requests.iter_mut().for_each(|(_, hand)| {
-                (hand.request.expiry, hand.due) = (hand.request.expiry.min(by), hand.due.min(by));
+            // This dispatcher ends: all in hand is answered by then, as at its deadline.
+            Event::Closing { by } => self.requests.iter_mut().for_each(|(_, active)| {
+                (active.request.deadline, active.due) = (active.request.deadline.min(by), active.due.min(by));
             }),
             Event::Due { token: BEAT } => self.beat(now, acts),
             Event::Due { token: ASK } => self.follow(now, acts),
@@ -235,7 +237,9 @@
         let share = Share { worker: id, halves: (2.0 * out).ceil() as u8, work: (ahead / 16e6) as u16, sign };
         let (me, all) = (self.me, self.dispatchers as usize);
         let place = |s: &RequestClass| Some((s.all.iter().position(|worker| *worker == at)?, s.all.len()));
-        let Some((place, n)) = self.classes.iter().find_map(place) else { return };
+        let Some((place, n)) = self.classes.iter().find_map(place) else {
+            return;
+        };
         let m = self.stretches(n);
         if self.met {
             return acts.extend(self.dealt_to(place, n, m).map(|to| Action::Tell { to, share }));
@@ -434,7 +438,7 @@
 
     /// The place of a request among its class's lanes.
     fn lane(&mut self, now: Nanos, key: usize) -> usize {
-        let InHand { request, work, .. } = self.requests[key];
+        let ActiveRequest { request, work, .. } = self.requests[key];
         self.recut(now, usize::from(request.class));
         let class = &self.classes[usize::from(request.class)];
         // The request is itself in the histogram: one larger than all before falls on one of the lanes that its
@@ -449,8 +453,8 @@
     /// can start it soon enough; failing that, the one with the least to wait.
     fn choose(&mut self, now: Nanos, key: usize, mine: usize) -> Option<(usize, f64, f64)> {
         self.tally(now);
-        let hand = &self.requests[key];
-        let InHand { request, effect, most, need, doubt, .. } = *hand;
+        let active = &self.requests[key];
+        let ActiveRequest { request, effect, most, need, doubt, .. } = *active;
         let class = &self.classes[usize::from(request.class)];
         // Where a repeat is bound to a group, its workers may be any in the list.
         let bound = doubt.filter(|_| effect == Keyed && !is(Fault::WindowIgnored));
@@ -465,7 +469,9 @@
         for step in 0..2 * lanes.len() {
             let far = step.div_ceil(2);
             let lane = if step % 2 == 1 { mine.checked_add(far) } else { mine.checked_sub(far) };
-            let Some(&at) = lane.and_then(|lane| lanes.get(lane)) else { continue };
+            let Some(&at) = lane.and_then(|lane| lanes.get(lane)) else {
+                continue;
+            };
             if let Some((first, since)) = bound {
                 let (a, b) = (&self.workers[first], &self.workers[at]);
                 let drops = match class.group.as_str() {
@@ -488,7 +494,7 @@
                 self.lacking = self.lacking.or(seat.then_some(at));
                 continue;
             }
-            let room = hand.room(now, worker.pace).max(1.0);
+            let room = active.room(now, worker.pace).max(1.0);
             // Who is sent to by turns and within a budget is not as busy as the rest.
             let others = if cold { (0.0, 0.0) } else { (fleet * room, self.others) };
             let wait = worker.wait(now, need, mean, others);
@@ -500,7 +506,7 @@
             }
             // Own jobs in flight, and their work, weigh again: what others see and do is alike. A job that
             // fails loses all, one that waits out its room a part. And it failed there before.
-            let failed = hand.attempts[..hand.posted].iter().any(|attempt| attempt.worker == at);
+            let failed = active.attempts[..active.attempts_sent].iter().any(|attempt| attempt.worker == at);
             let held = (worker.ahead / room + worker.out) / worker.seats;
             let apart = if bound.is_some() { 0.0 } else { each_lane * far as f64 };
             let cost = strain + held + doubt + f64::from(failed) + apart;
@@ -508,7 +514,7 @@
                 // Turned away is by the queue: that a worker is slow shortens its room, but is no overload,
                 // and counts only as far as starts are late.
                 let pace = 1.0 + (worker.pace - 1.0) * (3.0 * late).min(1.0);
-                (least, best) = (cost, Some((at, wait, wait / hand.room(now, pace).max(1.0))));
+                (least, best) = (cost, Some((at, wait, wait / active.room(now, pace).max(1.0))));
             }
         }
         best
@@ -521,7 +527,7 @@
             return;
         };
         let slots = f64::from(request.slots).max(1.0);
-        let run = class.run(request.hint, slots, request.expiry.saturating_sub(now));
+        let run = class.run(request.hint, slots, request.deadline.saturating_sub(now));
         // A job waits until both its slots and its memory fit; a worker has a unit of memory a slot.
         let (work, need) = (run * slots, slots.max(f64::from(request.memory)));
         class.add(work);
@@ -534,27 +540,28 @@
         self.classes.iter_mut().for_each(|class| class.age(keep));
         let class = &self.classes[usize::from(request.class)];
         self.gaps[usize::from(class.high)].arrival(now);
-        let due = (now + (class.sla + class.stretch * run) as Nanos).min(request.expiry);
-        let key = self.requests.insert(InHand::new(request, class.effect, work, run, need, due));
+        let due = (now + (class.sla + class.stretch * run) as Nanos).min(request.deadline);
+        let key = self.requests.insert(ActiveRequest::new(request, class.effect, work, run, need, due));
         self.held.insert(request.id, key);
         self.place(now, key, acts);
     }
 
     fn place(&mut self, now: Nanos, key: usize, acts: &mut Vec<Action>) {
-        let InHand { request: Request { id, expiry, .. }, due, run, posted, .. } = self.requests[key];
-        if posted >= self.most_attempts || now >= expiry {
+        let ActiveRequest { request: Request { id, deadline, .. }, due, run, attempts_sent, .. } =
+            self.requests[key];
+        if attempts_sent >= self.most_attempts || now >= deadline {
             return self.input(now, id, Input::GivenUp, acts);
         }
         let lane = self.lane(now, key);
         let chosen = self.choose(now, key, lane);
         match chosen {
             _ if self.awaits_right(now, key, acts) => {}
-            Some((at, cost, strain)) if posted > 0 || self.kept(now, key, cost, strain) => {
+            Some((at, cost, strain)) if attempts_sent > 0 || self.kept(now, key, cost, strain) => {
                 self.post(now, key, at, cost, acts);
             }
             // Cold workers may soon take more: ask again shortly, as long as it can still be in time.
             None if now + (run as Nanos) < due => {
-                acts.push(Action::Timer { at: now + 25_000_000, token: token(id, posted) });
+                acts.push(Action::Timer { at: now + 25_000_000, token: token(id, attempts_sent) });
             }
             _ => self.input(now, id, Input::GivenUp, acts),
         }
@@ -594,33 +601,36 @@
         let chosen = &self.workers[at];
         let cold = self.warmth(chosen, now) < 1.0;
         let from = now.saturating_sub(self.says("overload.window") as Nanos);
-        let hand = &mut self.requests[key];
+        let active = &mut self.requests[key];
         let worker = &mut self.workers[at];
         worker.spent.retain(|(at, _)| *at >= from);
-        let own = if cold { worker.spend(now, hand.most) } else { hand.most };
+        let own = if cold { worker.spend(now, active.most) } else { active.most };
         worker.spent.push_back((now, own));
-        let expected = worker.queue(hand.need, worker.told(now));
-        hand.attempts[hand.posted] = Attempt { worker: at, at: now, expected, started: None, out: true };
-        let token = token(hand.request.id, hand.posted);
-        let id = AttemptId { request: hand.request.id, number: hand.posted as u8 };
-        let time_to_spare = hand.room(now, worker.pace);
-        self.start_delays.sent(Sent { id, at: now, expected, time_to_spare, run: hand.run });
-        hand.posted += 1;
-        hand.stage = next(hand.stage, Input::Posted, hand.effect).0;
-        acts.push(Action::Post { request_id: hand.request.id, worker: worker.id });
+        let expected = worker.queue(active.need, worker.told(now));
+        active.attempts[active.attempts_sent] =
+            Attempt { worker: at, at: now, expected, started: None, out: true };
+        let token = token(active.request.id, active.attempts_sent);
+        let id = AttemptId { request: active.request.id, number: active.attempts_sent as u8 };
+        let time_to_spare = active.room(now, worker.pace);
+        self.start_delays.sent(Sent { id, at: now, expected, time_to_spare, run: active.run });
+        active.attempts_sent += 1;
+        active.stage = next(active.stage, Input::Posted, active.effect).0;
+        acts.push(Action::Post { request_id: active.request.id, worker: worker.id });
         // Overdue: a start later than expected by 300 ms, or without start notes by twice the run. Others'
         // jobs there are, by the lanes, of like size: where none was heard of, one may be ahead. Guards
         // against taking for hung, among many dispatchers, what is only busy with others' work.
         let ahead = self.unseen * (1.0 - fade(1.0, worker.alive, now, SECOND));
-        let run = if start_notes { ahead } else { 2.0 } * hand.run * worker.pace;
+        let run = if start_notes { ahead } else { 2.0 } * active.run * worker.pace;
         let overdue = now + (cost.min(2.0 * SECOND) * 1.5 + run + 0.3 * SECOND) as Nanos;
         acts.push(Action::Timer { at: overdue, token });
         self.tell(now, at, false, false, acts);
     }
 
-    fn started(&mut self, now: Nanos, request_id: RequestId, leg: u8, acts: &mut Vec<Action>) {
-        let Some((key, attempt)) = self.attempt(request_id, leg) else { return };
-        self.requests[key].attempts[usize::from(leg)].started = Some(now);
+    fn started(&mut self, now: Nanos, request_id: RequestId, attempt_index: u8, acts: &mut Vec<Action>) {
+        let Some((key, attempt)) = self.attempt(request_id, attempt_index) else {
+            return;
+        };
+        self.requests[key].attempts[usize::from(attempt_index)].started = Some(now);
         self.tally(now);
         let worker = &mut self.workers[attempt.worker];
         worker.heard(now, 0.1);
@@ -630,21 +640,28 @@
         }
         (worker.lag, worker.lag_at) = (attempt.delay(now), now);
         self.zones.observe(worker.zone, worker.lag);
-        self.start_delays.started(AttemptId { request: request_id, number: leg }, now);
-        let hand = &self.requests[key];
-        let run = 2.0 * hand.run * worker.pace + 0.5 * SECOND;
-        acts.push(Action::Timer { at: now + run as Nanos, token: token(request_id, usize::from(leg)) });
+        self.start_delays.started(AttemptId { request: request_id, number: attempt_index }, now);
+        let active = &self.requests[key];
+        let run = 2.0 * active.run * worker.pace + 0.5 * SECOND;
+        acts.push(Action::Timer {
+            at: now + run as Nanos,
+            token: token(request_id, usize::from(attempt_index)),
+        });
     }
 
     /// A timer of one request: it is still held, or an attempt is overdue.
     fn watch(&mut self, now: Nanos, token: u64, acts: &mut Vec<Action>) {
-        let (request_id, leg) = (token as RequestId, (token >> 32) as usize);
-        let Some(&key) = self.held.get(&request_id) else { return };
-        let hand = &self.requests[key];
-        if matches!(hand.stage, Held | Doubted) && leg == hand.posted {
+        let (request_id, attempt_index) = (token as RequestId, (token >> 32) as usize);
+        let Some(&key) = self.held.get(&request_id) else {
+            return;
+        };
+        let active = &self.requests[key];
+        if matches!(active.stage, Held | Doubted) && attempt_index == active.attempts_sent {
             return self.place(now, key, acts);
         }
-        let Some((_, attempt)) = self.attempt(request_id, leg as u8) else { return };
+        let Some((_, attempt)) = self.attempt(request_id, attempt_index as u8) else {
+            return;
+        };
         let worker = &mut self.workers[attempt.worker];
         // A worker that has shown life since is only busy; one that has not may be hung.
         let silent = attempt.started.is_none() && worker.alive < attempt.at;
@@ -659,15 +676,17 @@
     }
 
     fn ended(&mut self, now: Nanos, end: Ended, acts: &mut Vec<Action>) {
-        let Ended { request_id, leg, outcome, complete, report } = end;
-        let Some((key, attempt)) = self.attempt(request_id, leg) else { return };
+        let Ended { request_id, attempt_index, outcome, complete, report } = end;
+        let Some((key, attempt)) = self.attempt(request_id, attempt_index) else {
+            return;
+        };
         if outcome == Outcome::Settled {
             self.learn_seats(now, key, attempt.worker);
         }
-        self.requests[key].attempts[usize::from(leg)].out = false;
-        self.start_delays.ended(AttemptId { request: request_id, number: leg });
+        self.requests[key].attempts[usize::from(attempt_index)].out = false;
+        self.start_delays.ended(AttemptId { request: request_id, number: attempt_index });
         self.read_report(now, attempt.worker, report);
-        let InHand { run, due, request: Request { class, hint, .. }, .. } = self.requests[key];
+        let ActiveRequest { run, due, request: Request { class, hint, .. }, .. } = self.requests[key];
         let class = usize::from(class);
         let warm = self.warmth(&self.workers[attempt.worker], now) >= 1.0;
         let mut slow = false;
@@ -716,9 +735,9 @@
             self.keep_to(now);
         }
         let input = if complete { Input::Settled } else { sorted(outcome) };
-        let hand = &mut self.requests[key];
+        let active = &mut self.requests[key];
         if input == Input::MayHaveRun {
-            hand.doubt.get_or_insert((attempt.worker, attempt.at));
+            active.doubt.get_or_insert((attempt.worker, attempt.at));
         }
         self.input(now, request_id, input, acts);
     }
@@ -750,11 +769,13 @@
 
     /// Runs one input for a request through the table and carries out what follows.
     fn input(&mut self, now: Nanos, request_id: RequestId, input: Input, acts: &mut Vec<Action>) {
-        let Some(&key) = self.held.get(&request_id) else { return };
-        let hand = &mut self.requests[key];
-        let effect = if is(Fault::OnceOnlyAgain) { Idempotent } else { hand.effect };
-        let (stage, step) = next(hand.stage, input, effect);
-        hand.stage = stage;
+        let Some(&key) = self.held.get(&request_id) else {
+            return;
+        };
+        let active = &mut self.requests[key];
+        let effect = if is(Fault::OnceOnlyAgain) { Idempotent } else { active.effect };
+        let (stage, step) = next(active.stage, input, effect);
+        active.stage = stage;
         match step {
             Step::Nothing => {}
             Step::Place => return self.place(now, key, acts),
@@ -766,8 +787,10 @@
             }
             Step::Reverse => acts.push(Action::Reverse { request_id }),
         }
-        let hand = &self.requests[key];
-        if hand.stage == Answered && hand.attempts[..hand.posted].iter().all(|attempt| !attempt.out) {
+        let active = &self.requests[key];
+        if active.stage == Answered
+            && active.attempts[..active.attempts_sent].iter().all(|attempt| !attempt.out)
+        {
             self.held.remove(&request_id);
             self.requests.remove(key);
         }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -48,7 +48,7 @@
 }
 
 fn request(id: RequestId, class: u8, hint: Nanos, now: Nanos) -> Request {
-    Request { id, class, tenant: 0, hint: Some(hint), slots: 1.0, memory: 0.5, expiry: now + 5_000 * MS }
+    Request { id, class, tenant: 0, hint: Some(hint), slots: 1.0, memory: 0.5, deadline: now + 5_000 * MS }
 }
 
 fn handle(d: &mut Dispatcher, now: Nanos, event: Event) -> Vec<Action> {
@@ -138,7 +138,7 @@
 #[test_case(Again, Input::NotRun, Keyed => (Doubted, Step::Place); "doubt stays")]
 #[test_case(Held, Input::GivenUp, NonIdempotent => (Answered, Step::Decline); "nothing out may be declined")]
 #[test_case(Doubted, Input::GivenUp, Keyed => (Answered, Step::Reverse); "doubted is reversed")]
-#[test_case(Out, Input::GivenUp, Idempotent => (Answered, Step::Reverse); "expiry with an attempt out")]
+#[test_case(Out, Input::GivenUp, Idempotent => (Answered, Step::Reverse); "deadline with an attempt out")]
 #[test_case(Answered, Input::Settled, Idempotent => (Answered, Step::Nothing); "second outcome")]
 #[test_case(Answered, Input::MayHaveRun, NonIdempotent => (Answered, Step::Nothing); "late outcome")]
 #[test_case(Answered, Input::Left, Keyed => (Answered, Step::Nothing); "lapsed after its end")]
@@ -195,7 +195,7 @@
     d.classes[0].sla = 90.0 * SECOND;
     let entries = vec![entry(0, Standing::Ready, started * MS)];
     handle(&mut d, started * MS, Event::List { scope: Scope::Changes, entries });
-    let one = |n| Request { expiry: 99_000 * MS, ..request(n, 0, 300 * MS, at * MS) };
+    let one = |n| Request { deadline: 99_000 * MS, ..request(n, 0, 300 * MS, at * MS) };
     let posts = (0..20).map(|n| handle(&mut d, at * MS, Event::Arrived(one(n))));
     posts.flatten().filter(|act| matches!(act, Action::Post { .. })).count()
 }
@@ -210,7 +210,7 @@
     handle(&mut d, 2_000 * MS, Event::List { scope: Scope::Kept, entries });
     starts_of_late(&mut d, at * MS, lag, 32);
     !handle(&mut d, at * MS, Event::Arrived(request(1, 0, 20 * MS, at * MS))).is_empty()
-        && d.requests.iter().any(|(_, hand)| hand.posted == 1)
+        && d.requests.iter().any(|(_, active)| active.attempts_sent == 1)
 }
 
 /// Most of a large fleet's list is out of date. Guards against lanes that lead nowhere for as long as no one tells.
@@ -253,13 +253,15 @@
         for n in 100..120 {
             let (now, hint) = (started + u64::from(n - 100) * 200 * MS + u64::from(me) * MS, hint());
             for act in handle(&mut d, now, Event::Arrived(request(n, 0, hint, now))) {
-                let Action::Post { worker, request_id } = act else { continue };
+                let Action::Post { worker, request_id } = act else {
+                    continue;
+                };
                 sent.push((worker.addr[3], now, hint as f64 / SECOND));
                 let (outcome, report) = (Outcome::Settled, Report::default());
                 handle(
                     &mut d,
                     now,
-                    Event::Ended(Ended { request_id, leg: 0, outcome, complete: true, report }),
+                    Event::Ended(Ended { request_id, attempt_index: 0, outcome, complete: true, report }),
                 );
             }
         }
@@ -304,7 +306,7 @@
 #[test_case(1.99, 0 => false; "cheap ones go first")]
 fn turned_away(strain: f64, class: u8) -> bool {
     let mut d = dispatcher(1);
-    let key = d.requests.insert(InHand::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(ActiveRequest::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
     d.kept(0, key, 0.0, strain)
 }
 
@@ -324,8 +326,12 @@
 #[test_case(100, 5_000 => false; "many of a small room")]
 fn delays_count_by_the_room_they_fill(hint: Nanos, wait: Nanos) -> bool {
     let mut d = dispatcher(1);
-    drop(handle(&mut d, MS, Event::Arrived(Request { expiry: 60_000 * MS, ..request(1, 0, hint * MS, 0) })));
-    handle(&mut d, wait * MS, Event::Started { request_id: 1, leg: 0 });
+    drop(handle(
+        &mut d,
+        MS,
+        Event::Arrived(Request { deadline: 60_000 * MS, ..request(1, 0, hint * MS, 0) }),
+    ));
+    handle(&mut d, wait * MS, Event::Started { request_id: 1, attempt_index: 0 });
     d.start_delays.congestion(wait * MS, 1.0).delay < 0.2
 }
 
@@ -336,7 +342,7 @@
     let mut d = dispatcher(1);
     d.rare = rare;
     starts_of_late(&mut d, 10_000 * MS, 0.0, 32);
-    let key = d.requests.insert(InHand::new(request(1, 2, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(ActiveRequest::new(request(1, 2, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
     (0..20).all(|_| d.kept(13_000 * MS, key, 0.0, 0.6))
 }
 
@@ -365,7 +371,8 @@
         _ => panic!("{acts:?}"),
     };
     let first = posted_to(&handle(&mut d, MS, Event::Arrived(request(1, 0, 100 * MS, MS))));
-    let ended = Ended { request_id: 1, leg: 0, outcome, complete: false, report: Report::default() };
+    let ended =
+        Ended { request_id: 1, attempt_index: 0, outcome, complete: false, report: Report::default() };
     assert_ne!(posted_to(&handle(&mut d, 2 * MS, Event::Ended(ended))), first);
     assert!(d.workers[d.known[&first]].lag > 0.2 * SECOND);
 }
@@ -376,7 +383,8 @@
 fn who_is_blamed(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
     handle(&mut d, 0, Event::Arrived(request(1, 0, 100 * MS, 0)));
-    let ended = Ended { request_id: 1, leg: 0, outcome, complete: false, report: Report::default() };
+    let ended =
+        Ended { request_id: 1, attempt_index: 0, outcome, complete: false, report: Report::default() };
     let reversed = handle(&mut d, 0, Event::Ended(ended)) == [Action::Reverse { request_id: 1 }];
     (reversed, d.workers[0].trust.distrust)
 }
@@ -389,7 +397,7 @@
     handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, MS)));
     handle(&mut d, 50 * MS, Event::Arrived(request(2, 0, 100 * MS, 50 * MS)));
     if starts {
-        handle(&mut d, 60 * MS, Event::Started { request_id: 2, leg: 0 });
+        handle(&mut d, 60 * MS, Event::Started { request_id: 2, attempt_index: 0 });
     }
     handle(&mut d, 600 * MS, Event::Due { token: token(1, 0) });
     d.tally(600 * MS);
@@ -406,8 +414,9 @@
         let class = failing.get(n as usize % 2).copied().unwrap_or(2);
         let outcome = if failing.contains(&class) { Outcome::Error } else { Outcome::Settled };
         handle(&mut d, 0, Event::Arrived(request(n, class, 100 * MS, 0)));
-        handle(&mut d, 0, Event::Started { request_id: n, leg: 0 });
-        let ended = Ended { request_id: n, leg: 0, outcome, complete: false, report: Report::default() };
+        handle(&mut d, 0, Event::Started { request_id: n, attempt_index: 0 });
+        let ended =
+            Ended { request_id: n, attempt_index: 0, outcome, complete: false, report: Report::default() };
         handle(&mut d, 0, Event::Ended(ended));
     }
     let late = 20 * SECOND as Nanos;
@@ -419,8 +428,13 @@
 fn a_request_goes_elsewhere_after_an_error() {
     let mut d = dispatcher(2);
     let mut acts = handle(&mut d, 0, Event::Arrived(request(1, 0, 100 * MS, 0)));
-    let ended =
-        Ended { request_id: 1, leg: 0, outcome: Outcome::Error, complete: false, report: Report::default() };
+    let ended = Ended {
+        request_id: 1,
+        attempt_index: 0,
+        outcome: Outcome::Error,
+        complete: false,
+        report: Report::default(),
+    };
     let [Action::Post { worker: first, .. }] = acts[..] else { panic!("{acts:?}") };
     d.workers.iter_mut().for_each(|worker| (worker.lag, worker.lag_at) = (0.1 * SECOND, 0));
     d.distrust = 0.9;
@@ -448,9 +462,9 @@
 fn seats_by_jobs_that_surely_ran_together(restarted: Nanos, third: Nanos, settled: Nanos) -> f64 {
     let mut d = dispatcher(1);
     (0..3).for_each(|n| drop(handle(&mut d, 0, Event::Arrived(request(n, 0, 100 * MS, 0)))));
-    (0..2).for_each(|request_id| drop(handle(&mut d, MS, Event::Started { request_id, leg: 0 })));
+    (0..2).for_each(|request_id| drop(handle(&mut d, MS, Event::Started { request_id, attempt_index: 0 })));
     d.workers[0].started = restarted * MS;
-    handle(&mut d, third * MS, Event::Started { request_id: 2, leg: 0 });
+    handle(&mut d, third * MS, Event::Started { request_id: 2, attempt_index: 0 });
     handle(&mut d, settled * MS, ended(0, 0, Outcome::Settled));
     d.workers[0].seats
 }
@@ -480,15 +494,15 @@
     let mut d = among(dispatchers, dispatchers - 1, (0..workers).map(listed).collect());
     let acts: Vec<Action> =
         (1..40).flat_map(|n| handle(&mut d, 0, Event::Arrived(request(n, 2, 100 * MS, 0)))).collect();
-    let (posted, wanted) = (acts.iter().any(|act| matches!(act, Action::Post { .. })), workers > 0);
-    assert!(posted == wanted && d.classes[2].lanes.len() <= usize::from(workers));
+    let (attempts_sent, wanted) = (acts.iter().any(|act| matches!(act, Action::Post { .. })), workers > 0);
+    assert!(attempts_sent == wanted && d.classes[2].lanes.len() <= usize::from(workers));
 }
 
 /// What a long sequence remembers of one request, to hold the rules against.
 #[derive(Default)]
 struct Record {
     class: u8,
-    expiry: Nanos,
+    deadline: Nanos,
     answers: usize,
     out: Vec<(u8, usize, Nanos)>,
     sent: u8,
@@ -536,20 +550,20 @@
         }
         for (id, record) in &mut requests {
             let odds = dice.unit();
-            assert!(record.answers > 0 || now <= record.expiry + 10 * MS, "a request without its answer");
-            if odds < 0.01 && record.answers == 0 && now < record.expiry {
+            assert!(record.answers > 0 || now <= record.deadline + 10 * MS, "a request without its answer");
+            if odds < 0.01 && record.answers == 0 && now < record.deadline {
                 record.answers += 1;
                 events.push(Event::Lapsed { request_id: *id });
-            } else if let Some(&(leg, worker, at)) = record.out.first() {
+            } else if let Some(&(attempt_index, worker, at)) = record.out.first() {
                 let outcome = match odds {
-                    _ if record.answers == 0 && now >= record.expiry => Outcome::TimeOut,
+                    _ if record.answers == 0 && now >= record.deadline => Outcome::TimeOut,
                     0.01..0.03 => Outcome::Settled,
                     0.03..0.04 => Outcome::Full,
                     0.04..0.05 => Outcome::NoConnection,
                     0.05..0.06 => Outcome::Error,
                     0.06..0.07 => Outcome::Broken,
                     0.07..0.2 => {
-                        events.push(Event::Started { request_id: *id, leg });
+                        events.push(Event::Started { request_id: *id, attempt_index });
                         continue;
                     }
                     _ => continue,
@@ -561,13 +575,19 @@
                     record.first_doubt.get_or_insert((worker, at));
                 }
                 let report = Report::default();
-                events.push(Event::Ended(Ended { request_id: *id, leg, outcome, complete, report }));
+                events.push(Event::Ended(Ended {
+                    request_id: *id,
+                    attempt_index,
+                    outcome,
+                    complete,
+                    report,
+                }));
             }
         }
         if dice.unit() < 0.5 && step < 5_000 {
             let class = (dice.unit() * 3.0) as u8;
             let one = request(step, class, (20.0 + dice.unit() * 400.0) as Nanos * MS, now);
-            requests.insert(step, Record { class, expiry: one.expiry, ..Record::default() });
+            requests.insert(step, Record { class, deadline: one.deadline, ..Record::default() });
             events.push(Event::Arrived(one));
         }
         let due = timers.extract_if(.., |(at, _)| *at <= now);
@@ -580,7 +600,7 @@
                     Action::Post { request_id, worker, .. } => {
                         let n = usize::from(worker.addr[3]);
                         let record = requests.get_mut(&request_id).unwrap();
-                        assert!(record.answers == 0 && now < record.expiry, "posted after its answer");
+                        assert!(record.answers == 0 && now < record.deadline, "posted after its answer");
                         assert!(record.out.is_empty(), "two attempts out");
                         assert!(standing[n] == Standing::Ready, "posted to a worker that leaves");
                         if let (1.., Some((first, since))) = (record.class, record.first_doubt) {
@@ -605,7 +625,7 @@
                     Action::Decline { request_id, .. } | Action::Reverse { request_id } => {
                         let record = requests.get_mut(&request_id).unwrap();
                         record.answers += 1;
-                        assert!(now <= record.expiry + 10 * MS, "answered late");
+                        assert!(now <= record.deadline + 10 * MS, "answered late");
                         let doubted = record.class > 0 && record.first_doubt.is_some();
                         let declined = matches!(act, Action::Decline { .. });
                         assert!(!(declined && (doubted || !record.out.is_empty())), "declined in doubt");
@@ -620,7 +640,7 @@
     assert!(requests.values().any(|record| record.sent > u8::from(workers > 1)));
 }
 
-/// A dispatcher that ends answers all by the moment given: guards against requests with later expiries that are
+/// A dispatcher that ends answers all by the moment given: guards against requests with later deadlines that are
 /// posted again, or held, until it is killed.
 #[test_case(0, true => vec!["decline"]; "a repeatable one that is out is not posted again")]
 #[test_case(1, true => vec!["reverse"]; "a referenced one that is out")]
@@ -628,14 +648,18 @@
 #[test_case(2, false => vec!["decline"]; "a once-only one that is held")]
 fn closing_brings_expiries_forward(class: u8, out: bool) -> Vec<&'static str> {
     let mut d = dispatcher(if out { 2 } else { 0 });
-    let posted = handle(&mut d, 0, Event::Arrived(request(1, class, 100 * MS, 0)));
-    assert_eq!(posted.len(), usize::from(out));
+    let attempts_sent = handle(&mut d, 0, Event::Arrived(request(1, class, 100 * MS, 0)));
+    assert_eq!(attempts_sent.len(), usize::from(out));
     handle(&mut d, MS, Event::Closing { by: 50 * MS });
     let outcome = Outcome::TimeOut;
     let event = match out {
-        true => {
-            Event::Ended(Ended { request_id: 1, leg: 0, outcome, complete: false, report: Report::default() })
-        }
+        true => Event::Ended(Ended {
+            request_id: 1,
+            attempt_index: 0,
+            outcome,
+            complete: false,
+            report: Report::default(),
+        }),
         false => Event::Due { token: token(1, 0) },
     };
     let word = |act: &Action| match act {
@@ -667,8 +691,11 @@
     let mut d = sharing(3, 2);
     let post = |d: &mut Dispatcher, id, now| {
         let acts = handle(d, now, Event::Arrived(request(id, 2, 100 * MS, now)));
-        acts.into_iter()
-            .find_map(|act| if let Action::Post { worker, .. } = act { Some(worker) } else { None })
+        acts.into_iter().find_map(
+            |act| {
+                if let Action::Post { worker, .. } = act { Some(worker) } else { None }
+            },
+        )
     };
     let mine = post(&mut d, 1, 900 * MS).unwrap();
     handle(&mut d, 910 * MS, settled(1));
@@ -685,7 +712,7 @@
 
 fn settled(request_id: RequestId) -> Event {
     let (outcome, report) = (Outcome::Settled, Report::default());
-    Event::Ended(Ended { request_id, leg: 0, outcome, complete: true, report })
+    Event::Ended(Ended { request_id, attempt_index: 0, outcome, complete: true, report })
 }
 
 /// Guards against a slow or hung worker that each dispatcher finds out with requests of its own.
@@ -706,15 +733,16 @@
 fn jobs_that_still_run_tell_the_pace(shares: bool, age: Nanos) -> i64 {
     let mut d = if shares { sharing(3, 1) } else { dispatcher(1) };
     drop(handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0))));
-    handle(&mut d, MS, Event::Started { request_id: 1, leg: 0 });
+    handle(&mut d, MS, Event::Started { request_id: 1, attempt_index: 0 });
     d.tally((age + 1) * MS);
     (d.workers[0].seen_pace().0 * 100.0).round() as i64
 }
 
 /// Whom a dispatcher tells of so many halves of a seat.
 fn told(acts: &[Action]) -> Vec<(u16, u8)> {
-    let told =
-        |act: &Action| if let Action::Tell { to, share } = act { Some((*to, share.halves)) } else { None };
+    let told = |act: &Action| {
+        if let Action::Tell { to, share } = act { Some((*to, share.halves)) } else { None }
+    };
     acts.iter().filter_map(told).collect()
 }
 
@@ -764,10 +792,10 @@
     }
 }
 
-fn ended(request_id: RequestId, leg: u8, outcome: Outcome) -> Event {
+fn ended(request_id: RequestId, attempt_index: u8, outcome: Outcome) -> Event {
     Event::Ended(Ended {
         request_id,
-        leg,
+        attempt_index,
         outcome,
         complete: outcome == Outcome::Settled,
         report: Report::default(),
@@ -781,7 +809,7 @@
     for id in 1..=4 {
         let now = u64::from(id) * 500 * MS;
         handle(&mut d, now, Event::Arrived(request(id, 0, 100 * MS, now)));
-        handle(&mut d, now, Event::Started { request_id: id, leg: 0 });
+        handle(&mut d, now, Event::Started { request_id: id, attempt_index: 0 });
         handle(&mut d, now + 200 * MS, ended(id, 0, Outcome::Settled));
     }
     handle(&mut d, 3_000 * MS, Event::Due { token: BEAT });
@@ -802,7 +830,7 @@
         let now = u64::from(id) * 1_000 * MS;
         let acts = handle(&mut d, now, Event::Arrived(request(id, 0, 300 * MS, now)));
         assert!(matches!(acts[..], [Action::Post { .. }]), "{acts:?}");
-        handle(&mut d, now + MS, Event::Started { request_id: id, leg: 0 });
+        handle(&mut d, now + MS, Event::Started { request_id: id, attempt_index: 0 });
         handle(&mut d, now + 900 * MS, ended(id, 0, Outcome::Settled));
     }
     assert_eq!(d.start_delays.congestion(21_000 * MS, 1.0).late, 0.0);
@@ -861,9 +889,9 @@
     let mut d = dispatcher(1);
     d.workers[0].started = 1;
     let attempt = Attempt { started: Some(MS), out: true, ..Attempt::default() };
-    let mut hand = InHand::new(request(1, 0, 100 * MS, 0), Idempotent, 1e8, 1e8, 1.0, 500 * MS);
-    (hand.stage, hand.posted, hand.attempts[0]) = (Out, 1, attempt);
-    let key = d.requests.insert(hand);
+    let mut active = ActiveRequest::new(request(1, 0, 100 * MS, 0), Idempotent, 1e8, 1e8, 1.0, 500 * MS);
+    (active.stage, active.attempts_sent, active.attempts[0]) = (Out, 1, attempt);
+    let key = d.requests.insert(active);
     d.held.insert(1, key);
     handle(&mut d, 400 * MS, ended(1, 0, Outcome::Settled));
     assert!((1.1..1.4).contains(&d.workers[0].pace) && d.paces.is_empty(), "{}", d.workers[0].pace);
@@ -874,13 +902,16 @@
 #[test_case(500, Some(600) => 1; "and settled since")]
 #[test_case(50, None => 0; "to the process before")]
 #[test_case(50, Some(60) => 0; "to the process before, and settled since")]
-fn a_cold_workers_budget_holds_what_went_there_unknowing(posted: Nanos, settled: Option<Nanos>) -> usize {
+fn a_cold_workers_budget_holds_what_went_there_unknowing(
+    attempts_sent: Nanos,
+    settled: Option<Nanos>,
+) -> usize {
     let mut d = dispatcher(1);
-    handle(&mut d, posted * MS, Event::Arrived(request(1, 2, 100 * MS, posted * MS)));
+    handle(&mut d, attempts_sent * MS, Event::Arrived(request(1, 2, 100 * MS, attempts_sent * MS)));
     settled.into_iter().for_each(|at| drop(handle(&mut d, at * MS, ended(1, 0, Outcome::Settled))));
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
     handle(&mut d, 900 * MS, Event::List { scope: Scope::Changes, entries });
-    d.workers[0].spent.iter().filter(|(at, work)| *at == posted * MS && *work == 1e8).count()
+    d.workers[0].spent.iter().filter(|(at, work)| *at == attempts_sent * MS && *work == 1e8).count()
 }
 
 /// Guards against a fresh budget at a second birth: what was sent while the first was known may have gone to the second.
@@ -922,7 +953,7 @@
     let mut d = dispatcher(1);
     (0..5).for_each(|_| d.classes[2].add(100e6));
     d.turned = turned;
-    let key = d.requests.insert(InHand::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(ActiveRequest::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
     // A second's wait: half of its own room, two and a half times theirs.
     d.kept(0, key, SECOND, 0.5)
 }
@@ -942,9 +973,10 @@
         let request = Request { hint: hint.map(|hint| hint * MS), ..request(id, class, 0, now) };
         drop(handle(&mut d, now, Event::Arrived(request)));
         let run = d.requests[d.held[&id]].run / MS as f64;
-        drop(handle(&mut d, now, Event::Started { request_id: id, leg: 0 }));
+        drop(handle(&mut d, now, Event::Started { request_id: id, attempt_index: 0 }));
         let report = Report::default();
-        let end = Ended { request_id: id, leg: 0, outcome: Outcome::Settled, complete: true, report };
+        let end =
+            Ended { request_id: id, attempt_index: 0, outcome: Outcome::Settled, complete: true, report };
         drop(handle(&mut d, now + took * MS, Event::Ended(end)));
         run.round() as u64
     };
@@ -963,7 +995,7 @@
     (d.classes[0].sla, d.classes[0].ran) = (90.0 * SECOND, (1e8, 1.0));
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
     handle(&mut d, 100 * MS, Event::List { scope: Scope::Changes, entries });
-    let one = |n| Request { hint, expiry: 99_000 * MS, ..request(n, 0, 0, 2_000 * MS) };
+    let one = |n| Request { hint, deadline: 99_000 * MS, ..request(n, 0, 0, 2_000 * MS) };
     let posts = (0..20).map(|n| handle(&mut d, 2_000 * MS, Event::Arrived(one(n))));
     posts.flatten().filter(|act| matches!(act, Action::Post { .. })).count()
 }
@@ -1001,7 +1033,7 @@
         let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
         lanes[usize::from(class == 2)].push(worker.addr[3]);
         let report = Report::default();
-        let end = Ended { request_id: id, leg: 0, outcome: Outcome::Full, complete: true, report };
+        let end = Ended { request_id: id, attempt_index: 0, outcome: Outcome::Full, complete: true, report };
         handle(&mut d, now + MS, Event::Ended(end));
     }
     let mean = |lanes: &[u8]| lanes.iter().map(|lane| f64::from(*lane)).sum::<f64>() / lanes.len() as f64;
@@ -1064,7 +1096,7 @@
     d.classes[0].lanes.truncate(1);
     d.workers[at].zone = 2;
     handle(&mut d, 0, Event::Arrived(request(1, 0, 10 * MS, 0)));
-    handle(&mut d, 80 * MS, Event::Started { request_id: 1, leg: 0 });
+    handle(&mut d, 80 * MS, Event::Started { request_id: 1, attempt_index: 0 });
     assert_eq!((d.zones.extra(2), d.zones.extra(1)), (80e6, 0.0));
 }
 
@@ -1075,11 +1107,11 @@
     let mut d = one_of_a_large_fleet();
     let now = 100_000 * MS;
     starts_of_late(&mut d, now, 0.5, 0);
-    let request = Request { expiry: now + 3_000 * MS, ..without_hint(1, 2, now) };
+    let request = Request { deadline: now + 3_000 * MS, ..without_hint(1, 2, now) };
     let acts = handle(&mut d, now, Event::Arrived(request));
     assert!(matches!(acts[..], [Action::Post { .. }]), "{acts:?}");
-    let hand = &d.requests[d.held[&1]];
-    assert_eq!((hand.run, hand.room(now, 1.0)), (750e6, 2_250e6));
+    let active = &d.requests[d.held[&1]];
+    assert_eq!((active.run, active.room(now, 1.0)), (750e6, 2_250e6));
 }
 
 /// Guards against a burst that fills all queues before the first start tells of them: each dispatcher tried all eight of its
@@ -1117,8 +1149,8 @@
 /// How many of 100 requests of a class are kept that would wait for 0.8 s where all of the dearest are turned away.
 fn kept_of_100(mut d: Dispatcher, class: u8) -> usize {
     let room = if class == 2 { 4e9 } else { 4e8 };
-    let hand = InHand::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0);
-    let key = d.requests.insert(hand);
+    let active = ActiveRequest::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0);
+    let key = d.requests.insert(active);
     let kept = |_: &usize| {
         d.turned = 1.0;
         d.kept(0, key, 0.8e9, 0.8e9 / room)
--- a/src/sabotage.rs
+++ b/src/sabotage.rs
@@ -14,15 +14,15 @@
     ColdIgnored,
     /// An answer that is ready while the program stops is not written.
     AnswerLostAtStop,
-    /// Answers are decided 100 ms after the expiry.
+    /// Answers are decided 100 ms after the deadline.
     LateAnswer,
-    /// The timer of one expiry in sixteen is lost.
+    /// The timer of one deadline in sixteen is lost.
     TimerLost,
     /// An old list overrides a new one.
     OldListWins,
     /// A client that has left is not noticed, and its request is posted all the same.
     LeftIgnored,
-    /// The connection of a posting that ended badly is never closed.
+    /// The connection of an attempt that ended badly is never closed.
     ConnectionLeaked,
     /// The id of a request in hand is taken again.
     IdTakenTwice,
--- a/src/state.rs
+++ b/src/state.rs
@@ -16,8 +16,8 @@
 }
 
 /// The timer of one attempt of a request.
-pub(crate) fn token(request_id: RequestId, leg: usize) -> u64 {
-    u64::from(request_id) | (leg as u64) << 32
+pub(crate) fn token(request_id: RequestId, attempt_index: usize) -> u64 {
+    u64::from(request_id) | (attempt_index as u64) << 32
 }
 
 /// Settings under our names; the decisions and the programs pick from it what they need.
@@ -108,7 +108,7 @@
 pub const MOST_ATTEMPTS: usize = 6;
 
 #[derive(Debug)]
-pub struct InHand {
+pub struct ActiveRequest {
     pub request: Request,
     pub effect: Effect,
     pub stage: Stage,
@@ -121,18 +121,18 @@
     pub need: f64,
     pub due: Nanos,
     pub attempts: [Attempt; MOST_ATTEMPTS],
-    pub posted: usize,
+    pub attempts_sent: usize,
     /// The first attempt that may have run: its worker and when it was sent.
     pub doubt: Option<(usize, Nanos)>,
     /// Whether it has waited for a right.
     pub asked: bool,
 }
 
-impl InHand {
+impl ActiveRequest {
     pub fn new(request: Request, effect: Effect, work: f64, run: f64, need: f64, due: Nanos) -> Self {
         let attempts = [Attempt::default(); MOST_ATTEMPTS];
         let most = work * if request.hint.is_some() { 1.0 } else { 2.0 };
-        InHand {
+        ActiveRequest {
             request,
             effect,
             stage: Stage::Held,
@@ -142,7 +142,7 @@
             need,
             due,
             attempts,
-            posted: 0,
+            attempts_sent: 0,
             doubt: None,
             asked: false,
         }
@@ -400,7 +400,9 @@
                 "idempotent" => Effect::Idempotent,
                 "idempotent-with-key" => Effect::Keyed,
                 "non-idempotent" => Effect::NonIdempotent,
-                other => return Err(format!("setting {} cannot be read: {other:?}", name("idempotency"))),
+                other => {
+                    return Err(format!("setting {} cannot be read: {other:?}", name("idempotency")));
+                }
             },
             group: pick(map, &name("retry_scope"))?,
             window: pick(map, &name("retry_window"))?,
@@ -527,7 +529,7 @@
     pub(crate) classes: Vec<RequestClass>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) known: FxHashMap<WorkerId, usize>,
-    pub(crate) requests: Slab<InHand>,
+    pub(crate) requests: Slab<ActiveRequest>,
     pub(crate) held: FxHashMap<RequestId, usize>,
     pub(crate) gaps: [Gaps; 2],
     /// Where a report has its free slots and its jobs in flight.
@@ -647,20 +649,19 @@
     /// sooner than the ends before them, and by jobs that were lost or never began.
     pub(crate) fn learn_seats(&mut self, now: Nanos, settled: usize, at: usize) {
         let worker = &self.workers[at];
-        let sure = |key: usize, hand: &InHand, leg: &Attempt| {
+        let sure = |key: usize, active: &ActiveRequest, attempt: &Attempt| {
             let Some(from) =
-                leg.started.filter(|from| leg.worker == at && leg.out && *from >= worker.started)
+                attempt.started.filter(|from| attempt.worker == at && attempt.out && *from >= worker.started)
             else {
                 return false;
             };
-            let (age, run) = ((now - from) as f64, hand.run * worker.pace);
+            let (age, run) = ((now - from) as f64, active.run * worker.pace);
             key == settled || (0.25 * run..=2.0 * run).contains(&age)
         };
-        let running = self
-            .requests
-            .iter()
-            .filter(|(key, hand)| hand.attempts[..hand.posted].iter().any(|leg| sure(*key, hand, leg)));
-        let running = running.map(|(_, hand)| f64::from(hand.request.slots)).sum();
+        let running = self.requests.iter().filter(|(key, active)| {
+            active.attempts[..active.attempts_sent].iter().any(|attempt| sure(*key, active, attempt))
+        });
+        let running = running.map(|(_, active)| f64::from(active.request.slots)).sum();
         self.seats(worker.worker_type, running);
     }
 
@@ -670,8 +671,8 @@
             let worker = &mut self.workers[at];
             (worker.out, worker.running, worker.ahead, worker.over) = (0.0, 0.0, 0.0, (0.0, 0.0));
         }
-        for (_, hand) in &self.requests {
-            for attempt in hand.attempts[..hand.posted].iter().filter(|attempt| attempt.out) {
+        for (_, active) in &self.requests {
+            for attempt in active.attempts[..active.attempts_sent].iter().filter(|attempt| attempt.out) {
                 self.touched.push(attempt.worker);
                 let worker = &mut self.workers[attempt.worker];
                 // Guards against a worker that lost one job and is then taken for full until that expires.
@@ -679,18 +680,18 @@
                     continue;
                 }
                 let age = now.saturating_sub(attempt.started.unwrap_or(now)) as f64;
-                worker.out += hand.need;
+                worker.out += active.need;
                 // A job past its hint has, as such sizes go, about a third of its age still to run.
-                worker.ahead += hand.need * (hand.run * worker.pace - age).max(0.3 * age);
+                worker.ahead += active.need * (active.run * worker.pace - age).max(0.3 * age);
                 if let Some(started) = attempt.started {
-                    let over = (age / hand.run.max(1e6)).min(10.0);
+                    let over = (age / active.run.max(1e6)).min(10.0);
                     // Hints are rough: one that runs long tells little alone, many do, where others tell theirs.
                     if self.shares && over > worker.own_pace {
                         worker.over = (worker.over.0 + over, worker.over.1 + 1.0);
                     }
                     // What an earlier process ran is lost. Guards against taking its jobs for more seats.
                     let lives = started >= worker.started;
-                    worker.running += if lives { f64::from(hand.request.slots) } else { 0.0 };
+                    worker.running += if lives { f64::from(active.request.slots) } else { 0.0 };
                 } else {
                     let delay = attempt.delay(now);
                     if delay > fade(worker.lag, worker.lag_at, now, SECOND) {
@@ -702,10 +703,10 @@
     }
 
     /// An attempt that is still out, and the place of its request.
-    pub(crate) fn attempt(&self, request_id: RequestId, leg: u8) -> Option<(usize, Attempt)> {
+    pub(crate) fn attempt(&self, request_id: RequestId, attempt_index: u8) -> Option<(usize, Attempt)> {
         let key = *self.held.get(&request_id)?;
-        let hand = &self.requests[key];
-        let attempt = hand.attempts[..hand.posted].get(usize::from(leg))?;
+        let active = &self.requests[key];
+        let attempt = active.attempts[..active.attempts_sent].get(usize::from(attempt_index))?;
         attempt.out.then_some((key, *attempt))
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -67,7 +67,7 @@
     pub values: [f32; 4],
 }
 
-/// A request as it comes in. `expiry` is the moment at which the client stops waiting.
+/// A request as it comes in. `deadline` is the moment at which the client stops waiting.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     pub id: RequestId,
@@ -76,14 +76,14 @@
     pub hint: Option<Nanos>,
     pub slots: f32,
     pub memory: f32,
-    pub expiry: Nanos,
+    pub deadline: Nanos,
 }
 
-/// How a posting ended; `complete` when the request has its final answer with it or had it before.
+/// How an attempt ended; `complete` when the request has its final answer with it or had it before.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
     pub request_id: RequestId,
-    pub leg: u8,
+    pub attempt_index: u8,
     pub outcome: Outcome,
     pub complete: bool,
     pub report: Report,
@@ -132,7 +132,7 @@
     Arrived(Request),
     Started {
         request_id: RequestId,
-        leg: u8,
+        attempt_index: u8,
     },
     StreamBegun {
         request_id: RequestId,
@@ -158,7 +158,7 @@
     Due {
         token: u64,
     },
-    /// The dispatcher is to end: expiries later than `by` are brought forward to it.
+    /// The dispatcher is to end: deadlines later than `by` are brought forward to it.
     Closing {
         by: Nanos,
     },
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -214,7 +214,7 @@
             hint,
             slots,
             memory,
-            expiry: deadline,
+            deadline: deadline,
         }));
     }
 
@@ -302,7 +302,13 @@
         let outcome = self.outcome(worker);
         let complete = outcome == Outcome::Settled;
         let report = self.report();
-        self.feed(Event::Ended(Ended { request_id: request, leg: attempt, outcome, complete, report }));
+        self.feed(Event::Ended(Ended {
+            request_id: request,
+            attempt_index: attempt,
+            outcome,
+            complete,
+            report,
+        }));
     }
 
     /// A new process of the same dispatcher, which knows the list that the one before had.
@@ -324,7 +330,7 @@
             Next::PeerView => self.peer_view(),
             Next::Timer(token) => self.feed(Event::Due { token }),
             Next::Start { request, attempt } => {
-                self.feed(Event::Started { request_id: request, leg: attempt })
+                self.feed(Event::Started { request_id: request, attempt_index: attempt })
             }
             Next::End { request, attempt, worker } => self.end(request, attempt, worker),
             Next::Disconnect(request) if request % 2 == 0 => {
