--- a/crates/cluster-testbed/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -11,7 +11,11 @@
     #[error(
         "RW-RIG-START: dispatcher {at} was not ready within {seconds} s; its log ends with {last:?}; run fewer processes, or look at that line"
     )]
-    Start { at: usize, seconds: u64, last: String },
+    Start {
+        at: usize,
+        seconds: u64,
+        last: String,
+    },
     #[error(
         "RW-RIG-SPAWN: dispatcher {at} could not be started; raise the limits on processes and descriptors"
     )]
@@ -27,9 +31,16 @@
     #[error(
         "RW-RIG-SCENARIO: {path} is no scenario: {source}; `rosewall-testbed draw 1` prints one to start from"
     )]
-    Scenario { path: PathBuf, source: toml::de::Error },
+    Scenario {
+        path: PathBuf,
+        source: toml::de::Error,
+    },
     #[error("RW-RIG-RANGE: {what} is {value}, allowed is {allowed}; change it in the scenario")]
-    Range { what: &'static str, value: u64, allowed: &'static str },
+    Range {
+        what: &'static str,
+        value: u64,
+        allowed: &'static str,
+    },
     #[error("RW-RIG-SWEEP: {what}; `rosewall-testbed scale --help` lists the names")]
     Sweep { what: String },
     #[error(
@@ -45,7 +56,11 @@
     #[error(
         "RW-RIG-LARGE: {what} is {value}, and no more than {most} are allowed on this machine; play a smaller size"
     )]
-    Large { what: &'static str, value: u64, most: u64 },
+    Large {
+        what: &'static str,
+        value: u64,
+        most: u64,
+    },
     #[error(
         "RW-RIG-VIEW: the members had not come to one view within {seconds} s: {seen}; play a smaller size, or look at loss"
     )]
--- a/crates/cluster-testbed/src/judge.rs
+++ b/crates/cluster-testbed/src/judge.rs
@@ -78,12 +78,20 @@
     }
 
     fn down(&self, dispatcher: usize, from: Instant, to: Instant) -> bool {
-        self.downs.iter().any(|down| down.meets(dispatcher, from, to))
+        self.downs
+            .iter()
+            .any(|down| down.meets(dispatcher, from, to))
     }
 
     pub fn violations(&self) -> Vec<Violation> {
         let mut found = Vec::new();
-        let mut say = |rule, at, what: String| found.push(Violation { rule, at_ms: self.ms(at), what });
+        let mut say = |rule, at, what: String| {
+            found.push(Violation {
+                rule,
+                at_ms: self.ms(at),
+                what,
+            })
+        };
         for asked in self.asked {
             let late = asked.at + self.expiry + SLACK;
             let until = asked.answer.map_or(asked.over, |(_, at)| at);
@@ -94,21 +102,32 @@
                 None => say(1, asked.at, format!("{} got no answer", asked.id)),
                 Some((_, at)) if at > late => {
                     let more = (at - late).as_millis();
-                    say(1, asked.at, format!("{} was answered {more} ms after its expiry", asked.id));
+                    say(
+                        1,
+                        asked.at,
+                        format!("{} was answered {more} ms after its expiry", asked.id),
+                    );
                 }
                 Some(_) => {}
             }
         }
         let mut ran: HashMap<&str, Vec<Instant>> = HashMap::new();
-        let records: Vec<Vec<(String, Instant)>> =
-            self.workers.iter().map(|w| w.read(|r| r.ran.clone())).collect();
+        let records: Vec<Vec<(String, Instant)>> = self
+            .workers
+            .iter()
+            .map(|w| w.read(|r| r.ran.clone()))
+            .collect();
         for (id, at) in records.iter().flatten() {
             ran.entry(id).or_default().push(*at);
         }
         for asked in self.asked.iter().filter(|asked| asked.once) {
             let runs = ran.get(asked.id.as_str()).map_or(&[][..], Vec::as_slice);
             if runs.len() > 1 {
-                say(2, asked.at, format!("{} ran {} times", asked.id, runs.len()));
+                say(
+                    2,
+                    asked.at,
+                    format!("{} ran {} times", asked.id, runs.len()),
+                );
             }
             if let (Some((503, _)), Some(at)) = (asked.answer, runs.first()) {
                 say(2, *at, format!("{} was declined and ran", asked.id));
@@ -116,18 +135,30 @@
         }
         for (at, told) in self.drains {
             let late = *told + GRACE;
-            for sent in self.workers[*at].read(|r| r.sent.clone()).iter().filter(|sent| sent.at > late) {
+            for sent in self.workers[*at]
+                .read(|r| r.sent.clone())
+                .iter()
+                .filter(|sent| sent.at > late)
+            {
                 let of = dispatcher_of(&sent.id);
                 // One that was paused, or started since, was told later.
                 if of.is_some_and(|of| !self.down(of, *told, sent.at)) {
-                    say(3, sent.at, format!("worker {at} drains and was sent {}", sent.id));
+                    say(
+                        3,
+                        sent.at,
+                        format!("worker {at} drains and was sent {}", sent.id),
+                    );
                 }
             }
         }
         for (at, worker) in self.workers.iter().enumerate() {
             let used = self.cold(at, worker);
             if let Some((from, over)) = used.as_ref().and_then(|(_, worst)| *worst) {
-                say(4, from, format!("worker {at} is cold and was sent {over:.2} of what it bears"));
+                say(
+                    4,
+                    from,
+                    format!("worker {at} is cold and was sent {over:.2} of what it bears"),
+                );
             }
         }
         found
@@ -145,13 +176,19 @@
         };
         let mut worst: Option<(Instant, f64)> = None;
         for first in &sent {
-            let within = sent.iter().filter(|s| s.at >= first.at && s.at < first.at + cold.window);
+            let within = sent
+                .iter()
+                .filter(|s| s.at >= first.at && s.at < first.at + cold.window);
             let part = within.map(|s| s.work).sum::<f64>() / bears(first.at);
             if worst.is_none_or(|(_, most)| part > most) {
                 worst = Some((first.at, part));
             }
         }
-        let seen = self.end.min(warm).saturating_duration_since(born).as_secs_f64();
+        let seen = self
+            .end
+            .min(warm)
+            .saturating_duration_since(born)
+            .as_secs_f64();
         let share = (seen / cold.time.as_secs_f64()).min(1.0);
         let mean = cold.from + (1.0 - cold.from) * share / 2.0;
         let half = 0.5 * cold.multiple * worker.seats as f64 * mean * seen;
@@ -168,7 +205,11 @@
     }
 
     pub fn cold_uses(&self) -> Vec<ColdUse> {
-        let uses = self.workers.iter().enumerate().filter_map(|(at, worker)| self.cold(at, worker));
+        let uses = self
+            .workers
+            .iter()
+            .enumerate()
+            .filter_map(|(at, worker)| self.cold(at, worker));
         uses.map(|(used, _)| used).collect()
     }
 
@@ -176,7 +217,11 @@
     pub fn uneven(&self, from: Instant, to: Instant, among: impl Fn(usize) -> bool) -> f64 {
         let of = |worker: &Arc<Worker>| {
             let sent = |r: &crate::worker::Record| {
-                r.sent.iter().filter(|s| s.at >= from && s.at < to).map(|s| s.work).sum::<f64>()
+                r.sent
+                    .iter()
+                    .filter(|s| s.at >= from && s.at < to)
+                    .map(|s| s.work)
+                    .sum::<f64>()
             };
             worker.read(sent) / worker.seats as f64
         };
--- a/crates/cluster-testbed/src/main.rs
+++ b/crates/cluster-testbed/src/main.rs
@@ -65,21 +65,49 @@
 
 #[derive(Subcommand)]
 enum Hollow {
-    Workers { count: usize, seats: usize, zone_ms: f64, zones_ms: f64, regions_ms: f64 },
-    Discovery { followers: usize },
-    Dispatchers { folder: PathBuf, first: usize, last: usize, apart_ms: u64 },
+    Workers {
+        count: usize,
+        seats: usize,
+        zone_ms: f64,
+        zones_ms: f64,
+        regions_ms: f64,
+    },
+    Discovery {
+        followers: usize,
+    },
+    Dispatchers {
+        folder: PathBuf,
+        first: usize,
+        last: usize,
+        apart_ms: u64,
+    },
 }
 
 impl Hollow {
     fn run(&self) -> Result<(), String> {
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, 10_000.0) / 1e3);
         match self {
-            Hollow::Workers { count, seats, zone_ms, zones_ms, regions_ms } => {
-                let ways = Ways { zone: ms(*zone_ms), zones: ms(*zones_ms), regions: ms(*regions_ms) };
+            Hollow::Workers {
+                count,
+                seats,
+                zone_ms,
+                zones_ms,
+                regions_ms,
+            } => {
+                let ways = Ways {
+                    zone: ms(*zone_ms),
+                    zones: ms(*zones_ms),
+                    regions: ms(*regions_ms),
+                };
                 scale::workers::run(*count, *seats, ways, scale::stage::COLD)
             }
             Hollow::Discovery { followers } => scale::discovery::run(*followers),
-            Hollow::Dispatchers { folder, first, last, apart_ms } => {
+            Hollow::Dispatchers {
+                folder,
+                first,
+                last,
+                apart_ms,
+            } => {
                 let numbers: Vec<usize> = (*first..=*last).collect();
                 scale::dispatchers::run(folder, &numbers, Duration::from_millis(*apart_ms))
             }
@@ -92,7 +120,18 @@
         println!("{}", serde_json::to_string(report).unwrap_or_default());
         return;
     }
-    let Report { name, seed, asked, settled, declined, reversed, missed, uneven, bytes, .. } = report;
+    let Report {
+        name,
+        seed,
+        asked,
+        settled,
+        declined,
+        reversed,
+        missed,
+        uneven,
+        bytes,
+        ..
+    } = report;
     println!(
         "{name} seed={seed} asked={asked} settled={settled} declined={declined} reversed={reversed} \
          missed={:.1}% uneven={uneven:.2} bytes/s={bytes:.0}",
@@ -105,7 +144,10 @@
         );
     }
     for broken in &report.violations {
-        println!("  RULE {} broken at {} ms: {}", broken.rule, broken.at_ms, broken.what);
+        println!(
+            "  RULE {} broken at {} ms: {}",
+            broken.rule, broken.at_ms, broken.what
+        );
     }
 }
 
@@ -123,9 +165,15 @@
         }
         Command::Replay { seed } => one(Scenario::drawn(*seed)),
         Command::Scale(scale) => scale.run(cli.json),
-        Command::Hollow(hollow) => hollow.run().map(|()| true).map_err(|what| RigError::Child { what }),
+        Command::Hollow(hollow) => hollow
+            .run()
+            .map(|()| true)
+            .map_err(|what| RigError::Child { what }),
         Command::Draw { seed } => {
-            print!("{}", toml::to_string(&Scenario::drawn(*seed)).unwrap_or_default());
+            print!(
+                "{}",
+                toml::to_string(&Scenario::drawn(*seed)).unwrap_or_default()
+            );
             Ok(true)
         }
         Command::Explore { seeds, first, jobs } => {
--- a/crates/cluster-testbed/src/play.rs
+++ b/crates/cluster-testbed/src/play.rs
@@ -84,8 +84,10 @@
         static SERIAL: AtomicU32 = AtomicU32::new(0);
         let (pid, serial) = (std::process::id(), SERIAL.fetch_add(1, Ordering::SeqCst));
         let folder = std::env::temp_dir().join(format!("rosewall-testbed-{pid}-{serial}"));
-        std::fs::create_dir_all(&folder)
-            .map_err(|source| RigError::Folder { path: folder.clone(), source })?;
+        std::fs::create_dir_all(&folder).map_err(|source| RigError::Folder {
+            path: folder.clone(),
+            source,
+        })?;
         let cold = &scenario.cold;
         let cold = Cold {
             from: cold.from,
@@ -94,20 +96,37 @@
             window: Duration::from_millis(cold.window_ms),
         };
         let begin = Instant::now();
-        let workers = (0..scenario.fleet.workers).map(|_| Worker::start(scenario.fleet.seats, None, cold));
+        let workers =
+            (0..scenario.fleet.workers).map(|_| Worker::start(scenario.fleet.seats, None, cold));
         let workers = workers.collect::<Result<Vec<_>, _>>()?;
-        let lines: Vec<Value> =
-            workers.iter().enumerate().map(|(at, w)| host(&format!("w{at:02}"), &w.dial, "ready")).collect();
+        let lines: Vec<Value> = workers
+            .iter()
+            .enumerate()
+            .map(|(at, w)| host(&format!("w{at:02}"), &w.dial, "ready"))
+            .collect();
         let list = Discovery::start(lines.clone());
         let relay = Ends(Relay::start(scenario.seed)?);
         relay.0.usual(scenario.datagrams);
         let mut chance = Pcg::new(scenario.seed);
-        let most = scenario.fault.iter().filter(|fault| fault.what == What::Start);
-        let most = most.flat_map(|fault| &fault.who).map(|who| who + 1).max().unwrap_or(0);
+        let most = scenario
+            .fault
+            .iter()
+            .filter(|fault| fault.what == What::Start);
+        let most = most
+            .flat_map(|fault| &fault.who)
+            .map(|who| who + 1)
+            .max()
+            .unwrap_or(0);
         let count = scenario.fleet.dispatchers.max(most);
         let half = scenario.fleet.skew_ms as f64;
-        let skews = (0..count).map(|_| (half * (chance.unit() - 0.5)) as i64).collect();
-        let place = |_| Place { process: None, address: Arc::default(), starts: 0 };
+        let skews = (0..count)
+            .map(|_| (half * (chance.unit() - 0.5)) as i64)
+            .collect();
+        let place = |_| Place {
+            process: None,
+            address: Arc::default(),
+            starts: 0,
+        };
         let places = (0..count).map(place).collect();
         let mut stage = Stage {
             scenario: scenario.clone(),
@@ -148,14 +167,19 @@
 
     fn write(&self, name: &str, text: &str) -> Result<PathBuf, RigError> {
         let path = self.folder.join(name);
-        std::fs::write(&path, text).map_err(|source| RigError::Folder { path: path.clone(), source })?;
+        std::fs::write(&path, text).map_err(|source| RigError::Folder {
+            path: path.clone(),
+            source,
+        })?;
         Ok(path)
     }
 
     /// The file of the members' part, as an operator would write it.
     fn members(&self, at: usize, name: &str) -> String {
         let fleet = &self.scenario.fleet;
-        let seeds: Vec<String> = (0..fleet.dispatchers.min(3)).map(|at| self.mail(at)).collect();
+        let seeds: Vec<String> = (0..fleet.dispatchers.min(3))
+            .map(|at| self.mail(at))
+            .collect();
         let keepers: Vec<String> = (0..fleet.keepers).map(|at| format!("n{at}")).collect();
         format!(
             "version = 1\ncluster = \"rig\"\nname = {name:?}\nlisten = {:?}\nseeds = {seeds:?}\nkeepers = {keepers:?}\n\
@@ -171,7 +195,9 @@
     }
 
     pub fn start_as(&mut self, at: usize, name: &str) -> Result<(), RigError> {
-        let Scenario { fleet, cold, load, .. } = &self.scenario;
+        let Scenario {
+            fleet, cold, load, ..
+        } = &self.scenario;
         let mut given = configuration(&self.list.address, 1024);
         let expiry = load.expiry_ms * 1_000_000;
         let settings = &mut given["settings"];
@@ -185,12 +211,17 @@
         }
         if fleet.members {
             settings["Bounds"]["Peers"] = fleet.peers.into();
-            given["cluster"] =
-                self.write(&format!("n{at}.toml"), &self.members(at, name))?.to_string_lossy().into();
+            given["cluster"] = self
+                .write(&format!("n{at}.toml"), &self.members(at, name))?
+                .to_string_lossy()
+                .into();
         }
         let file = self.write(&format!("n{at}.json"), &given.to_string())?;
         let level = std::env::var("ROSEWALL_LOG").unwrap_or_else(|_| "info".to_string());
-        let env = [("ROSEWALL_SKEW_MS", self.skews[at].to_string()), ("ROSEWALL_LOG", level)];
+        let env = [
+            ("ROSEWALL_SKEW_MS", self.skews[at].to_string()),
+            ("ROSEWALL_LOG", level),
+        ];
         let process = Process::start(at, &file, &env)?;
         let place = &mut self.places[at];
         (place.process, place.starts) = (Some(process), place.starts + 1);
@@ -201,13 +232,24 @@
     pub fn until_ready(&mut self, at: usize) -> Result<(), RigError> {
         let place = &self.places[at];
         let last = |process: &Process| process.lines().last().cloned().unwrap_or_default();
-        let failed = |last| RigError::Start { at, seconds: READY_WITHIN.as_secs(), last };
-        let Some(process) = &place.process else { return Err(failed(String::new())) };
-        let line = process.line("listening on ", READY_WITHIN).ok_or_else(|| failed(last(process)))?;
+        let failed = |last| RigError::Start {
+            at,
+            seconds: READY_WITHIN.as_secs(),
+            last,
+        };
+        let Some(process) = &place.process else {
+            return Err(failed(String::new()));
+        };
+        let line = process
+            .line("listening on ", READY_WITHIN)
+            .ok_or_else(|| failed(last(process)))?;
         let address = line.rsplit(' ').next().unwrap_or_default().to_string();
         let end = Instant::now() + READY_WITHIN;
-        while status(&address, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", Duration::from_secs(1))
-            != Some(200)
+        while status(
+            &address,
+            "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n",
+            Duration::from_secs(1),
+        ) != Some(200)
         {
             if Instant::now() > end {
                 return Err(failed(last(process)));
@@ -223,12 +265,19 @@
 
     fn up(&mut self, at: usize) {
         let now = Instant::now();
-        let open = self.downs.iter_mut().filter(|down| down.dispatcher == at && down.to.is_none());
+        let open = self
+            .downs
+            .iter_mut()
+            .filter(|down| down.dispatcher == at && down.to.is_none());
         open.for_each(|down| down.to = Some(now));
     }
 
     fn down(&mut self, at: usize) {
-        self.downs.push(Down { dispatcher: at, from: Instant::now(), to: None });
+        self.downs.push(Down {
+            dispatcher: at,
+            from: Instant::now(),
+            to: None,
+        });
     }
 
     fn hide(&mut self, at: usize) {
@@ -282,8 +331,15 @@
         let mut changed = Vec::new();
         for _ in 0..count {
             let worker = Worker::start(self.scenario.fleet.seats, Some(Instant::now()), cold)?;
-            let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-            let mut line = host(&format!("w{:02}", self.workers.len()), &worker.dial, "ready");
+            let born = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default()
+                .as_millis() as u64;
+            let mut line = host(
+                &format!("w{:02}", self.workers.len()),
+                &worker.dial,
+                "ready",
+            );
             line["born_ms"] = born.into();
             self.workers.push(worker);
             self.lines.push(line.clone());
@@ -294,7 +350,9 @@
     }
 
     pub fn drain(&mut self, at: usize) {
-        let Some(line) = self.lines.get_mut(at) else { return };
+        let Some(line) = self.lines.get_mut(at) else {
+            return;
+        };
         line["health"] = "draining".into();
         let changed = vec![line.clone()];
         self.list.put(changed, self.lines.clone());
@@ -317,7 +375,11 @@
 
     /// The log of one process so far.
     pub fn lines(&self, at: usize) -> Vec<String> {
-        self.places[at].process.as_ref().map(Process::lines).unwrap_or_default()
+        self.places[at]
+            .process
+            .as_ref()
+            .map(Process::lines)
+            .unwrap_or_default()
     }
 
     /// Rank and number of members, as one process says itself.
@@ -348,7 +410,16 @@
     pub fn uneven(&self, from: Instant, to: Instant) -> f64 {
         let (downs, drains, asked) = (&self.downs, &self.drains, &[]);
         let (begin, workers, expiry) = (self.begin, &self.workers, Duration::ZERO);
-        Evidence { begin, end: to, expiry, workers, asked, downs, drains }.uneven(from, to, |_| true)
+        Evidence {
+            begin,
+            end: to,
+            expiry,
+            workers,
+            asked,
+            downs,
+            drains,
+        }
+        .uneven(from, to, |_| true)
     }
 
     pub fn process(&self, at: usize) -> Option<&Process> {
@@ -363,25 +434,45 @@
                 let (over, load) = (self.over.clone(), self.scenario.load.clone());
                 let seed = (self.chance.unit() * 1e15) as u64;
                 let name = format!("d{at}-{n}");
-                let client = Client { name, at, address, asked, over, chance: Pcg::new(seed), load };
+                let client = Client {
+                    name,
+                    at,
+                    address,
+                    asked,
+                    over,
+                    chance: Pcg::new(seed),
+                    load,
+                };
                 self.clients.push(thread::spawn(move || client.run()));
             }
         }
     }
 
     fn begin_fault(&mut self, fault: &Fault) -> Result<(), RigError> {
-        let cut = Some(Way { cut: true, ..Way::default() });
+        let cut = Some(Way {
+            cut: true,
+            ..Way::default()
+        });
         let workers = |stage: &Stage, act: &dyn Fn(&Worker)| {
-            fault.who.iter().filter_map(|who| stage.workers.get(*who)).for_each(|worker| act(worker));
+            fault
+                .who
+                .iter()
+                .filter_map(|who| stage.workers.get(*who))
+                .for_each(|worker| act(worker));
         };
-        let who: Vec<usize> = fault.who.iter().copied().filter(|who| *who < self.places.len()).collect();
+        let who: Vec<usize> = fault
+            .who
+            .iter()
+            .copied()
+            .filter(|who| *who < self.places.len())
+            .collect();
         match fault.what {
             What::Kill => who.iter().for_each(|at| self.kill(*at)),
             What::Pause => who.iter().for_each(|at| self.pause(*at)),
             What::Roll | What::Leave => who.iter().for_each(|at| self.leave(*at)),
-            What::Start => {
-                who.iter().try_for_each(|at| self.start(*at).and_then(|()| self.until_ready(*at)))?
-            }
+            What::Start => who
+                .iter()
+                .try_for_each(|at| self.start(*at).and_then(|()| self.until_ready(*at)))?,
             What::Join => self.join(fault.count.max(1))?,
             What::Drain => fault.who.iter().for_each(|at| self.drain(*at)),
             What::Hang => workers(self, &|worker| worker.hang(true)),
@@ -397,9 +488,18 @@
 
     fn end_fault(&mut self, fault: &Fault) -> Result<(), RigError> {
         let workers = |stage: &Stage, act: &dyn Fn(&Worker)| {
-            fault.who.iter().filter_map(|who| stage.workers.get(*who)).for_each(|worker| act(worker));
+            fault
+                .who
+                .iter()
+                .filter_map(|who| stage.workers.get(*who))
+                .for_each(|worker| act(worker));
         };
-        let who: Vec<usize> = fault.who.iter().copied().filter(|who| *who < self.places.len()).collect();
+        let who: Vec<usize> = fault
+            .who
+            .iter()
+            .copied()
+            .filter(|who| *who < self.places.len())
+            .collect();
         match fault.what {
             What::Kill | What::Roll => {
                 for at in who {
@@ -428,7 +528,11 @@
         for (at, fault) in faults.iter().enumerate() {
             todo.push((fault.at_ms, true, at));
             // One that rolls is back once the old process has had time to end.
-            let lasts = if fault.what == What::Roll { 1_500 } else { fault.lasts_ms };
+            let lasts = if fault.what == What::Roll {
+                1_500
+            } else {
+                fault.lasts_ms
+            };
             if lasts > 0 {
                 todo.push((fault.at_ms + lasts, false, at));
             }
@@ -438,8 +542,14 @@
         let mut todo = todo.into_iter().peekable();
         while self.begin.elapsed() < end {
             let passed = self.begin.elapsed();
-            while let Some((_, begins, at)) = todo.next_if(|(ms, ..)| u128::from(*ms) <= passed.as_millis()) {
-                if begins { self.begin_fault(&faults[at])? } else { self.end_fault(&faults[at])? }
+            while let Some((_, begins, at)) =
+                todo.next_if(|(ms, ..)| u128::from(*ms) <= passed.as_millis())
+            {
+                if begins {
+                    self.begin_fault(&faults[at])?
+                } else {
+                    self.end_fault(&faults[at])?
+                }
             }
             tick(self, passed);
             thread::sleep(Duration::from_millis(20));
@@ -449,16 +559,26 @@
 
     /// Writes the log of each process that runs, with its counters, into a folder.
     pub fn logs(&self, folder: &Path) -> Result<(), RigError> {
-        std::fs::create_dir_all(folder)
-            .map_err(|source| RigError::Folder { path: folder.to_path_buf(), source })?;
-        let running =
-            || self.places.iter().enumerate().filter_map(|(at, place)| Some((at, place.process.as_ref()?)));
+        std::fs::create_dir_all(folder).map_err(|source| RigError::Folder {
+            path: folder.to_path_buf(),
+            source,
+        })?;
+        let running = || {
+            self.places
+                .iter()
+                .enumerate()
+                .filter_map(|(at, place)| Some((at, place.process.as_ref()?)))
+        };
         running().for_each(|(_, process)| process.signal("USR1"));
         thread::sleep(Duration::from_millis(100));
         for (at, process) in running() {
             let path = folder.join(format!("n{at}.log"));
-            std::fs::write(&path, process.lines().join("\n"))
-                .map_err(|source| RigError::Folder { path: path.clone(), source })?;
+            std::fs::write(&path, process.lines().join("\n")).map_err(|source| {
+                RigError::Folder {
+                    path: path.clone(),
+                    source,
+                }
+            })?;
         }
         Ok(())
     }
@@ -468,8 +588,14 @@
         let end = Instant::now();
         self.over.store(true, Ordering::Relaxed);
         // Whoever is still paused answers no one: its clients give up by themselves.
-        std::mem::take(&mut self.clients).into_iter().for_each(|client| drop(client.join()));
-        let asked = self.asked.lock().map(|asked| asked.clone()).unwrap_or_default();
+        std::mem::take(&mut self.clients)
+            .into_iter()
+            .for_each(|client| drop(client.join()));
+        let asked = self
+            .asked
+            .lock()
+            .map(|asked| asked.clone())
+            .unwrap_or_default();
         let expiry = Duration::from_millis(self.scenario.load.expiry_ms);
         let evidence = Evidence {
             begin: self.begin,
@@ -484,7 +610,10 @@
         let warm = |at: usize| at < self.scenario.fleet.workers && !drained.contains(&at);
         let third = (end - self.begin) / 3;
         let with = |status: u16| {
-            asked.iter().filter(|asked| asked.answer.is_some_and(|(got, _)| got == status)).count()
+            asked
+                .iter()
+                .filter(|asked| asked.answer.is_some_and(|(got, _)| got == status))
+                .count()
         };
         let (datagrams, lost, bytes) = self.relay.0.counts();
         let each = (end - self.begin).as_secs_f64() * self.scenario.fleet.dispatchers as f64;
@@ -511,7 +640,12 @@
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(within)).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
-    message(&mut BufReader::new(&stream))?.0.split(' ').nth(1)?.parse().ok()
+    message(&mut BufReader::new(&stream))?
+        .0
+        .split(' ')
+        .nth(1)?
+        .parse()
+        .ok()
 }
 
 struct Client {
@@ -530,13 +664,17 @@
         let (mut stream, mut serial): (Option<(TcpStream, String)>, u64) = (None, 0);
         while !self.over.load(Ordering::Relaxed) {
             let pause = -(1.0 - self.chance.unit()).ln() * self.load.pause_ms;
-            thread::sleep(Duration::from_secs_f64(pause.min(10.0 * self.load.pause_ms) / 1e3));
+            thread::sleep(Duration::from_secs_f64(
+                pause.min(10.0 * self.load.pause_ms) / 1e3,
+            ));
             let Some(address) = self.address.lock().ok().and_then(|address| address.clone()) else {
                 stream = None;
                 continue;
             };
             if stream.as_ref().is_none_or(|(_, to)| *to != address) {
-                let Ok(new) = TcpStream::connect(&address) else { continue };
+                let Ok(new) = TcpStream::connect(&address) else {
+                    continue;
+                };
                 let wait = Duration::from_millis(self.load.expiry_ms + 1_000);
                 if new.set_read_timeout(Some(wait)).is_err() || new.set_nodelay(true).is_err() {
                     continue;
@@ -548,7 +686,10 @@
             let (id, scheme) = (format!("{}-{serial}", self.name), serial as usize % 3);
             // Half to one and a half times the usual work.
             let work = (self.load.work_ms * 1e3 * (0.5 + self.chance.unit())) as u64;
-            let (more, name) = (format!("Work-Hint: {work}\r\n"), ["thumb", "invoice", "charge"][scheme]);
+            let (more, name) = (
+                format!("Work-Hint: {work}\r\n"),
+                ["thumb", "invoice", "charge"][scheme],
+            );
             let seconds = self.load.expiry_ms as f64 / 1e3;
             let text = request(&id, name, seconds, &more, &work.to_string());
             let at = Instant::now();
@@ -559,11 +700,21 @@
                 continue;
             }
             let head = message(&mut BufReader::new(open)).map(|(head, _)| head);
-            let status = head.as_ref().and_then(|head| head.split(' ').nth(1)?.parse().ok());
+            let status = head
+                .as_ref()
+                .and_then(|head| head.split(' ').nth(1)?.parse().ok());
             let over = Instant::now();
-            let closes = head.is_none_or(|head| head.to_ascii_lowercase().contains("connection: close"));
+            let closes =
+                head.is_none_or(|head| head.to_ascii_lowercase().contains("connection: close"));
             let answer = status.map(|status: u16| (status, over));
-            let one = Asked { id, dispatcher: self.at, once: scheme == 2, at, answer, over };
+            let one = Asked {
+                id,
+                dispatcher: self.at,
+                once: scheme == 2,
+                at,
+                answer,
+                over,
+            };
             if let Ok(mut asked) = self.asked.lock() {
                 asked.push(one);
             }
--- a/crates/cluster-testbed/src/process.rs
+++ b/crates/cluster-testbed/src/process.rs
@@ -9,12 +9,18 @@
 
 /// The program under test: what ROSEWALL_PROGRAM names, else the one built beside the caller.
 pub fn program() -> PathBuf {
-    std::env::var_os("ROSEWALL_PROGRAM").map(PathBuf::from).unwrap_or_else(|| {
-        let own = std::env::current_exe().unwrap_or_default();
-        let folder = own.parent().unwrap_or(Path::new("."));
-        let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
-        folder.join("rosewalld")
-    })
+    std::env::var_os("ROSEWALL_PROGRAM")
+        .map(PathBuf::from)
+        .unwrap_or_else(|| {
+            let own = std::env::current_exe().unwrap_or_default();
+            let folder = own.parent().unwrap_or(Path::new("."));
+            let folder = if folder.ends_with("deps") {
+                folder.parent().unwrap_or(folder)
+            } else {
+                folder
+            };
+            folder.join("rosewalld")
+        })
 }
 
 /// A shell that runs `first` and then becomes the program. Where the system has `setpriv`, the kernel kills the program
@@ -27,7 +33,11 @@
 pub fn tied(first: &str, program: &Path) -> Command {
     let tied = "tie=; command -v setpriv >/dev/null 2>&1 && tie='setpriv --pdeathsig KILL --'";
     let mut command = Command::new("/bin/sh");
-    command.args(["-c", &format!("{first}\n{tied}\nexec $tie \"$0\" \"$@\""), &program.to_string_lossy()]);
+    command.args([
+        "-c",
+        &format!("{first}\n{tied}\nexec $tie \"$0\" \"$@\""),
+        &program.to_string_lossy(),
+    ]);
     command
 }
 
@@ -46,15 +56,23 @@
             return Err(RigError::Program { path });
         }
         let mut command = command("");
-        command.env("PROXY_CONFIG", file).stderr(Stdio::piped()).stdout(Stdio::null());
+        command
+            .env("PROXY_CONFIG", file)
+            .stderr(Stdio::piped())
+            .stdout(Stdio::null());
         command.envs(env.iter().map(|(name, value)| (*name, value)));
-        let mut child = command.spawn().map_err(|source| RigError::Spawn { at, source })?;
+        let mut child = command
+            .spawn()
+            .map_err(|source| RigError::Spawn { at, source })?;
         let log = Log::default();
         if let Some(errors) = child.stderr.take() {
             let kept = log.clone();
             thread::spawn(move || {
                 for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                    kept.0.lock().unwrap_or_else(|held| held.into_inner()).push(line);
+                    kept.0
+                        .lock()
+                        .unwrap_or_else(|held| held.into_inner())
+                        .push(line);
                     kept.1.notify_all();
                 }
             });
@@ -86,17 +104,28 @@
     }
 
     pub fn lines(&self) -> Vec<String> {
-        self.log.0.lock().map(|lines| lines.clone()).unwrap_or_default()
+        self.log
+            .0
+            .lock()
+            .map(|lines| lines.clone())
+            .unwrap_or_default()
     }
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        let _ = Command::new("kill").args([&format!("-{name}"), &pid]).stderr(Stdio::null()).status();
+        let _ = Command::new("kill")
+            .args([&format!("-{name}"), &pid])
+            .stderr(Stdio::null())
+            .status();
     }
 
     /// Whether it has ended, and how.
     pub fn ended(&mut self) -> Option<Option<i32>> {
-        self.child.try_wait().ok().flatten().map(|status| status.code())
+        self.child
+            .try_wait()
+            .ok()
+            .flatten()
+            .map(|status| status.code())
     }
 
     pub fn kill(&mut self) {
--- a/crates/cluster-testbed/src/relay.rs
+++ b/crates/cluster-testbed/src/relay.rs
@@ -72,7 +72,11 @@
     pub fn start(seed: u64) -> Result<Relay, RigError> {
         let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0)).map_err(RigError::Socket)?;
         let address = socket.get_ref().local_addr().map_err(RigError::Socket)?;
-        let relay = Relay { address, ways: Arc::default(), over: Arc::default() };
+        let relay = Relay {
+            address,
+            ways: Arc::default(),
+            over: Arc::default(),
+        };
         let shared = relay.clone();
         thread::spawn(move || async_io::block_on(shared.carry(&socket, seed)));
         Ok(relay)
@@ -114,7 +118,8 @@
 
     /// Datagrams and bytes that one has sent, and that were carried to it.
     pub fn of(&self, number: usize) -> ((u64, u64), (u64, u64)) {
-        let of = |counts: &HashMap<usize, (u64, u64)>| counts.get(&number).copied().unwrap_or_default();
+        let of =
+            |counts: &HashMap<usize, (u64, u64)>| counts.get(&number).copied().unwrap_or_default();
         self.with(|ways| (of(&ways.sent), of(&ways.got)))
     }
 
@@ -128,7 +133,10 @@
         let mut late: BinaryHeap<Late> = BinaryHeap::new();
         let (mut bytes, mut serial) = ([0; 2048], 0);
         while !self.over.load(Ordering::Relaxed) {
-            while late.peek().is_some_and(|Reverse((at, ..))| *at <= Instant::now()) {
+            while late
+                .peek()
+                .is_some_and(|Reverse((at, ..))| *at <= Instant::now())
+            {
                 if let Some(Reverse((_, _, to, bytes))) = late.pop() {
                     let _ = socket.get_ref().send_to(&bytes, to);
                 }
@@ -141,15 +149,24 @@
                 Timer::at(next).await;
                 None
             };
-            let Some((length, from)) = came.or(due).await else { continue };
-            let Some(to) = read(&bytes[..length]) else { continue };
+            let Some((length, from)) = came.or(due).await else {
+                continue;
+            };
+            let Some(to) = read(&bytes[..length]) else {
+                continue;
+            };
             write(from, &mut bytes);
             let way = self.with(|ways| {
                 let pair = (ways.numbers.get(&from), ways.numbers.get(&to));
                 let pair = pair.0.copied().zip(pair.1.copied());
-                let way = pair.and_then(|pair| ways.of.get(&pair)).copied().unwrap_or(ways.usual);
+                let way = pair
+                    .and_then(|pair| ways.of.get(&pair))
+                    .copied()
+                    .unwrap_or(ways.usual);
                 let zones = pair.map(|(from, to)| (zone(from), zone(to)));
-                let parted = zones.zip(ways.parted).is_some_and(|((from, to), cut)| cut.parts(from, to));
+                let parted = zones
+                    .zip(ways.parted)
+                    .is_some_and(|((from, to), cut)| cut.parts(from, to));
                 let lost = way.cut || parted || chance.unit() < way.loss;
                 let size = length as u64 - PREFIX as u64;
                 let count = |counts: &mut (u64, u64)| *counts = (counts.0 + 1, counts.1 + size);
@@ -162,7 +179,9 @@
                 ways.lost += u64::from(lost);
                 ways.carried += u64::from(!lost);
                 ways.bytes += if lost { 0 } else { size };
-                let far = zones.zip(ways.distances).map(|((from, to), far)| far.between(from, to));
+                let far = zones
+                    .zip(ways.distances)
+                    .map(|((from, to), far)| far.between(from, to));
                 (!lost).then_some((way, far.unwrap_or_default()))
             });
             let Some((way, far)) = way else { continue };
@@ -171,7 +190,12 @@
                 let wait = far + Duration::from_secs_f64(wait / 1e3);
                 serial += 1;
                 if wait > Duration::ZERO {
-                    late.push(Reverse((Instant::now() + wait, serial, to, bytes[..length].to_vec())));
+                    late.push(Reverse((
+                        Instant::now() + wait,
+                        serial,
+                        to,
+                        bytes[..length].to_vec(),
+                    )));
                 } else {
                     let _ = socket.get_ref().send_to(&bytes[..length], to);
                 }
--- a/crates/cluster-testbed/src/scale/child.rs
+++ b/crates/cluster-testbed/src/scale/child.rs
@@ -15,7 +15,9 @@
 pub fn message_end(bytes: &[u8]) -> Option<usize> {
     let head = bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
     let text = std::str::from_utf8(&bytes[..head]).ok()?;
-    let length = crate::stand::field(text, "content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let length = crate::stand::field(text, "content-length")
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
     (bytes.len() >= head + length).then_some(head + length)
 }
 
@@ -37,7 +39,10 @@
     }
 
     /// Answers each until there are no more.
-    pub async fn answer(&self, answer: impl Fn(&[&str]) -> Result<String, String>) -> Result<(), String> {
+    pub async fn answer(
+        &self,
+        answer: impl Fn(&[&str]) -> Result<String, String>,
+    ) -> Result<(), String> {
         while let Ok(line) = self.0.recv().await {
             let words: Vec<&str> = line.split_whitespace().collect();
             if words.is_empty() {
@@ -65,10 +70,17 @@
 
 impl Child {
     pub fn start(words: &[String]) -> Result<Child, RigError> {
-        let failed = |source| RigError::Hollow { words: words.join(" "), source };
+        let failed = |source| RigError::Hollow {
+            words: words.join(" "),
+            source,
+        };
         let own = std::env::current_exe().map_err(failed)?;
         let mut command = tied("", &own);
-        command.arg("hollow").args(words).stdin(Stdio::piped()).stdout(Stdio::piped());
+        command
+            .arg("hollow")
+            .args(words)
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped());
         let mut process = command.spawn().map_err(failed)?;
         let (ask, out) = (process.stdin.take(), process.stdout.take());
         let (Some(ask), Some(out)) = (ask, out) else {
@@ -91,12 +103,18 @@
 
     /// The next line that it tells.
     pub fn heard<T: DeserializeOwned>(&self) -> Result<T, RigError> {
-        let line = self.told.recv_timeout(PATIENCE).map_err(|_| RigError::Silent { pid: self.pid() })?;
+        let line = self
+            .told
+            .recv_timeout(PATIENCE)
+            .map_err(|_| RigError::Silent { pid: self.pid() })?;
         serde_json::from_str(&line).map_err(|_| RigError::Silent { pid: self.pid() })
     }
 
     pub fn ask<T: DeserializeOwned>(&mut self, line: &str) -> Result<T, RigError> {
-        let failed = |source| RigError::Hollow { words: line.chars().take(80).collect(), source };
+        let failed = |source| RigError::Hollow {
+            words: line.chars().take(80).collect(),
+            source,
+        };
         writeln!(self.ask, "{line}").map_err(failed)?;
         self.heard()
     }
--- a/crates/cluster-testbed/src/scale/command.rs
+++ b/crates/cluster-testbed/src/scale/command.rs
@@ -23,10 +23,16 @@
     ("resident_mb", |m| m.dispatcher.resident_mb),
     ("hollow_resident_mb", |m| m.hollow.resident_mb),
     ("keeper_resident_mb", |m| m.keeper.resident_mb),
-    ("bytes", |m| each(m, |role| role.bytes_out + role.bytes_in + role.list_bytes)),
-    ("datagrams", |m| each(m, |role| role.datagrams_out + role.datagrams_in)),
+    ("bytes", |m| {
+        each(m, |role| role.bytes_out + role.bytes_in + role.list_bytes)
+    }),
+    ("datagrams", |m| {
+        each(m, |role| role.datagrams_out + role.datagrams_in)
+    }),
     ("list_bytes", |m| each(m, |role| role.list_bytes)),
-    ("keeper_bytes", |m| m.keeper.bytes_out + m.keeper.bytes_in + m.keeper.list_bytes),
+    ("keeper_bytes", |m| {
+        m.keeper.bytes_out + m.keeper.bytes_in + m.keeper.list_bytes
+    }),
     ("discovery_cpu_percent", |m| m.discovery.cpu_percent),
     ("urgent_p99_ms", |m| m.urgent.p99),
     ("usual_p99_ms", |m| m.usual.p99),
@@ -50,22 +56,37 @@
 }
 
 fn figure(name: &str) -> Result<Figure, String> {
-    let found = FIGURES.iter().find(|(known, _)| *known == name).map(|(_, of)| *of);
-    let known = || FIGURES.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ");
+    let found = FIGURES
+        .iter()
+        .find(|(known, _)| *known == name)
+        .map(|(_, of)| *of);
+    let known = || {
+        FIGURES
+            .iter()
+            .map(|(name, _)| *name)
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     found.ok_or_else(|| format!("{name:?} is none of {}", known()))
 }
 
 /// `NAME=NUMBER`.
 fn bound(text: &str) -> Result<(String, f64), String> {
-    let (name, value) = text.split_once('=').ok_or(format!("{text:?} is no NAME=NUMBER"))?;
+    let (name, value) = text
+        .split_once('=')
+        .ok_or(format!("{text:?} is no NAME=NUMBER"))?;
     figure(name)?;
-    let value = value.parse().map_err(|_| format!("{value:?} is no number"))?;
+    let value = value
+        .parse()
+        .map_err(|_| format!("{value:?} is no number"))?;
     Ok((name.to_string(), value))
 }
 
 /// `NAME=NUMBER,NUMBER,...`.
 fn sizes(text: &str) -> Result<(String, Vec<f64>), String> {
-    let (name, values) = text.split_once('=').ok_or(format!("{text:?} is no NAME=NUMBER,NUMBER"))?;
+    let (name, values) = text
+        .split_once('=')
+        .ok_or(format!("{text:?} is no NAME=NUMBER,NUMBER"))?;
     let values: Result<Vec<f64>, _> = values.split(',').map(str::parse).collect();
     let values = values.map_err(|_| format!("{text:?} is no NAME=NUMBER,NUMBER"))?;
     Plan::default().set(name, 1.0)?;
@@ -140,7 +161,10 @@
         );
     }
     if let Some(fault) = plan.faults.iter().find(|fault| fault.kind == Kind::Release) {
-        println!("  the release of the whole fleet, ten minutes in the plan, took {} s here", fault.figure);
+        println!(
+            "  the release of the whole fleet, ten minutes in the plan, took {} s here",
+            fault.figure
+        );
     }
     println!(
         "  role        count  cpu of a core              resident                      datagrams out, in/s   bytes out, in/s  list B/s"
@@ -201,7 +225,10 @@
             measured.cold, measured.cold_worst
         );
     }
-    println!("  {} processes, {:.0} MB resident at most", measured.processes, measured.memory_mb);
+    println!(
+        "  {} processes, {:.0} MB resident at most",
+        measured.processes, measured.memory_mb
+    );
 }
 
 impl Scale {
@@ -213,7 +240,8 @@
         for value in values {
             let mut plan = self.plan.clone();
             if !name.is_empty() {
-                plan.set(&name, value).map_err(|what| RigError::Sweep { what })?;
+                plan.set(&name, value)
+                    .map_err(|what| RigError::Sweep { what })?;
             }
             for repeat in 0..self.repeats.max(1) {
                 plan.seed = self.plan.seed + repeat;
@@ -234,9 +262,18 @@
         }
         for slope in &self.slopes {
             let of = figure(slope).map_err(|what| RigError::Sweep { what })?;
-            let points: Vec<(f64, f64)> = all.iter().map(|(size, measured)| (*size, of(measured))).collect();
+            let points: Vec<(f64, f64)> = all
+                .iter()
+                .map(|(size, measured)| (*size, of(measured)))
+                .collect();
             let (line, left_out) = (line(&points), predicted(&points));
-            let fitted = Fitted { slope_of: slope, against: &name, points, line, left_out };
+            let fitted = Fitted {
+                slope_of: slope,
+                against: &name,
+                points,
+                line,
+                left_out,
+            };
             if json {
                 println!("{}", serde_json::to_string(&fitted).unwrap_or_default());
             } else if let (Some(line), Some(left_out)) = (fitted.line, fitted.left_out) {
--- a/crates/cluster-testbed/src/scale/discovery.rs
+++ b/crates/cluster-testbed/src/scale/discovery.rs
@@ -53,22 +53,37 @@
     fn text(&self, whole: bool, names: &[&String]) -> String {
         let lines: Vec<&str> = match whole {
             true => self.hosts.values().map(String::as_str).collect(),
-            false => names.iter().filter_map(|name| self.hosts.get(*name)).map(String::as_str).collect(),
+            false => names
+                .iter()
+                .filter_map(|name| self.hosts.get(*name))
+                .map(String::as_str)
+                .collect(),
         };
-        format!("{{\"seq\":{},\"whole\":{whole},\"hosts\":[{}]}}", self.seq, lines.join(","))
+        format!(
+            "{{\"seq\":{},\"whole\":{whole},\"hosts\":[{}]}}",
+            self.seq,
+            lines.join(",")
+        )
     }
 
     /// What is answered to a call from this version on; none while there is nothing new.
     fn answer(&mut self, index: Option<u64>, late: bool) -> Option<String> {
         let from = index.filter(|index| {
             *index == self.seq
-                || self.log.front().is_some_and(|(seq, _)| *index + 1 >= *seq && *index < self.seq)
+                || self
+                    .log
+                    .front()
+                    .is_some_and(|(seq, _)| *index + 1 >= *seq && *index < self.seq)
         });
         match from {
             Some(index) if index == self.seq && !late => None,
             Some(index) => {
-                let mut names: Vec<&String> =
-                    self.log.iter().filter(|(seq, _)| *seq > index).flat_map(|(_, names)| names).collect();
+                let mut names: Vec<&String> = self
+                    .log
+                    .iter()
+                    .filter(|(seq, _)| *seq > index)
+                    .flat_map(|(_, names)| names)
+                    .collect();
                 names.sort_unstable();
                 names.dedup();
                 Some(self.text(false, &names))
@@ -87,10 +102,17 @@
         self.report.calls += 1;
         let Some(index) = index else { return };
         let before = self.has[follower].replace(index).unwrap_or(0);
-        let taken = self.open.iter_mut().filter(|(seq, _)| (before + 1..=index).contains(*seq));
+        let taken = self
+            .open
+            .iter_mut()
+            .filter(|(seq, _)| (before + 1..=index).contains(*seq));
         taken.for_each(|(_, (since, last))| *last = since.elapsed());
         let least = self.has.iter().flatten().min().copied().unwrap_or(0);
-        while let Some(first) = self.open.first_entry().filter(|first| *first.key() <= least) {
+        while let Some(first) = self
+            .open
+            .first_entry()
+            .filter(|first| *first.key() <= least)
+        {
             let (_, last) = first.remove();
             self.taken.push(last.as_secs_f64() * 1e3);
         }
@@ -136,7 +158,11 @@
                 if let Some(end) = message_end(&bytes) {
                     break end;
                 }
-                let count = stream.read(&mut chunk).await.ok().filter(|count| *count > 0)?;
+                let count = stream
+                    .read(&mut chunk)
+                    .await
+                    .ok()
+                    .filter(|count| *count > 0)?;
                 self.board.borrow_mut().report.bytes_in += count as u64;
                 bytes.extend_from_slice(&chunk[..count]);
             };
@@ -148,7 +174,10 @@
             let until = Instant::now() + wait;
             let text = loop {
                 let (tell, told) = async_channel::bounded(1);
-                let answer = self.board.borrow_mut().answer(index, Instant::now() >= until);
+                let answer = self
+                    .board
+                    .borrow_mut()
+                    .answer(index, Instant::now() >= until);
                 match answer.filter(|_| !self.down.get()) {
                     Some(text) => break text,
                     None if self.down.get() => return None,
@@ -162,7 +191,10 @@
                 };
                 news.or(late).await;
             };
-            let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+            let text = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+                text.len()
+            );
             self.board.borrow_mut().report.bytes_out += text.len() as u64;
             stream.write_all(text.as_bytes()).await.ok()?;
         }
@@ -170,7 +202,9 @@
 
     async fn listen(self: Rc<Self>, follower: usize, listener: Async<TcpListener>) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             if self.down.get() || stream.get_ref().set_nodelay(true).is_err() {
                 continue;
             }
@@ -194,18 +228,22 @@
                 let mut report = board.report.clone();
                 report.followers = board.has.iter().flatten().count() as u64;
                 report.taken_most_ms = board.taken.iter().copied().fold(0.0, f64::max);
-                report.taken_mean_ms = board.taken.iter().sum::<f64>() / board.taken.len().max(1) as f64;
+                report.taken_mean_ms =
+                    board.taken.iter().sum::<f64>() / board.taken.len().max(1) as f64;
                 report.open = board.open.len() as u64;
                 return serde_json::to_string(&report).map_err(|error| error.to_string());
             }
             "change" => {
-                let lines: Vec<Value> =
-                    serde_json::from_str(&words[1..].concat()).map_err(|error| error.to_string())?;
+                let lines: Vec<Value> = serde_json::from_str(&words[1..].concat())
+                    .map_err(|error| error.to_string())?;
                 board.change(&lines);
             }
             // A follower that is gone has nothing to take.
             "gone" => {
-                let follower: usize = words.get(1).and_then(|word| word.parse().ok()).unwrap_or(usize::MAX);
+                let follower: usize = words
+                    .get(1)
+                    .and_then(|word| word.parse().ok())
+                    .unwrap_or(usize::MAX);
                 if let Some(has) = board.has.get_mut(follower) {
                     *has = None;
                 }
@@ -234,12 +272,24 @@
         waiting: Vec::new(),
         report: DiscoveryReport::default(),
     };
-    let service = Rc::new(Service { ex: ex.clone(), board: RefCell::new(board), down: Cell::new(false) });
+    let service = Rc::new(Service {
+        ex: ex.clone(),
+        board: RefCell::new(board),
+        down: Cell::new(false),
+    });
     let mut ports = Vec::new();
     for follower in 0..followers {
-        let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|error| error.to_string())?;
-        ports.push(listener.get_ref().local_addr().map_err(|error| error.to_string())?.port());
-        ex.spawn(service.clone().listen(follower, listener)).detach();
+        let listener =
+            Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|error| error.to_string())?;
+        ports.push(
+            listener
+                .get_ref()
+                .local_addr()
+                .map_err(|error| error.to_string())?
+                .port(),
+        );
+        ex.spawn(service.clone().listen(follower, listener))
+            .detach();
     }
     let asked = Asked::new();
     println!("{}", serde_json::json!({ "ports": ports }));
--- a/crates/cluster-testbed/src/scale/dispatchers.rs
+++ b/crates/cluster-testbed/src/scale/dispatchers.rs
@@ -32,22 +32,34 @@
 impl Crowd {
     fn start(&self, at: usize) -> Result<(), String> {
         let given = load(&self.files[at])?;
-        let listener =
-            TcpListener::bind(given.listen).and_then(Async::new).map_err(|error| error.to_string())?;
+        let listener = TcpListener::bind(given.listen)
+            .and_then(Async::new)
+            .map_err(|error| error.to_string())?;
         let node = Node::start(Sockets::new(self.ex.clone()), given, Listener(listener))?;
         self.nodes.borrow_mut()[at] = Some(node);
         Ok(())
     }
 
     fn answer(&self, words: &[&str]) -> Result<String, String> {
-        let at = words.get(1).and_then(|word| word.parse::<usize>().ok()).filter(|at| *at < self.files.len());
+        let at = words
+            .get(1)
+            .and_then(|word| word.parse::<usize>().ok())
+            .filter(|at| *at < self.files.len());
         match (words[0], at) {
             ("views", _) => {
                 let mut seen = Views::default();
                 for node in self.nodes.borrow().iter().flatten() {
-                    let text = node.shared.members.as_ref().map(ToString::to_string).unwrap_or_default();
-                    let word =
-                        |name: &str| text.split(' ').find_map(|word| word.strip_prefix(name)).unwrap_or("");
+                    let text = node
+                        .shared
+                        .members
+                        .as_ref()
+                        .map(ToString::to_string)
+                        .unwrap_or_default();
+                    let word = |name: &str| {
+                        text.split(' ')
+                            .find_map(|word| word.strip_prefix(name))
+                            .unwrap_or("")
+                    };
                     let number = |name| word(name).parse().unwrap_or(0);
                     seen.views.push((number("rank="), number("count=")));
                     seen.ready += usize::from(node.shared.ready.get());
@@ -67,10 +79,21 @@
 /// Runs those of the files in a folder until standard input ends; `apart` lies between their starts.
 pub fn run(folder: &Path, numbers: &[usize], apart: Duration) -> Result<(), String> {
     let ex = Rc::new(LocalExecutor::new());
-    let files: Vec<String> =
-        numbers.iter().map(|at| folder.join(format!("n{at}.json")).to_string_lossy().into_owned()).collect();
+    let files: Vec<String> = numbers
+        .iter()
+        .map(|at| {
+            folder
+                .join(format!("n{at}.json"))
+                .to_string_lossy()
+                .into_owned()
+        })
+        .collect();
     let nodes = RefCell::new(numbers.iter().map(|_| None).collect());
-    let crowd = Rc::new(Crowd { ex: ex.clone(), files, nodes });
+    let crowd = Rc::new(Crowd {
+        ex: ex.clone(),
+        files,
+        nodes,
+    });
     let asked = Asked::new();
     let running = async {
         for at in 0..numbers.len() {
--- a/crates/cluster-testbed/src/scale/fit.rs
+++ b/crates/cluster-testbed/src/scale/fit.rs
@@ -10,7 +10,9 @@
 }
 
 /// Two-sided 95% of Student's t by degrees of freedom, 1 to 10; beyond, the normal's with a little more.
-const T: [f64; 10] = [12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228];
+const T: [f64; 10] = [
+    12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
+];
 
 /// Least squares; none where there are fewer than three points or all are of one size.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
@@ -18,17 +20,30 @@
     if points.len() < 3 {
         return None;
     }
-    let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), point| (x + point.0 / count, y + point.1 / count));
+    let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), point| {
+        (x + point.0 / count, y + point.1 / count)
+    });
     let spread: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
     if spread <= 0.0 {
         return None;
     }
-    let slope = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum::<f64>() / spread;
+    let slope = points
+        .iter()
+        .map(|point| (point.0 - x) * (point.1 - y))
+        .sum::<f64>()
+        / spread;
     let at_zero = y - slope * x;
-    let left: f64 = points.iter().map(|point| (point.1 - at_zero - slope * point.0).powi(2)).sum();
+    let left: f64 = points
+        .iter()
+        .map(|point| (point.1 - at_zero - slope * point.0).powi(2))
+        .sum();
     let free = points.len() - 2;
     let t = T.get(free - 1).copied().unwrap_or(2.0 + 2.3 / free as f64);
-    Some(Line { at_zero, slope, within: t * (left / free as f64 / spread).sqrt() })
+    Some(Line {
+        at_zero,
+        slope,
+        within: t * (left / free as f64 / spread).sqrt(),
+    })
 }
 
 /// One size, left out of the fit and predicted by it.
@@ -43,7 +58,10 @@
 
 /// The largest size, which matters most, predicted from all others.
 pub fn predicted(points: &[(f64, f64)]) -> Option<Predicted> {
-    let size = points.iter().map(|point| point.0).fold(f64::NEG_INFINITY, f64::max);
+    let size = points
+        .iter()
+        .map(|point| point.0)
+        .fold(f64::NEG_INFINITY, f64::max);
     let (of, others): (Vec<_>, Vec<_>) = points.iter().copied().partition(|point| point.0 == size);
     let line = line(&others)?;
     let measured = of.iter().map(|point| point.1).sum::<f64>() / of.len() as f64;
--- a/crates/cluster-testbed/src/scale/load.rs
+++ b/crates/cluster-testbed/src/scale/load.rs
@@ -71,13 +71,26 @@
 impl Clients {
     /// Hands one in: the status, 0 where its dispatcher does not run, or none where no answer came.
     async fn ask(&self, txn: &Txn, expiry: Duration) -> Option<u16> {
-        let Some(door) = self.doors.lock().ok()?.get(txn.at).copied().flatten() else { return Some(0) };
-        let kept = self.idle.borrow_mut()[txn.at].pop().filter(|(address, _)| *address == door);
-        let meant = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
-        let class =
-            if txn.urgent { "urgent" } else { ["thumb", "invoice", "charge"][txn.serial as usize % 3] };
+        let Some(door) = self.doors.lock().ok()?.get(txn.at).copied().flatten() else {
+            return Some(0);
+        };
+        let kept = self.idle.borrow_mut()[txn.at]
+            .pop()
+            .filter(|(address, _)| *address == door);
+        let meant = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_nanos();
+        let class = if txn.urgent {
+            "urgent"
+        } else {
+            ["thumb", "invoice", "charge"][txn.serial as usize % 3]
+        };
         let work = txn.work.as_micros();
-        let body = format!("{work} {meant} {}", if txn.urgent { "urgent" } else { "usual" });
+        let body = format!(
+            "{work} {meant} {}",
+            if txn.urgent { "urgent" } else { "usual" }
+        );
         let id = format!("d{}-{}", txn.at, txn.serial);
         let more = format!("Work-Hint: {work}\r\n");
         let text = request(&id, class, expiry.as_secs_f64(), &more, &body);
@@ -92,7 +105,11 @@
             if let Some(end) = crate::scale::child::message_end(&bytes) {
                 break end;
             }
-            let count = stream.read(&mut chunk).await.ok().filter(|count| *count > 0)?;
+            let count = stream
+                .read(&mut chunk)
+                .await
+                .ok()
+                .filter(|count| *count > 0)?;
             bytes.extend_from_slice(&chunk[..count]);
         };
         let head = String::from_utf8_lossy(&bytes[..end]).to_ascii_lowercase();
@@ -141,21 +158,42 @@
     let count = doors.lock().map(|doors| doors.len()).unwrap_or(0);
     let ex = Rc::new(LocalExecutor::new());
     let idle = RefCell::new((0..count).map(|_| Vec::new()).collect());
-    let clients = Rc::new(Clients { doors: doors.clone(), idle, asked: RefCell::default() });
+    let clients = Rc::new(Clients {
+        doors: doors.clone(),
+        idle,
+        asked: RefCell::default(),
+    });
     let mut chance = Pcg::new(load.seed);
     let begin = Instant::now();
     let (mut serial, mut planned) = (0, Vec::new());
     let mut plan = |at: Duration, work: f64, measured: bool, chance: &mut Pcg| {
         serial += 1;
         let urgent = chance.unit() < load.urgent;
-        let (place, team) = ((chance.unit() * count as f64) as usize, team(chance, load.teams.max(1)));
+        let (place, team) = (
+            (chance.unit() * count as f64) as usize,
+            team(chance, load.teams.max(1)),
+        );
         let work = load.task.mul_f64(work);
-        planned
-            .push((at, Txn { at: place.min(count.saturating_sub(1)), serial, urgent, team, work, measured }));
+        planned.push((
+            at,
+            Txn {
+                at: place.min(count.saturating_sub(1)),
+                serial,
+                urgent,
+                team,
+                work,
+                measured,
+            },
+        ));
     };
     for n in 0..load.running {
         // What is left of a task that runs at a moment drawn at random is even over its length.
-        plan(load.fill.mul_f64(n as f64 / load.running as f64), chance.unit().max(0.01), false, &mut chance);
+        plan(
+            load.fill.mul_f64(n as f64 / load.running as f64),
+            chance.unit().max(0.01),
+            false,
+            &mut chance,
+        );
     }
     let mut at = load.fill.as_secs_f64() * f64::from(u8::from(load.running > 0));
     let end = at + load.measured.as_secs_f64();
@@ -166,7 +204,12 @@
             if at >= end {
                 break;
             }
-            plan(Duration::from_secs_f64(at), 0.5 + chance.unit(), true, &mut chance);
+            plan(
+                Duration::from_secs_f64(at),
+                0.5 + chance.unit(),
+                true,
+                &mut chance,
+            );
         }
     }
     let (hands, own) = (clients.clone(), ex.clone());
--- a/crates/cluster-testbed/src/scale/plan.rs
+++ b/crates/cluster-testbed/src/scale/plan.rs
@@ -57,7 +57,8 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Fault, String> {
-        let wanted = || format!("{text:?} is no KIND@SECOND[:FIGURE[:SECONDS]], such as zone@2:8:5");
+        let wanted =
+            || format!("{text:?} is no KIND@SECOND[:FIGURE[:SECONDS]], such as zone@2:8:5");
         let (kind, rest) = text.split_once('@').ok_or_else(wanted)?;
         let kind = Kind::from_str(kind, true).map_err(|_| {
             let kinds: Vec<String> = Kind::value_variants()
@@ -66,14 +67,22 @@
                 .collect();
             format!("{kind:?} is none of {}", kinds.join(", "))
         })?;
-        let figures =
-            rest.split(':').map(str::parse::<f64>).collect::<Result<Vec<_>, _>>().map_err(|_| wanted())?;
+        let figures = rest
+            .split(':')
+            .map(str::parse::<f64>)
+            .collect::<Result<Vec<_>, _>>()
+            .map_err(|_| wanted())?;
         let sound = |value: &f64| value.is_finite() && (0.0..=100_000.0).contains(value);
         if figures.len() > 3 || !figures.iter().all(sound) {
             return Err(wanted());
         }
         let figure = |at: usize, other| figures.get(at).copied().unwrap_or(other);
-        Ok(Fault { kind, at_s: figure(0, 0.0), figure: figure(1, 1.0), lasts_s: figure(2, 3.0) })
+        Ok(Fault {
+            kind,
+            at_s: figure(0, 0.0),
+            figure: figure(1, 1.0),
+            lasts_s: figure(2, 3.0),
+        })
     }
 }
 
@@ -157,22 +166,44 @@
 
     pub fn ways(&self) -> Ways {
         let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
-        Ways { zone: ms(self.zone_ms), zones: ms(self.zones_ms), regions: ms(self.regions_ms) }
+        Ways {
+            zone: ms(self.zone_ms),
+            zones: ms(self.zones_ms),
+            regions: ms(self.regions_ms),
+        }
     }
 
     /// The control machines, by their numbers.
     pub fn keepers(&self) -> Vec<usize> {
-        let real: Vec<usize> = KEEPERS.into_iter().filter(|at| *at < self.dispatchers).collect();
-        real[..if real.len() == 5 { 5 } else { real.len().min(1) }].to_vec()
+        let real: Vec<usize> = KEEPERS
+            .into_iter()
+            .filter(|at| *at < self.dispatchers)
+            .collect();
+        real[..if real.len() == 5 {
+            5
+        } else {
+            real.len().min(1)
+        }]
+            .to_vec()
     }
 
     /// Whether it can be played here, in bounded time.
     pub fn check(&self) -> Result<(), RigError> {
         let range = |what, value: f64, least: f64, most: f64, allowed| match value {
             value if (least..=most).contains(&value) => Ok(()),
-            value => Err(RigError::Range { what, value: value.max(0.0) as u64, allowed }),
+            value => Err(RigError::Range {
+                what,
+                value: value.max(0.0) as u64,
+                allowed,
+            }),
         };
-        range("dispatchers", self.dispatchers as f64, 1.0, 280.0, "1 to 280")?;
+        range(
+            "dispatchers",
+            self.dispatchers as f64,
+            1.0,
+            280.0,
+            "1 to 280",
+        )?;
         range("hollow", self.hollow as f64, 0.0, 1_500.0, "0 to 1500")?;
         range("workers", self.workers as f64, 1.0, 4_000.0, "1 to 4000")?;
         range("seats", self.seats as f64, 1.0, 64.0, "1 to 64")?;
@@ -188,7 +219,11 @@
         let most = MOST_PROCESSES as u64;
         let processes = self.processes() as u64;
         if processes > most {
-            return Err(RigError::Large { what: "the number of processes", value: processes, most });
+            return Err(RigError::Large {
+                what: "the number of processes",
+                value: processes,
+                most,
+            });
         }
         Ok(())
     }
@@ -201,8 +236,10 @@
             "hollow" => self.hollow = whole,
             // As many as may be real, the rest hollow.
             "fleet" => {
-                (self.dispatchers, self.hollow) =
-                    (whole.min(self.dispatchers), whole - whole.min(self.dispatchers))
+                (self.dispatchers, self.hollow) = (
+                    whole.min(self.dispatchers),
+                    whole - whole.min(self.dispatchers),
+                )
             }
             "workers" => self.workers = whole,
             "starts" => self.starts = value,
--- a/crates/cluster-testbed/src/scale/stage.rs
+++ b/crates/cluster-testbed/src/scale/stage.rs
@@ -35,8 +35,12 @@
 /// After SIGTERM; then it is killed, as the platform does.
 const END_WITHIN: Duration = Duration::from_secs(5);
 /// Workers as they come up: a fifth at first, all after 20 s; they fall at four times what they can do in a second.
-pub const COLD: Cold =
-    Cold { from: 0.2, time: Duration::from_secs(20), multiple: 4.0, window: Duration::from_secs(1) };
+pub const COLD: Cold = Cold {
+    from: 0.2,
+    time: Duration::from_secs(20),
+    multiple: 4.0,
+    window: Duration::from_secs(1),
+};
 
 #[derive(Deserialize)]
 struct Ports {
@@ -104,7 +108,10 @@
 }
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 fn words(words: &[&dyn ToString]) -> Vec<String> {
@@ -116,8 +123,10 @@
         static SERIAL: AtomicU32 = AtomicU32::new(0);
         let (pid, serial) = (std::process::id(), SERIAL.fetch_add(1, Ordering::SeqCst));
         let folder = std::env::temp_dir().join(format!("rosewall-scale-{pid}-{serial}"));
-        std::fs::create_dir_all(&folder)
-            .map_err(|source| RigError::Folder { path: folder.clone(), source })?;
+        std::fs::create_dir_all(&folder).map_err(|source| RigError::Folder {
+            path: folder.clone(),
+            source,
+        })?;
         let (zone_ms, zones_ms, regions_ms) = (plan.zone_ms, plan.zones_ms, plan.regions_ms);
         let workers = Child::start(&words(&[
             &"workers",
@@ -132,7 +141,11 @@
             json!({"host": format!("w{at:04}"), "dial": format!("127.0.0.1:{port}"), "site": format!("z{}", zone(at)),
                    "class": "m1", "block": 0, "health": "ready", "share": 1.0, "born_ms": 0})
         };
-        let hosts: Vec<Value> = ports.iter().enumerate().map(|(at, port)| host(at, port)).collect();
+        let hosts: Vec<Value> = ports
+            .iter()
+            .enumerate()
+            .map(|(at, port)| host(at, port))
+            .collect();
         let mut discovery = Child::start(&words(&[&"discovery", &plan.all()]))?;
         let Ports { ports } = discovery.heard()?;
         discovery.tell(&format!("change {}", Value::from(hosts.clone())))?;
@@ -164,8 +177,17 @@
         let numbers: Vec<usize> = (plan.dispatchers..plan.all()).collect();
         for numbers in numbers.chunks(SHARE) {
             let (first, last, ms) = (numbers[0], numbers[numbers.len() - 1], plan.starts_apart_ms);
-            let child = Child::start(&words(&[&"dispatchers", &stage.folder.display(), &first, &last, &ms]))?;
-            stage.hollow.push(Hollow { child, numbers: numbers.to_vec() });
+            let child = Child::start(&words(&[
+                &"dispatchers",
+                &stage.folder.display(),
+                &first,
+                &last,
+                &ms,
+            ]))?;
+            stage.hollow.push(Hollow {
+                child,
+                numbers: numbers.to_vec(),
+            });
         }
         for at in 0..plan.dispatchers {
             stage.start(at)?;
@@ -186,7 +208,11 @@
     }
 
     fn mail(&self, at: usize) -> SocketAddr {
-        ([127, self.base, (at / 250) as u8, (at % 250 + 1) as u8], PORT).into()
+        (
+            [127, self.base, (at / 250) as u8, (at % 250 + 1) as u8],
+            PORT,
+        )
+            .into()
     }
 
     /// The files of one dispatcher, as an operator would write them.
@@ -196,34 +222,52 @@
         let task = (plan.task_s * 1e9) as u64;
         let settings = &mut given["settings"];
         (settings["Me"], settings["Siblings"]) = (at.into(), plan.all().into());
-        settings["RegistryMode"] = if plan.lists == Lists::Asked { "on_request" } else { "pushed" }.into();
-        settings["Zones"] = (0..ZONES).map(|zone| format!("z{zone}")).collect::<Vec<_>>().into();
-        settings["Parties"] =
-            (0..plan.teams).map(|team| json!({"Name": format!("t{team}")})).collect::<Vec<_>>().into();
+        settings["RegistryMode"] = if plan.lists == Lists::Asked {
+            "on_request"
+        } else {
+            "pushed"
+        }
+        .into();
+        settings["Zones"] = (0..ZONES)
+            .map(|zone| format!("z{zone}"))
+            .collect::<Vec<_>>()
+            .into();
+        settings["Parties"] = (0..plan.teams)
+            .map(|team| json!({"Name": format!("t{team}")}))
+            .collect::<Vec<_>>()
+            .into();
         settings["Bounds"]["Peers"] = plan.peers.into();
         settings["Contract"] = json!({
             "ColdFrom": COLD.from, "ColdNs": COLD.time.as_nanos() as u64,
             "FallMultiple": COLD.multiple, "FallNs": COLD.window.as_nanos() as u64,
         });
-        settings["FamilyInfo"] =
-            json!({"TellsStart": true, "ClassStretch": [1.0, 1.0, 1.0, 1.0], "ClassKind": [-1, -1, -1, -1]});
+        settings["FamilyInfo"] = json!({"TellsStart": true, "ClassStretch": [1.0, 1.0, 1.0, 1.0], "ClassKind": [-1, -1, -1, -1]});
         if let Some(schemes) = settings["Schemes"].as_array_mut() {
             let mut urgent = schemes[0].clone();
             (urgent["Name"], urgent["Value"]) = ("urgent".into(), 5.0.into());
             schemes.push(urgent);
             for scheme in schemes {
                 // Urgent work is to start within 3.2 s, other within 10 s.
-                let sla: u64 = if scheme["Name"] == "urgent" { 3_200_000_000 } else { 10_000_000_000 };
-                (scheme["SlaTimeNs"], scheme["ExpiryNs"]) = (sla.into(), (3 * task + 2 * sla).into());
+                let sla: u64 = if scheme["Name"] == "urgent" {
+                    3_200_000_000
+                } else {
+                    10_000_000_000
+                };
+                (scheme["SlaTimeNs"], scheme["ExpiryNs"]) =
+                    (sla.into(), (3 * task + 2 * sla).into());
             }
         }
         let put = |name: String, text: String| {
             let path = self.folder.join(name);
-            std::fs::write(&path, text).map_err(|source| RigError::Folder { path: path.clone(), source })
+            std::fs::write(&path, text).map_err(|source| RigError::Folder {
+                path: path.clone(),
+                source,
+            })
         };
         if !plan.apart {
-            let seeds: Vec<String> =
-                (0..plan.dispatchers.min(3)).map(|at| self.mail(at).to_string()).collect();
+            let seeds: Vec<String> = (0..plan.dispatchers.min(3))
+                .map(|at| self.mail(at).to_string())
+                .collect();
             let keepers: Vec<String> = plan.keepers().iter().map(|at| format!("n{at}")).collect();
             let file = format!("n{at}.toml");
             given["cluster"] = self.folder.join(&file).to_string_lossy().into();
@@ -254,7 +298,9 @@
         for turn in std::mem::take(&mut self.turns) {
             match turn {
                 Turn::Ends(at, since) => {
-                    let Some(process) = &mut self.real[at] else { continue };
+                    let Some(process) = &mut self.real[at] else {
+                        continue;
+                    };
                     if process.ended().is_some() || since.elapsed() > END_WITHIN {
                         self.start(at)?;
                     } else {
@@ -264,11 +310,16 @@
                 Turn::Waits(at, since) if since.elapsed() > LOOK => self.rise(at)?,
                 Turn::Waits(at, since) => self.turns.push(Turn::Waits(at, since)),
                 Turn::Rises(at, since) => {
-                    let Some(process) = &self.real[at] else { continue };
+                    let Some(process) = &self.real[at] else {
+                        continue;
+                    };
                     let address = process.line("listening on ", Duration::ZERO);
-                    let address = address.and_then(|line| line.rsplit(' ').next().map(str::to_string));
+                    let address =
+                        address.and_then(|line| line.rsplit(' ').next().map(str::to_string));
                     let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-                    let serves = address.as_ref().and_then(|to| status(to, health, Duration::from_secs(1)));
+                    let serves = address
+                        .as_ref()
+                        .and_then(|to| status(to, health, Duration::from_secs(1)));
                     if serves == Some(200) {
                         self.ready.push(since.elapsed().as_secs_f64());
                         if let Ok(mut doors) = self.doors.lock() {
@@ -276,7 +327,11 @@
                         }
                     } else if since.elapsed() > READY_WITHIN {
                         let last = process.lines().last().cloned().unwrap_or_default();
-                        return Err(RigError::Start { at, seconds: READY_WITHIN.as_secs(), last });
+                        return Err(RigError::Start {
+                            at,
+                            seconds: READY_WITHIN.as_secs(),
+                            last,
+                        });
                     } else {
                         self.turns.push(Turn::Rises(at, since));
                     }
@@ -291,7 +346,10 @@
         let mut all = Vec::new();
         for process in self.real.iter().flatten() {
             let line = process.last("cluster view ").unwrap_or_default();
-            let word = |name: &str| line.split(' ').find_map(|word| word.strip_prefix(name)?.parse().ok());
+            let word = |name: &str| {
+                line.split(' ')
+                    .find_map(|word| word.strip_prefix(name)?.parse().ok())
+            };
             all.push((word("rank=").unwrap_or(0), word("members=").unwrap_or(0)));
         }
         for hollow in &mut self.hollow {
@@ -309,16 +367,23 @@
             let at = Instant::now();
             let mut views = self.views()?;
             views.sort_unstable();
-            let one = views.iter().enumerate().all(|(place, view)| *view == (place, running));
+            let one = views
+                .iter()
+                .enumerate()
+                .all(|(place, view)| *view == (place, running));
             since = since.filter(|_| one).or(one.then_some(at));
             if let Some(at) = since.filter(|at| at.elapsed() >= VIEW_HELD) {
                 return Ok(at.saturating_duration_since(from).as_secs_f64());
             }
             if at > end {
                 let other = views.iter().filter(|(_, count)| *count != running).count();
-                let seen =
-                    format!("{other} of {running} hold another number for it, or ranks are held twice");
-                return Err(RigError::View { seconds: VIEW_WITHIN.as_secs(), seen });
+                let seen = format!(
+                    "{other} of {running} hold another number for it, or ranks are held twice"
+                );
+                return Err(RigError::View {
+                    seconds: VIEW_WITHIN.as_secs(),
+                    seen,
+                });
             }
             self.weigh()?;
             thread::sleep(LOOK);
@@ -328,7 +393,9 @@
     fn pids(&self) -> Vec<u32> {
         let real = self.real.iter().flatten().map(Process::pid);
         let children = [self.workers.pid(), self.discovery.pid(), std::process::id()];
-        real.chain(self.hollow.iter().map(|hollow| hollow.child.pid())).chain(children).collect()
+        real.chain(self.hollow.iter().map(|hollow| hollow.child.pid()))
+            .chain(children)
+            .collect()
     }
 
     /// Ends the play where it takes more of the machine than is allowed.
@@ -342,11 +409,19 @@
         self.most_bytes = self.most_bytes.max(bytes);
         let (most, count) = (MOST_BYTES.min(memory() / 2), pids.len());
         if bytes > most {
-            return Err(RigError::Large { what: "resident memory", value: bytes, most });
+            return Err(RigError::Large {
+                what: "resident memory",
+                value: bytes,
+                most,
+            });
         }
         if count > MOST_PROCESSES {
             let (value, most) = (count as u64, MOST_PROCESSES as u64);
-            return Err(RigError::Large { what: "the number of processes", value, most });
+            return Err(RigError::Large {
+                what: "the number of processes",
+                value,
+                most,
+            });
         }
         Ok(())
     }
@@ -361,7 +436,11 @@
             if let Ok(mut doors) = self.doors.lock() {
                 doors[at] = None;
             }
-        } else if let Some(hollow) = self.hollow.iter_mut().find(|hollow| hollow.numbers.contains(&at)) {
+        } else if let Some(hollow) = self
+            .hollow
+            .iter_mut()
+            .find(|hollow| hollow.numbers.contains(&at))
+        {
             let first = hollow.numbers[0];
             hollow.child.tell(&format!("kill {}", at - first))?;
         }
@@ -396,7 +475,11 @@
             return self.start(at);
         }
         self.up[at] = true;
-        match self.hollow.iter_mut().find(|hollow| hollow.numbers.contains(&at)) {
+        match self
+            .hollow
+            .iter_mut()
+            .find(|hollow| hollow.numbers.contains(&at))
+        {
             Some(hollow) => {
                 let first = hollow.numbers[0];
                 hollow.child.tell(&format!("start {}", at - first))
@@ -406,7 +489,8 @@
     }
 
     fn list(&mut self, changed: Vec<Value>) -> Result<(), RigError> {
-        self.discovery.tell(&format!("change {}", Value::from(changed)))
+        self.discovery
+            .tell(&format!("change {}", Value::from(changed)))
     }
 
     fn act(&mut self, act: &Act) -> Result<(), RigError> {
@@ -421,12 +505,17 @@
             }
             Act::Replace(at) => {
                 self.workers.tell(&format!("replace {at}"))?;
-                (self.hosts[*at]["born_ms"], self.hosts[*at]["health"]) = (now_ms().into(), "ready".into());
+                (self.hosts[*at]["born_ms"], self.hosts[*at]["health"]) =
+                    (now_ms().into(), "ready".into());
                 self.list(vec![self.hosts[*at].clone()])
             }
             Act::Change(at) => {
                 // What it says of a worker's size moves by nothing that matters.
-                let share = if self.hosts[*at]["share"] == 1.0 { 1.001 } else { 1.0 };
+                let share = if self.hosts[*at]["share"] == 1.0 {
+                    1.001
+                } else {
+                    1.0
+                };
                 self.hosts[*at]["share"] = share.into();
                 self.list(vec![self.hosts[*at].clone()])
             }
@@ -456,12 +545,20 @@
 
     /// What a fault comes to, each act with its moment in seconds.
     fn acts(&self, fault: &Fault) -> Vec<(f64, Act)> {
-        let Fault { kind, at_s, figure, lasts_s } = *fault;
+        let Fault {
+            kind,
+            at_s,
+            figure,
+            lasts_s,
+        } = *fault;
         let (all, workers, count) = (self.plan.all(), self.plan.workers, figure as usize);
         let lost = |gone: &dyn Fn(usize) -> bool| {
             let dispatchers: Vec<usize> = (0..all).filter(|at| gone(*at)).collect();
             let workers: Vec<usize> = (0..workers).filter(|at| gone(*at)).collect();
-            let back = (at_s + lasts_s, Act::Back(dispatchers.clone(), workers.clone()));
+            let back = (
+                at_s + lasts_s,
+                Act::Back(dispatchers.clone(), workers.clone()),
+            );
             vec![(at_s, Act::Lose(dispatchers, workers)), back]
         };
         match kind {
@@ -469,29 +566,43 @@
             Kind::Restart => {
                 let keepers = self.plan.keepers();
                 let others = (0..all).filter(|at| !keepers.contains(at)).take(count);
-                others.enumerate().map(|(n, at)| (at_s + 0.02 * n as f64, Act::Restart(at))).collect()
-            }
-            Kind::Release => {
-                (0..all).map(|n| (at_s + figure * n as f64 / all as f64, Act::Restart(n))).collect()
-            }
-            Kind::Replace => {
-                (0..count.min(workers)).map(|at| (at_s + 0.01 * at as f64, Act::Replace(at))).collect()
+                others
+                    .enumerate()
+                    .map(|(n, at)| (at_s + 0.02 * n as f64, Act::Restart(at)))
+                    .collect()
             }
+            Kind::Release => (0..all)
+                .map(|n| (at_s + figure * n as f64 / all as f64, Act::Restart(n)))
+                .collect(),
+            Kind::Replace => (0..count.min(workers))
+                .map(|at| (at_s + 0.01 * at as f64, Act::Replace(at)))
+                .collect(),
             Kind::Rack => lost(&|at| at % count.max(2) == count.max(2) - 1),
             Kind::Zone => lost(&|at| zone(at) == count),
             Kind::Region => lost(&|at| region(zone(at)) == count),
             Kind::Cut => vec![(at_s, Act::Cut(true)), (at_s + lasts_s, Act::Cut(false))],
-            Kind::Discovery => vec![(at_s, Act::Discovery(true)), (at_s + lasts_s, Act::Discovery(false))],
+            Kind::Discovery => vec![
+                (at_s, Act::Discovery(true)),
+                (at_s + lasts_s, Act::Discovery(false)),
+            ],
             Kind::Keepers => {
                 let keepers = self.plan.keepers();
-                keepers.iter().enumerate().map(|(n, at)| (at_s + figure * n as f64, Act::Kill(*at))).collect()
+                keepers
+                    .iter()
+                    .enumerate()
+                    .map(|(n, at)| (at_s + figure * n as f64, Act::Kill(*at)))
+                    .collect()
             }
         }
     }
 
     fn before(&self, pid: u32, at: Option<usize>) -> Before {
         let (out, came) = at.map(|at| self.relay.0.of(at)).unwrap_or_default();
-        Before { cpu: cpu(pid), out, came }
+        Before {
+            cpu: cpu(pid),
+            out,
+            came,
+        }
     }
 
     /// What processes of one role have cost since, each standing for so many.
@@ -514,15 +625,20 @@
             let (mut out, mut came) = ((0, 0), (0, 0));
             for at in numbers {
                 let (sent, got) = self.relay.0.of(*at);
-                (out.0, out.1, came.0, came.1) =
-                    (out.0 + sent.0, out.1 + sent.1, came.0 + got.0, came.1 + got.1);
+                (out.0, out.1, came.0, came.1) = (
+                    out.0 + sent.0,
+                    out.1 + sent.1,
+                    came.0 + got.0,
+                    came.1 + got.1,
+                );
             }
             role.datagrams_out += (out.0 - before.out.0.min(out.0)) as f64 / seconds;
             role.bytes_out += (out.1 - before.out.1.min(out.1)) as f64 / seconds;
             role.datagrams_in += (came.0 - before.came.0.min(came.0)) as f64 / seconds;
             role.bytes_in += (came.1 - before.came.1.min(came.1)) as f64 / seconds;
         };
-        of.iter().for_each(|(pid, numbers, before)| add(*pid, numbers, before));
+        of.iter()
+            .for_each(|(pid, numbers, before)| add(*pid, numbers, before));
         let count = role.count.max(1) as f64;
         for sum in [
             &mut role.cpu_percent,
@@ -546,15 +662,20 @@
             teams: plan.teams,
             urgent: plan.urgent,
             running: (plan.starts * plan.task_s) as usize,
-            fill: Duration::from_secs_f64(if plan.starts > 0.0 { (plan.task_s / 2.0).min(4.0) } else { 0.0 }),
+            fill: Duration::from_secs_f64(if plan.starts > 0.0 {
+                (plan.task_s / 2.0).min(4.0)
+            } else {
+                0.0
+            }),
             measured: Duration::from_secs_f64(plan.seconds),
             expiry: Duration::from_secs_f64(3.0 * plan.task_s + 20.0),
             seed: plan.seed,
         };
         let begun = Arc::new(AtomicBool::new(false));
         let (doors, told) = (self.doors.clone(), begun.clone());
-        let loading =
-            thread::spawn(move || load::run(load, &doors, move || told.store(true, Ordering::SeqCst)));
+        let loading = thread::spawn(move || {
+            load::run(load, &doors, move || told.store(true, Ordering::SeqCst))
+        });
         while !begun.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(2));
         }
@@ -568,9 +689,12 @@
             .filter_map(|(at, process)| Some((at, process.as_ref()?.pid())))
             .collect();
         let one = |(at, pid): &(usize, u32)| (*pid, vec![*at], self.before(*pid, Some(*at)));
-        let (kept, served): (Vec<_>, Vec<_>) = real.iter().partition(|(at, _)| keepers.contains(at));
         let (kept, served): (Vec<_>, Vec<_>) =
-            (kept.iter().map(one).collect(), served.iter().map(one).collect());
+            real.iter().partition(|(at, _)| keepers.contains(at));
+        let (kept, served): (Vec<_>, Vec<_>) = (
+            kept.iter().map(one).collect(),
+            served.iter().map(one).collect(),
+        );
         let crowd = |hollow: &Hollow| {
             let mut before = self.before(hollow.child.pid(), None);
             for at in &hollow.numbers {
@@ -584,24 +708,39 @@
         let stand = |pid| vec![(pid, Vec::new(), self.before(pid, None))];
         let (workers, discovery) = (stand(self.workers.pid()), stand(self.discovery.pid()));
         let started = self.ready.len();
-        let mut acts: Vec<(f64, Act)> = plan.faults.iter().flat_map(|fault| self.acts(fault)).collect();
+        let mut acts: Vec<(f64, Act)> = plan
+            .faults
+            .iter()
+            .flat_map(|fault| self.acts(fault))
+            .collect();
         let faults = acts.iter().map(|(at, _)| *at).fold(0.0, f64::max);
         let changes = (plan.changes * plan.seconds) as usize;
-        acts.extend((0..changes).map(|n| (n as f64 / plan.changes, Act::Change(n * 7 % plan.workers))));
+        acts.extend(
+            (0..changes).map(|n| (n as f64 / plan.changes, Act::Change(n * 7 % plan.workers))),
+        );
         acts.sort_by(|one, other| other.0.total_cmp(&one.0));
         let begin = Instant::now();
         let length = Duration::from_secs_f64(plan.seconds);
         while begin.elapsed() < length {
-            while acts.last().is_some_and(|(at, _)| begin.elapsed().as_secs_f64() >= *at) {
+            while acts
+                .last()
+                .is_some_and(|(at, _)| begin.elapsed().as_secs_f64() >= *at)
+            {
                 if let Some((_, act)) = acts.pop() {
                     self.act(&act)?;
                 }
             }
             self.turn()?;
             self.weigh()?;
-            let next = acts.last().map_or(length, |(at, _)| Duration::from_secs_f64(*at).min(length));
+            let next = acts
+                .last()
+                .map_or(length, |(at, _)| Duration::from_secs_f64(*at).min(length));
             let wait = next.saturating_sub(begin.elapsed());
-            thread::sleep(wait.min(Duration::from_millis(if self.turns.is_empty() { 200 } else { 10 })));
+            thread::sleep(wait.min(Duration::from_millis(if self.turns.is_empty() {
+                200
+            } else {
+                10
+            })));
         }
         let seconds = begin.elapsed().as_secs_f64();
         let mut measured = Measured {
@@ -617,23 +756,33 @@
         let list: DiscoveryReport = self.discovery.ask("report")?;
         measured.asked = loading.join().unwrap_or_default();
         let each = (list.bytes_in + list.bytes_out) as f64 / plan.all() as f64 / seconds;
-        for role in [&mut measured.dispatcher, &mut measured.keeper, &mut measured.hollow] {
+        for role in [
+            &mut measured.dispatcher,
+            &mut measured.keeper,
+            &mut measured.hollow,
+        ] {
             role.list_bytes = each;
         }
         let real_percent = measured.dispatcher.cpu_percent * measured.dispatcher.count as f64
             + measured.keeper.cpu_percent * measured.keeper.count as f64;
         measured.cpu_us_start = real_percent / 100.0 * seconds * 1e6 / (of.started as f64).max(1.0);
         (measured.usual, measured.urgent) = (of.usual, of.urgent);
-        (measured.started, measured.running, measured.connects) = (of.started, of.running, of.connects);
+        (measured.started, measured.running, measured.connects) =
+            (of.started, of.running, of.connects);
         (measured.cold_worst, measured.cold) = (of.cold_worst, of.cold);
         (measured.change_mean_s, measured.change_most_s) =
             (list.taken_mean_ms / 1e3, list.taken_most_ms / 1e3);
-        (measured.changes, measured.changes_open, measured.calls) = (list.changes, list.open, list.calls);
+        (measured.changes, measured.changes_open, measured.calls) =
+            (list.changes, list.open, list.calls);
         (measured.whole_lists, measured.whole_bytes) = (list.whole, list.whole_bytes);
         let mut ready = self.ready[started..].to_vec();
         ready.sort_by(f64::total_cmp);
         measured.restarts = ready.len();
-        measured.ready_p90_s = ready.get(ready.len() * 9 / 10).or(ready.last()).copied().unwrap_or(0.0);
+        measured.ready_p90_s = ready
+            .get(ready.len() * 9 / 10)
+            .or(ready.last())
+            .copied()
+            .unwrap_or(0.0);
         measured.ready_most_s = ready.last().copied().unwrap_or(0.0);
         // What was to come after the measured time comes now, so that the fleet can be seen to be whole again.
         while let Some((_, act)) = acts.pop() {
@@ -651,7 +800,8 @@
         }
         self.weighed -= WEIGH;
         self.weigh()?;
-        (measured.processes, measured.memory_mb) = (self.pids().len(), self.most_bytes as f64 / 1e6);
+        (measured.processes, measured.memory_mb) =
+            (self.pids().len(), self.most_bytes as f64 / 1e6);
         measured.plan = plan;
         Ok(measured)
     }
--- a/crates/cluster-testbed/src/scale/workers.rs
+++ b/crates/cluster-testbed/src/scale/workers.rs
@@ -68,7 +68,14 @@
 fn starts(histogram: &Histogram<u64>) -> Starts {
     let at = |part| histogram.value_at_quantile(part) as f64 / 1e3;
     let most = histogram.max() as f64 / 1e3;
-    Starts { count: histogram.len(), p50: at(0.5), p90: at(0.9), p99: at(0.99), p999: at(0.999), most }
+    Starts {
+        count: histogram.len(),
+        p50: at(0.5),
+        p90: at(0.9),
+        p99: at(0.99),
+        p999: at(0.999),
+        most,
+    }
 }
 
 fn histogram() -> Result<Histogram<u64>, String> {
@@ -89,7 +96,13 @@
     let mut words = body.split(' ');
     let work = Duration::from_micros(words.next()?.parse().ok()?);
     let meant = words.next()?.parse().ok()?;
-    Some(Posting { id, from, work, meant, urgent: words.next()? == "urgent" })
+    Some(Posting {
+        id,
+        from,
+        work,
+        meant,
+        urgent: words.next()? == "urgent",
+    })
 }
 
 impl Fleet {
@@ -101,7 +114,11 @@
                 if let Some(end) = crate::scale::child::message_end(&bytes) {
                     break end;
                 }
-                let count = stream.read(&mut chunk).await.ok().filter(|count| *count > 0)?;
+                let count = stream
+                    .read(&mut chunk)
+                    .await
+                    .ok()
+                    .filter(|count| *count > 0)?;
                 self.report.borrow_mut().bytes_in += count as u64;
                 bytes.extend_from_slice(&chunk[..count]);
             };
@@ -114,7 +131,11 @@
 
     /// Holds what passes between regions that are cut from each other, as a network does that is mended later.
     async fn passes(&self, one: &One, from: usize) {
-        while self.cut.get().is_some_and(|cut| cut.parts(zone(from), zone(one.number))) {
+        while self
+            .cut
+            .get()
+            .is_some_and(|cut| cut.parts(zone(from), zone(one.number)))
+        {
             Timer::after(Duration::from_millis(50)).await;
         }
     }
@@ -141,19 +162,34 @@
             (report.started, report.running) = (report.started + 1, report.running + 1);
             report.most_running = report.most_running.max(report.running);
         }
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_nanos() as u64;
         let late = now.saturating_sub(posting.meant) / 1_000;
-        let starts = if posting.urgent { &self.urgent } else { &self.usual };
+        let starts = if posting.urgent {
+            &self.urgent
+        } else {
+            &self.usual
+        };
         starts.borrow_mut().saturating_record(late.max(1));
         let id = &posting.id;
         let line = |state: &str| {
-            let line = format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n");
+            let line = format!(
+                "{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n"
+            );
             format!("{:x}\r\n{line}\r\n", line.len())
         };
-        let warmth = one.born.get().map_or(1.0, |born| self.cold.warmth(born.elapsed()));
+        let warmth = one
+            .born
+            .get()
+            .map_or(1.0, |born| self.cold.warmth(born.elapsed()));
         let run = Duration::from_secs_f64(work / warmth);
         Timer::after(way.min(run)).await;
-        let started = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", line("started"));
+        let started = format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
+            line("started")
+        );
         self.write(stream, &started).await?;
         Timer::after(run.saturating_sub(way)).await;
         drop(_seat);
@@ -163,7 +199,8 @@
         if one.lost.get() {
             return None;
         }
-        self.write(stream, &format!("{}0\r\n\r\n", line("done"))).await
+        self.write(stream, &format!("{}0\r\n\r\n", line("done")))
+            .await
     }
 
     async fn write(&self, stream: &mut Async<TcpStream>, text: &str) -> Option<()> {
@@ -173,7 +210,9 @@
 
     async fn listen(self: Rc<Self>, number: usize, listener: Async<TcpListener>) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             let fleet = self.clone();
             if self.ones[number].lost.get() || stream.get_ref().set_nodelay(true).is_err() {
                 continue;
@@ -181,7 +220,8 @@
             let serving = async move {
                 {
                     let mut report = fleet.report.borrow_mut();
-                    (report.connections, report.connects) = (report.connections + 1, report.connects + 1);
+                    (report.connections, report.connects) =
+                        (report.connections + 1, report.connects + 1);
                 }
                 let one = &fleet.ones[number];
                 let lost = async {
@@ -201,10 +241,14 @@
     fn cold_worst(&self) -> f64 {
         let bears = |age: Duration| self.cold.multiple * self.seats as f64 * self.cold.warmth(age);
         let worst = |one: &One| {
-            let Some(born) = one.born.get() else { return 0.0 };
+            let Some(born) = one.born.get() else {
+                return 0.0;
+            };
             let sent = one.sent.borrow();
             let window = |at: &Instant| {
-                let inside = sent.iter().filter(|(when, _)| when <= at && *at - *when < self.cold.window);
+                let inside = sent
+                    .iter()
+                    .filter(|(when, _)| when <= at && *at - *when < self.cold.window);
                 let work: f64 = inside.map(|(_, work)| work).sum();
                 work / (bears(at.saturating_duration_since(born)) * self.cold.window.as_secs_f64())
             };
@@ -214,22 +258,42 @@
     }
 
     fn answer(&self, words: &[&str]) -> Result<String, String> {
-        let number =
-            |at: usize| words.get(at).and_then(|word| word.parse::<usize>().ok()).unwrap_or(usize::MAX);
+        let number = |at: usize| {
+            words
+                .get(at)
+                .and_then(|word| word.parse::<usize>().ok())
+                .unwrap_or(usize::MAX)
+        };
         match words[0] {
             // What is measured is measured from here on.
             "begin" => {
-                (*self.usual.borrow_mut(), *self.urgent.borrow_mut()) = (histogram()?, histogram()?);
+                (*self.usual.borrow_mut(), *self.urgent.borrow_mut()) =
+                    (histogram()?, histogram()?);
                 let mut report = self.report.borrow_mut();
-                let WorkersReport { running, waiting, connections, .. } = *report;
-                *report = WorkersReport { running, waiting, connections, ..WorkersReport::default() };
+                let WorkersReport {
+                    running,
+                    waiting,
+                    connections,
+                    ..
+                } = *report;
+                *report = WorkersReport {
+                    running,
+                    waiting,
+                    connections,
+                    ..WorkersReport::default()
+                };
                 report.most_running = running;
             }
             "report" => {
                 let mut report = self.report.borrow().clone();
-                (report.usual, report.urgent) = (starts(&self.usual.borrow()), starts(&self.urgent.borrow()));
+                (report.usual, report.urgent) =
+                    (starts(&self.usual.borrow()), starts(&self.urgent.borrow()));
                 report.cold_worst = self.cold_worst();
-                report.cold = self.ones.iter().filter(|one| one.born.get().is_some()).count() as u64;
+                report.cold = self
+                    .ones
+                    .iter()
+                    .filter(|one| one.born.get().is_some())
+                    .count() as u64;
                 return serde_json::to_string(&report).map_err(|error| error.to_string());
             }
             // One process ends and another begins at its address.
@@ -240,7 +304,11 @@
                     one.lost.set(false);
                 }
             }
-            "lose" => self.ones.get(number(1)).into_iter().for_each(|one| one.lost.set(true)),
+            "lose" => self
+                .ones
+                .get(number(1))
+                .into_iter()
+                .for_each(|one| one.lost.set(true)),
             "cut" => self.cut.set(Some(Cut(number(1), number(2)))),
             "heal" => self.cut.set(None),
             other => return Err(format!("no such word: {other}")),
@@ -266,18 +334,40 @@
         (0..seats).for_each(|_| {
             let _ = seat.0.try_send(());
         });
-        One { number, seats: seat, born: Cell::default(), sent: RefCell::default(), lost: Cell::default() }
+        One {
+            number,
+            seats: seat,
+            born: Cell::default(),
+            sent: RefCell::default(),
+            lost: Cell::default(),
+        }
     };
     let ones: Vec<One> = (0..count).map(one).collect();
     let (usual, urgent) = (RefCell::new(histogram()?), RefCell::new(histogram()?));
     let report = RefCell::default();
-    let fleet =
-        Fleet { ex: ex.clone(), ways, cold, seats, ones, cut: Cell::new(None), usual, urgent, report };
+    let fleet = Fleet {
+        ex: ex.clone(),
+        ways,
+        cold,
+        seats,
+        ones,
+        cut: Cell::new(None),
+        usual,
+        urgent,
+        report,
+    };
     let fleet = Rc::new(fleet);
     let mut ports = Vec::new();
     for number in 0..count {
-        let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|error| error.to_string())?;
-        ports.push(listener.get_ref().local_addr().map_err(|error| error.to_string())?.port());
+        let listener =
+            Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|error| error.to_string())?;
+        ports.push(
+            listener
+                .get_ref()
+                .local_addr()
+                .map_err(|error| error.to_string())?
+                .port(),
+        );
         ex.spawn(fleet.clone().listen(number, listener)).detach();
     }
     let asked = Asked::new();
--- a/crates/cluster-testbed/src/scenario.rs
+++ b/crates/cluster-testbed/src/scenario.rs
@@ -40,13 +40,26 @@
 impl Default for Fleet {
     fn default() -> Self {
         let (dispatchers, workers, seats) = (5, 6, 2);
-        Fleet { dispatchers, says: 0, members: true, keepers: 3, peers: false, workers, seats, skew_ms: 0 }
+        Fleet {
+            dispatchers,
+            says: 0,
+            members: true,
+            keepers: 3,
+            peers: false,
+            workers,
+            seats,
+            skew_ms: 0,
+        }
     }
 }
 
 impl Fleet {
     pub fn slots(&self) -> usize {
-        if self.says == 0 { self.dispatchers } else { self.says }
+        if self.says == 0 {
+            self.dispatchers
+        } else {
+            self.says
+        }
     }
 }
 
@@ -63,7 +76,12 @@
 
 impl Default for Load {
     fn default() -> Self {
-        Load { clients: 4, work_ms: 60.0, pause_ms: 150.0, expiry_ms: 1_500 }
+        Load {
+            clients: 4,
+            work_ms: 60.0,
+            pause_ms: 150.0,
+            expiry_ms: 1_500,
+        }
     }
 }
 
@@ -80,7 +98,13 @@
 
 impl Default for ColdStart {
     fn default() -> Self {
-        ColdStart { from: 0.2, time_ms: 6_000, multiple: 4.0, window_ms: 1_000, told_multiple: None }
+        ColdStart {
+            from: 0.2,
+            time_ms: 6_000,
+            multiple: 4.0,
+            window_ms: 1_000,
+            told_multiple: None,
+        }
     }
 }
 
@@ -131,7 +155,14 @@
 
 impl Fault {
     pub fn new(at_ms: u64, what: What, who: impl IntoIterator<Item = usize>) -> Self {
-        Fault { at_ms, what, who: who.into_iter().collect(), lasts_ms: 0, count: 0, way: Way::default() }
+        Fault {
+            at_ms,
+            what,
+            who: who.into_iter().collect(),
+            lasts_ms: 0,
+            count: 0,
+            way: Way::default(),
+        }
     }
 
     pub fn lasting(self, lasts_ms: u64) -> Self {
@@ -139,16 +170,23 @@
     }
 
     pub fn join(at_ms: u64, count: usize) -> Self {
-        Fault { count, ..Fault::new(at_ms, What::Join, []) }
+        Fault {
+            count,
+            ..Fault::new(at_ms, What::Join, [])
+        }
     }
 }
 
 impl Scenario {
     pub fn load(path: &Path) -> Result<Scenario, RigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| RigError::Read { path: path.to_path_buf(), source })?;
-        let scenario: Scenario = toml::from_str(&text)
-            .map_err(|source| RigError::Scenario { path: path.to_path_buf(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| RigError::Read {
+            path: path.to_path_buf(),
+            source,
+        })?;
+        let scenario: Scenario = toml::from_str(&text).map_err(|source| RigError::Scenario {
+            path: path.to_path_buf(),
+            source,
+        })?;
         scenario.check()?;
         Ok(scenario)
     }
@@ -157,19 +195,30 @@
     pub fn check(&self) -> Result<(), RigError> {
         let range = |what, value: usize, most: usize, allowed| match value {
             value if (1..=most).contains(&value) => Ok(()),
-            value => Err(RigError::Range { what, value: value as u64, allowed }),
+            value => Err(RigError::Range {
+                what,
+                value: value as u64,
+                allowed,
+            }),
         };
         range("fleet.dispatchers", self.fleet.dispatchers, 50, "1 to 50")?;
         range("fleet.workers", self.fleet.workers, 64, "1 to 64")?;
         range("fleet.seats", self.fleet.seats, 64, "1 to 64")?;
         range("load.clients", self.load.clients, 16, "1 to 16")?;
-        range("seconds", self.seconds.ceil() as usize, 300, "above 0, up to 300")?;
+        range(
+            "seconds",
+            self.seconds.ceil() as usize,
+            300,
+            "above 0, up to 300",
+        )?;
         let most = self.fleet.slots().max(self.fleet.dispatchers).max(50);
         let late = |fault: &&Fault| fault.who.iter().any(|who| *who >= most.max(64));
         match self.fault.iter().find(late) {
-            Some(fault) => {
-                Err(RigError::Range { what: "fault.who", value: fault.at_ms, allowed: "below 50" })
-            }
+            Some(fault) => Err(RigError::Range {
+                what: "fault.who",
+                value: fault.at_ms,
+                allowed: "below 50",
+            }),
             None => Ok(()),
         }
     }
@@ -187,10 +236,16 @@
             peers: below(2) == 1,
             ..Fleet::default()
         };
-        let load =
-            Load { clients: 3 + below(3) as usize, pause_ms: 60.0 + below(120) as f64, ..Load::default() };
+        let load = Load {
+            clients: 3 + below(3) as usize,
+            pause_ms: 60.0 + below(120) as f64,
+            ..Load::default()
+        };
         let multiple = [1.5, 4.0][below(2) as usize];
-        let cold = ColdStart { multiple, ..ColdStart::default() };
+        let cold = ColdStart {
+            multiple,
+            ..ColdStart::default()
+        };
         let datagrams = Way {
             loss: [0.0, 0.05, 0.2][below(3) as usize],
             twice: [0.0, 0.1][below(2) as usize],
@@ -217,6 +272,15 @@
                 _ => Fault::new(at_ms, What::Mute, [one]).lasting(2_000),
             });
         }
-        Scenario { name: format!("drawn {seed}"), seed, seconds, fleet, load, cold, datagrams, fault }
+        Scenario {
+            name: format!("drawn {seed}"),
+            seed,
+            seconds,
+            fleet,
+            load,
+            cold,
+            datagrams,
+            fault,
+        }
     }
 }
--- a/crates/cluster-testbed/src/stand.rs
+++ b/crates/cluster-testbed/src/stand.rs
@@ -66,9 +66,17 @@
     pub fn start(script: &Script) -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let dial = listener.local_addr().unwrap().to_string();
-        let worker =
-            Worker { dial, seen: Arc::default(), connections: Arc::default(), ended: Arc::default() };
-        let (seen, count, script) = (worker.seen.clone(), worker.connections.clone(), script.clone());
+        let worker = Worker {
+            dial,
+            seen: Arc::default(),
+            connections: Arc::default(),
+            ended: Arc::default(),
+        };
+        let (seen, count, script) = (
+            worker.seen.clone(),
+            worker.connections.clone(),
+            script.clone(),
+        );
         let ended = worker.ended.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -110,7 +118,9 @@
             return None;
         }
     }
-    let length = field(&head, "content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let length = field(&head, "content-length")
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     Some((head, body))
@@ -118,7 +128,9 @@
 
 pub fn field(head: &str, name: &str) -> Option<String> {
     let mut pairs = head.lines().filter_map(|line| line.split_once(':'));
-    pairs.find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim().to_string())
+    pairs
+        .find(|(key, _)| key.eq_ignore_ascii_case(name))
+        .map(|(_, value)| value.trim().to_string())
 }
 
 fn serve(mut stream: &TcpStream, seen: &Seen, script: &Mutex<VecDeque<Act>>) -> Option<()> {
@@ -127,16 +139,25 @@
     let id = field(&head, "request-id").unwrap_or_default();
     if first.starts_with("GET ") {
         seen.lock().unwrap().push((first, id, body));
-        return stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nx0=2\n").ok();
+        return stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nx0=2\n")
+            .ok();
     }
     let act = script.lock().unwrap().pop_front().unwrap_or(Act::Done);
     seen.lock().unwrap().push((first, id.clone(), body.clone()));
     let line = |state: &str| format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\"}}\n");
     let result = String::from_utf8_lossy(&body).to_string();
-    let done = json!({"id": id, "from": "w", "state": "done", "result": format!("did {result}")}).to_string();
+    let done = json!({"id": id, "from": "w", "state": "done", "result": format!("did {result}")})
+        .to_string();
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-    let whole = |text: &str| format!("{chunked}{}{}0\r\n\r\n", chunk(&line("started")), chunk(text));
+    let whole = |text: &str| {
+        format!(
+            "{chunked}{}{}0\r\n\r\n",
+            chunk(&line("started")),
+            chunk(text)
+        )
+    };
     let answer = match act {
         Act::Done => whole(&(done + "\n")),
         Act::DoneClose => {
@@ -144,7 +165,9 @@
             return None;
         }
         Act::Later(ms) => {
-            stream.write_all(format!("{chunked}{}", chunk(&line("started"))).as_bytes()).ok()?;
+            stream
+                .write_all(format!("{chunked}{}", chunk(&line("started"))).as_bytes())
+                .ok()?;
             thread::sleep(Duration::from_millis(ms));
             format!("{}0\r\n\r\n", chunk(&(done + "\n")))
         }
@@ -157,7 +180,9 @@
         Act::Oversized => whole(&format!("{{\"id\":\"{}\"", "x".repeat(70_000))),
         Act::Cut => return None,
         Act::CutStarted => {
-            stream.write_all(format!("{chunked}{}", chunk(&line("started"))).as_bytes()).ok()?;
+            stream
+                .write_all(format!("{chunked}{}", chunk(&line("started"))).as_bytes())
+                .ok()?;
             return None;
         }
         Act::DoneStale => {
@@ -166,7 +191,9 @@
             return None;
         }
         Act::Endless | Act::DoneEndless => {
-            stream.write_all(format!("{chunked}{}", chunk(&line("started"))).as_bytes()).ok()?;
+            stream
+                .write_all(format!("{chunked}{}", chunk(&line("started"))).as_bytes())
+                .ok()?;
             if act == Act::DoneEndless {
                 stream.write_all(chunk(&(done + "\n")).as_bytes()).ok()?;
             }
@@ -235,8 +262,18 @@
 
 impl Discovery {
     pub fn start(hosts: Vec<Value>) -> Discovery {
-        let board = Arc::new((Mutex::new(Board { seq: 1, hosts, ..Board::default() }), Condvar::new()));
-        let mut discovery = Discovery { address: String::new(), board };
+        let board = Arc::new((
+            Mutex::new(Board {
+                seq: 1,
+                hosts,
+                ..Board::default()
+            }),
+            Condvar::new(),
+        ));
+        let mut discovery = Discovery {
+            address: String::new(),
+            board,
+        };
         let shared = discovery.clone();
         discovery.address = listen(move |stream| shared.answer(stream));
         discovery
@@ -253,12 +290,20 @@
         board.watched = index.unwrap_or(0);
         news.notify_all();
         // A version that it never gave out is answered at once, one that it knows as the newest once the call's wait is over.
-        let wait = head.split_once("wait=").and_then(|(_, rest)| rest.split(['&', ' ']).next()?.parse().ok());
+        let wait = head
+            .split_once("wait=")
+            .and_then(|(_, rest)| rest.split(['&', ' ']).next()?.parse().ok());
         let late = Instant::now() + Duration::from_millis(wait.unwrap_or(60_000));
         let (fallen, mut over) = (board.fallen, false);
-        while !board.down && board.fallen == fallen && (board.deaf || index == Some(board.seq) && !over) {
+        while !board.down
+            && board.fallen == fallen
+            && (board.deaf || index == Some(board.seq) && !over)
+        {
             let left = late.saturating_duration_since(Instant::now());
-            board = news.wait_timeout(board, left.max(Duration::from_millis(1))).unwrap().0;
+            board = news
+                .wait_timeout(board, left.max(Duration::from_millis(1)))
+                .unwrap()
+                .0;
             over = Instant::now() >= late;
         }
         if board.fallen != fallen {
@@ -276,9 +321,14 @@
         let hosts = if whole { &board.hosts } else { news };
         let list = json!({"seq": board.seq, "whole": whole, "hosts": hosts}).to_string();
         let text = board.garbage.take().map_or(list, str::to_string);
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        );
         if std::mem::take(&mut board.cuts) {
-            stream.write_all(&answer.as_bytes()[..answer.len() / 2]).ok()?;
+            stream
+                .write_all(&answer.as_bytes()[..answer.len() / 2])
+                .ok()?;
             drop(board);
             let _ = stream.read(&mut [0]);
             return None;
@@ -294,7 +344,9 @@
     fn until(&self, holds: impl Fn(&Board) -> bool) {
         let (lock, news) = &*self.board;
         let board = lock.lock().unwrap();
-        let (_board, late) = news.wait_timeout_while(board, PATIENCE, |board| !holds(board)).unwrap();
+        let (_board, late) = news
+            .wait_timeout_while(board, PATIENCE, |board| !holds(board))
+            .unwrap();
         assert!(!late.timed_out(), "discovery was not called");
     }
 
@@ -434,8 +486,11 @@
         let folder = folder();
         let file = folder.join("config.json");
         std::fs::write(&file, configuration.to_string()).unwrap();
-        let mut child =
-            crate::process::command(first).env("PROXY_CONFIG", &file).stderr(Stdio::piped()).spawn().unwrap();
+        let mut child = crate::process::command(first)
+            .env("PROXY_CONFIG", &file)
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
         let log: Arc<(Mutex<Vec<String>>, Condvar)> = Arc::default();
         let (kept, errors) = (log.clone(), child.stderr.take().unwrap());
         thread::spawn(move || {
@@ -449,7 +504,12 @@
                 }
             }
         });
-        let mut daemon = Daemon { child, address: String::new(), log, folder };
+        let mut daemon = Daemon {
+            child,
+            address: String::new(),
+            log,
+            folder,
+        };
         let line = daemon.line("listening on ", 0);
         daemon.address = line.rsplit(' ').next().unwrap().to_string();
         daemon
@@ -457,16 +517,31 @@
 
     /// Waits for a line of the log that holds `text`, from the line number `from` on.
     fn line(&self, text: &str, from: usize) -> String {
-        let holds = |lines: &Vec<String>| lines.iter().skip(from).find(|line| line.contains(text)).cloned();
+        let holds = |lines: &Vec<String>| {
+            lines
+                .iter()
+                .skip(from)
+                .find(|line| line.contains(text))
+                .cloned()
+        };
         let lines = self.log.0.lock().unwrap();
-        let (lines, _) =
-            self.log.1.wait_timeout_while(lines, PATIENCE, |lines| holds(lines).is_none()).unwrap();
+        let (lines, _) = self
+            .log
+            .1
+            .wait_timeout_while(lines, PATIENCE, |lines| holds(lines).is_none())
+            .unwrap();
         holds(&lines).unwrap_or_else(|| panic!("no line with {text:?} in {lines:#?}"))
     }
 
     pub fn signal(&self, name: &str) {
         let command = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("/bin/sh").args(["-c", &command]).status().unwrap().success());
+        assert!(
+            Command::new("/bin/sh")
+                .args(["-c", &command])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Replaces the configuration and waits until the log speaks of it.
@@ -479,7 +554,13 @@
 
     /// How many lines of the log hold `text`.
     pub fn lines(&self, text: &str) -> usize {
-        self.log.0.lock().unwrap().iter().filter(|line| line.contains(text)).count()
+        self.log
+            .0
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|line| line.contains(text))
+            .count()
     }
 
     /// One counter, as it stands now.
@@ -506,7 +587,13 @@
     pub fn signals(&self, name: &str, count: u32) {
         let pid = self.child.id();
         let command = format!("for i in $(seq {count}); do kill -{name} {pid}; sleep 0.001; done");
-        assert!(Command::new("/bin/sh").args(["-c", &command]).status().unwrap().success());
+        assert!(
+            Command::new("/bin/sh")
+                .args(["-c", &command])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Waits for the end: the exit code.
@@ -535,7 +622,10 @@
 
 pub fn counter_in(line: &str, name: &str) -> u64 {
     let mut words = line.split(' ').filter_map(|word| word.split_once('='));
-    words.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse().ok()).unwrap()
+    words
+        .find(|(key, _)| *key == name)
+        .and_then(|(_, value)| value.parse().ok())
+        .unwrap()
 }
 
 pub struct Client {
@@ -561,7 +651,9 @@
     pub fn connect(address: &str) -> Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Client { reader: BufReader::new(stream) }
+        Client {
+            reader: BufReader::new(stream),
+        }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
--- a/crates/cluster-testbed/src/worker.rs
+++ b/crates/cluster-testbed/src/worker.rs
@@ -22,7 +22,8 @@
 impl Cold {
     /// The part of its full work that it can do so long after its start.
     pub fn warmth(&self, age: Duration) -> f64 {
-        (self.from + (1.0 - self.from) * age.as_secs_f64() / self.time.as_secs_f64().max(1e-9)).min(1.0)
+        (self.from + (1.0 - self.from) * age.as_secs_f64() / self.time.as_secs_f64().max(1e-9))
+            .min(1.0)
     }
 }
 
@@ -66,7 +67,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").map_err(RigError::Socket)?;
         let dial = listener.local_addr().map_err(RigError::Socket)?.to_string();
         let (record, news) = Default::default();
-        let worker = Arc::new(Worker { dial, seats, born, cold, record, news, over: AtomicBool::new(false) });
+        let worker = Arc::new(Worker {
+            dial,
+            seats,
+            born,
+            cold,
+            record,
+            news,
+            over: AtomicBool::new(false),
+        });
         let own = worker.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -113,15 +122,26 @@
 
     /// What it can do of its full work now.
     pub fn warmth(&self, at: Instant) -> f64 {
-        self.born.map_or(1.0, |born| self.cold.warmth(at.saturating_duration_since(born)))
+        self.born.map_or(1.0, |born| {
+            self.cold.warmth(at.saturating_duration_since(born))
+        })
     }
 
     fn serve(&self, mut stream: &TcpStream) -> Option<()> {
         let (head, body) = message(&mut BufReader::new(stream))?;
         let id = field(&head, "request-id")?;
-        let work = std::str::from_utf8(&body).ok()?.trim().parse::<f64>().unwrap_or(0.0) / 1e6;
+        let work = std::str::from_utf8(&body)
+            .ok()?
+            .trim()
+            .parse::<f64>()
+            .unwrap_or(0.0)
+            / 1e6;
         let mut record = self.record.lock().ok()?;
-        record.sent.push(Sent { at: Instant::now(), id: id.clone(), work });
+        record.sent.push(Sent {
+            at: Instant::now(),
+            id: id.clone(),
+            work,
+        });
         if record.resets {
             return None;
         }
@@ -132,23 +152,32 @@
         }
         let turn = record.turn;
         record.turn += 1;
-        let mut record = self.news.wait_while(record, |r| r.next < turn || r.running >= self.seats).ok()?;
+        let mut record = self
+            .news
+            .wait_while(record, |r| r.next < turn || r.running >= self.seats)
+            .ok()?;
         (record.next, record.running) = (turn + 1, record.running + 1);
         record.ran.push((id.clone(), Instant::now()));
         let loses = record.loses;
         drop(record);
         self.news.notify_all();
         let chunk = |state: &str| {
-            let line = format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n");
+            let line = format!(
+                "{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n"
+            );
             format!("{:x}\r\n{line}\r\n", line.len())
         };
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let started = stream.write_all(format!("{head}{}", chunk("started")).as_bytes());
         thread::sleep(Duration::from_secs_f64(work / self.warmth(Instant::now())));
-        self.change(|record| (record.running, record.done) = (record.running - 1, record.done + work));
+        self.change(|record| {
+            (record.running, record.done) = (record.running - 1, record.done + work)
+        });
         if loses {
             return None;
         }
-        started.and_then(|()| stream.write_all(format!("{}0\r\n\r\n", chunk("done")).as_bytes())).ok()
+        started
+            .and_then(|()| stream.write_all(format!("{}0\r\n\r\n", chunk("done")).as_bytes()))
+            .ok()
     }
 }
--- a/crates/cluster-testbed/tests/ends.rs
+++ b/crates/cluster-testbed/tests/ends.rs
@@ -9,7 +9,9 @@
     let pids = pids.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
     let has = |pid: &u32| {
         let environment = std::fs::read(format!("/proc/{pid}/environ")).unwrap_or_default();
-        environment.windows(mark.len()).any(|part| part == mark.as_bytes())
+        environment
+            .windows(mark.len())
+            .any(|part| part == mark.as_bytes())
     };
     pids.filter(has).collect()
 }
@@ -41,9 +43,16 @@
 
 #[test]
 fn a_fault_in_a_scenario_is_told_with_what_to_do() {
-    let path = std::env::temp_dir().join(format!("rosewall-testbed-fault-{}.toml", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "rosewall-testbed-fault-{}.toml",
+        std::process::id()
+    ));
     std::fs::write(&path, "secondz = 3\n").unwrap();
-    let run = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed")).arg("run").arg(&path).output().unwrap();
+    let run = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed"))
+        .arg("run")
+        .arg(&path)
+        .output()
+        .unwrap();
     std::fs::remove_file(&path).unwrap();
     let told = String::from_utf8_lossy(&run.stderr).to_string();
     assert_eq!(run.status.code(), Some(2));
--- a/crates/cluster-testbed/tests/scale.rs
+++ b/crates/cluster-testbed/tests/scale.rs
@@ -15,7 +15,11 @@
 fn scale(words: &str) -> (Option<i32>, String, String) {
     let _alone = ALONE.lock().unwrap_or_else(|held| held.into_inner());
     let mut command = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed"));
-    let out = command.arg("scale").args(words.split_whitespace()).output().unwrap();
+    let out = command
+        .arg("scale")
+        .args(words.split_whitespace())
+        .output()
+        .unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (out.status.code(), text(&out.stdout), text(&out.stderr))
 }
@@ -39,14 +43,18 @@
          --most ready_s=10 --most failed=0.05 --most cold_worst=1 --most cpu_percent=50 --most resident_mb=128 --most bytes=21000",
     );
     assert_eq!(code, Some(0), "{out}{told}");
-    assert!(out.contains("it began in the steady state: 60 tasks"), "{out}");
+    assert!(
+        out.contains("it began in the steady state: 60 tasks"),
+        "{out}"
+    );
     assert!(out.contains("restarted, nine in ten ready within"), "{out}");
 }
 
 #[test]
 fn a_bound_that_is_passed_is_told_and_ends_it_with_one() {
     assert!(built());
-    let (code, _, told) = scale("--dispatchers 3 --hollow 2 --workers 8 --seconds 1 --most resident_mb=0.1");
+    let (code, _, told) =
+        scale("--dispatchers 3 --hollow 2 --workers 8 --seconds 1 --most resident_mb=0.1");
     assert_eq!(code, Some(1), "{told}");
     assert!(told.contains("PASSED: resident_mb"), "{told}");
 }
@@ -66,8 +74,9 @@
 #[test]
 fn hollow_ones_send_what_real_idle_ones_send() {
     assert!(built());
-    let (code, out, told) =
-        scale("--dispatchers 12 --hollow 24 --workers 60 --seconds 8 --changes 1 --regions-ms 5 --json");
+    let (code, out, told) = scale(
+        "--dispatchers 12 --hollow 24 --workers 60 --seconds 8 --changes 1 --regions-ms 5 --json",
+    );
     assert_eq!(code, Some(0), "{told}");
     let measured: Value = serde_json::from_str(out.lines().next().unwrap()).unwrap();
     let ratio = |figure: &str| {
@@ -75,10 +84,22 @@
         of("hollow") / of("dispatcher")
     };
     for figure in ["datagrams_out", "datagrams_in", "bytes_out", "bytes_in"] {
-        assert!((0.75..1.25).contains(&ratio(figure)), "{figure}: {} of a real one's", ratio(figure));
+        assert!(
+            (0.75..1.25).contains(&ratio(figure)),
+            "{figure}: {} of a real one's",
+            ratio(figure)
+        );
     }
-    assert!((0.2..1.0).contains(&ratio("cpu_percent")), "{} of a real one's CPU", ratio("cpu_percent"));
-    assert!(ratio("resident_mb") < 1.0, "{} of a real one's memory", ratio("resident_mb"));
+    assert!(
+        (0.2..1.0).contains(&ratio("cpu_percent")),
+        "{} of a real one's CPU",
+        ratio("cpu_percent")
+    );
+    assert!(
+        ratio("resident_mb") < 1.0,
+        "{} of a real one's memory",
+        ratio("resident_mb")
+    );
 }
 
 #[test_case(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)] => Some((3.0, 2.0, 0.0)); "a straight line")]
@@ -103,7 +124,13 @@
 #[test_case(2, 3 => 40_000; "two regions")]
 fn how_far_zones_lie_apart(one: usize, other: usize) -> u128 {
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
-    Ways { zone: ms(0.25), zones: ms(1.0), regions: ms(40.0) }.between(one, other).as_micros()
+    Ways {
+        zone: ms(0.25),
+        zones: ms(1.0),
+        regions: ms(40.0),
+    }
+    .between(one, other)
+    .as_micros()
 }
 
 #[test_case(0, 3 => true; "between the two")]
@@ -120,12 +147,18 @@
 #[test_case("zone@x" => None; "a moment that is none")]
 #[test_case("zone@1:2:3:4" => None; "too much")]
 fn how_a_fault_is_written(text: &str) -> Option<(f64, f64, f64)> {
-    text.parse::<Fault>().ok().map(|fault| (fault.at_s, fault.figure, fault.lasts_s))
+    text.parse::<Fault>()
+        .ok()
+        .map(|fault| (fault.at_s, fault.figure, fault.lasts_s))
 }
 
 #[test_case(30 => vec![0, 3, 6, 1, 4]; "five, of which no region has more than two")]
 #[test_case(7 => vec![0, 3, 6, 1, 4]; "just as many as that takes")]
 #[test_case(4 => vec![0]; "one where there are too few")]
 fn who_are_control_machines(dispatchers: usize) -> Vec<usize> {
-    Plan { dispatchers, ..Plan::default() }.keepers()
+    Plan {
+        dispatchers,
+        ..Plan::default()
+    }
+    .keepers()
 }
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -6,21 +6,46 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     #[error("{path} cannot be read")]
-    Unread { path: PathBuf, source: std::io::Error },
+    Unread {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("{path}:{line}: this is not TOML: {what}")]
-    Syntax { path: PathBuf, line: usize, what: String },
+    Syntax {
+        path: PathBuf,
+        line: usize,
+        what: String,
+    },
     #[error("{path}:{line}: no key is called {key:?}{}", nearest.map(|near| format!(", the nearest is {near:?}")).unwrap_or_default())]
-    UnknownKey { path: PathBuf, line: usize, key: String, nearest: Option<&'static str> },
+    UnknownKey {
+        path: PathBuf,
+        line: usize,
+        key: String,
+        nearest: Option<&'static str>,
+    },
     #[error("{path}:{line}: {key} is {value}, but has to be {wants}")]
-    Kind { path: PathBuf, line: usize, key: &'static str, value: String, wants: &'static str },
+    Kind {
+        path: PathBuf,
+        line: usize,
+        key: &'static str,
+        value: String,
+        wants: &'static str,
+    },
     #[error("{path}: {key} is missing")]
     Missing { path: PathBuf, key: &'static str },
     #[error("{path}:{line}: keepers are {count}, but a majority needs 1, 3 or 5 of them")]
-    Keepers { path: PathBuf, line: usize, count: usize },
+    Keepers {
+        path: PathBuf,
+        line: usize,
+        count: usize,
+    },
     #[error("the file gives both talk and cluster")]
     TalkAndCluster,
     #[error("datagrams cannot be received at {listen}")]
-    Listen { listen: SocketAddr, source: std::io::Error },
+    Listen {
+        listen: SocketAddr,
+        source: std::io::Error,
+    },
     #[error("another process runs as {name} at {other}: this one stands aside")]
     Twice { name: String, other: SocketAddr },
     #[error("{count} datagrams of version {version} were dropped")]
@@ -50,10 +75,14 @@
                 "check the path under `cluster` in the configuration, and who may read it"
             }
             ClusterError::Syntax { .. } => "mend that line; deploy/cluster.toml is an example",
-            ClusterError::UnknownKey { .. } => "correct or remove the key; docs/cluster.md lists them",
+            ClusterError::UnknownKey { .. } => {
+                "correct or remove the key; docs/cluster.md lists them"
+            }
             ClusterError::Kind { .. } => "give it such a value; docs/cluster.md has the units",
             ClusterError::Missing { .. } => "add it; deploy/cluster.toml is an example",
-            ClusterError::Keepers { .. } => "name 1, 3 or 5 dispatchers, the same in all files, or none",
+            ClusterError::Keepers { .. } => {
+                "name 1, 3 or 5 dispatchers, the same in all files, or none"
+            }
             ClusterError::TalkAndCluster => "remove `talk`: members carry what it carried",
             ClusterError::Listen { .. } => {
                 "give an IPv4 address of this machine whose port is free, or stop who has it"
--- a/crates/cluster/src/field.rs
+++ b/crates/cluster/src/field.rs
@@ -24,7 +24,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
     View(Option<(u16, u16)>),
-    Right { worker: WorkerId, work: Nanos, until: Nanos },
+    Right {
+        worker: WorkerId,
+        work: Nanos,
+        until: Nanos,
+    },
     Error(String),
 }
 
@@ -51,7 +55,11 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Deliver { to: SocketAddr, from: SocketAddr, bytes: Vec<u8> },
+    Deliver {
+        to: SocketAddr,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    },
     Due(usize),
 }
 
@@ -81,7 +89,11 @@
         Field {
             now: 0,
             nodes: (0..count).map(|_| None).collect(),
-            way: Way { delay: MS / 2, jitter: MS, ..Way::default() },
+            way: Way {
+                delay: MS / 2,
+                jitter: MS,
+                ..Way::default()
+            },
             regions: 0,
             side: vec![0; count],
             cut: Vec::new(),
@@ -122,8 +134,17 @@
         let cluster = Cluster::new(&joining, local, seed);
         let (paused, bytes, datagrams) = (None, 0, 0);
         let (waiting, heard) = (Vec::new(), Vec::new());
-        self.nodes[at] =
-            Some(Node { cluster, joining, offset, rate, paused, waiting, heard, bytes, datagrams });
+        self.nodes[at] = Some(Node {
+            cluster,
+            joining,
+            offset,
+            rate,
+            paused,
+            waiting,
+            heard,
+            bytes,
+            datagrams,
+        });
         self.push(self.now, Event::Due(at));
     }
 
@@ -155,11 +176,15 @@
     }
 
     pub fn paused(&self, at: usize) -> bool {
-        self.nodes[at].as_ref().is_some_and(|node| node.paused.is_some_and(|until| until > self.now))
+        self.nodes[at]
+            .as_ref()
+            .is_some_and(|node| node.paused.is_some_and(|until| until > self.now))
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|at| self.nodes[*at].is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|at| self.nodes[*at].is_some())
+            .collect()
     }
 
     /// Lets a process act, if it runs.
@@ -184,7 +209,8 @@
             };
             match effect {
                 Effect::Send { to, bytes } => {
-                    (node.bytes, node.datagrams) = (node.bytes + bytes.len() as u64, node.datagrams + 1);
+                    (node.bytes, node.datagrams) =
+                        (node.bytes + bytes.len() as u64, node.datagrams + 1);
                     let from = node.joining.listen;
                     let other = self.addresses.get(&to).copied();
                     let apart = other.is_none_or(|other| {
@@ -193,15 +219,38 @@
                     if apart || self.chance.unit() < way.loss {
                         continue;
                     }
-                    let far = if other.is_some_and(|other| other % 3 != at % 3) { self.regions } else { 0 };
+                    let far = if other.is_some_and(|other| other % 3 != at % 3) {
+                        self.regions
+                    } else {
+                        0
+                    };
                     for _ in 0..1 + u64::from(self.chance.unit() < way.twice) {
-                        let late = far + way.delay + (self.chance.unit() * way.jitter as f64) as Nanos;
-                        self.push(now + late, Event::Deliver { to, from, bytes: bytes.clone() });
+                        let late =
+                            far + way.delay + (self.chance.unit() * way.jitter as f64) as Nanos;
+                        self.push(
+                            now + late,
+                            Event::Deliver {
+                                to,
+                                from,
+                                bytes: bytes.clone(),
+                            },
+                        );
                     }
                 }
                 Effect::View(view) => node.heard.push((now, Heard::View(view))),
-                Effect::Right { worker, work, until } => {
-                    node.heard.push((now, Heard::Right { worker, work, until }));
+                Effect::Right {
+                    worker,
+                    work,
+                    until,
+                } => {
+                    node.heard.push((
+                        now,
+                        Heard::Right {
+                            worker,
+                            work,
+                            until,
+                        },
+                    ));
                 }
                 Effect::Say(Line::Error(text)) => node.heard.push((now, Heard::Error(text))),
                 Effect::Say(Line::Info(_)) | Effect::Heard { .. } => {}
@@ -216,7 +265,11 @@
 
     /// Plays on until a moment.
     pub fn run(&mut self, until: Nanos) {
-        while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse((at, ..))| *at <= until)
+        {
             let Some(Reverse((at, _, event))) = self.queue.pop() else {
                 return;
             };
@@ -234,7 +287,9 @@
                         }
                         continue;
                     }
-                    self.act(at, |cluster, now, effects| cluster.feed(now, from, &bytes, effects));
+                    self.act(at, |cluster, now, effects| {
+                        cluster.feed(now, from, &bytes, effects)
+                    });
                 }
                 Event::Due(at) => {
                     if self.paused(at) || self.nodes[at].is_none() {
@@ -245,7 +300,9 @@
                         std::mem::take(&mut node.waiting)
                     });
                     for (from, bytes) in waiting.into_iter().flatten() {
-                        self.act(at, |cluster, now, effects| cluster.feed(now, from, &bytes, effects));
+                        self.act(at, |cluster, now, effects| {
+                            cluster.feed(now, from, &bytes, effects)
+                        });
                     }
                     let due = |node: &Node| node.cluster.next_due() <= node.local(self.now);
                     if self.nodes[at].as_ref().is_some_and(due) {
@@ -261,7 +318,9 @@
     pub fn agree(&self, who: &[usize]) -> bool {
         let mut ranks: Vec<u16> = Vec::new();
         for at in who {
-            let Some(Some((rank, count))) = self.nodes[*at].as_ref().map(|node| node.cluster.view()) else {
+            let Some(Some((rank, count))) =
+                self.nodes[*at].as_ref().map(|node| node.cluster.view())
+            else {
                 return false;
             };
             if usize::from(count) != who.len() {
@@ -270,8 +329,13 @@
             ranks.push(rank);
         }
         ranks.sort_unstable();
-        let digest = |at: &usize| self.nodes[*at].as_ref().map(|node| node.cluster.members().digest());
-        ranks.into_iter().eq(0..who.len() as u16) && who.iter().all(|at| digest(at) == digest(&who[0]))
+        let digest = |at: &usize| {
+            self.nodes[*at]
+                .as_ref()
+                .map(|node| node.cluster.members().digest())
+        };
+        ranks.into_iter().eq(0..who.len() as u16)
+            && who.iter().all(|at| digest(at) == digest(&who[0]))
     }
 
     /// Plays on until they agree: after how long, if within the limit.
--- a/crates/cluster/src/field_tests.rs
+++ b/crates/cluster/src/field_tests.rs
@@ -15,7 +15,9 @@
         field.start(at, joining, 0);
     }
     let all: Vec<usize> = (0..count).collect();
-    field.until_agreed(&all, 40 * SECOND).expect("they never agreed");
+    field
+        .until_agreed(&all, 40 * SECOND)
+        .expect("they never agreed");
     // Until ranks are claimed.
     field.run(field.now + 2 * SECOND);
     field
@@ -29,7 +31,9 @@
         let mut field = started(count, seed);
         (0..killed).for_each(|at| field.kill(2 * at));
         let left = field.running();
-        let took = field.until_agreed(&left, 10 * SECOND).expect("the living never agreed");
+        let took = field
+            .until_agreed(&left, 10 * SECOND)
+            .expect("the living never agreed");
         println!("{count}-{killed}: {} ms", took / MS);
         assert!(took <= 3 * SECOND, "seed {seed}: {} ms", took / MS);
     }
@@ -45,16 +49,32 @@
         field.start(at, joining, 0);
     }
     let all = field.running();
-    field.until_agreed(&all, 60 * SECOND).expect("they never agreed");
+    field
+        .until_agreed(&all, 60 * SECOND)
+        .expect("they never agreed");
     field.run(field.now + 5 * SECOND);
-    let of = |field: &Field| field.nodes.iter().flatten().map(|node| node.datagrams).sum::<u64>();
+    let of = |field: &Field| {
+        field
+            .nodes
+            .iter()
+            .flatten()
+            .map(|node| node.datagrams)
+            .sum::<u64>()
+    };
     let before = of(&field);
     field.run(field.now + 10 * SECOND);
     let datagrams = (of(&field) - before) as f64 / 10.0 / count as f64;
     field.kill(count - 1);
     let left = field.running();
-    let took = field.until_agreed(&left, 20 * SECOND).expect("the living never agreed");
-    let refuted = field.nodes.iter().flatten().map(|node| node.cluster.members().counts.refuted).sum();
+    let took = field
+        .until_agreed(&left, 20 * SECOND)
+        .expect("the living never agreed");
+    let refuted = field
+        .nodes
+        .iter()
+        .flatten()
+        .map(|node| node.cluster.members().counts.refuted)
+        .sum();
     (datagrams, refuted, took)
 }
 
@@ -66,8 +86,14 @@
 fn regions_far_apart_make_no_suspicions_and_no_detours(far: Nanos) {
     for seed in 0..3 {
         let (datagrams, refuted, took) = among_regions(30, far * MS, seed);
-        println!("{far} ms: {datagrams:.1} datagrams/s, {refuted} refuted, {} ms", took / MS);
-        assert!(datagrams < 12.0, "seed {seed}: {datagrams:.1} datagrams a second");
+        println!(
+            "{far} ms: {datagrams:.1} datagrams/s, {refuted} refuted, {} ms",
+            took / MS
+        );
+        assert!(
+            datagrams < 12.0,
+            "seed {seed}: {datagrams:.1} datagrams a second"
+        );
         assert_eq!(refuted, 0, "seed {seed}: those who live were suspected");
         assert!(took <= 4 * SECOND, "seed {seed}: {} ms", took / MS);
     }
@@ -79,7 +105,12 @@
     let (mut died, mut longest) = (0, 0);
     for seed in 0..8 {
         let mut field = started(24, seed);
-        field.way = Way { loss: 0.2, delay: MS, jitter: 20 * MS, twice: 0.05 };
+        field.way = Way {
+            loss: 0.2,
+            delay: MS,
+            jitter: 20 * MS,
+            twice: 0.05,
+        };
         let mut since = [None; 24];
         for step in 0..1_500 {
             if step % 25 == 0 {
@@ -94,10 +125,23 @@
                 *since = since.filter(|_| lacks);
             }
         }
-        died += field.nodes.iter().flatten().map(|node| node.cluster.members().counts.died).sum::<u64>();
+        died += field
+            .nodes
+            .iter()
+            .flatten()
+            .map(|node| node.cluster.members().counts.died)
+            .sum::<u64>();
     }
-    println!("{died} of {} views, {} ms at the longest", 8 * 24, longest / MS);
-    assert!(longest <= 1_500 * MS && died < 8 * 24, "{died} died, {} ms", longest / MS);
+    println!(
+        "{died} of {} views, {} ms at the longest",
+        8 * 24,
+        longest / MS
+    );
+    assert!(
+        longest <= 1_500 * MS && died < 8 * 24,
+        "{died} died, {} ms",
+        longest / MS
+    );
 }
 
 #[test]
@@ -105,10 +149,14 @@
     let mut field = started(8, 3);
     field.pause(2, field.now + 10 * SECOND);
     let others: Vec<usize> = (0..8).filter(|at| *at != 2).collect();
-    field.until_agreed(&others, 4 * SECOND).expect("the paused one was never dropped");
+    field
+        .until_agreed(&others, 4 * SECOND)
+        .expect("the paused one was never dropped");
     field.run(field.now + 8 * SECOND);
     let all = field.running();
-    field.until_agreed(&all, 4 * SECOND).expect("it never came back");
+    field
+        .until_agreed(&all, 4 * SECOND)
+        .expect("it never came back");
 }
 
 /// What it waited for while it did not run, and nothing reached it, tells nothing of others.
@@ -119,7 +167,15 @@
         field.side[2] = 1;
         field.run(field.now + 100 * MS);
         field.pause(2, field.now + 700 * MS);
-        let suspected = |field: &Field| field.nodes[2].as_ref().unwrap().cluster.members().counts.suspected;
+        let suspected = |field: &Field| {
+            field.nodes[2]
+                .as_ref()
+                .unwrap()
+                .cluster
+                .members()
+                .counts
+                .suspected
+        };
         let before = suspected(&field);
         field.run(field.now + 690 * MS);
         field.side[2] = 0;
@@ -138,7 +194,9 @@
         assert!(field.agree(&small), "each side is a cluster of its own");
         field.side.fill(0);
         let all = field.running();
-        let took = field.until_agreed(&all, 15 * SECOND).expect("they never came together again");
+        let took = field
+            .until_agreed(&all, 15 * SECOND)
+            .expect("they never came together again");
         assert!(took <= 8 * SECOND, "{} ms", took / MS);
     }
 }
@@ -150,11 +208,21 @@
     field.cut = (0..8).filter(|at| *at != 3).map(|at| (at, 3)).collect();
     field.run(field.now + 10 * SECOND);
     let others: Vec<usize> = (0..8).filter(|at| *at != 3).collect();
-    let views: Vec<_> = others.iter().map(|at| field.nodes[*at].as_ref().unwrap().cluster.view()).collect();
-    assert!(views.iter().all(|view| view.is_some_and(|(_, count)| count >= 7)), "{views:?}");
+    let views: Vec<_> = others
+        .iter()
+        .map(|at| field.nodes[*at].as_ref().unwrap().cluster.view())
+        .collect();
+    assert!(
+        views
+            .iter()
+            .all(|view| view.is_some_and(|(_, count)| count >= 7)),
+        "{views:?}"
+    );
     field.cut.clear();
     let all = field.running();
-    field.until_agreed(&all, 10 * SECOND).expect("it never came back");
+    field
+        .until_agreed(&all, 10 * SECOND)
+        .expect("it never came back");
 }
 
 #[test]
@@ -178,10 +246,21 @@
     };
     assert_eq!((errors(1, &field), errors(4, &field)), (1, 0));
     assert_eq!(field.nodes[1].as_ref().unwrap().cluster.view(), None);
-    assert_eq!(field.nodes[4].as_ref().unwrap().cluster.view().map(|(_, count)| count), Some(4));
+    assert_eq!(
+        field.nodes[4]
+            .as_ref()
+            .unwrap()
+            .cluster
+            .view()
+            .map(|(_, count)| count),
+        Some(4)
+    );
     field.kill(4);
     field.run(30 * SECOND);
-    assert!(field.agree(&[0, 1, 2, 3]), "the older one is a member again");
+    assert!(
+        field.agree(&[0, 1, 2, 3]),
+        "the older one is a member again"
+    );
 }
 
 #[test]
@@ -194,7 +273,15 @@
     }
     field.run(15 * SECOND);
     assert!(field.agree(&[0, 2, 4]));
-    assert!(field.nodes[0].as_ref().unwrap().cluster.counts.other_cluster > 0);
+    assert!(
+        field.nodes[0]
+            .as_ref()
+            .unwrap()
+            .cluster
+            .counts
+            .other_cluster
+            > 0
+    );
 }
 
 #[test]
@@ -204,8 +291,18 @@
     joining.name = "other".to_string();
     field.start(3, joining, 0);
     let all = field.running();
-    field.until_agreed(&all, 6 * SECOND).expect("the old name lives on");
-    assert!(field.nodes[0].as_ref().unwrap().cluster.members().get("other").is_some());
+    field
+        .until_agreed(&all, 6 * SECOND)
+        .expect("the old name lives on");
+    assert!(
+        field.nodes[0]
+            .as_ref()
+            .unwrap()
+            .cluster
+            .members()
+            .get("other")
+            .is_some()
+    );
 }
 
 #[test]
@@ -213,7 +310,9 @@
     let mut field = started(12, 5);
     field.leave(7);
     let left = field.running();
-    let took = field.until_agreed(&left, 3 * SECOND).expect("it is still there");
+    let took = field
+        .until_agreed(&left, 3 * SECOND)
+        .expect("it is still there");
     assert!(took <= 500 * MS, "{} ms", took / MS);
 }
 
@@ -235,14 +334,23 @@
 #[test_case(1000 => ignore["by command"]; "a thousand")]
 fn bytes_a_member_stay_flat(count: usize) {
     let mut field = started(count, 1);
-    let bytes = |field: &Field| field.nodes.iter().flatten().map(|node| node.bytes).sum::<u64>();
+    let bytes = |field: &Field| {
+        field
+            .nodes
+            .iter()
+            .flatten()
+            .map(|node| node.bytes)
+            .sum::<u64>()
+    };
     let before = bytes(&field);
     field.run(field.now + 10 * SECOND);
     let each = (bytes(&field) - before) / 10 / count as u64;
     let killed = count / 10;
     (0..killed).for_each(|at| field.kill(3 + at));
     let left = field.running();
-    let took = field.until_agreed(&left, 30 * SECOND).expect("they never agreed");
+    let took = field
+        .until_agreed(&left, 30 * SECOND)
+        .expect("they never agreed");
     println!(
         "{count}: {each} bytes a second and member; {killed} killed at once: agreed after {} ms",
         took / MS
@@ -250,7 +358,10 @@
     assert!(each < 1_500, "{each} bytes a second");
 }
 
-const W: WorkerId = WorkerId { addr: [1, 2, 3, 4], port: 5 };
+const W: WorkerId = WorkerId {
+    addr: [1, 2, 3, 4],
+    port: 5,
+};
 const JOINT: Nanos = 1_000 * MS;
 const WINDOW: Nanos = 1_000 * MS;
 
@@ -299,7 +410,9 @@
         let late = below(2) == 0;
         let mut kept = Vec::new();
         for (at, start, work, until) in held.drain(..) {
-            let running = field.nodes[at].as_ref().filter(|_| starts[at] == start && !field.paused(at));
+            let running = field.nodes[at]
+                .as_ref()
+                .filter(|_| starts[at] == start && !field.paused(at));
             match running {
                 _ if starts[at] != start => {}
                 None => kept.push((at, start, work, until)),
@@ -356,7 +469,12 @@
     for seed in 0..150 {
         let (most, spent) = spent(seed, 20);
         all += spent;
-        assert!(most <= JOINT, "seed {seed}: {} ms of {} ms", most / MS, JOINT / MS);
+        assert!(
+            most <= JOINT,
+            "seed {seed}: {} ms of {} ms",
+            most / MS,
+            JOINT / MS
+        );
     }
     // And they are of use: with all those faults a good part of what may be sent is.
     assert!(all > 150 * 20 * JOINT / 8, "{} s spent", all / SECOND);
@@ -372,7 +490,12 @@
             scope.spawn(move || {
                 for seed in (job..10_000).step_by(jobs as usize) {
                     let (most, _) = spent(seed, 20);
-                    assert!(most <= JOINT, "seed {seed}: {} ms of {} ms", most / MS, JOINT / MS);
+                    assert!(
+                        most <= JOINT,
+                        "seed {seed}: {} ms of {} ms",
+                        most / MS,
+                        JOINT / MS
+                    );
                 }
             });
         }
@@ -394,11 +517,20 @@
         field.run(field.now + 20 * MS);
     }
     for node in field.nodes.iter().flatten() {
-        got += node.heard.iter().filter(|(_, heard)| matches!(heard, Heard::Right { .. })).count() as u64
+        got += node
+            .heard
+            .iter()
+            .filter(|(_, heard)| matches!(heard, Heard::Right { .. }))
+            .count() as u64
             * 60
             * MS;
     }
-    assert!(got > 10 * JOINT * 3 / 4, "{} ms of {} ms", got / MS, 10 * JOINT / MS);
+    assert!(
+        got > 10 * JOINT * 3 / 4,
+        "{} ms of {} ms",
+        got / MS,
+        10 * JOINT / MS
+    );
 }
 
 /// Half dead for good, the first keeper among them: rights go on after a lease and a window.
@@ -430,7 +562,8 @@
             }
             Fault::WantedTwice => crate::tests::a_request_that_comes_twice_is_given_to_once(),
             Fault::OldIncarnation => {
-                none_that_lives_is_held_dead_for_more_than_a_refutation_at_a_fifth_lost_and_pauses();
+                none_that_lives_is_held_dead_for_more_than_a_refutation_at_a_fifth_lost_and_pauses(
+                );
                 let believed = crate::tests::what_is_believed_of_an_old_incarnation(2);
                 assert_eq!(believed, crate::wire::Standing::Alive);
             }
@@ -447,7 +580,11 @@
 
     #[test]
     fn every_fault_between_dispatchers_is_found() {
-        let missed: Vec<Fault> = BETWEEN.iter().copied().filter(|fault| !found(*fault)).collect();
+        let missed: Vec<Fault> = BETWEEN
+            .iter()
+            .copied()
+            .filter(|fault| !found(*fault))
+            .collect();
         assert!(missed.is_empty(), "not found: {missed:?}");
     }
 }
--- a/crates/cluster/src/file.rs
+++ b/crates/cluster/src/file.rs
@@ -21,7 +21,16 @@
     pub clocks: Nanos,
 }
 
-const KEYS: &[&str] = &["version", "cluster", "name", "listen", "seeds", "keepers", "through", "clocks_ms"];
+const KEYS: &[&str] = &[
+    "version",
+    "cluster",
+    "name",
+    "listen",
+    "seeds",
+    "keepers",
+    "through",
+    "clocks_ms",
+];
 /// Clocks that are set by anyone at all lie closer.
 const CLOCKS_MS: i64 = 10_000;
 
@@ -45,7 +54,8 @@
 /// The key that was meant, if one is near.
 pub fn nearest(word: &str, keys: &[&'static str]) -> Option<&'static str> {
     let near = keys.iter().map(|key| (distance(word, key), *key)).min();
-    near.filter(|(far, key)| *far <= (key.len() / 2).max(1)).map(|(_, key)| key)
+    near.filter(|(far, key)| *far <= (key.len() / 2).max(1))
+        .map(|(_, key)| key)
 }
 
 struct File<'a> {
@@ -56,7 +66,13 @@
 
 impl File<'_> {
     fn line(&self, place: usize) -> usize {
-        1 + self.text.as_bytes().iter().take(place).filter(|byte| **byte == b'\n').count()
+        1 + self
+            .text
+            .as_bytes()
+            .iter()
+            .take(place)
+            .filter(|byte| **byte == b'\n')
+            .count()
     }
 
     fn get<T>(
@@ -69,7 +85,13 @@
             return Ok(None);
         };
         let (path, line) = (self.path.to_path_buf(), self.line(value.span().start));
-        let wrong = || ClusterError::Kind { path, line, key, value: value.get_ref().to_string(), wants };
+        let wrong = || ClusterError::Kind {
+            path,
+            line,
+            key,
+            value: value.get_ref().to_string(),
+            wants,
+        };
         read(value.get_ref()).map(Some).ok_or_else(wrong)
     }
 
@@ -79,18 +101,25 @@
         wants: &'static str,
         read: impl Fn(&Value) -> Option<T>,
     ) -> Result<T, ClusterError> {
-        let missing = || ClusterError::Missing { path: self.path.to_path_buf(), key };
+        let missing = || ClusterError::Missing {
+            path: self.path.to_path_buf(),
+            key,
+        };
         self.get(key, wants, read)?.ok_or_else(missing)
     }
 }
 
 fn name(value: &Value) -> Option<String> {
-    value.as_str().filter(|text| is_name(text)).map(str::to_string)
+    value
+        .as_str()
+        .filter(|text| is_name(text))
+        .map(str::to_string)
 }
 
 fn address(value: &Value) -> Option<SocketAddr> {
     let address: SocketAddr = value.as_str()?.parse().ok()?;
-    let usable = matches!(address.ip(), IpAddr::V4(ip) if !ip.is_unspecified()) && address.port() != 0;
+    let usable =
+        matches!(address.ip(), IpAddr::V4(ip) if !ip.is_unspecified()) && address.port() != 0;
     usable.then_some(address)
 }
 
@@ -100,36 +129,64 @@
 
 /// Reads the file's text; `path` is for what is said of it.
 pub fn read(path: &Path, text: &str) -> Result<Joining, ClusterError> {
-    let mut file = File { path, text, table: Table::new() };
+    let mut file = File {
+        path,
+        text,
+        table: Table::new(),
+    };
     file.table = toml::from_str(text).map_err(|fault| ClusterError::Syntax {
         path: path.to_path_buf(),
         line: fault.span().map_or(1, |span| file.line(span.start)),
         what: fault.message().to_string(),
     })?;
-    if let Some(key) = file.table.keys().find(|key| !KEYS.contains(&key.get_ref().as_str())) {
+    if let Some(key) = file
+        .table
+        .keys()
+        .find(|key| !KEYS.contains(&key.get_ref().as_str()))
+    {
         let (line, nearest) = (file.line(key.span().start), nearest(key.get_ref(), KEYS));
         let (path, key) = (path.to_path_buf(), key.get_ref().clone());
-        return Err(ClusterError::UnknownKey { path, line, key, nearest });
+        return Err(ClusterError::UnknownKey {
+            path,
+            line,
+            key,
+            nearest,
+        });
     }
     const NAME: &str = "up to 32 letters, digits, points, minuses and underlines";
     const ADDRESS: &str = "an IPv4 address and a port, such as \"10.0.0.4:7946\"";
-    file.need("version", "1", |value| (value.as_integer() == Some(1)).then_some(()))?;
-    let keepers = file.get("keepers", "a list of names", |value| list(value, name))?.unwrap_or_default();
+    file.need("version", "1", |value| {
+        (value.as_integer() == Some(1)).then_some(())
+    })?;
+    let keepers = file
+        .get("keepers", "a list of names", |value| list(value, name))?
+        .unwrap_or_default();
     let mut apart = keepers.clone();
     apart.sort();
     apart.dedup();
     if !matches!(keepers.len(), 0 | 1 | 3 | 5) || apart.len() != keepers.len() {
-        let at = file.table.iter().find(|(key, _)| key.get_ref() == "keepers");
+        let at = file
+            .table
+            .iter()
+            .find(|(key, _)| key.get_ref() == "keepers");
         let line = at.map_or(1, |(key, _)| file.line(key.span().start));
-        return Err(ClusterError::Keepers { path: path.to_path_buf(), line, count: apart.len() });
+        return Err(ClusterError::Keepers {
+            path: path.to_path_buf(),
+            line,
+            count: apart.len(),
+        });
     }
     let clocks = |value: &Value| value.as_integer().filter(|ms| (0..=3_600_000).contains(ms));
-    let clocks = file.get("clocks_ms", "0 to 3600000 (ms)", clocks)?.unwrap_or(CLOCKS_MS);
+    let clocks = file
+        .get("clocks_ms", "0 to 3600000 (ms)", clocks)?
+        .unwrap_or(CLOCKS_MS);
     Ok(Joining {
         cluster: file.need("cluster", NAME, name)?,
         name: file.need("name", NAME, name)?,
         listen: file.need("listen", ADDRESS, address)?,
-        seeds: file.need("seeds", "a list of IPv4 addresses with ports", |value| list(value, address))?,
+        seeds: file.need("seeds", "a list of IPv4 addresses with ports", |value| {
+            list(value, address)
+        })?,
         keepers,
         through: file.get("through", ADDRESS, address)?,
         clocks: clocks as Nanos * 1_000_000,
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -28,13 +28,23 @@
 
 impl Keeper {
     pub fn new(now: Nanos) -> Self {
-        let mute = if is(Fault::KeeperForgets) { 0 } else { long(SPAN) };
-        Keeper { promised: None, until: now + mute }
+        let mute = if is(Fault::KeeperForgets) {
+            0
+        } else {
+            long(SPAN)
+        };
+        Keeper {
+            promised: None,
+            until: now + mute,
+        }
     }
 
     /// Whether it promises this process the lease.
     pub fn ask(&mut self, now: Nanos, name: &Name, start: u64) -> bool {
-        let same = self.promised.as_ref().is_some_and(|(to, at)| to == name && *at == start);
+        let same = self
+            .promised
+            .as_ref()
+            .is_some_and(|(to, at)| to == name && *at == start);
         if !same && now < self.until && !is(Fault::PromisedTwice) {
             return false;
         }
@@ -95,7 +105,11 @@
         }
         // Counted from when it was asked for: whenever each promised, it was later. Guards against an answer that
         // was long on its way.
-        let from = if is(Fault::LeaseFromAnswer) { now } else { self.asked };
+        let from = if is(Fault::LeaseFromAnswer) {
+            now
+        } else {
+            self.asked
+        };
         let until = from + SPAN - SPAN / DRIFT;
         if now >= until {
             return;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -76,7 +76,12 @@
 use Standing::{Alive, Dead, Left, Suspect};
 
 const TABLE: &[Row] = &[
-    (&[Alive, Suspect, Dead, Left], Told::Newer, &[Alive, Suspect, Dead, Left], Step::Take),
+    (
+        &[Alive, Suspect, Dead, Left],
+        Told::Newer,
+        &[Alive, Suspect, Dead, Left],
+        Step::Take,
+    ),
     (&[Alive], Told::Same, &[Suspect, Dead, Left], Step::Take),
     (&[Suspect], Told::Same, &[Dead, Left], Step::Take),
     (&[Suspect], Told::Same, &[Suspect], Step::Agree),
@@ -84,7 +89,9 @@
 ];
 
 fn step(known: Standing, told: Told, what: Standing) -> Option<Step> {
-    let row = TABLE.iter().find(|row| row.0.contains(&known) && row.1 == told && row.2.contains(&what));
+    let row = TABLE
+        .iter()
+        .find(|row| row.0.contains(&known) && row.1 == told && row.2.contains(&what));
     row.map(|row| row.3)
 }
 
@@ -199,7 +206,16 @@
         // Two starts in one instant of a coarse clock differ by what is drawn.
         let start = now & !0xffff | (chance.unit() * 65_536.0) as u64;
         let (claim, gives, by) = (NONE, false, 0);
-        let me = Record { name, addr, start, incarnation: 0, standing: Alive, claim, gives, by };
+        let me = Record {
+            name,
+            addr,
+            start,
+            incarnation: 0,
+            standing: Alive,
+            claim,
+            gives,
+            by,
+        };
         let spread = (chance.unit() * PERIOD as f64) as Nanos;
         Members {
             me,
@@ -259,7 +275,10 @@
 
     /// Those who live, without itself.
     pub fn living_others(&self) -> impl Iterator<Item = &Record> {
-        self.members.values().filter(|member| Members::living(member)).map(|member| &member.record)
+        self.members
+            .values()
+            .filter(|member| Members::living(member))
+            .map(|member| &member.record)
     }
 
     /// All who live, itself too, in the order of their names.
@@ -275,7 +294,8 @@
     }
 
     fn digest_of(record: &Record) -> u32 {
-        let of = hash(record.name.as_bytes()).wrapping_mul(0x9e37_79b1) ^ hash(&record.start.to_be_bytes());
+        let of = hash(record.name.as_bytes()).wrapping_mul(0x9e37_79b1)
+            ^ hash(&record.start.to_be_bytes());
         of ^ u32::from(record.claim).wrapping_mul(0x85eb_ca6b)
     }
 
@@ -289,10 +309,16 @@
         self.moved = true;
         let lives = |record: &&Record| matches!(record.standing, Alive | Suspect);
         if let Some(old) = old.filter(lives) {
-            (self.living, self.sum) = (self.living - 1, self.sum.wrapping_sub(Members::digest_of(old)));
+            (self.living, self.sum) = (
+                self.living - 1,
+                self.sum.wrapping_sub(Members::digest_of(old)),
+            );
         }
         if let Some(new) = new.filter(lives) {
-            (self.living, self.sum) = (self.living + 1, self.sum.wrapping_add(Members::digest_of(new)));
+            (self.living, self.sum) = (
+                self.living + 1,
+                self.sum.wrapping_add(Members::digest_of(new)),
+            );
         }
     }
 
@@ -358,7 +384,11 @@
         self.probe = None;
         self.favours.clear();
         self.probe_at = now + ANSWER;
-        for member in self.members.values_mut().filter(|member| member.record.standing == Suspect) {
+        for member in self
+            .members
+            .values_mut()
+            .filter(|member| member.record.standing == Suspect)
+        {
             member.until += gap;
         }
     }
@@ -375,13 +405,21 @@
         if self.twice.is_some() {
             return self.aside_at;
         }
-        let suspects = self.members.values().filter(|member| member.record.standing == Suspect);
+        let suspects = self
+            .members
+            .values()
+            .filter(|member| member.record.standing == Suspect);
         let suspects = suspects.map(|member| member.until).min();
         let asked = self.probe.as_ref().and_then(|probe| probe.ask_at);
         let favour = self.favours.iter().map(|favour| favour.until).min();
         let gossip = self.has_news().then_some(self.gossip_at);
         let fixed = [self.probe_at, self.retry_at, self.seed_at];
-        let some = suspects.into_iter().chain(asked).chain(favour).chain(gossip).chain(fixed);
+        let some = suspects
+            .into_iter()
+            .chain(asked)
+            .chain(favour)
+            .chain(gossip)
+            .chain(fixed);
         // Looks up often enough to know that it was running.
         some.min().unwrap_or(0).min(self.last + ASLEEP / 2)
     }
@@ -411,7 +449,10 @@
             .collect();
         for name in late {
             if let Some(member) = self.members.get(&name) {
-                let record = Record { standing: Dead, ..member.record.clone() };
+                let record = Record {
+                    standing: Dead,
+                    ..member.record.clone()
+                };
                 self.merge(now, record);
             }
         }
@@ -427,7 +468,10 @@
             self.conclude(now, out);
             self.begin(now, out);
             // Three times as often while someone is suspected. Guards against the time it takes to find out many at once.
-            let some = self.members.values().any(|member| member.record.standing == Suspect);
+            let some = self
+                .members
+                .values()
+                .any(|member| member.record.standing == Suspect);
             // But no sooner than an answer, and one by others, can come. Guards against suspicions that make others.
             let soon = PERIOD * (1 + self.health) / if some { 3 } else { 1 };
             self.probe_at = now + soon.max((5 * self.far / 2).min(PERIOD * (1 + self.health)));
@@ -443,19 +487,34 @@
         }
         if now >= self.retry_at {
             self.retry_at = now + RETRY / 2 + (self.chance.unit() * RETRY as f64) as Nanos;
-            self.members.retain(|_, member| Members::living(member) || now < member.since + FORGET);
-            let gone: Vec<&Record> =
-                self.members.values().map(|m| &m.record).filter(|r| r.standing == Dead).collect();
+            self.members
+                .retain(|_, member| Members::living(member) || now < member.since + FORGET);
+            let gone: Vec<&Record> = self
+                .members
+                .values()
+                .map(|m| &m.record)
+                .filter(|r| r.standing == Dead)
+                .collect();
             if !gone.is_empty() {
                 let one = gone[(self.chance.unit() * gone.len() as f64) as usize].clone();
                 let seq = self.next_seq();
-                out.push((one.addr, vec![Part::Ping { seq, to: one.name.clone() }, Part::Record(one)]));
+                out.push((
+                    one.addr,
+                    vec![
+                        Part::Ping {
+                            seq,
+                            to: one.name.clone(),
+                        },
+                        Part::Record(one),
+                    ],
+                ));
             }
         }
         if now >= self.seed_at {
             let alone = self.living_others().next().is_none();
             self.seed_at = now + if alone { SEED } else { SEED_LATER };
-            let missing = |seed: &&SocketAddr| alone || !self.living_others().any(|r| r.addr == **seed);
+            let missing =
+                |seed: &&SocketAddr| alone || !self.living_others().any(|r| r.addr == **seed);
             for seed in self.seeds.iter().filter(missing) {
                 out.push((*seed, vec![Part::Page { from: 0 }]));
             }
@@ -464,7 +523,9 @@
 
     /// Some of those who live, at random.
     fn some(&mut self, count: usize, but: Option<&Name>) -> Vec<SocketAddr> {
-        let all = self.living_others().filter(|record| Some(&record.name) != but);
+        let all = self
+            .living_others()
+            .filter(|record| Some(&record.name) != but);
         let mut all: Vec<SocketAddr> = all.map(|record| record.addr).collect();
         for at in 0..count.min(all.len()) {
             let other = at + (self.chance.unit() * (all.len() - at) as f64) as usize;
@@ -481,12 +542,16 @@
                 Some(name) if self.members.get(&name).is_some_and(Members::living) => break name,
                 Some(_) => {}
                 None => {
-                    self.round = self.living_others().map(|record| record.name.clone()).collect();
+                    self.round = self
+                        .living_others()
+                        .map(|record| record.name.clone())
+                        .collect();
                     if self.round.is_empty() {
                         return;
                     }
                     for at in (1..self.round.len()).rev() {
-                        self.round.swap(at, (self.chance.unit() * (at + 1) as f64) as usize);
+                        self.round
+                            .swap(at, (self.chance.unit() * (at + 1) as f64) as usize);
                     }
                 }
             }
@@ -500,8 +565,14 @@
             parts.push(Part::Record(member.record.clone()));
         }
         let seq = self.next_seq();
-        parts.push(Part::Ping { seq, to: name.clone() });
-        parts.push(Part::Digest { hash: self.digest(), count: self.count() as u16 });
+        parts.push(Part::Ping {
+            seq,
+            to: name.clone(),
+        });
+        parts.push(Part::Digest {
+            hash: self.digest(),
+            count: self.count() as u16,
+        });
         out.push((addr, parts));
         self.counts.probes += 1;
         let ask_at = Some(now + self.answer() * (1 + self.health));
@@ -509,12 +580,23 @@
         if self.probes.len() > REMEMBERED {
             self.probes.pop_front();
         }
-        self.probe = Some(Probe { seq, name, ask_at, silent: 0 });
+        self.probe = Some(Probe {
+            seq,
+            name,
+            ask_at,
+            silent: 0,
+        });
     }
 
     /// No answer so far: others try.
     fn ask_others(&mut self, now: Nanos, out: &mut Out) {
-        let Some(Probe { seq, name, ask_at: Some(at), .. }) = &self.probe else {
+        let Some(Probe {
+            seq,
+            name,
+            ask_at: Some(at),
+            ..
+        }) = &self.probe
+        else {
             return;
         };
         if *at > now {
@@ -529,7 +611,14 @@
             (probe.ask_at, probe.silent) = (None, helpers.len());
         }
         for helper in helpers {
-            out.push((helper, vec![Part::PingFor { seq, to: name.clone(), addr }]));
+            out.push((
+                helper,
+                vec![Part::PingFor {
+                    seq,
+                    to: name.clone(),
+                    addr,
+                }],
+            ));
         }
     }
 
@@ -545,7 +634,11 @@
         let Some(member) = self.members.get(&name) else {
             return;
         };
-        let record = Record { standing: Suspect, by: hash(self.me.name.as_bytes()), ..member.record.clone() };
+        let record = Record {
+            standing: Suspect,
+            by: hash(self.me.name.as_bytes()),
+            ..member.record.clone()
+        };
         out.push((record.addr, vec![Part::Record(record.clone())]));
         self.merge(now, record);
     }
@@ -558,7 +651,10 @@
     /// An answer of the probed one's own tells how long the way is. The longest counts, and is forgotten by a part each time:
     /// two in three regions of like size are far off, and a tenth of what a probe costs is spent on one that is not.
     fn learn_way(&mut self, now: Nanos, seq: u32, from: &Name) {
-        let probe = self.probes.iter().find(|(of, name, _)| *of == seq && name == from);
+        let probe = self
+            .probes
+            .iter()
+            .find(|(of, name, _)| *of == seq && name == from);
         if let Some(took) = probe.map(|(_, _, at)| now.saturating_sub(*at)) {
             self.far = took.max(self.far - self.far / 32);
         }
@@ -572,7 +668,14 @@
     }
 
     /// What one datagram says of members.
-    pub fn heard(&mut self, now: Nanos, from: SocketAddr, sender: &Record, parts: &[Part], out: &mut Out) {
+    pub fn heard(
+        &mut self,
+        now: Nanos,
+        from: SocketAddr,
+        sender: &Record,
+        parts: &[Part],
+        out: &mut Out,
+    ) {
         self.wake(now);
         let mut sender = sender.clone();
         sender.addr = from;
@@ -593,7 +696,10 @@
         for part in parts {
             match part {
                 Part::Ping { seq, to } if *to == self.me.name => {
-                    let digest = Part::Digest { hash: self.digest(), count: self.count() as u16 };
+                    let digest = Part::Digest {
+                        hash: self.digest(),
+                        count: self.count() as u16,
+                    };
                     out.push((from, vec![Part::Ack { seq: *seq }, digest]));
                 }
                 Part::Ack { seq } => {
@@ -611,8 +717,19 @@
                 }
                 Part::PingFor { seq, to, addr } => {
                     let own = self.next_seq();
-                    self.favours.push(Favour { seq: own, of: *seq, back: from, until: now + self.answer() });
-                    out.push((*addr, vec![Part::Ping { seq: own, to: to.clone() }]));
+                    self.favours.push(Favour {
+                        seq: own,
+                        of: *seq,
+                        back: from,
+                        until: now + self.answer(),
+                    });
+                    out.push((
+                        *addr,
+                        vec![Part::Ping {
+                            seq: own,
+                            to: to.clone(),
+                        }],
+                    ));
                 }
                 Part::Record(record) => self.merge(now, record.clone()),
                 Part::Digest { hash, count } => {
@@ -628,8 +745,16 @@
                 }
                 Part::Page { from: place } => {
                     self.counts.pages += 1;
-                    let digest = Part::Digest { hash: self.digest(), count: self.count() as u16 };
-                    out.push((from, std::iter::once(digest).chain(self.records(*place)).collect()));
+                    let digest = Part::Digest {
+                        hash: self.digest(),
+                        count: self.count() as u16,
+                    };
+                    out.push((
+                        from,
+                        std::iter::once(digest)
+                            .chain(self.records(*place))
+                            .collect(),
+                    ));
                 }
                 _ => {}
             }
@@ -640,8 +765,14 @@
     fn records(&self, from: u16) -> impl Iterator<Item = Part> {
         let all = self.members.values().map(|member| &member.record);
         let count = self.members.len().max(1);
-        let page = all.cycle().skip(usize::from(from) % count).take(PAGE_RECORDS.min(self.members.len()));
-        page.cloned().map(Part::Record).collect::<Vec<_>>().into_iter()
+        let page = all
+            .cycle()
+            .skip(usize::from(from) % count)
+            .take(PAGE_RECORDS.min(self.members.len()));
+        page.cloned()
+            .map(Part::Record)
+            .collect::<Vec<_>>()
+            .into_iter()
     }
 
     /// Another process of its own name has spoken.
@@ -702,21 +833,39 @@
                 self.replaced(now, &record);
                 self.account(None, Some(&record));
                 let (by, told, queued) = (Vec::new(), 0, false);
-                self.members.insert(name.clone(), Member { record, since: now, until, by, told, queued });
+                self.members.insert(
+                    name.clone(),
+                    Member {
+                        record,
+                        since: now,
+                        until,
+                        by,
+                        told,
+                        queued,
+                    },
+                );
                 self.tell_news(&name);
             }
             return;
         };
-        let (new, old) = ((record.start, record.incarnation), (known.record.start, known.record.incarnation));
+        let (new, old) = (
+            (record.start, record.incarnation),
+            (known.record.start, known.record.incarnation),
+        );
         let told = match new.cmp(&old) {
             std::cmp::Ordering::Greater => Told::Newer,
             std::cmp::Ordering::Equal => Told::Same,
             std::cmp::Ordering::Less => Told::Older,
         };
-        let told = if is(Fault::OldIncarnation) && told == Told::Older { Told::Newer } else { told };
+        let told = if is(Fault::OldIncarnation) && told == Told::Older {
+            Told::Newer
+        } else {
+            told
+        };
         match step(known.record.standing, told, record.standing) {
             None => {}
-            Some(Step::Agree) if known.by.contains(&record.by) || known.by.len() as f64 > AGREE => {}
+            Some(Step::Agree) if known.by.contains(&record.by) || known.by.len() as f64 > AGREE => {
+            }
             Some(Step::Agree) => {
                 known.by.push(record.by);
                 let (count, since, name) = (known.by.len(), known.since, record.name.clone());
@@ -760,9 +909,19 @@
     /// Whoever was at the address that another now has is no longer there: it is suspected at once.
     fn replaced(&mut self, now: Nanos, new: &Record) {
         let by = hash(self.me.name.as_bytes());
-        let old = self.living_others().find(|r| r.addr == new.addr && r.name != new.name).cloned();
+        let old = self
+            .living_others()
+            .find(|r| r.addr == new.addr && r.name != new.name)
+            .cloned();
         if let Some(old) = old.filter(|old| old.standing == Alive) {
-            self.merge(now, Record { standing: Suspect, by, ..old });
+            self.merge(
+                now,
+                Record {
+                    standing: Suspect,
+                    by,
+                    ..old
+                },
+            );
         }
     }
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -84,9 +84,20 @@
     pub fn new(joining: &Joining, now: Nanos, seed: u64) -> Self {
         let cluster = hash(joining.cluster.as_bytes());
         let name: Name = joining.name.as_str().into();
-        let keepers: Vec<Name> = joining.keepers.iter().map(|name| name.as_str().into()).collect();
+        let keepers: Vec<Name> = joining
+            .keepers
+            .iter()
+            .map(|name| name.as_str().into())
+            .collect();
         let keeper = keepers.contains(&name).then(|| Keeper::new(now));
-        let members = Members::new(cluster, name, joining.listen, joining.seeds.clone(), now, seed);
+        let members = Members::new(
+            cluster,
+            name,
+            joining.listen,
+            joining.seeds.clone(),
+            now,
+            seed,
+        );
         Cluster {
             members,
             cluster,
@@ -127,7 +138,8 @@
     }
 
     pub fn next_due(&self) -> Nanos {
-        let lease = (self.keeper.is_some() && !self.members.aside()).then(|| self.candidate.next_due());
+        let lease =
+            (self.keeper.is_some() && !self.members.aside()).then(|| self.candidate.next_due());
         let view = self.stale.then_some(self.view_at);
         let some = lease.into_iter().chain(view).chain(self.signals.next_due());
         some.fold(self.members.next_due(), Nanos::min)
@@ -147,7 +159,8 @@
         let me = self.members.me.name.clone();
         for change in std::mem::take(&mut self.members.changes) {
             self.stale = true;
-            let info = |what: &str, name: &Name| Line::Info(format!("cluster member={name} {what}"));
+            let info =
+                |what: &str, name: &Name| Line::Info(format!("cluster member={name} {what}"));
             effects.push(Effect::Say(match change {
                 Change::Came(name) => info("came", &name),
                 Change::Suspected(name) => info("suspected", &name),
@@ -156,7 +169,13 @@
                 Change::Left(name) => info("left", &name),
                 Change::Twice(other) => {
                     self.stand_aside();
-                    Line::Error(ClusterError::Twice { name: me.to_string(), other }.line())
+                    Line::Error(
+                        ClusterError::Twice {
+                            name: me.to_string(),
+                            other,
+                        }
+                        .line(),
+                    )
                 }
                 Change::Once => info("is a member again", &me),
             }));
@@ -182,10 +201,17 @@
             self.stale = false;
             None
         } else {
-            let all: Vec<(Name, u16)> =
-                self.members.view().into_iter().map(|record| (record.name.clone(), record.claim)).collect();
+            let all: Vec<(Name, u16)> = self
+                .members
+                .view()
+                .into_iter()
+                .map(|record| (record.name.clone(), record.claim))
+                .collect();
             let ranks = ranks(&all);
-            let mine = all.iter().position(|(name, _)| *name == self.members.me.name).unwrap_or(0);
+            let mine = all
+                .iter()
+                .position(|(name, _)| *name == self.members.me.name)
+                .unwrap_or(0);
             let rank = ranks[mine];
             self.by_rank = vec![self.members.me.name.clone(); all.len()];
             for ((name, _), rank) in all.iter().zip(&ranks) {
@@ -199,15 +225,20 @@
             if self.stale {
                 self.view_at = now + 5 * VIEW;
             }
-            self.hearing.keep(|name| all.iter().any(|(known, _)| known == name));
-            Some((if is(Planted::RankOff) { rank + 1 } else { rank }, all.len() as u16))
+            self.hearing
+                .keep(|name| all.iter().any(|(known, _)| known == name));
+            Some((
+                if is(Planted::RankOff) { rank + 1 } else { rank },
+                all.len() as u16,
+            ))
         };
         if view != self.told {
             self.told = view;
             effects.push(Effect::View(view));
             if let Some((rank, members)) = view {
                 let digest = self.members.digest();
-                let text = format!("cluster view rank={rank} members={members} digest={digest:08x}");
+                let text =
+                    format!("cluster view rank={rank} members={members} digest={digest:08x}");
                 effects.push(Effect::Say(Line::Info(text)));
             }
         }
@@ -232,7 +263,10 @@
         }
         if self.counts.other_version > 0 && self.version > 0 && now >= self.tell_at {
             self.tell_at = now + TELL;
-            let fault = ClusterError::Version { version: self.version, count: self.counts.other_version };
+            let fault = ClusterError::Version {
+                version: self.version,
+                count: self.counts.other_version,
+            };
             self.version = 0;
             effects.push(Effect::Say(Line::Error(fault.line())));
         }
@@ -250,7 +284,10 @@
         let lives = |name: &Name| {
             *name == me.name
                 || self.members.get(name).is_some_and(|member| {
-                    matches!(member.record.standing, wire::Standing::Alive | wire::Standing::Suspect)
+                    matches!(
+                        member.record.standing,
+                        wire::Standing::Alive | wire::Standing::Suspect
+                    )
                 })
         };
         let first = self.keepers.iter().find(|name| lives(name)) == Some(&me.name);
@@ -263,7 +300,8 @@
         }
         for other in self.keepers.iter().filter(|other| **other != name) {
             if let Some(member) = self.members.get(other) {
-                self.out.push((member.record.addr, vec![Part::Lease { seq }]));
+                self.out
+                    .push((member.record.addr, vec![Part::Lease { seq }]));
             }
         }
     }
@@ -279,14 +317,17 @@
                         self.version = version;
                     }
                     wire::Fault::Cluster => self.counts.other_cluster += 1,
-                    wire::Fault::Length | wire::Fault::Mark | wire::Fault::Part => self.counts.malformed += 1,
+                    wire::Fault::Length | wire::Fault::Mark | wire::Fault::Part => {
+                        self.counts.malformed += 1
+                    }
                 }
                 return;
             }
         };
         self.counts.heard += 1;
         let sender = &datagram.sender;
-        self.members.heard(now, from, sender, &datagram.parts, &mut self.out);
+        self.members
+            .heard(now, from, sender, &datagram.parts, &mut self.out);
         if !self.members.aside() && sender.name != self.members.me.name {
             for part in &datagram.parts {
                 self.part(now, from, sender, part, effects);
@@ -307,11 +348,13 @@
             Part::Lease { seq } => {
                 if let Some(keeper) = &mut self.keeper {
                     let given = keeper.ask(now, &sender.name, sender.start);
-                    self.out.push((from, vec![Part::Promise { seq: *seq, given }]));
+                    self.out
+                        .push((from, vec![Part::Promise { seq: *seq, given }]));
                 }
             }
             Part::Promise { seq, given: true } if self.keepers.contains(&sender.name) => {
-                self.candidate.promise(now, *seq, &sender.name, self.keepers.len());
+                self.candidate
+                    .promise(now, *seq, &sender.name, self.keepers.len());
             }
             Part::Want { seq, worker, work } => {
                 let by = (hash(sender.name.as_bytes()), sender.start);
@@ -322,9 +365,22 @@
                     return;
                 }
                 let (work, lasts) = ((work / UNIT) as u32, (lasts / MS) as u16);
-                self.out.push((from, vec![Part::Grant { seq: *seq, worker: *worker, work, lasts }]));
+                self.out.push((
+                    from,
+                    vec![Part::Grant {
+                        seq: *seq,
+                        worker: *worker,
+                        work,
+                        lasts,
+                    }],
+                ));
             }
-            Part::Grant { seq, worker, work, lasts } => {
+            Part::Grant {
+                seq,
+                worker,
+                work,
+                lasts,
+            } => {
                 let (work, lasts) = (Nanos::from(*work) * UNIT, Nanos::from(*lasts) * MS);
                 self.granted(now, *seq, *worker, work, lasts, effects);
             }
@@ -332,7 +388,10 @@
                 let rank = self.by_rank.iter().position(|name| *name == sender.name);
                 if let Some(rank) = rank {
                     let share = self.hearing.line(now, &sender.name, *share, *age);
-                    effects.push(Effect::Heard { from: rank as u16, share });
+                    effects.push(Effect::Heard {
+                        from: rank as u16,
+                        share,
+                    });
                 }
             }
             _ => {}
@@ -363,7 +422,11 @@
         effects: &mut Vec<Effect>,
     ) {
         if let Some((until, work)) = self.holder.granted(now, seq, worker, work, lasts) {
-            effects.push(Effect::Right { worker, work, until });
+            effects.push(Effect::Right {
+                worker,
+                work,
+                until,
+            });
         }
     }
 
@@ -375,12 +438,22 @@
             return;
         }
         let own = self.candidate.holds(now);
-        let giver = self.keepers.iter().filter_map(|name| self.members.get(name));
+        let giver = self
+            .keepers
+            .iter()
+            .filter_map(|name| self.members.get(name));
         let giver = giver.map(|member| &member.record).find(|record| {
-            record.gives && matches!(record.standing, wire::Standing::Alive | wire::Standing::Suspect)
+            record.gives
+                && matches!(
+                    record.standing,
+                    wire::Standing::Alive | wire::Standing::Suspect
+                )
         });
-        let Some(to) = (if own { Some(self.members.me.addr) } else { giver.map(|record| record.addr) })
-        else {
+        let Some(to) = (if own {
+            Some(self.members.me.addr)
+        } else {
+            giver.map(|record| record.addr)
+        }) else {
             return;
         };
         let Some(seq) = self.holder.want(now, worker, work * UNIT) else {
@@ -391,7 +464,14 @@
             let (work, lasts) = self.give(now, by, seq, worker, work * UNIT);
             self.granted(now, seq, worker, work, lasts, effects);
         } else {
-            self.out.push((to, vec![Part::Want { seq, worker, work: work as u32 }]));
+            self.out.push((
+                to,
+                vec![Part::Want {
+                    seq,
+                    worker,
+                    work: work as u32,
+                }],
+            ));
         }
         self.flush(effects);
     }
