--- a/crates/cluster/src/register.rs
+++ b/crates/cluster/src/register.rs
@@ -45,7 +45,9 @@
 }
 
 /// Rounds in one order: no two keepers ever begin the same.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Ballot {
     pub round: u64,
     pub by: Keeper,
@@ -196,8 +198,16 @@
 impl Register {
     /// All that what it does next follows from, but for chance.
     pub fn state(&self) -> impl std::hash::Hash + use<> {
-        let proposal = self.proposal.clone().map(|proposal| Proposal { again_at: 0, until: 0, ..proposal });
-        let (stored, acts_by, waiting) = (self.stored.clone(), self.acts_by.clone(), self.waiting.clone());
+        let proposal = self.proposal.clone().map(|proposal| Proposal {
+            again_at: 0,
+            until: 0,
+            ..proposal
+        });
+        let (stored, acts_by, waiting) = (
+            self.stored.clone(),
+            self.acts_by.clone(),
+            self.waiting.clone(),
+        );
         (stored, acts_by, proposal, self.round, waiting)
     }
 }
@@ -259,14 +269,25 @@
 
     pub fn next_due(&self) -> Option<Nanos> {
         let settles = (self.proposal.is_none() && self.unsettled()).then_some(self.settle_at);
-        self.proposal.as_ref().map(|proposal| proposal.again_at).into_iter().chain(settles).min()
+        self.proposal
+            .as_ref()
+            .map(|proposal| proposal.again_at)
+            .into_iter()
+            .chain(settles)
+            .min()
     }
 
     pub fn due(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         match &self.proposal {
             Some(proposal) if now >= proposal.until => {
                 let proposal = self.proposal.take();
-                if matches!(proposal, Some(Proposal { change: Change::Put { .. }, .. })) {
+                if matches!(
+                    proposal,
+                    Some(Proposal {
+                        change: Change::Put { .. },
+                        ..
+                    })
+                ) {
                     effects.push(Effect::Ended(Outcome::Unknown));
                 }
             }
@@ -284,34 +305,69 @@
 
     /// A change is handed in at this keeper.
     pub fn put(&mut self, now: Nanos, based_on: u64, text: &str, effects: &mut Vec<Effect>) {
-        let put = matches!(self.proposal, Some(Proposal { change: Change::Put { .. }, .. }));
+        let put = matches!(
+            self.proposal,
+            Some(Proposal {
+                change: Change::Put { .. },
+                ..
+            })
+        );
         if put || text.len() > LARGEST {
-            let outcome = if put { Outcome::Busy } else { Outcome::TooLarge { bytes: text.len() } };
+            let outcome = if put {
+                Outcome::Busy
+            } else {
+                Outcome::TooLarge { bytes: text.len() }
+            };
             effects.push(Effect::Ended(outcome));
             return;
         }
-        self.begin(now, Change::Put { based_on, text: text.into() }, now + GIVE_UP, effects);
+        self.begin(
+            now,
+            Change::Put {
+                based_on,
+                text: text.into(),
+            },
+            now + GIVE_UP,
+            effects,
+        );
     }
 
     fn begin(&mut self, now: Nanos, change: Change, until: Nanos, effects: &mut Vec<Effect>) {
         self.round += 1;
-        let ballot = Ballot { round: self.round, by: self.me };
+        let ballot = Ballot {
+            round: self.round,
+            by: self.me,
+        };
         let again_at = self.later(now, ROUND);
         let (phase, best) = (Phase::Prepares, None);
-        self.proposal = Some(Proposal { change, ballot, phase, heard: 0, best, again_at, until });
+        self.proposal = Some(Proposal {
+            change,
+            ballot,
+            phase,
+            heard: 0,
+            best,
+            again_at,
+            until,
+        });
         self.send_all(&Message::Prepare { ballot }, effects);
         self.prepare(self.me, ballot, effects);
     }
 
     fn send_all(&self, message: &Message, effects: &mut Vec<Effect>) {
         let others = (0..self.count).filter(|to| *to != self.me);
-        effects.extend(others.map(|to| Effect::Send { to, message: message.clone() }));
+        effects.extend(others.map(|to| Effect::Send {
+            to,
+            message: message.clone(),
+        }));
     }
 
     /// Has the disk take what is held now; the rest follows it.
     fn store(&mut self, then: Then, effects: &mut Vec<Effect>) {
         self.serial += 1;
-        effects.push(Effect::Store { serial: self.serial, record: self.stored.clone() });
+        effects.push(Effect::Store {
+            serial: self.serial,
+            record: self.stored.clone(),
+        });
         self.waiting.push((self.serial, then));
         if is(Fault::AnsweredBeforeDisk) {
             self.release(0, self.serial, effects);
@@ -333,7 +389,10 @@
     }
 
     fn release(&mut self, now: Nanos, serial: u64, effects: &mut Vec<Effect>) {
-        let ready: Vec<(u64, Then)> = self.waiting.extract_if(.., |(waits, _)| *waits <= serial).collect();
+        let ready: Vec<(u64, Then)> = self
+            .waiting
+            .extract_if(.., |(waits, _)| *waits <= serial)
+            .collect();
         for (_, then) in ready {
             match then {
                 Then::Answer(to, message) if to == self.me => self.feed(now, to, message, effects),
@@ -352,10 +411,19 @@
         }
         self.stored.promised = ballot;
         let accepted = self.stored.accepted.clone();
-        self.store(Then::Answer(from, Message::Promise { ballot, accepted }), effects);
+        self.store(
+            Then::Answer(from, Message::Promise { ballot, accepted }),
+            effects,
+        );
     }
 
-    fn accept(&mut self, from: Keeper, ballot: Ballot, document: Rc<Document>, effects: &mut Vec<Effect>) {
+    fn accept(
+        &mut self,
+        from: Keeper,
+        ballot: Ballot,
+        document: Rc<Document>,
+        effects: &mut Vec<Effect>,
+    ) {
         if ballot < self.stored.promised && !is(Fault::AcceptedBelowPromise) {
             return self.overtaken(from, ballot, effects);
         }
@@ -367,7 +435,10 @@
     fn overtaken(&self, to: Keeper, ballot: Ballot, effects: &mut Vec<Effect>) {
         let by = self.stored.promised;
         if to != self.me {
-            effects.push(Effect::Send { to, message: Message::Overtaken { ballot, by } });
+            effects.push(Effect::Send {
+                to,
+                message: Message::Overtaken { ballot, by },
+            });
         }
     }
 
@@ -381,7 +452,9 @@
             Message::Prepare { ballot } | Message::Accept { ballot, .. } if ballot.by != from => {
                 self.malformed += 1
             }
-            Message::Accept { document, .. } if document.text.len() > LARGEST => self.malformed += 1,
+            Message::Accept { document, .. } if document.text.len() > LARGEST => {
+                self.malformed += 1
+            }
             Message::Prepare { ballot } => {
                 self.round = self.round.max(ballot.round);
                 self.prepare(from, ballot, effects);
@@ -401,7 +474,11 @@
 
     fn majority(&self, heard: u8) -> bool {
         let most = u32::from(self.count) / 2;
-        if is(Fault::MajorityMiscounted) { heard.count_ones() >= most } else { heard.count_ones() > most }
+        if is(Fault::MajorityMiscounted) {
+            heard.count_ones() >= most
+        } else {
+            heard.count_ones() > most
+        }
     }
 
     fn promised(
@@ -411,8 +488,10 @@
         accepted: Option<(Ballot, Rc<Document>)>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(proposal) =
-            self.proposal.as_mut().filter(|p| p.ballot == ballot && p.phase == Phase::Prepares)
+        let Some(proposal) = self
+            .proposal
+            .as_mut()
+            .filter(|p| p.ballot == ballot && p.phase == Phase::Prepares)
         else {
             return;
         };
@@ -430,31 +509,64 @@
         };
         let before = proposal.best.as_ref().map(|(_, document)| document.clone());
         let before = before.unwrap_or_else(|| {
-            if is(Fault::AcceptedIgnored) { self.stored.in_force.clone() } else { Rc::default() }
+            if is(Fault::AcceptedIgnored) {
+                self.stored.in_force.clone()
+            } else {
+                Rc::default()
+            }
         });
         let (document, outcome) = match &proposal.change {
             Change::Settle => (before, Outcome::Unknown),
             // Its own, which an earlier round left with some: it stands.
-            Change::Put { based_on, text } if before.version == *based_on + 1 && before.text == **text => {
+            Change::Put { based_on, text }
+                if before.version == *based_on + 1 && before.text == **text =>
+            {
                 let version = before.version;
                 (before, Outcome::Accepted { version })
             }
-            Change::Put { based_on, text } if before.version == *based_on || is(Fault::VersionReused) => {
+            Change::Put { based_on, text }
+                if before.version == *based_on || is(Fault::VersionReused) =>
+            {
                 let version = based_on + 1;
-                (Rc::new(Document { version, text: text.to_string() }), Outcome::Accepted { version })
+                (
+                    Rc::new(Document {
+                        version,
+                        text: text.to_string(),
+                    }),
+                    Outcome::Accepted { version },
+                )
             }
             Change::Put { based_on, .. } => {
-                let outcome = Outcome::Refused { based_on: *based_on, now: before.version };
+                let outcome = Outcome::Refused {
+                    based_on: *based_on,
+                    now: before.version,
+                };
                 (before, outcome)
             }
         };
-        (proposal.heard, proposal.phase) = (0, Phase::Accepts { document: document.clone(), outcome });
-        self.send_all(&Message::Accept { ballot, document: document.clone() }, effects);
+        (proposal.heard, proposal.phase) = (
+            0,
+            Phase::Accepts {
+                document: document.clone(),
+                outcome,
+            },
+        );
+        self.send_all(
+            &Message::Accept {
+                ballot,
+                document: document.clone(),
+            },
+            effects,
+        );
         self.accept(self.me, ballot, document, effects);
     }
 
     fn accepted(&mut self, from: Keeper, ballot: Ballot, effects: &mut Vec<Effect>) {
-        let Some(proposal) = self.proposal.as_mut().filter(|proposal| proposal.ballot == ballot) else {
+        let Some(proposal) = self
+            .proposal
+            .as_mut()
+            .filter(|proposal| proposal.ballot == ballot)
+        else {
             return;
         };
         if !matches!(proposal.phase, Phase::Accepts { .. }) {
@@ -465,7 +577,11 @@
         if !self.majority(heard) {
             return;
         }
-        let Some(Proposal { change, phase: Phase::Accepts { document, outcome }, .. }) = self.proposal.take()
+        let Some(Proposal {
+            change,
+            phase: Phase::Accepts { document, outcome },
+            ..
+        }) = self.proposal.take()
         else {
             return;
         };
@@ -482,9 +598,14 @@
         if version <= self.stored.in_force.version {
             return;
         }
-        let held = self.stored.accepted.as_ref().map(|(_, document)| document.clone());
+        let held = self
+            .stored
+            .accepted
+            .as_ref()
+            .map(|(_, document)| document.clone());
         let same = |document: &Rc<Document>| {
-            document.version == version && (document.digest() == digest || is(Fault::DigestNotCompared))
+            document.version == version
+                && (document.digest() == digest || is(Fault::DigestNotCompared))
         };
         match held.filter(same) {
             Some(document) => self.takes(document, effects),
@@ -493,7 +614,12 @@
     }
 
     /// A document that was fetched because it was chosen; false where it is not that one.
-    pub fn fetched(&mut self, wanted: (u64, Digest), document: Document, effects: &mut Vec<Effect>) -> bool {
+    pub fn fetched(
+        &mut self,
+        wanted: (u64, Digest),
+        document: Document,
+        effects: &mut Vec<Effect>,
+    ) -> bool {
         let whole = (document.version, document.digest()) == wanted;
         if !whole && !is(Fault::HalfTakenUp) {
             self.malformed += 1;
--- a/crates/cluster/src/register_tests.rs
+++ b/crates/cluster/src/register_tests.rs
@@ -1,6 +1,8 @@
 //! Keepers that agree on settings, under random schedules and under all small ones. What is checked is what disks hold and
 //! what was answered, not what a keeper thinks.
-use crate::register::{Digest, Document, Effect, Keeper, LARGEST, Message, Outcome, Register, Stored};
+use crate::register::{
+    Digest, Document, Effect, Keeper, LARGEST, Message, Outcome, Register, Stored,
+};
 use rosewall::pcg::Pcg;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet};
@@ -40,7 +42,12 @@
 
 impl World {
     fn new(count: usize, seed: u64, quick: bool) -> World {
-        let place = Place { register: None, disk: Stored::default(), writes: Vec::new(), acted: 0 };
+        let place = Place {
+            register: None,
+            disk: Stored::default(),
+            writes: Vec::new(),
+            acted: 0,
+        };
         let mut world = World {
             now: 0,
             places: vec![place; count],
@@ -62,7 +69,11 @@
         let place = &mut self.places[at];
         let register = Register::new(at as u8, count, place.disk.clone(), self.now, seed);
         let version = register.in_force().version;
-        assert!(version >= place.acted, "keeper {at} goes back from {} to {version}", place.acted);
+        assert!(
+            version >= place.acted,
+            "keeper {at} goes back from {} to {version}",
+            place.acted
+        );
         place.register = Some(register);
     }
 
@@ -79,7 +90,11 @@
     fn is(&mut self, document: &Document) {
         let digest = document.digest();
         let known = *self.versions.entry(document.version).or_insert(digest);
-        assert_eq!(known, digest, "two documents of version {}", document.version);
+        assert_eq!(
+            known, digest,
+            "two documents of version {}",
+            document.version
+        );
     }
 
     fn act(&mut self, at: usize, act: impl FnOnce(&mut Register, u64, &mut Vec<Effect>)) {
@@ -96,7 +111,9 @@
                 Effect::Send { to, message } => self.net.push((at as u8, to, message)),
                 Effect::Store { serial, record } if self.quick => {
                     self.places[at].disk = record;
-                    self.act(at, |register, now, effects| register.stored(now, serial, true, effects));
+                    self.act(at, |register, now, effects| {
+                        register.stored(now, serial, true, effects)
+                    });
                 }
                 Effect::Store { serial, record } => self.places[at].writes.push((serial, record)),
                 Effect::Ended(outcome) => {
@@ -121,15 +138,24 @@
                     self.is(&document);
                     let place = &mut self.places[at];
                     let version = document.version;
-                    assert!(version > place.acted, "keeper {at} goes back from {} to {version}", place.acted);
-                    assert_eq!(*place.disk.in_force, *document, "keeper {at} acts by what its disk has not");
+                    assert!(
+                        version > place.acted,
+                        "keeper {at} goes back from {} to {version}",
+                        place.acted
+                    );
+                    assert_eq!(
+                        *place.disk.in_force, *document,
+                        "keeper {at} acts by what its disk has not"
+                    );
                     place.acted = version;
                 }
                 Effect::Fetch { version, digest } => {
                     let mut found = None;
                     for place in &self.places {
-                        let has =
-                            place.register.as_ref().and_then(|register| register.document(version, &digest));
+                        let has = place
+                            .register
+                            .as_ref()
+                            .and_then(|register| register.document(version, &digest));
                         found = found.or(has.cloned());
                     }
                     // It may come by half; then it is fetched again when it is heard of again.
@@ -155,8 +181,14 @@
     }
 
     fn deliver(&mut self, n: usize, keep: bool) {
-        let (from, to, message) = if keep { self.net[n].clone() } else { self.net.remove(n) };
-        self.act(usize::from(to), |register, now, effects| register.feed(now, from, message, effects));
+        let (from, to, message) = if keep {
+            self.net[n].clone()
+        } else {
+            self.net.remove(n)
+        };
+        self.act(usize::from(to), |register, now, effects| {
+            register.feed(now, from, message, effects)
+        });
     }
 
     fn write(&mut self, at: usize, well: bool) {
@@ -167,7 +199,9 @@
         if well {
             self.places[at].disk = record;
         }
-        self.act(at, |register, now, effects| register.stored(now, serial, well, effects));
+        self.act(at, |register, now, effects| {
+            register.stored(now, serial, well, effects)
+        });
     }
 
     /// Everything works from here on, for so long.
@@ -235,12 +269,32 @@
     world.heal(15_000);
     world.put(0, "the last");
     world.heal(15_000);
-    let documents: Vec<Rc<Document>> =
-        world.places.iter().map(|place| place.register.as_ref().unwrap().in_force().clone()).collect();
-    let newest = documents.iter().max_by_key(|document| document.version).unwrap();
-    assert!(world.accepted.iter().all(|version| *version <= newest.version), "{:?}", world.accepted);
-    let have = documents.iter().filter(|document| *document == newest).count();
-    assert!(2 * have > keepers, "{have} of {keepers} have version {}", newest.version);
+    let documents: Vec<Rc<Document>> = world
+        .places
+        .iter()
+        .map(|place| place.register.as_ref().unwrap().in_force().clone())
+        .collect();
+    let newest = documents
+        .iter()
+        .max_by_key(|document| document.version)
+        .unwrap();
+    assert!(
+        world
+            .accepted
+            .iter()
+            .all(|version| *version <= newest.version),
+        "{:?}",
+        world.accepted
+    );
+    let have = documents
+        .iter()
+        .filter(|document| *document == newest)
+        .count();
+    assert!(
+        2 * have > keepers,
+        "{have} of {keepers} have version {}",
+        newest.version
+    );
     world.accepted.len()
 }
 
@@ -258,8 +312,9 @@
 #[test]
 #[ignore = "by command"]
 fn ten_thousand_schedules_of_keepers() {
-    (0..10_000)
-        .for_each(|seed| drop(random_schedule(seed, if seed % 4 == 0 { 5 } else { 3 }, 2_000).to_string()));
+    (0..10_000).for_each(|seed| {
+        drop(random_schedule(seed, if seed % 4 == 0 { 5 } else { 3 }, 2_000).to_string())
+    });
 }
 
 /// Every order of messages, each of which may never come, and one crash of one keeper at any moment: three keepers, two who put at
@@ -334,7 +389,11 @@
         }
         (0..5).for_each(|at| (0..3).for_each(|_| world.write(at, true)));
     }
-    assert!([1, 3, 4].iter().all(|at| world.places[*at].register.as_ref().unwrap().in_force().text == "one"));
+    assert!(
+        [1, 3, 4]
+            .iter()
+            .all(|at| world.places[*at].register.as_ref().unwrap().in_force().text == "one")
+    );
 }
 
 #[test]
@@ -342,9 +401,20 @@
     let mut world = World::new(3, 5, true);
     world.put(0, "one");
     world.heal(2_000);
-    world.act(1, |register, now, effects| register.put(now, 0, "two", effects));
+    world.act(1, |register, now, effects| {
+        register.put(now, 0, "two", effects)
+    });
     world.heal(2_000);
-    assert_eq!(world.ended, [Outcome::Accepted { version: 1 }, Outcome::Refused { based_on: 0, now: 1 }]);
+    assert_eq!(
+        world.ended,
+        [
+            Outcome::Accepted { version: 1 },
+            Outcome::Refused {
+                based_on: 0,
+                now: 1
+            }
+        ]
+    );
 }
 
 #[test]
@@ -357,7 +427,10 @@
         world.act(0, |register, now, effects| register.due(now, effects));
         world.net.clear();
     }
-    assert_eq!((world.ended, world.accepted), (vec![Outcome::Unknown], vec![]));
+    assert_eq!(
+        (world.ended, world.accepted),
+        (vec![Outcome::Unknown], vec![])
+    );
 }
 
 #[test]
@@ -378,7 +451,10 @@
     world.heal(5_000);
     world.put(1, "two");
     world.heal(5_000);
-    assert_eq!(world.places[2].register.as_ref().unwrap().in_force().text, "two");
+    assert_eq!(
+        world.places[2].register.as_ref().unwrap().in_force().text,
+        "two"
+    );
 }
 
 #[test_case(LARGEST + 1 => false; "more than the most")]
@@ -396,15 +472,32 @@
     world.put(0, "one");
     world.heal(1_000);
     let before = world.places[0].disk.clone();
-    let ballot = crate::register::Ballot { round: u64::MAX, by: 2 };
-    for (from, message) in [(9, Message::Prepare { ballot }), (1, Message::Prepare { ballot })] {
-        world.act(0, |register, now, effects| register.feed(now, from, message, effects));
+    let ballot = crate::register::Ballot {
+        round: u64::MAX,
+        by: 2,
+    };
+    for (from, message) in [
+        (9, Message::Prepare { ballot }),
+        (1, Message::Prepare { ballot }),
+    ] {
+        world.act(0, |register, now, effects| {
+            register.feed(now, from, message, effects)
+        });
     }
-    let document = Rc::new(Document { version: 7, text: "x".repeat(LARGEST + 1) });
+    let document = Rc::new(Document {
+        version: 7,
+        text: "x".repeat(LARGEST + 1),
+    });
     world.act(0, |register, now, effects| {
         register.feed(now, 2, Message::Accept { ballot, document }, effects);
     });
-    assert_eq!((&world.places[0].disk, world.places[0].register.as_ref().unwrap().malformed), (&before, 3));
+    assert_eq!(
+        (
+            &world.places[0].disk,
+            world.places[0].register.as_ref().unwrap().malformed
+        ),
+        (&before, 3)
+    );
 }
 
 #[cfg(feature = "sabotage")]
@@ -424,7 +517,11 @@
 
     #[test]
     fn every_fault_in_how_keepers_agree_is_found() {
-        let missed: Vec<Fault> = SETTINGS.iter().copied().filter(|fault| !found(*fault)).collect();
+        let missed: Vec<Fault> = SETTINGS
+            .iter()
+            .copied()
+            .filter(|fault| !found(*fault))
+            .collect();
         assert!(missed.is_empty(), "not found: {missed:?}");
     }
 }
--- a/crates/cluster/src/rights.rs
+++ b/crates/cluster/src/rights.rs
@@ -98,13 +98,17 @@
     /// All is forgotten as the lease is lost; whoever holds it next waits.
     pub fn end(&mut self) {
         self.answered.clear();
-        self.purses.values_mut().for_each(|purse| purse.given.clear());
+        self.purses
+            .values_mut()
+            .for_each(|purse| purse.given.clear());
     }
 
     /// For each cold worker what may be given in a window, and what was given of late.
     pub fn all(&self) -> impl Iterator<Item = (WorkerId, Nanos, Nanos)> {
         let of = |purse: &Purse| purse.given.iter().map(|(_, work)| work).sum();
-        self.purses.iter().map(move |(worker, purse)| (*worker, purse.joint, of(purse)))
+        self.purses
+            .iter()
+            .map(move |(worker, purse)| (*worker, purse.joint, of(purse)))
     }
 }
 
@@ -137,7 +141,12 @@
         }
         self.second.1 += 1;
         self.serial = self.serial.wrapping_add(1);
-        self.asked.push(Asked { seq: self.serial, worker, at: now, work });
+        self.asked.push(Asked {
+            seq: self.serial,
+            worker,
+            at: now,
+            work,
+        });
         Some(self.serial)
     }
 
@@ -151,10 +160,21 @@
         work: Nanos,
         lasts: Nanos,
     ) -> Option<(Nanos, Nanos)> {
-        let at = self.asked.iter().position(|asked| asked.seq == seq && asked.worker == worker)?;
-        let asked = if is(Fault::GrantedTwice) { &self.asked[at] } else { &self.asked.swap_remove(at) };
+        let at = self
+            .asked
+            .iter()
+            .position(|asked| asked.seq == seq && asked.worker == worker)?;
+        let asked = if is(Fault::GrantedTwice) {
+            &self.asked[at]
+        } else {
+            &self.asked.swap_remove(at)
+        };
         let (from, most) = (asked.at, asked.work);
-        let from = if is(Fault::RightFromAnswer) { now } else { from };
+        let from = if is(Fault::RightFromAnswer) {
+            now
+        } else {
+            from
+        };
         if work == 0 || work > most {
             return None;
         }
--- a/crates/cluster/src/signals.rs
+++ b/crates/cluster/src/signals.rs
@@ -35,7 +35,10 @@
             self.second = (now, 0);
         }
         let lines = self.lines.entry(to.clone()).or_default();
-        if let Some(line) = lines.iter_mut().find(|(line, _)| line.worker == share.worker) {
+        if let Some(line) = lines
+            .iter_mut()
+            .find(|(line, _)| line.worker == share.worker)
+        {
             *line = (share, now);
             return;
         }
@@ -100,7 +103,11 @@
         let silent = share.sign == Share::SILENT;
         let known = word.workers.entry(share.worker).or_insert((now, None));
         *known = (now, if silent { Some(now) } else { None });
-        let count = word.workers.values().filter(|(_, silent)| silent.is_some()).count();
+        let count = word
+            .workers
+            .values()
+            .filter(|(_, silent)| silent.is_some())
+            .count();
         if silent && count > SILENT.max(word.workers.len() / 4) && !is(Fault::WordUnbounded) {
             self.bounded += 1;
             share.sign = Share::UNKNOWN;
--- a/crates/cluster/src/tests.rs
+++ b/crates/cluster/src/tests.rs
@@ -28,31 +28,64 @@
 }
 
 fn worker(at: u8) -> WorkerId {
-    WorkerId { addr: [1, 2, 3, at], port: 80 }
+    WorkerId {
+        addr: [1, 2, 3, at],
+        port: 80,
+    }
 }
 
 #[test]
 fn what_is_written_is_read() {
     let (name, addr): (Name, _) = ("n1".into(), ([10, 0, 0, 9], 1).into());
-    let share = Share { worker: worker(1), halves: 3, work: 500, sign: 140 };
+    let share = Share {
+        worker: worker(1),
+        halves: 3,
+        work: 500,
+        sign: 140,
+    };
     let parts = vec![
-        Part::Ping { seq: 1, to: name.clone() },
+        Part::Ping {
+            seq: 1,
+            to: name.clone(),
+        },
         Part::Ack { seq: 2 },
         Part::Nack { seq: 3 },
-        Part::PingFor { seq: 4, to: name, addr },
+        Part::PingFor {
+            seq: 4,
+            to: name,
+            addr,
+        },
         Part::Record(record("b")),
         Part::Digest { hash: 5, count: 6 },
         Part::Page { from: 7 },
         Part::Lease { seq: 8 },
-        Part::Promise { seq: 9, given: true },
-        Part::Want { seq: 10, worker: worker(2), work: 11 },
-        Part::Grant { seq: 12, worker: worker(3), work: 13, lasts: 14 },
+        Part::Promise {
+            seq: 9,
+            given: true,
+        },
+        Part::Want {
+            seq: 10,
+            worker: worker(2),
+            work: 11,
+        },
+        Part::Grant {
+            seq: 12,
+            worker: worker(3),
+            work: 13,
+            lasts: 14,
+        },
         Part::Line { share, age: 15 },
     ];
     let mut draft = Draft::new(77, &record("a"));
     assert!(parts.iter().all(|part| draft.add(part)));
     let bytes = draft.done();
-    assert_eq!(wire::read(77, &bytes), Ok(Datagram { sender: record("a"), parts }));
+    assert_eq!(
+        wire::read(77, &bytes),
+        Ok(Datagram {
+            sender: record("a"),
+            parts
+        })
+    );
     assert_eq!(wire::read(78, &bytes), Err(Fault::Cluster));
     let mut other = bytes.clone();
     other[2] = 2;
@@ -70,9 +103,14 @@
 #[test]
 fn no_datagram_is_longer_than_the_most() {
     let mut draft = Draft::new(1, &record("a"));
-    let added = (0..200).filter(|_| draft.add(&Part::Record(record("some-name")))).count();
+    let added = (0..200)
+        .filter(|_| draft.add(&Part::Record(record("some-name"))))
+        .count();
     let length = draft.done().len();
-    assert!((wire::MOST - 60..=wire::MOST).contains(&length) && added > 20, "{length} {added}");
+    assert!(
+        (wire::MOST - 60..=wire::MOST).contains(&length) && added > 20,
+        "{length} {added}"
+    );
 }
 
 proptest! {
@@ -124,7 +162,11 @@
     assert!(candidate.holds(SPAN / 2) && !candidate.holds(SPAN));
     let mut keeper = Keeper::new(0);
     assert!(!keeper.ask(MS, &a, 1) && !keeper.ask(SPAN, &a, 1));
-    assert!(keeper.ask(2 * SPAN, &a, 1) && !keeper.ask(2 * SPAN + MS, &b, 1) && keeper.ask(3 * SPAN, &a, 1));
+    assert!(
+        keeper.ask(2 * SPAN, &a, 1)
+            && !keeper.ask(2 * SPAN + MS, &b, 1)
+            && keeper.ask(3 * SPAN, &a, 1)
+    );
     assert!(!keeper.ask(4 * SPAN, &b, 1) && keeper.ask(5 * SPAN, &b, 1));
 }
 
@@ -134,22 +176,37 @@
     giver.joint(worker(1), 1_000 * MS, 1_000 * MS);
     let mut give = |now, seq, work| giver.give(now * MS, 0, (1, 1), seq, worker(1), work * MS).0;
     assert_eq!((give(1_000, 1, 300), give(5_000, 2, 300)), (0, 300 * MS));
-    assert_eq!((give(5_010, 2, 300), give(5_020, 3, 700), give(5_020, 4, 1)), (0, 700 * MS, 0));
+    assert_eq!(
+        (give(5_010, 2, 300), give(5_020, 3, 700), give(5_020, 4, 1)),
+        (0, 700 * MS, 0)
+    );
 }
 
 /// A quarter of those that it speaks of, or two, may be silent by one member's word.
 #[test]
 pub fn one_members_word_empties_no_fleet() {
     let (mut hearing, name) = (Hearing::default(), Name::from("n1"));
-    let share = |at: u8| Share { worker: worker(at), halves: 2, work: 10, sign: Share::SILENT };
-    let believed = (0..40).filter(|at| hearing.line(1, &name, share(*at), 0).sign == Share::SILENT).count();
+    let share = |at: u8| Share {
+        worker: worker(at),
+        halves: 2,
+        work: 10,
+        sign: Share::SILENT,
+    };
+    let believed = (0..40)
+        .filter(|at| hearing.line(1, &name, share(*at), 0).sign == Share::SILENT)
+        .count();
     assert!((2..=10).contains(&believed), "{believed} of 40");
     assert!(hearing.bounded > 0);
 }
 
 #[test]
 fn what_ended_on_the_way_is_taken_off() {
-    let share = Share { worker: worker(1), halves: 4, work: 100, sign: 140 };
+    let share = Share {
+        worker: worker(1),
+        halves: 4,
+        work: 100,
+        sign: 140,
+    };
     let line = Hearing::default().line(1, &"n1".into(), share, 100);
     // 400 ms at two seats are 800 ms, in units of 16 ms.
     assert_eq!(line.work, 50);
@@ -158,14 +215,24 @@
 #[test]
 fn lines_to_one_member_go_together_and_the_newest_of_a_worker_counts() {
     let mut signals = Signals::default();
-    let (name, share) =
-        (Name::from("n1"), |at, work| Share { worker: worker(at), halves: 2, work, sign: 140 });
+    let (name, share) = (Name::from("n1"), |at, work| Share {
+        worker: worker(at),
+        halves: 2,
+        work,
+        sign: 140,
+    });
     signals.tell(0, &name, share(1, 5));
     signals.tell(MS, &name, share(2, 6));
     signals.tell(2 * MS, &name, share(1, 7));
     assert_eq!(signals.due(20 * MS), []);
-    let line = |at, work, age| Part::Line { share: share(at, work), age };
-    assert_eq!(signals.due(26 * MS), [(name, vec![line(1, 7, 6), line(2, 6, 6)])]);
+    let line = |at, work, age| Part::Line {
+        share: share(at, work),
+        age,
+    };
+    assert_eq!(
+        signals.due(26 * MS),
+        [(name, vec![line(1, 7, 6), line(2, 6, 6)])]
+    );
     assert_eq!(signals.due(100 * MS), []);
 }
 
@@ -173,15 +240,25 @@
 
 #[test]
 fn a_file_is_read() {
-    let joining = read(Path::new("c.toml"), &format!("{GOOD}keepers = [\"a\", \"b\", \"c\"]\n")).unwrap();
-    assert_eq!((joining.name.as_str(), joining.keepers.len(), joining.clocks), ("n1", 3, 10_000_000_000));
+    let joining = read(
+        Path::new("c.toml"),
+        &format!("{GOOD}keepers = [\"a\", \"b\", \"c\"]\n"),
+    )
+    .unwrap();
+    assert_eq!(
+        (joining.name.as_str(), joining.keepers.len(), joining.clocks),
+        ("n1", 3, 10_000_000_000)
+    );
     assert_eq!(joining.seeds, ["10.0.0.2:7946".parse().unwrap()]);
 }
 
 #[test]
 fn the_example_under_deploy_is_one() {
     let text = include_str!("../../../deploy/cluster.toml");
-    assert_eq!(read(Path::new("cluster.toml"), text).unwrap().keepers, ["n1", "n2", "n3"]);
+    assert_eq!(
+        read(Path::new("cluster.toml"), text).unwrap().keepers,
+        ["n1", "n2", "n3"]
+    );
 }
 
 #[test_case("seedz = []", "c.toml:6: no key is called \"seedz\", the nearest is \"seeds\""; "unknown key")]
@@ -199,7 +276,10 @@
 #[test]
 fn what_is_missing_is_named() {
     let fault = read(Path::new("c.toml"), &GOOD.replace("name = \"n1\"\n", "")).unwrap_err();
-    assert!(matches!(fault, ClusterError::Missing { key: "name", .. }), "{fault:?}");
+    assert!(
+        matches!(fault, ClusterError::Missing { key: "name", .. }),
+        "{fault:?}"
+    );
 }
 
 #[test_case("keeper", Some("keepers"))]
@@ -215,10 +295,24 @@
 pub(crate) fn what_is_believed_of_an_old_incarnation(incarnation: u32) -> Standing {
     let own = ([10, 0, 0, 9], 7946).into();
     let mut members = Members::new(1, "me".into(), own, Vec::new(), 0, 5);
-    let (alive, mut out) = (Record { standing: Standing::Alive, ..record("a") }, Vec::new());
+    let (alive, mut out) = (
+        Record {
+            standing: Standing::Alive,
+            ..record("a")
+        },
+        Vec::new(),
+    );
     members.heard(MS, alive.addr, &alive, &[], &mut out);
-    let teller = Record { standing: Standing::Alive, addr: ([10, 0, 0, 2], 7946).into(), ..record("b") };
-    let news = Part::Record(Record { standing: Standing::Dead, incarnation, ..alive });
+    let teller = Record {
+        standing: Standing::Alive,
+        addr: ([10, 0, 0, 2], 7946).into(),
+        ..record("b")
+    };
+    let news = Part::Record(Record {
+        standing: Standing::Dead,
+        incarnation,
+        ..alive
+    });
     members.heard(2 * MS, teller.addr, &teller, &[news], &mut out);
     members.get("a").unwrap().record.standing
 }
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -118,7 +118,9 @@
 
 /// FNV-1a, 32 bits.
 pub fn hash(bytes: &[u8]) -> u32 {
-    bytes.iter().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193))
+    bytes.iter().fold(0x811c_9dc5, |hash, byte| {
+        (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193)
+    })
 }
 
 #[derive(Default)]
@@ -154,7 +156,8 @@
         self.addr(record.addr);
         self.bytes(&record.start.to_be_bytes());
         self.bytes(&record.incarnation.to_be_bytes());
-        self.0.push(record.standing as u8 | u8::from(record.gives) << 7);
+        self.0
+            .push(record.standing as u8 | u8::from(record.gives) << 7);
         self.bytes(&record.claim.to_be_bytes());
         self.bytes(&record.by.to_be_bytes());
     }
@@ -181,7 +184,9 @@
                 self.bytes(&seq.to_be_bytes());
                 self.name(to);
             }
-            Part::Ack { seq } | Part::Nack { seq } | Part::Lease { seq } => self.bytes(&seq.to_be_bytes()),
+            Part::Ack { seq } | Part::Nack { seq } | Part::Lease { seq } => {
+                self.bytes(&seq.to_be_bytes())
+            }
             Part::PingFor { seq, to, addr } => {
                 self.bytes(&seq.to_be_bytes());
                 self.name(to);
@@ -202,7 +207,12 @@
                 self.worker(*worker);
                 self.bytes(&work.to_be_bytes());
             }
-            Part::Grant { seq, worker, work, lasts } => {
+            Part::Grant {
+                seq,
+                worker,
+                work,
+                lasts,
+            } => {
                 self.bytes(&seq.to_be_bytes());
                 self.worker(*worker);
                 self.bytes(&work.to_be_bytes());
@@ -257,7 +267,10 @@
     }
 
     fn worker(&mut self) -> Option<WorkerId> {
-        Some(WorkerId { addr: self.array()?, port: self.u16()? })
+        Some(WorkerId {
+            addr: self.array()?,
+            port: self.u16()?,
+        })
     }
 
     fn record(&mut self) -> Option<Record> {
@@ -272,7 +285,16 @@
             _ => return None,
         };
         let (claim, by) = (self.u16()?, self.u32()?);
-        Some(Record { name, addr, start, incarnation, standing, claim, gives: byte & 0x80 != 0, by })
+        Some(Record {
+            name,
+            addr,
+            start,
+            incarnation,
+            standing,
+            claim,
+            gives: byte & 0x80 != 0,
+            by,
+        })
     }
 
     /// One part; an inner `None` where its tag is not known.
@@ -281,24 +303,60 @@
         let mut body = Reader(self.take(length)?);
         let seq = |body: &mut Reader| body.u32();
         let part = match tag {
-            1 => Part::Ping { seq: seq(&mut body)?, to: body.name()? },
-            2 => Part::Ack { seq: seq(&mut body)? },
-            3 => Part::Nack { seq: seq(&mut body)? },
-            4 => Part::PingFor { seq: seq(&mut body)?, to: body.name()?, addr: body.addr()? },
+            1 => Part::Ping {
+                seq: seq(&mut body)?,
+                to: body.name()?,
+            },
+            2 => Part::Ack {
+                seq: seq(&mut body)?,
+            },
+            3 => Part::Nack {
+                seq: seq(&mut body)?,
+            },
+            4 => Part::PingFor {
+                seq: seq(&mut body)?,
+                to: body.name()?,
+                addr: body.addr()?,
+            },
             5 => Part::Record(body.record()?),
-            6 => Part::Digest { hash: body.u32()?, count: body.u16()? },
+            6 => Part::Digest {
+                hash: body.u32()?,
+                count: body.u16()?,
+            },
             7 => Part::Page { from: body.u16()? },
-            8 => Part::Lease { seq: seq(&mut body)? },
-            9 => Part::Promise { seq: seq(&mut body)?, given: body.u8()? == 1 },
-            10 => Part::Want { seq: seq(&mut body)?, worker: body.worker()?, work: body.u32()? },
+            8 => Part::Lease {
+                seq: seq(&mut body)?,
+            },
+            9 => Part::Promise {
+                seq: seq(&mut body)?,
+                given: body.u8()? == 1,
+            },
+            10 => Part::Want {
+                seq: seq(&mut body)?,
+                worker: body.worker()?,
+                work: body.u32()?,
+            },
             11 => {
                 let (seq, worker) = (seq(&mut body)?, body.worker()?);
-                Part::Grant { seq, worker, work: body.u32()?, lasts: body.u16()? }
+                Part::Grant {
+                    seq,
+                    worker,
+                    work: body.u32()?,
+                    lasts: body.u16()?,
+                }
             }
             12 => {
                 let (worker, halves) = (body.worker()?, body.u8()?);
-                let share = Share { worker, halves, work: body.u16()?, sign: body.u8()? };
-                Part::Line { share, age: body.u8()? }
+                let share = Share {
+                    worker,
+                    halves,
+                    work: body.u16()?,
+                    sign: body.u8()?,
+                };
+                Part::Line {
+                    share,
+                    age: body.u8()?,
+                }
             }
             _ => return Some(None),
         };
@@ -325,7 +383,10 @@
         bytes.0.push(VERSION);
         bytes.bytes(&cluster.to_be_bytes());
         bytes.record(sender);
-        Draft { bytes, one: Writer::default() }
+        Draft {
+            bytes,
+            one: Writer::default(),
+        }
     }
 
     /// Adds a part, if there is room for it.
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -21,7 +21,9 @@
 }
 
 fn add_numbers(digest: &mut Sha256, numbers: &[u64]) {
-    numbers.iter().for_each(|number| digest.update(number.to_le_bytes()));
+    numbers
+        .iter()
+        .for_each(|number| digest.update(number.to_le_bytes()));
 }
 
 fn add_bytes(digest: &mut Sha256, bytes: &[u8]) {
@@ -30,7 +32,10 @@
 }
 
 fn short(digest: Sha256) -> String {
-    digest.finalize()[..8].iter().map(|byte| format!("{byte:02x}")).collect()
+    digest.finalize()[..8]
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 fn address(at: usize) -> SocketAddr {
@@ -38,7 +43,10 @@
 }
 
 fn worker(number: u8) -> WorkerId {
-    WorkerId { addr: [10, 1, 0, number], port: 80 }
+    WorkerId {
+        addr: [10, 1, 0, number],
+        port: 80,
+    }
 }
 
 fn worker_number(id: &WorkerId) -> u64 {
@@ -46,7 +54,11 @@
 }
 
 enum Next {
-    Deliver { to: usize, from: SocketAddr, bytes: Vec<u8> },
+    Deliver {
+        to: usize,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    },
     Wake(usize),
     Disturb,
 }
@@ -130,12 +142,23 @@
             Effect::View(Some((rank, count))) => {
                 add_numbers(digest, &[now, at, 3, u64::from(*rank), u64::from(*count)]);
             }
-            Effect::Right { worker, work, until } => {
+            Effect::Right {
+                worker,
+                work,
+                until,
+            } => {
                 add_numbers(digest, &[now, at, 4, worker_number(worker), *work, *until]);
             }
             Effect::Heard { from, share } => {
-                let numbers = [u64::from(share.halves), u64::from(share.work), u64::from(share.sign)];
-                add_numbers(digest, &[now, at, 5, u64::from(*from), worker_number(&share.worker)]);
+                let numbers = [
+                    u64::from(share.halves),
+                    u64::from(share.work),
+                    u64::from(share.sign),
+                ];
+                add_numbers(
+                    digest,
+                    &[now, at, 5, u64::from(*from), worker_number(&share.worker)],
+                );
                 add_numbers(digest, &numbers);
             }
             Effect::Say(Line::Info(_)) => add_numbers(digest, &[now, at, 6]),
@@ -157,7 +180,14 @@
                 let at = below(&mut self.chance, bytes.len() as u64) as usize;
                 bytes[at] ^= 1 << below(&mut self.chance, 8);
             }
-            self.push(delay, Next::Deliver { to, from: address(from), bytes });
+            self.push(
+                delay,
+                Next::Deliver {
+                    to,
+                    from: address(from),
+                    bytes,
+                },
+            );
         }
     }
 
@@ -175,12 +205,18 @@
                 self.clusters[at] = None;
             }
             2..=4 if self.clusters[at].is_none() => self.start(at),
-            5..=14 => self.act(at, |cluster, now, effects| cluster.want(now, id, work, effects)),
+            5..=14 => self.act(at, |cluster, now, effects| {
+                cluster.want(now, id, work, effects)
+            }),
             15..=24 => self.act(at, |cluster, _, _| cluster.joint(id, 4 * SECOND, SECOND)),
             _ => {
                 let to = below(&mut self.chance, 10) as u16;
-                let share =
-                    Share { worker: id, halves: 3, work: (work / (16 * MILLISECOND)) as u16, sign: 130 };
+                let share = Share {
+                    worker: id,
+                    halves: 3,
+                    work: (work / (16 * MILLISECOND)) as u16,
+                    sign: 130,
+                };
                 self.act(at, |cluster, now, _| cluster.tell(now, to, share));
             }
         }
@@ -194,7 +230,9 @@
             self.now = at;
             match next {
                 Next::Deliver { to, from, bytes } => {
-                    self.act(to, |cluster, now, effects| cluster.feed(now, from, &bytes, effects));
+                    self.act(to, |cluster, now, effects| {
+                        cluster.feed(now, from, &bytes, effects)
+                    });
                 }
                 Next::Wake(at) => {
                     let due = |cluster: &Cluster| cluster.next_due() <= self.now;
@@ -218,7 +256,11 @@
 fn members_send_the_same(count: usize, quorum: usize, seeds: u64) -> String {
     let plays = (0..seeds).map(|seed| Members::new(count, quorum, seed).play(25 * SECOND));
     let (effects, digests): (Vec<u64>, Vec<String>) = plays.unzip();
-    format!("{} effects, {}", effects.iter().sum::<u64>(), digests.join(" "))
+    format!(
+        "{} effects, {}",
+        effects.iter().sum::<u64>(),
+        digests.join(" ")
+    )
 }
 
 /// Replicas of the register on a network that loses and reorders, with disks that fail and crashes between.
@@ -271,7 +313,10 @@
             add_numbers(digest, &[5]);
             add_ballot(digest, ballot);
         }
-        Message::Chosen { version, digest: sum } => {
+        Message::Chosen {
+            version,
+            digest: sum,
+        } => {
             add_numbers(digest, &[6, *version]);
             digest.update(sum);
         }
@@ -293,7 +338,11 @@
         }
     }
 
-    fn act(&mut self, at: usize, act: impl FnOnce(&mut Register, Nanos, &mut Vec<register::Effect>)) {
+    fn act(
+        &mut self,
+        at: usize,
+        act: impl FnOnce(&mut Register, Nanos, &mut Vec<register::Effect>),
+    ) {
         let mut effects = Vec::new();
         act(&mut self.registers[at], self.now, &mut effects);
         for effect in effects {
@@ -335,10 +384,16 @@
                 add_numbers(digest, &[8]);
                 add_document(digest, &document);
             }
-            register::Effect::Fetch { version, digest: sum } => {
+            register::Effect::Fetch {
+                version,
+                digest: sum,
+            } => {
                 add_numbers(digest, &[9, version]);
                 digest.update(sum);
-                let found = self.registers.iter().find_map(|register| register.document(version, &sum));
+                let found = self
+                    .registers
+                    .iter()
+                    .find_map(|register| register.document(version, &sum));
                 if let Some(document) = found.cloned() {
                     let document = (*document).clone();
                     self.act(at, |register, _, effects| {
@@ -357,19 +412,24 @@
             0 => {
                 let (me, count) = (at as u8, self.registers.len() as u8);
                 self.writes.retain(|(of, ..)| *of != at);
-                self.registers[at] = Register::new(me, count, self.disks[at].clone(), self.now, number);
+                self.registers[at] =
+                    Register::new(me, count, self.disks[at].clone(), self.now, number);
             }
             1..=4 => {
                 let based_on = self.registers[at].in_force().version;
                 let text = format!("settings {number}");
-                self.act(at, |register, now, effects| register.put(now, based_on, &text, effects));
+                self.act(at, |register, now, effects| {
+                    register.put(now, based_on, &text, effects)
+                });
             }
             5..=54 if !self.network.is_empty() => {
                 let index = below(&mut self.chance, self.network.len() as u64) as usize;
                 let (from, to, message) = self.network.swap_remove(index);
                 if below(&mut self.chance, 8) != 0 {
                     let to = usize::from(to);
-                    self.act(to, |register, now, effects| register.feed(now, from, message, effects));
+                    self.act(to, |register, now, effects| {
+                        register.feed(now, from, message, effects)
+                    });
                 }
             }
             55..=89 if !self.writes.is_empty() => {
@@ -378,10 +438,15 @@
                 if well {
                     self.disks[at] = record;
                 }
-                self.act(at, |register, now, effects| register.stored(now, serial, well, effects));
+                self.act(at, |register, now, effects| {
+                    register.stored(now, serial, well, effects)
+                });
             }
             _ => {
-                if self.registers[at].next_due().is_some_and(|due| due <= self.now) {
+                if self.registers[at]
+                    .next_due()
+                    .is_some_and(|due| due <= self.now)
+                {
                     self.act(at, |register, now, effects| register.due(now, effects));
                 }
             }
@@ -401,7 +466,12 @@
 #[test_case(5 =>
     "25407 effects, 71cdc00068bd3871 3732c702a6dae676 985730d854af20d3 8019be16c181e8ae 4af021af66fe1d42 0682859fbb4321a4"; "five replicas")]
 fn the_register_sends_and_stores_the_same(count: u8) -> String {
-    let (effects, digests): (Vec<u64>, Vec<String>) =
-        (0..6).map(|seed| Replicas::new(count, seed).play(6_000)).unzip();
-    format!("{} effects, {}", effects.iter().sum::<u64>(), digests.join(" "))
+    let (effects, digests): (Vec<u64>, Vec<String>) = (0..6)
+        .map(|seed| Replicas::new(count, seed).play(6_000))
+        .unzip();
+    format!(
+        "{} effects, {}",
+        effects.iter().sum::<u64>(),
+        digests.join(" ")
+    )
 }
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -79,7 +79,10 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if self.kept_back {
-            return self.budget.turned_away.set(self.budget.turned_away.get() - 1);
+            return self
+                .budget
+                .turned_away
+                .set(self.budget.turned_away.get() - 1);
         }
         self.budget.used.set(self.budget.used.get() - 1);
         if let Some(held) = &self.client {
@@ -98,11 +101,15 @@
 
     /// Sets the limits; what is over a lower one ends as it falls idle.
     pub fn limit(&self, sockets: usize, memory_mb: usize) {
-        let (most, memory) = (sockets.saturating_sub(KEPT_BACK).max(2), memory_mb * 1024 * 1024);
+        let (most, memory) = (
+            sockets.saturating_sub(KEPT_BACK).max(2),
+            memory_mb * 1024 * 1024,
+        );
         self.most.set(most);
         // Each client has one request at a time and a request one posting; some clients only wait. A quarter of the memory
         // is for their connections, half for what they send, the rest for the program.
-        self.most_clients.set((most * 3 / 5).min(memory / 4 / CLIENT_BYTES).max(1));
+        self.most_clients
+            .set((most * 3 / 5).min(memory / 4 / CLIENT_BYTES).max(1));
         self.most_bytes.set(memory / 2);
     }
 
@@ -127,7 +134,11 @@
         let taken = self.turned_away.get();
         (taken < TO_TURN_AWAY).then(|| {
             self.turned_away.set(taken + 1);
-            Slot { budget: self.clone(), kept_back: true, client: None }
+            Slot {
+                budget: self.clone(),
+                kept_back: true,
+                client: None,
+            }
         })
     }
 
@@ -140,7 +151,11 @@
             return None;
         }
         self.used.set(self.used.get() + 1);
-        Some(Slot { budget: self.clone(), kept_back: false, client })
+        Some(Slot {
+            budget: self.clone(),
+            kept_back: false,
+            client,
+        })
     }
 
     /// Descriptors in use now.
@@ -157,13 +172,24 @@
         let serial = self.serial.get();
         self.serial.set(serial + 1);
         let (close, closed) = async_channel::bounded(1);
-        self.waiting[waiter as usize].borrow_mut().insert(serial, (now, close));
-        (Waits { budget: self.clone(), waiter, serial }, closed)
+        self.waiting[waiter as usize]
+            .borrow_mut()
+            .insert(serial, (now, close));
+        (
+            Waits {
+                budget: self.clone(),
+                waiter,
+                serial,
+            },
+            closed,
+        )
     }
 
     /// Whether there is a client whose place may fall free as it is closed.
     pub fn anyone_waits(&self) -> bool {
-        self.waiting[..2].iter().any(|waiting| !waiting.borrow().is_empty())
+        self.waiting[..2]
+            .iter()
+            .any(|waiting| !waiting.borrow().is_empty())
     }
 
     /// Closes the client that has waited longest; false where none may be closed. Guards against silent connections by
@@ -172,9 +198,16 @@
     pub fn close_waiting(&self, now: Nanos) -> bool {
         let [strangers, known, _] = &self.waiting;
         let (mut strangers, mut known) = (strangers.borrow_mut(), known.borrow_mut());
-        let oldest = strangers.first_key_value().map(|(_, (since, _))| now.saturating_sub(*since));
-        let stranger = oldest.is_some_and(|waited| waited >= MEANS_TO_ASK || is(Fault::ClosedAtOnce));
-        let closed = if stranger { strangers.pop_first() } else { known.pop_first() };
+        let oldest = strangers
+            .first_key_value()
+            .map(|(_, (since, _))| now.saturating_sub(*since));
+        let stranger =
+            oldest.is_some_and(|waited| waited >= MEANS_TO_ASK || is(Fault::ClosedAtOnce));
+        let closed = if stranger {
+            strangers.pop_first()
+        } else {
+            known.pop_first()
+        };
         closed.is_some_and(|(_, (_, close))| close.try_send(()).is_ok())
     }
 }
@@ -187,6 +220,8 @@
 
 impl Drop for Waits {
     fn drop(&mut self) {
-        self.budget.waiting[self.waiter as usize].borrow_mut().remove(&self.serial);
+        self.budget.waiting[self.waiter as usize]
+            .borrow_mut()
+            .remove(&self.serial);
     }
 }
--- a/crates/engine/src/given.rs
+++ b/crates/engine/src/given.rs
@@ -58,14 +58,20 @@
 pub fn read(text: &[u8]) -> Result<Given, String> {
     let file: File = serde_json::from_slice(text).map_err(|error| error.to_string())?;
     let Limits { memory_mb, sockets } = file.limits;
-    let seed =
-        u64::from_str_radix(&file.seed, 16).map_err(|_| format!("seed {:?} is no number", file.seed))?;
+    let seed = u64::from_str_radix(&file.seed, 16)
+        .map_err(|_| format!("seed {:?} is no number", file.seed))?;
     let mut pairs = Vec::new();
     flatten("", &file.settings, &mut pairs);
-    let mut map = ours(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())));
+    let mut map = ours(
+        pairs
+            .iter()
+            .map(|(path, value)| (path.as_str(), value.as_str())),
+    );
     if file.talk.is_none()
         && file.cluster.is_none()
-        && map.get("peer_load.allowed").is_some_and(|allowed| allowed != "false")
+        && map
+            .get("peer_load.allowed")
+            .is_some_and(|allowed| allowed != "false")
     {
         // Guards against decisions that tell what nothing here could carry.
         log::warn!(
@@ -73,9 +79,24 @@
         );
         map.insert("peer_load.allowed".into(), "false".into());
     }
-    let (listen, discovery, known) = (file.listen, file.discovery, file.known.to_string().into_bytes());
+    let (listen, discovery, known) = (
+        file.listen,
+        file.discovery,
+        file.known.to_string().into_bytes(),
+    );
     let (talk, cluster, joining) = (file.talk, file.cluster, None);
-    Ok(Given { listen, discovery, seed, memory_mb, sockets, known, talk, cluster, joining, map })
+    Ok(Given {
+        listen,
+        discovery,
+        seed,
+        memory_mb,
+        sockets,
+        known,
+        talk,
+        cluster,
+        joining,
+        map,
+    })
 }
 
 impl Given {
@@ -104,11 +125,21 @@
         return Err(format!("setting endpoints.mode cannot be read: {mode:?}"));
     }
     if let Some(talk) = &given.talk {
-        let (me, all) = (pick::<usize>(&given.map, "me")?, pick::<usize>(&given.map, "dispatchers")?);
+        let (me, all) = (
+            pick::<usize>(&given.map, "me")?,
+            pick::<usize>(&given.map, "dispatchers")?,
+        );
         if talk.peers.len() != all {
-            return Err(format!("talk.peers has {} addresses for {all} dispatchers", talk.peers.len()));
+            return Err(format!(
+                "talk.peers has {} addresses for {all} dispatchers",
+                talk.peers.len()
+            ));
         }
-        if talk.peers.get(me).is_none_or(|own| own.port() != talk.listen.port()) {
+        if talk
+            .peers
+            .get(me)
+            .is_none_or(|own| own.port() != talk.listen.port())
+        {
             return Err(format!(
                 "talk.listen {} is not the address of number {me} in talk.peers",
                 talk.listen
@@ -122,13 +153,22 @@
 /// by its count and places. Spaces and commas inside a value become underlines.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
     let below = |name: &str| {
-        if path.is_empty() { name.to_string() } else { format!("{path}.{name}") }
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
     };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, value)| flatten(&below(name), value, pairs)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(name, value)| flatten(&below(name), value, pairs)),
         Value::Array(values) if values.iter().any(Value::is_object) => {
             pairs.push((below("count"), values.len().to_string()));
-            values.iter().enumerate().for_each(|(at, value)| flatten(&below(&at.to_string()), value, pairs));
+            values
+                .iter()
+                .enumerate()
+                .for_each(|(at, value)| flatten(&below(&at.to_string()), value, pairs));
         }
         Value::Array(values) => {
             let plain: Vec<String> = values.iter().map(word).collect();
@@ -139,7 +179,9 @@
 }
 
 fn word(value: &Value) -> String {
-    let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
+    let text = value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string);
     text.replace([' ', ','], "_")
 }
 
@@ -149,7 +191,10 @@
         let name = |at: usize| map.get(&format!("{list}.{at}.name")).cloned();
         (0..).map_while(name).collect()
     };
-    let listed = |name: &str| map.get(name).map(|text| text.split(',').map(str::to_string).collect());
+    let listed = |name: &str| {
+        map.get(name)
+            .map(|text| text.split(',').map(str::to_string).collect())
+    };
     Names {
         classes: numbered("class"),
         tenants: numbered("tenant"),
--- a/crates/engine/src/given_tests.rs
+++ b/crates/engine/src/given_tests.rs
@@ -42,8 +42,15 @@
 #[test_case(&["1000000000", "2000000000"] => 2_400_000_000; "the longest counts")]
 #[test_case(&["20000000000"] => 3_400_000_000; "long ones")]
 fn a_stop_answers_before_the_kill(deadlines: &[&str]) -> u64 {
-    let paths: Vec<String> = (0..deadlines.len()).map(|at| format!("Schemes.{at}.ExpiryNs")).collect();
-    stop_within(&ours(paths.iter().map(String::as_str).zip(deadlines.iter().copied())))
+    let paths: Vec<String> = (0..deadlines.len())
+        .map(|at| format!("Schemes.{at}.ExpiryNs"))
+        .collect();
+    stop_within(&ours(
+        paths
+            .iter()
+            .map(String::as_str)
+            .zip(deadlines.iter().copied()),
+    ))
 }
 
 const WHOLE: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ff","limits":{"memory_mb":192,"sockets":64},
@@ -70,7 +77,10 @@
 #[test_case("talk" => "true"; "with addresses")]
 #[test_case("other" => "false"; "without")]
 fn talk_is_off_without_addresses(name: &str) -> String {
-    read(WHOLE.replacen("talk", name, 1).as_bytes()).unwrap().map["peer_load.allowed"].clone()
+    read(WHOLE.replacen("talk", name, 1).as_bytes())
+        .unwrap()
+        .map["peer_load.allowed"]
+        .clone()
 }
 
 #[test_case(&[0; 8] => 3; "no more than a second's at once")]
@@ -78,7 +88,10 @@
 #[test_case(&[0, 0, 0, 9_000, 8_000, 9_000, 9_000, 9_000] => 6; "a clock that goes back gives none")]
 fn what_a_pace_allows(at_ms: &[u64]) -> usize {
     let mut pace = Pace::new(3);
-    at_ms.iter().filter(|at| pace.allows((**at + 1) * 1_000_000)).count()
+    at_ms
+        .iter()
+        .filter(|at| pace.allows((**at + 1) * 1_000_000))
+        .count()
 }
 
 /// Guards against turns that count who runs, by which one that is cut off takes itself for the only one.
@@ -86,7 +99,8 @@
 #[test_case("keepers = [\"a\"]"; "a keeper")]
 fn whoever_joins_others_sends_to_cold_workers_by_rights(more: &str) {
     let text = "version = 1\ncluster = \"c\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseeds = []\n";
-    let joining = rosewall_cluster::file::read("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
+    let joining =
+        rosewall_cluster::file::read("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
     let mut given = read(WHOLE.replacen("talk", "talkless", 1).as_bytes()).unwrap();
     given.join(joining).unwrap();
     assert_eq!(given.map["warm_up_grants"], "true");
--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -6,8 +6,8 @@
 use rosewall::policy::Dispatcher;
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::{
-    Action, Ended, Event, Nanos, Outcome, Probed, Report, Request, RequestId, Scope, Share, Standing,
-    WorkerId,
+    Action, Ended, Event, Nanos, Outcome, Probed, Report, Request, RequestId, Scope, Share,
+    Standing, WorkerId,
 };
 use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::Listing;
@@ -144,8 +144,11 @@
 impl ActiveRequest {
     /// Calls off the attempts that are out to such workers.
     fn cancel_unsent(&self, to: impl Fn(&WorkerId) -> bool, out: &mut Vec<Effect>) {
-        let attempts =
-            self.attempts.iter().enumerate().filter(|(_, worker)| worker.as_ref().is_some_and(&to));
+        let attempts = self
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, worker)| worker.as_ref().is_some_and(&to));
         out.extend(attempts.map(|(attempt_index, _)| Effect::CancelUnsent {
             request_id: self.request_id,
             attempt_index: attempt_index as u8,
@@ -227,7 +230,8 @@
 
     fn arm(&mut self, at: Nanos, due: Due) {
         self.armed += 1;
-        if is(Fault::TimerLost) && matches!(due, Due::Deadline(_)) && self.armed.is_multiple_of(16) {
+        if is(Fault::TimerLost) && matches!(due, Due::Deadline(_)) && self.armed.is_multiple_of(16)
+        {
             return;
         }
         self.timers.push(Reverse((at, self.armed, due)));
@@ -235,7 +239,11 @@
 
     pub fn take(&mut self, now: Nanos, input: Input, out: &mut Vec<Effect>) {
         match input {
-            Input::Arrived { request_id, at, request } => self.arrived(now, request_id, at, request, out),
+            Input::Arrived {
+                request_id,
+                at,
+                request,
+            } => self.arrived(now, request_id, at, request, out),
             Input::Left(_) if is(Fault::LeftIgnored) => {}
             Input::Left(request_id) => {
                 if let Some(active) = self.active(request_id)
@@ -248,22 +256,45 @@
                     self.settle_up(request_id);
                 }
             }
-            Input::Told { request_id, attempt_index, told } => {
-                self.told(now, request_id, attempt_index, told, out)
-            }
+            Input::Told {
+                request_id,
+                attempt_index,
+                told,
+            } => self.told(now, request_id, attempt_index, told, out),
             Input::Probed(probed) => self.decide(now, Event::Probed(probed), out),
             Input::Shared { from, share } => self.decide(now, Event::Shared { from, share }, out),
             Input::View(place) => self.decide(now, Event::View(place), out),
-            Input::Right { worker, work, until } => {
-                self.decide(now, Event::Right { worker, work, until }, out);
+            Input::Right {
+                worker,
+                work,
+                until,
+            } => {
+                self.decide(
+                    now,
+                    Event::Right {
+                        worker,
+                        work,
+                        until,
+                    },
+                    out,
+                );
             }
             Input::List(listing) => {
-                let scope = if listing.whole { Scope::Whole } else { Scope::Changes };
+                let scope = if listing.whole {
+                    Scope::Whole
+                } else {
+                    Scope::Changes
+                };
                 self.list(now, scope, listing, out);
             }
-            Input::ListFailed => {
-                self.decide(now, Event::List { scope: Scope::Failed, entries: Vec::new() }, out)
-            }
+            Input::ListFailed => self.decide(
+                now,
+                Event::List {
+                    scope: Scope::Failed,
+                    entries: Vec::new(),
+                },
+                out,
+            ),
             Input::Stop(by) => self.stop(now, by, out),
         }
     }
@@ -279,12 +310,20 @@
         // Guards against an attempt that waits for its connection, and goes out over it after its worker was told to
         // drain: it has not run, and is placed anew. One whose last bytes are on their way loses 2 ms of its time.
         let mut closed: FxHashSet<WorkerId> = void.iter().copied().collect();
-        closed.extend(entries.iter().filter(|e| e.standing != Standing::Ready).map(|e| e.worker));
+        closed.extend(
+            entries
+                .iter()
+                .filter(|e| e.standing != Standing::Ready)
+                .map(|e| e.worker),
+        );
         self.requests
             .iter()
             .for_each(|(_, active)| active.cancel_unsent(|worker| closed.contains(worker), out));
         // Connections to a process that is no more are not used again.
-        out.extend(void.into_iter().map(|worker| Effect::EvictIdle { worker, dial: None }));
+        out.extend(
+            void.into_iter()
+                .map(|worker| Effect::EvictIdle { worker, dial: None }),
+        );
         self.counters.hosts_clashing.more(clashing);
         self.decide(now, Event::List { scope, entries }, out);
     }
@@ -311,8 +350,18 @@
         let late = if is(Fault::LateAnswer) { 5 * MARGIN } else { 0 };
         let deadline = (at + request.within + late).saturating_sub(margin);
         let deadline = self.stop_by.map_or(deadline, |by| deadline.min(by));
-        let ClientRequest { class, tenant, hint, slots, memory, .. } = request;
-        log::debug!("at={now} txn={request_id} arrived scheme={class} hint={}", hint.unwrap_or(0));
+        let ClientRequest {
+            class,
+            tenant,
+            hint,
+            slots,
+            memory,
+            ..
+        } = request;
+        log::debug!(
+            "at={now} txn={request_id} arrived scheme={class} hint={}",
+            hint.unwrap_or(0)
+        );
         let place = self.requests.insert(ActiveRequest {
             request_id,
             request,
@@ -324,14 +373,25 @@
         self.arm(deadline, Due::Deadline(request_id));
         self.decide(
             now,
-            Event::Arrived(Request { id: request_id, class, tenant, hint, slots, memory, deadline }),
+            Event::Arrived(Request {
+                id: request_id,
+                class,
+                tenant,
+                hint,
+                slots,
+                memory,
+                deadline,
+            }),
             out,
         );
     }
 
     fn is_out(&mut self, request_id: RequestId, attempt_index: u8) -> bool {
         self.active(request_id).is_some_and(|active| {
-            active.attempts.get(usize::from(attempt_index)).is_some_and(Option::is_some)
+            active
+                .attempts
+                .get(usize::from(attempt_index))
+                .is_some_and(Option::is_some)
         })
     }
 
@@ -351,7 +411,14 @@
             Told::Started => {
                 log::debug!("at={now} txn={request_id} leg={attempt_index} started");
                 self.counters.started.add();
-                self.decide(now, Event::Started { request_id, attempt_index }, out);
+                self.decide(
+                    now,
+                    Event::Started {
+                        request_id,
+                        attempt_index,
+                    },
+                    out,
+                );
             }
             Told::Settled(result) => {
                 if !self.answer(request_id, Answer::Settled(result), out) {
@@ -374,7 +441,11 @@
     ) {
         log::debug!("at={now} txn={request_id} leg={attempt_index} ended {outcome:?}");
         let unrun = is(Fault::BrokenIsUnrun) && outcome == Outcome::Broken;
-        let outcome = if unrun { Outcome::NoConnection } else { outcome };
+        let outcome = if unrun {
+            Outcome::NoConnection
+        } else {
+            outcome
+        };
         let counters = &self.counters;
         match outcome {
             Outcome::Settled => counters.ended_settled.add(),
@@ -390,15 +461,35 @@
             return;
         };
         let complete = !active.owed;
-        if active.attempts.get_mut(usize::from(attempt_index)).is_some_and(|worker| worker.take().is_some()) {
+        if active
+            .attempts
+            .get_mut(usize::from(attempt_index))
+            .is_some_and(|worker| worker.take().is_some())
+        {
             // At its end the connection is still read until it is free; at the deadline it goes with the attempt.
             out.push(match outcome {
-                Outcome::TimeOut => Effect::Abort { request_id, attempt_index },
-                _ => Effect::Finished { request_id, attempt_index },
+                Outcome::TimeOut => Effect::Abort {
+                    request_id,
+                    attempt_index,
+                },
+                _ => Effect::Finished {
+                    request_id,
+                    attempt_index,
+                },
             });
         }
         let report = Report::default();
-        self.decide(now, Event::Ended(Ended { request_id, attempt_index, outcome, complete, report }), out);
+        self.decide(
+            now,
+            Event::Ended(Ended {
+                request_id,
+                attempt_index,
+                outcome,
+                complete,
+                report,
+            }),
+            out,
+        );
         self.settle_up(request_id);
     }
 
@@ -407,8 +498,14 @@
         let Some(place) = self.places.get(&request_id).copied() else {
             return;
         };
-        let over = |active: &ActiveRequest| !active.owed && active.attempts.iter().all(Option::is_none);
-        if is(Fault::TxnKept) && self.requests.get(place).is_some_and(|active| active.attempts.len() > 1) {
+        let over =
+            |active: &ActiveRequest| !active.owed && active.attempts.iter().all(Option::is_none);
+        if is(Fault::TxnKept)
+            && self
+                .requests
+                .get(place)
+                .is_some_and(|active| active.attempts.len() > 1)
+        {
             return;
         }
         if self.requests.get(place).is_some_and(over) {
@@ -417,7 +514,8 @@
             if active.attempts.is_empty() {
                 self.ids.remove(active.request.id.as_str());
             } else {
-                self.over.extend(self.ids.get(active.request.id.as_str()).cloned());
+                self.over
+                    .extend(self.ids.get(active.request.id.as_str()).cloned());
             }
             if self.over.len() > REMEMBERED
                 && let Some(id) = self.over.pop_front()
@@ -429,7 +527,9 @@
 
     /// Gives the final answer, if it is still owed.
     fn answer(&mut self, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) -> bool {
-        let owed = self.active(request_id).is_some_and(|active| std::mem::take(&mut active.owed));
+        let owed = self
+            .active(request_id)
+            .is_some_and(|active| std::mem::take(&mut active.owed));
         if owed {
             self.give(request_id, answer, out);
         }
@@ -461,7 +561,11 @@
             Due::Deadline(request_id) => self.deadline_reached(now, request_id, out),
             Due::Owed(request_id) => {
                 let owed = self.active(request_id).is_some_and(|active| active.owed);
-                must!(self.counters, !owed, "every request is answered at its deadline");
+                must!(
+                    self.counters,
+                    !owed,
+                    "every request is answered at its deadline"
+                );
                 if owed {
                     self.answer(request_id, Answer::Reversed, out);
                     self.decide(now, Event::Lapsed { request_id }, out);
@@ -496,7 +600,9 @@
                 brought.push(active.request_id);
             }
         }
-        brought.into_iter().for_each(|request_id| self.arm(by, Due::Deadline(request_id)));
+        brought
+            .into_iter()
+            .for_each(|request_id| self.arm(by, Due::Deadline(request_id)));
         self.decide(now, Event::Closing { by }, out);
     }
 
@@ -506,7 +612,9 @@
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.dispatcher.handle(now, event, &mut actions);
-            actions.drain(..).for_each(|action| self.act(now, action, out));
+            actions
+                .drain(..)
+                .for_each(|action| self.act(now, action, out));
             self.actions = actions;
         }
     }
@@ -515,14 +623,23 @@
         match action {
             Action::Post { request_id, worker } => self.post(now, request_id, worker, out),
             Action::Probe { worker } => self.probe(worker, out),
-            Action::Decline { request_id, come_back } => {
-                self.refuse(now, request_id, Answer::Declined { come_back }, out)
-            }
+            Action::Decline {
+                request_id,
+                come_back,
+            } => self.refuse(now, request_id, Answer::Declined { come_back }, out),
             Action::Reverse { request_id } => self.refuse(now, request_id, Answer::Reversed, out),
             Action::Follow => out.push(Effect::Follow),
             Action::Tell { to, share } => out.push(Effect::Tell { to, share }),
             Action::Want { worker, work } => out.push(Effect::Want { worker, work }),
-            Action::Joint { worker, work, window } => out.push(Effect::Joint { worker, work, window }),
+            Action::Joint {
+                worker,
+                work,
+                window,
+            } => out.push(Effect::Joint {
+                worker,
+                work,
+                window,
+            }),
             Action::Timer { at, token } => self.arm(at, Due::Decisions(token)),
             Action::Say(text) => log::info!("{text}"),
         }
@@ -531,25 +648,45 @@
     fn refuse(&mut self, now: Nanos, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
         log::debug!("at={now} txn={request_id} answered {answer:?}");
         let owed = self.answer(request_id, answer, out);
-        must!(self.counters, owed, "only a request that is owed an answer gets one");
+        must!(
+            self.counters,
+            owed,
+            "only a request that is owed an answer gets one"
+        );
         self.settle_up(request_id);
     }
 
     fn post(&mut self, now: Nanos, request_id: RequestId, worker: WorkerId, out: &mut Vec<Effect>) {
-        let known = self.workers.reach(worker).map(|(host, dial)| (host.to_string(), dial));
+        let known = self
+            .workers
+            .reach(worker)
+            .map(|(host, dial)| (host.to_string(), dial));
         let connect_within = self.connect_within;
         let counters = self.counters.clone();
         let Some(active) = self.active(request_id) else {
             return;
         };
-        let (attempt_index, left) = (active.attempts.len() as u8, active.deadline.saturating_sub(now));
+        let (attempt_index, left) = (
+            active.attempts.len() as u8,
+            active.deadline.saturating_sub(now),
+        );
         let owed = active.owed && left > 0;
-        must!(counters, active.owed, "nothing is posted for a request that was answered");
+        must!(
+            counters,
+            active.owed,
+            "nothing is posted for a request that was answered"
+        );
         let Some((host, dial)) = known.filter(|_| owed) else {
             active.attempts.push(None);
             counters.ended_moot.add();
             let (outcome, report) = (Outcome::Moot, Report::default());
-            let ended = Ended { request_id, attempt_index, outcome, complete: !owed, report };
+            let ended = Ended {
+                request_id,
+                attempt_index,
+                outcome,
+                complete: !owed,
+                report,
+            };
             return self.events.push_back(Event::Ended(ended));
         };
         counters.postings.add();
@@ -573,11 +710,20 @@
     fn probe(&mut self, worker: WorkerId, out: &mut Vec<Effect>) {
         self.counters.probes.add();
         let Some((host, dial)) = self.workers.reach(worker) else {
-            let probed = Probed { worker, outcome: Outcome::NoConnection, report: Report::default() };
+            let probed = Probed {
+                worker,
+                outcome: Outcome::NoConnection,
+                report: Report::default(),
+            };
             return self.events.push_back(Event::Probed(probed));
         };
         // A worker that has not answered in twice the time that a connection may take is as good as silent.
         let limit = 2 * self.connect_within;
-        out.push(Effect::Probe { worker, dial, host: host.to_string(), limit });
+        out.push(Effect::Probe {
+            worker,
+            dial,
+            host: host.to_string(),
+            limit,
+        });
     }
 }
--- a/crates/engine/src/hub_tests.rs
+++ b/crates/engine/src/hub_tests.rs
@@ -36,9 +36,17 @@
         ("report.fields", ""),
         ("endpoints.mode", "pushed"),
     ];
-    let map: Map = settings.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect();
+    let map: Map = settings
+        .iter()
+        .map(|(name, value)| (name.to_string(), value.to_string()))
+        .collect();
     let dispatcher = Dispatcher::start(0, 1, &map).unwrap();
-    let mut hub = Hub::new(dispatcher, Rc::new(Counters::default()), 250 * MS, Workers::default());
+    let mut hub = Hub::new(
+        dispatcher,
+        Rc::new(Counters::default()),
+        250 * MS,
+        Workers::default(),
+    );
     let entry = |standing| Host {
         host: "a".into(),
         dial: Some(([127, 0, 0, 1], 9).into()),
@@ -50,7 +58,15 @@
         born: 0,
     };
     let hosts = standing.into_iter().map(entry).collect();
-    hub.kept(0, Listing { seq: 1, whole: true, hosts }, &mut Vec::new());
+    hub.kept(
+        0,
+        Listing {
+            seq: 1,
+            whole: true,
+            hosts,
+        },
+        &mut Vec::new(),
+    );
     hub
 }
 
@@ -76,9 +92,18 @@
         Effect::SendAttempt(attempt) => {
             format!("post {} {}", attempt.request_id, attempt.attempt_index)
         }
-        Effect::CancelUnsent { request_id, attempt_index } => format!("off {request_id} {attempt_index}"),
-        Effect::Abort { request_id, attempt_index } => format!("cut {request_id} {attempt_index}"),
-        Effect::Finished { request_id, attempt_index } => format!("done {request_id} {attempt_index}"),
+        Effect::CancelUnsent {
+            request_id,
+            attempt_index,
+        } => format!("off {request_id} {attempt_index}"),
+        Effect::Abort {
+            request_id,
+            attempt_index,
+        } => format!("cut {request_id} {attempt_index}"),
+        Effect::Finished {
+            request_id,
+            attempt_index,
+        } => format!("done {request_id} {attempt_index}"),
         _ => "other".to_string(),
     };
     effects.drain(..).map(word).collect()
@@ -86,7 +111,15 @@
 
 fn arrive(hub: &mut Hub, request_id: u32, id: &str) -> Vec<String> {
     let mut out = Vec::new();
-    hub.take(MS, Input::Arrived { request_id, at: MS, request: request(id) }, &mut out);
+    hub.take(
+        MS,
+        Input::Arrived {
+            request_id,
+            at: MS,
+            request: request(id),
+        },
+        &mut out,
+    );
     words(&mut out)
 }
 
@@ -100,7 +133,11 @@
     let mut out = Vec::new();
     one.take(
         9 * MS,
-        Input::Told { request_id: 1, attempt_index: 0, told: Told::Settled(Vec::new()) },
+        Input::Told {
+            request_id: 1,
+            attempt_index: 0,
+            told: Told::Settled(Vec::new()),
+        },
         &mut out,
     );
     assert_eq!(
@@ -117,11 +154,24 @@
 fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
     let (mut hub, mut out) = (hub(effect, Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
-    hub.take(5 * MS, Input::Told { request_id: 1, attempt_index: 0, told: Told::Ended(outcome) }, &mut out);
+    hub.take(
+        5 * MS,
+        Input::Told {
+            request_id: 1,
+            attempt_index: 0,
+            told: Told::Ended(outcome),
+        },
+        &mut out,
+    );
     let known = ["done 1 0", "reversed 1", "post 1 1", "declined 1"];
     words(&mut out)
         .iter()
-        .map(|word| *known.iter().find(|known| *known == word).unwrap_or(&"other"))
+        .map(|word| {
+            *known
+                .iter()
+                .find(|known| *known == word)
+                .unwrap_or(&"other")
+        })
         .collect()
 }
 
@@ -133,10 +183,17 @@
     assert_eq!(words(&mut out), ["off 1 0"]);
     hub.take(
         6 * MS,
-        Input::Told { request_id: 1, attempt_index: 0, told: Told::Settled(Vec::new()) },
+        Input::Told {
+            request_id: 1,
+            attempt_index: 0,
+            told: Told::Settled(Vec::new()),
+        },
         &mut out,
     );
-    assert_eq!((words(&mut out), hub.active_requests()), (vec!["done 1 0".to_string()], 0));
+    assert_eq!(
+        (words(&mut out), hub.active_requests()),
+        (vec!["done 1 0".to_string()], 0)
+    );
 }
 
 #[test]
@@ -151,7 +208,10 @@
             break;
         }
     }
-    assert_eq!((words(&mut out), at), (vec!["cut 1 0".to_string(), "reversed 1".into()], 481 * MS));
+    assert_eq!(
+        (words(&mut out), at),
+        (vec!["cut 1 0".to_string(), "reversed 1".into()], 481 * MS)
+    );
 }
 
 #[test]
--- a/crates/engine/src/pace.rs
+++ b/crates/engine/src/pace.rs
@@ -9,7 +9,11 @@
 
 impl Pace {
     pub fn new(a_second: u64) -> Self {
-        Pace { a_second, left: a_second, at: 0 }
+        Pace {
+            a_second,
+            left: a_second,
+            at: 0,
+        }
     }
 
     /// Whether it may be done once more now.
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -54,14 +54,24 @@
     /// attempt that is being written.
     pub fn new(limit: Nanos) -> Self {
         let (idle, reaps) = (BTreeMap::new(), VecDeque::new());
-        Pool { idle, keep: limit / 5 * 3, broke: Nanos::MAX, broke_at: 0, reaps }
+        Pool {
+            idle,
+            keep: limit / 5 * 3,
+            broke: Nanos::MAX,
+            broke_at: 0,
+            reaps,
+        }
     }
 
     /// One that looked sound, idle since `since`, broke as it was used. Guards against workers, or what is between,
     /// that drop kept connections in silence, and sooner than the settings say: what ran on those cannot be told.
     pub fn broke(&mut self, now: Nanos, since: Nanos) {
         let age = now.saturating_sub(since);
-        self.broke = age.min(if self.remembers(now) { self.broke } else { Nanos::MAX });
+        self.broke = age.min(if self.remembers(now) {
+            self.broke
+        } else {
+            Nanos::MAX
+        });
         self.broke_at = now;
     }
 
@@ -70,7 +80,11 @@
     }
 
     fn keep(&self, now: Nanos) -> Nanos {
-        if self.remembers(now) { self.keep.min(self.broke / 5 * 3) } else { self.keep }
+        if self.remembers(now) {
+            self.keep.min(self.broke / 5 * 3)
+        } else {
+            self.keep
+        }
     }
 
     /// A sound connection, if one is to be used, with the moment since when it is idle, and how many were not sound. Of those
@@ -101,8 +115,15 @@
 
     /// Puts one in that leads to `dial`.
     pub fn put(&mut self, now: Nanos, worker: WorkerId, dial: SocketAddr, conn: C) {
-        let line = self.idle.entry(worker).or_insert_with(|| Line { kept: Vec::new(), waits: (0, now) });
-        line.kept.push(Kept { conn, dial, since: now });
+        let line = self.idle.entry(worker).or_insert_with(|| Line {
+            kept: Vec::new(),
+            waits: (0, now),
+        });
+        line.kept.push(Kept {
+            conn,
+            dial,
+            since: now,
+        });
         let at = (now + self.keep).next_multiple_of(REAP);
         if self.reaps.back() != Some(&at) {
             self.reaps.push_back(at);
@@ -124,7 +145,9 @@
     /// Drops what has been idle for too long.
     pub fn reap(&mut self, now: Nanos) {
         let keep = self.keep(now);
-        self.idle.values_mut().for_each(|line| line.kept.retain(|kept| now < kept.since + keep));
+        self.idle
+            .values_mut()
+            .for_each(|line| line.kept.retain(|kept| now < kept.since + keep));
         self.idle.retain(|_, line| !line.kept.is_empty());
         while self.reaps.front().is_some_and(|at| *at <= now) {
             self.reaps.pop_front();
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -9,20 +9,41 @@
 
 fn host(name: &str, port: u16, standing: Standing, born: u64) -> Host {
     let dial = Some(([127, 0, 0, 1], port).into());
-    Host { host: name.into(), dial, standing, zone: 0, worker_type: 0, group: 0, size: 1.0, born }
+    Host {
+        host: name.into(),
+        dial,
+        standing,
+        zone: 0,
+        worker_type: 0,
+        group: 0,
+        size: 1.0,
+        born,
+    }
 }
 
 fn list(whole: bool, hosts: Vec<Host>) -> Listing {
-    Listing { seq: 1, whole, hosts }
+    Listing {
+        seq: 1,
+        whole,
+        hosts,
+    }
 }
 
 #[test]
 fn an_id_follows_from_the_host_alone() {
     let (mut one, mut other) = (Workers::default(), Workers::default());
-    let (a, b) = (host("a", 1, Standing::Ready, 0), host("b", 2, Standing::Ready, 0));
+    let (a, b) = (
+        host("a", 1, Standing::Ready, 0),
+        host("b", 2, Standing::Ready, 0),
+    );
     let first = one.take(0, list(true, vec![a.clone(), b.clone()])).0;
-    let second = other.take(0, list(true, vec![b, host("a", 9, Standing::Ready, 7)])).0;
-    assert_eq!((first[0].worker, first[1].worker), (second[1].worker, second[0].worker));
+    let second = other
+        .take(0, list(true, vec![b, host("a", 9, Standing::Ready, 7)]))
+        .0;
+    assert_eq!(
+        (first[0].worker, first[1].worker),
+        (second[1].worker, second[0].worker)
+    );
     assert_ne!(first[0].worker, first[1].worker);
 }
 
@@ -35,9 +56,21 @@
 #[test_case(false, &[host("a", 1, Standing::Draining, 0)] => Vec::<&str>::new(); "draining")]
 fn a_list_voids_connections(whole: bool, hosts: &[Host]) -> Vec<&'static str> {
     let mut workers = Workers::default();
-    workers.take(0, list(true, vec![host("a", 1, Standing::Ready, 0), host("b", 2, Standing::Ready, 0)]));
+    workers.take(
+        0,
+        list(
+            true,
+            vec![
+                host("a", 1, Standing::Ready, 0),
+                host("b", 2, Standing::Ready, 0),
+            ],
+        ),
+    );
     let void = workers.take(0, list(whole, hosts.to_vec())).1;
-    ["a", "b"].into_iter().filter(|name| void.contains(&id(name))).collect()
+    ["a", "b"]
+        .into_iter()
+        .filter(|name| void.contains(&id(name)))
+        .collect()
 }
 
 #[test]
@@ -58,7 +91,12 @@
     budget.limit(32 + 10, 192);
     assert!(budget.client().is_none());
     drop(clients);
-    assert_eq!(std::iter::from_fn(|| budget.client()).collect::<Vec<_>>().len(), 6);
+    assert_eq!(
+        std::iter::from_fn(|| budget.client())
+            .collect::<Vec<_>>()
+            .len(),
+        6
+    );
 }
 
 /// The oldest of those that have not asked, if it has had time to; else the oldest of those that have.
@@ -72,11 +110,26 @@
     let budget = Rc::new(Budget::new(1024, 192));
     let waiting: Vec<_> = asked
         .iter()
-        .map(|asked| budget.waits(7, if *asked { Waiter::Known } else { Waiter::Stranger }))
+        .map(|asked| {
+            budget.waits(
+                7,
+                if *asked {
+                    Waiter::Known
+                } else {
+                    Waiter::Stranger
+                },
+            )
+        })
         .collect();
     let closed = budget.close_waiting(7 + waited * 1_000_000);
-    let told: Vec<_> = waiting.iter().map(|(_, closed)| closed.try_recv().is_ok()).collect();
-    assert_eq!(told.iter().filter(|told| **told).count(), usize::from(closed));
+    let told: Vec<_> = waiting
+        .iter()
+        .map(|(_, closed)| closed.try_recv().is_ok())
+        .collect();
+    assert_eq!(
+        told.iter().filter(|told| **told).count(),
+        usize::from(closed)
+    );
     told.iter().position(|told| *told)
 }
 
@@ -142,7 +195,9 @@
 #[test]
 fn a_connection_that_looks_closed_is_passed_over() {
     let (dial, mut pool) = (([127, 0, 0, 1], 9).into(), Pool::new(30 * SECOND));
-    [true, false].into_iter().for_each(|sound| pool.put(SECOND, id("a"), dial, Sound(sound)));
+    [true, false]
+        .into_iter()
+        .for_each(|sound| pool.put(SECOND, id("a"), dial, Sound(sound)));
     let (taken, stale) = pool.take(SECOND + REST, id("a"));
     assert!(taken.is_some_and(|(conn, since)| conn.0 && since == SECOND) && stale == 1);
 }
@@ -155,8 +210,11 @@
 fn which_connection_is_used_again(ages: &[Nanos]) -> Option<Nanos> {
     let (now, dial) = (SECOND, ([127, 0, 0, 1], 9).into());
     let mut pool = Pool::new(30 * SECOND);
-    ages.iter().for_each(|age| pool.put(now - age * MS, id("a"), dial, Sound(true)));
-    pool.take(now, id("a")).0.map(|(_, since)| (now - since) / MS)
+    ages.iter()
+        .for_each(|age| pool.put(now - age * MS, id("a"), dial, Sound(true)));
+    pool.take(now, id("a"))
+        .0
+        .map(|(_, since)| (now - since) / MS)
 }
 
 /// Guards against a wait before each attempt of a busy dispatcher, and against a connection more for one that posts twice now
@@ -178,7 +236,9 @@
 fn connections_to_an_address_that_was_left_go_and_the_others_stay() {
     let mut pool = Pool::new(30 * SECOND);
     let dials = [9, 10].map(|port| ([127, 0, 0, 1], port).into());
-    dials.into_iter().for_each(|dial| pool.put(SECOND, id("a"), dial, Sound(true)));
+    dials
+        .into_iter()
+        .for_each(|dial| pool.put(SECOND, id("a"), dial, Sound(true)));
     pool.drop_worker(id("a"), Some(dials[0]));
     assert!(pool.take(SECOND, id("a")).0.is_some() && pool.take(SECOND, id("a")).0.is_none());
 }
@@ -191,10 +251,17 @@
 #[test_case(Standing::Draining, 0, 61 => Standing::Ready; "a count begun anew is believed in the end")]
 fn what_an_old_list_says_of_a_worker(known: Standing, born: u64, after: Nanos) -> Standing {
     let mut workers = Workers::default();
-    let list = |seq, hosts| Listing { seq, whole: false, hosts };
+    let list = |seq, hosts| Listing {
+        seq,
+        whole: false,
+        hosts,
+    };
     workers.take(0, list(9, vec![host("a", 1, known, 0)]));
     workers.take(SECOND, list(3, Vec::new()));
-    let (entries, ..) = workers.take(after * SECOND, list(4, vec![host("a", 1, Standing::Ready, born)]));
+    let (entries, ..) = workers.take(
+        after * SECOND,
+        list(4, vec![host("a", 1, Standing::Ready, born)]),
+    );
     entries[0].standing
 }
 
@@ -212,8 +279,11 @@
 #[test]
 fn an_old_list_takes_no_worker_back_to_its_old_address() {
     let mut workers = Workers::default();
-    let list =
-        |seq, port, born| Listing { seq, whole: false, hosts: vec![host("a", port, Standing::Ready, born)] };
+    let list = |seq, port, born| Listing {
+        seq,
+        whole: false,
+        hosts: vec![host("a", port, Standing::Ready, born)],
+    };
     workers.take(0, list(9, 2, 5));
     workers.take(0, list(3, 1, 0));
     assert_eq!(workers.reach(id("a")).map(|(_, dial)| dial.port()), Some(2));
--- a/crates/engine/src/workers.rs
+++ b/crates/engine/src/workers.rs
@@ -45,13 +45,19 @@
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
     let [a, b, c, d, e, f, ..] = (hash ^ hash >> 48 << 16).to_be_bytes();
-    WorkerId { addr: [a, b, c, d], port: u16::from_be_bytes([e, f]) }
+    WorkerId {
+        addr: [a, b, c, d],
+        port: u16::from_be_bytes([e, f]),
+    }
 }
 
 impl Workers {
     /// For a fleet whose clocks lie up to `apart` from one another, where a worker is warm `cold` after its birth.
     pub fn by_own_clock(apart: Nanos, cold: Nanos) -> Self {
-        Workers { own_clock: Some(apart + cold), ..Workers::default() }
+        Workers {
+            own_clock: Some(apart + cold),
+            ..Workers::default()
+        }
     }
 
     /// When a process started that is heard of now. By its own clock a dispatcher can only know that it was before it was
@@ -66,7 +72,9 @@
 
     /// Its host, and where to dial it.
     pub fn reach(&self, id: WorkerId) -> Option<(&str, SocketAddr)> {
-        self.by_id.get(&id).and_then(|site| Some((site.host.as_str(), site.dial?)))
+        self.by_id
+            .get(&id)
+            .and_then(|site| Some((site.host.as_str(), site.dial?)))
     }
 
     /// Whether a list is older than what is known. Guards against a copy of discovery that lags behind the one asked
@@ -74,7 +82,9 @@
     fn is_old(&mut self, now: Nanos, seq: u64) -> bool {
         if is(Fault::OldListWins)
             || seq >= self.seq
-            || self.back_since.is_some_and(|since| now >= since + DOUBTED_FOR)
+            || self
+                .back_since
+                .is_some_and(|since| now >= since + DOUBTED_FOR)
         {
             (self.seq, self.back_since) = (seq, None);
             return false;
@@ -92,10 +102,26 @@
             true => self.by_id.keys().copied().collect(),
             false => BTreeSet::new(),
         };
-        for Host { host, dial, standing, zone, worker_type, group, size, born } in listing.hosts {
+        for Host {
+            host,
+            dial,
+            standing,
+            zone,
+            worker_type,
+            group,
+            size,
+            born,
+        } in listing.hosts
+        {
             let worker = id(&host);
             let started = self.started(now, born);
-            let new = || Site { host: host.clone(), dial, born, started, standing };
+            let new = || Site {
+                host: host.clone(),
+                dial,
+                born,
+                started,
+                standing,
+            };
             let site = self.by_id.entry(worker).or_insert_with(new);
             if site.host != host {
                 clashing += 1;
@@ -104,7 +130,11 @@
             left.remove(&worker);
             // An older list tells nothing new of the process that a newer one spoke of, but that it is worse.
             let (standing, born, dial) = match old && born <= site.born {
-                true => (stricter(standing, site.standing), site.born, site.dial.or(dial)),
+                true => (
+                    stricter(standing, site.standing),
+                    site.born,
+                    site.dial.or(dial),
+                ),
                 false => (standing, born, dial.or(site.dial)),
             };
             if site.born != born || site.dial != dial || standing == Standing::Gone {
@@ -116,7 +146,15 @@
             (site.dial, site.born, site.standing) = (dial, born, standing);
             let started = site.started;
             log::debug!("at={now} host={host} listed {standing:?} born={born}");
-            entries.push(Listed { worker, standing, zone, worker_type, size, started, group });
+            entries.push(Listed {
+                worker,
+                standing,
+                zone,
+                worker_type,
+                size,
+                started,
+                group,
+            });
         }
         // Whoever a whole list leaves out is gone.
         for worker in &left {
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -30,8 +30,12 @@
 
 fn settings(overrides: &str) -> Map {
     let text = format!("{SETTINGS} {overrides}");
-    let pairs = text.split_whitespace().filter_map(|word| word.split_once('='));
-    pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
+    let pairs = text
+        .split_whitespace()
+        .filter_map(|word| word.split_once('='));
+    pairs
+        .map(|(name, value)| (name.to_string(), value.to_string()))
+        .collect()
 }
 
 fn names() -> Names {
@@ -49,7 +53,9 @@
 }
 
 fn add_numbers(digest: &mut Sha256, numbers: &[u64]) {
-    numbers.iter().for_each(|number| digest.update(number.to_le_bytes()));
+    numbers
+        .iter()
+        .for_each(|number| digest.update(number.to_le_bytes()));
 }
 
 fn add_bytes(digest: &mut Sha256, bytes: &[u8]) {
@@ -58,7 +64,10 @@
 }
 
 fn short(digest: Sha256) -> String {
-    digest.finalize()[..8].iter().map(|byte| format!("{byte:02x}")).collect()
+    digest.finalize()[..8]
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 fn worker_number(id: &WorkerId) -> u64 {
@@ -86,7 +95,12 @@
     PeerReport,
     PeerView,
     Disconnect(RequestId),
-    Answer { request: RequestId, attempt: u8, bytes: Vec<u8>, closes: bool },
+    Answer {
+        request: RequestId,
+        attempt: u8,
+        bytes: Vec<u8>,
+        closes: bool,
+    },
     Stop,
 }
 
@@ -108,7 +122,8 @@
 
 impl Model {
     fn new(overrides: &str, seed: u64) -> Self {
-        let dispatcher = Dispatcher::start(SECOND, seed, &settings(overrides)).expect("valid settings");
+        let dispatcher =
+            Dispatcher::start(SECOND, seed, &settings(overrides)).expect("valid settings");
         let counters = Rc::new(Counters::default());
         let mut model = Model {
             hub: Hub::new(dispatcher, counters, 250 * MILLISECOND, Workers::default()),
@@ -163,7 +178,12 @@
             add_numbers(&mut self.digest, &[now]);
             self.record(&effect);
             if let Effect::SendAttempt(attempt) = effect {
-                self.work(attempt.request_id, attempt.attempt_index, attempt.worker, attempt.id);
+                self.work(
+                    attempt.request_id,
+                    attempt.attempt_index,
+                    attempt.worker,
+                    attempt.id,
+                );
             }
         }
         if let Some(due) = self.hub.next_due() {
@@ -175,41 +195,75 @@
         let keeps_open = self.effects.is_multiple_of(3);
         let digest = &mut self.digest;
         match effect {
-            Effect::Answer { request_id, answer: given } => {
+            Effect::Answer {
+                request_id,
+                answer: given,
+            } => {
                 add_numbers(digest, &[1, u64::from(*request_id)]);
                 add_bytes(digest, &answer(given, keeps_open));
             }
             Effect::SendAttempt(attempt) => {
-                let (index, port) = (u64::from(attempt.attempt_index), u64::from(attempt.dial.port()));
+                let (index, port) = (
+                    u64::from(attempt.attempt_index),
+                    u64::from(attempt.dial.port()),
+                );
                 add_numbers(
                     digest,
-                    &[2, u64::from(attempt.request_id), index, worker_number(&attempt.worker), port],
+                    &[
+                        2,
+                        u64::from(attempt.request_id),
+                        index,
+                        worker_number(&attempt.worker),
+                        port,
+                    ],
                 );
                 add_numbers(digest, &[attempt.connect_within]);
                 add_bytes(digest, attempt.id.as_bytes());
                 add_bytes(digest, &attempt.message);
             }
-            Effect::CancelUnsent { request_id, attempt_index } => {
-                add_numbers(digest, &[3, u64::from(*request_id), u64::from(*attempt_index)])
-            }
-            Effect::Abort { request_id, attempt_index } => {
-                add_numbers(digest, &[4, u64::from(*request_id), u64::from(*attempt_index)])
-            }
-            Effect::Finished { request_id, attempt_index } => {
-                add_numbers(digest, &[5, u64::from(*request_id), u64::from(*attempt_index)])
-            }
+            Effect::CancelUnsent {
+                request_id,
+                attempt_index,
+            } => add_numbers(
+                digest,
+                &[3, u64::from(*request_id), u64::from(*attempt_index)],
+            ),
+            Effect::Abort {
+                request_id,
+                attempt_index,
+            } => add_numbers(
+                digest,
+                &[4, u64::from(*request_id), u64::from(*attempt_index)],
+            ),
+            Effect::Finished {
+                request_id,
+                attempt_index,
+            } => add_numbers(
+                digest,
+                &[5, u64::from(*request_id), u64::from(*attempt_index)],
+            ),
             Effect::Probe { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
             Effect::EvictIdle { worker, dial } => {
                 let port = dial.map_or(0, |dial| u64::from(dial.port()));
                 add_numbers(digest, &[7, worker_number(worker), port]);
             }
             Effect::Tell { to, share } => {
-                let numbers = [u64::from(share.halves), u64::from(share.work), u64::from(share.sign)];
+                let numbers = [
+                    u64::from(share.halves),
+                    u64::from(share.work),
+                    u64::from(share.sign),
+                ];
                 add_numbers(digest, &[8, u64::from(*to), worker_number(&share.worker)]);
                 add_numbers(digest, &numbers);
             }
-            Effect::Want { worker, work } => add_numbers(digest, &[9, worker_number(worker), *work]),
-            Effect::Joint { worker, work, window } => {
+            Effect::Want { worker, work } => {
+                add_numbers(digest, &[9, worker_number(worker), *work])
+            }
+            Effect::Joint {
+                worker,
+                work,
+                window,
+            } => {
                 add_numbers(digest, &[10, worker_number(worker), *work, *window]);
             }
             Effect::Follow => {
@@ -222,12 +276,14 @@
 
     /// A worker takes an attempt, and answers in the protocol's lines, or breaks off.
     fn work(&mut self, request: RequestId, attempt: u8, worker: WorkerId, id: String) {
-        self.replies.insert((request, attempt), Reply::new(id.clone()));
+        self.replies
+            .insert((request, attempt), Reply::new(id.clone()));
         let hung = worker.port % 7 == 3;
         let start = (1 + self.below(40)) * MILLISECOND;
         let run = (1 + self.below(250)) * MILLISECOND;
         let line = |state: &str| {
-            let text = format!("{{\"id\":\"{id}\",\"state\":\"{state}\",\"result\":\"r{request}\"}}\n");
+            let text =
+                format!("{{\"id\":\"{id}\",\"state\":\"{state}\",\"result\":\"r{request}\"}}\n");
             format!("{:x}\r\n{text}\r\n", text.len())
         };
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -243,21 +299,56 @@
         };
         match self.below(50) {
             0 => {
-                let bytes = b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
-                return self.push(start, Next::Answer { request, attempt, bytes, closes: false });
+                let bytes =
+                    b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
+                return self.push(
+                    start,
+                    Next::Answer {
+                        request,
+                        attempt,
+                        bytes,
+                        closes: false,
+                    },
+                );
             }
             1 => {
                 let bytes = b"HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno".to_vec();
-                return self.push(start, Next::Answer { request, attempt, bytes, closes: true });
+                return self.push(
+                    start,
+                    Next::Answer {
+                        request,
+                        attempt,
+                        bytes,
+                        closes: true,
+                    },
+                );
             }
             2 => {
-                return self.push(start, Next::Answer { request, attempt, bytes: Vec::new(), closes: true });
+                return self.push(
+                    start,
+                    Next::Answer {
+                        request,
+                        attempt,
+                        bytes: Vec::new(),
+                        closes: true,
+                    },
+                );
             }
             _ => {}
         }
-        let first = Next::Answer { request, attempt, bytes: first.into_bytes(), closes: false };
+        let first = Next::Answer {
+            request,
+            attempt,
+            bytes: first.into_bytes(),
+            closes: false,
+        };
         self.push(start, first);
-        let second = Next::Answer { request, attempt, bytes: second.into_bytes(), closes };
+        let second = Next::Answer {
+            request,
+            attempt,
+            bytes: second.into_bytes(),
+            closes,
+        };
         self.push(start + run, second);
     }
 
@@ -281,16 +372,23 @@
             match &told {
                 Told::Started => add_numbers(&mut self.digest, &[21]),
                 Told::Settled(result) => add_bytes(&mut self.digest, result),
-                Told::Ended(outcome) => add_numbers(&mut self.digest, &[22, outcome_number(*outcome)]),
+                Told::Ended(outcome) => {
+                    add_numbers(&mut self.digest, &[22, outcome_number(*outcome)])
+                }
             }
-            self.take(Input::Told { request_id: request, attempt_index: attempt, told });
+            self.take(Input::Told {
+                request_id: request,
+                attempt_index: attempt,
+                told,
+            });
         }
     }
 
     fn arrive(&mut self) {
         let delay = self.below(30) * MILLISECOND;
         self.push(delay, Next::Arrival);
-        let class = ["thumb", "charge", "mail", "none"][self.below(40).min(3 * self.below(40)) as usize % 4];
+        let class = ["thumb", "charge", "mail", "none"]
+            [self.below(40).min(3 * self.below(40)) as usize % 4];
         let number = self.below(4_000);
         let timeout = 0.05 + self.chance.unit() * 2.0;
         let mut text = format!(
@@ -332,7 +430,10 @@
             Heard::Continue => add_numbers(&mut self.digest, &[31]),
             Heard::Ready { keeps } => add_numbers(&mut self.digest, &[32, u64::from(keeps)]),
             Heard::Bad(status, why) => {
-                add_bytes(&mut self.digest, &message(status, "", why.as_bytes(), false));
+                add_bytes(
+                    &mut self.digest,
+                    &message(status, "", why.as_bytes(), false),
+                );
                 self.intake = Intake::default();
             }
             Heard::Request(request) => {
@@ -342,7 +443,11 @@
                     let delay = self.below(300) * MILLISECOND;
                     self.push(delay, Next::Disconnect(request_id));
                 }
-                self.take(Input::Arrived { request_id, at: self.now, request });
+                self.take(Input::Arrived {
+                    request_id,
+                    at: self.now,
+                    request,
+                });
             }
         }
     }
@@ -361,7 +466,11 @@
                 2 => "unwell",
                 _ => "ready",
             };
-            let born = if self.below(9) == 0 { self.now / MILLISECOND } else { 0 };
+            let born = if self.below(9) == 0 {
+                self.now / MILLISECOND
+            } else {
+                0
+            };
             let (site, class) = (["a", "b", "c", "d"][at % 4], ["m1", "m2"][at % 2]);
             hosts.push(format!(
                 "{{\"host\":\"w{at}\",\"dial\":\"127.0.0.1:{}\",\"site\":\"{site}\",\"class\":\"{class}\",\
@@ -371,8 +480,11 @@
                 1 + at % 3,
             ));
         }
-        let hosts =
-            if self.serial == 0 { hosts.join(",").replace("unwell", "ready") } else { hosts.join(",") };
+        let hosts = if self.serial == 0 {
+            hosts.join(",").replace("unwell", "ready")
+        } else {
+            hosts.join(",")
+        };
         format!("{{\"seq\":{number},\"whole\":{whole},\"hosts\":[{hosts}]}}")
     }
 
@@ -381,7 +493,11 @@
         self.push(delay, Next::List);
         let whole = self.below(4) == 0;
         let text = self.list_text(whole);
-        let bytes = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes();
+        let bytes = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        )
+        .into_bytes();
         let piece = 1 + self.below(200) as usize;
         let mut bulletin = Bulletin::default();
         for piece in bytes.chunks(piece) {
@@ -418,7 +534,11 @@
         if self.below(2) == 0 {
             let worker = rosewall_engine::workers::id(&format!("w{}", self.below(14)));
             let until = self.now + SECOND;
-            self.take(Input::Right { worker, work: 90 * MILLISECOND, until });
+            self.take(Input::Right {
+                worker,
+                work: 90 * MILLISECOND,
+                until,
+            });
         }
     }
 
@@ -440,7 +560,12 @@
             Next::PeerReport => self.peer_report(),
             Next::PeerView => self.peer_view(),
             Next::Disconnect(request) => self.take(Input::Left(request)),
-            Next::Answer { request, attempt, bytes, closes } => {
+            Next::Answer {
+                request,
+                attempt,
+                bytes,
+                closes,
+            } => {
                 self.answer(request, attempt, &bytes, closes);
             }
             Next::Stop => self.take(Input::Stop(self.now + 2 * SECOND)),
@@ -455,8 +580,13 @@
             self.now = at;
             // One timer event at a time is enough for any number that asked for it.
             if matches!(next, Next::Timers) {
-                let same = |key: &(Nanos, u64), next: &Next| key.0 == at && matches!(next, Next::Timers);
-                while self.queue.first_key_value().is_some_and(|(key, next)| same(key, next)) {
+                let same =
+                    |key: &(Nanos, u64), next: &Next| key.0 == at && matches!(next, Next::Timers);
+                while self
+                    .queue
+                    .first_key_value()
+                    .is_some_and(|(key, next)| same(key, next))
+                {
                     self.queue.pop_first();
                 }
             }
@@ -475,5 +605,9 @@
 fn bytes_and_commands_are_the_same(overrides: &str) -> String {
     let plays = (0..4).map(|seed| Model::new(overrides, seed).play(18 * SECOND));
     let (effects, digests): (Vec<u64>, Vec<String>) = plays.unzip();
-    format!("{} effects, {}", effects.iter().sum::<u64>(), digests.join(" "))
+    format!(
+        "{} effects, {}",
+        effects.iter().sum::<u64>(),
+        digests.join(" ")
+    )
 }
--- a/crates/log-stats/src/lib.rs
+++ b/crates/log-stats/src/lib.rs
@@ -5,8 +5,8 @@
 
 /// What is counted in a second, in the order of the columns.
 const COLUMNS: [&str; 13] = [
-    "arrived", "settled", "declined", "unposted", "reversed", "warm", "cold", "full", "unconn", "broken",
-    "timeout", "error", "other",
+    "arrived", "settled", "declined", "unposted", "reversed", "warm", "cold", "full", "unconn",
+    "broken", "timeout", "error", "other",
 ];
 
 /// Sums of one worker: postings, and the dispatchers that sent them, by their places among the logs.
@@ -28,7 +28,11 @@
 fn line(text: &str) -> Option<Line<'_>> {
     let (_, said) = text.split_once(" at=")?;
     let mut words = said.split_whitespace();
-    Some(Line { at: words.next()?.parse().ok()?, of: words.next()?, rest: words.collect() })
+    Some(Line {
+        at: words.next()?.parse().ok()?,
+        of: words.next()?,
+        rest: words.collect(),
+    })
 }
 
 #[derive(Default)]
@@ -43,7 +47,10 @@
 impl Tally {
     /// `cold` is for how many seconds after its start a worker counts as cold.
     pub fn new(cold: f64) -> Self {
-        Tally { cold: (cold.max(0.0) * 1e9) as u64, ..Tally::default() }
+        Tally {
+            cold: (cold.max(0.0) * 1e9) as u64,
+            ..Tally::default()
+        }
     }
 
     fn count(&mut self, at: u64, column: &str) {
@@ -58,7 +65,10 @@
         for Line { at, of, rest } in log.lines().filter_map(line) {
             match (of.split_once('='), rest.as_slice()) {
                 (Some(("host", host)), ["listed", _, born]) => {
-                    let born = born.strip_prefix("born=").and_then(|born| born.parse().ok()).unwrap_or(0);
+                    let born = born
+                        .strip_prefix("born=")
+                        .and_then(|born| born.parse().ok())
+                        .unwrap_or(0);
                     self.hosts.entry(host.to_string()).or_default().born = born;
                 }
                 (Some(("txn", txn)), ["arrived", ..]) => {
@@ -75,7 +85,10 @@
                 }
                 (Some(("txn", txn)), [_, "posted", host]) => {
                     *posted.entry(txn).or_default() += 1;
-                    let host = self.hosts.entry(host.trim_start_matches("host=").to_string()).or_default();
+                    let host = self
+                        .hosts
+                        .entry(host.trim_start_matches("host=").to_string())
+                        .or_default();
                     host.postings += 1;
                     host.from.insert(self.logs);
                     let cold = host.born > 0 && at < host.born + self.cold;
@@ -104,12 +117,16 @@
 impl fmt::Display for Tally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "second")?;
-        COLUMNS.iter().try_for_each(|name| write!(f, " {name:>8}"))?;
+        COLUMNS
+            .iter()
+            .try_for_each(|name| write!(f, " {name:>8}"))?;
         writeln!(f)?;
         let first = self.seconds.keys().next().copied().unwrap_or(0);
         for (second, counts) in &self.seconds {
             write!(f, "{:>6}", second - first)?;
-            counts.iter().try_for_each(|count| write!(f, " {count:>8}"))?;
+            counts
+                .iter()
+                .try_for_each(|count| write!(f, " {count:>8}"))?;
             writeln!(f)?;
         }
         let all: u64 = self.hosts.values().map(|host| host.postings).sum();
--- a/crates/log-stats/src/main.rs
+++ b/crates/log-stats/src/main.rs
@@ -5,7 +5,11 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "rosewall-log-stats", version, about = "Sums the debug logs of many dispatchers by second")]
+#[command(
+    name = "rosewall-log-stats",
+    version,
+    about = "Sums the debug logs of many dispatchers by second"
+)]
 struct Cli {
     /// A log of each dispatcher, as written with ROSEWALL_LOG=debug
     #[arg(required = true)]
@@ -22,7 +26,10 @@
         match std::fs::read(path) {
             Ok(text) => tally.read(&String::from_utf8_lossy(&text)),
             Err(error) => {
-                eprintln!("rosewall-log-stats: cannot read {}: {error}", path.display());
+                eprintln!(
+                    "rosewall-log-stats: cannot read {}: {error}",
+                    path.display()
+                );
                 return ExitCode::from(2);
             }
         }
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -70,7 +70,9 @@
 
 /// A plain decimal: digits, and perhaps a point.
 fn decimal(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let plain = text
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || byte == b'.');
     let number = if plain {
         text.parse::<f64>().ok()?
     } else {
@@ -83,7 +85,9 @@
 /// The place of a name. Spaces and commas are underlines in the settings' lists.
 pub fn place(names: &[String], name: &str) -> Option<usize> {
     let like = |(a, b)| a == b || (a == b'_' && matches!(b, b' ' | b','));
-    names.iter().position(|one| one.len() == name.len() && one.bytes().zip(name.bytes()).all(like))
+    names
+        .iter()
+        .position(|one| one.len() == name.len() && one.bytes().zip(name.bytes()).all(like))
 }
 
 impl Intake {
@@ -98,7 +102,11 @@
 
     /// How many bytes of requests are held here.
     pub fn held(&self) -> usize {
-        self.inlet.bytes.len() + self.open.as_ref().map_or(0, |(request, _)| request.body.len())
+        self.inlet.bytes.len()
+            + self
+                .open
+                .as_ref()
+                .map_or(0, |(request, _)| request.body.len())
     }
 
     /// Whether more may be read: what comes ahead of its turn is bounded.
@@ -160,13 +168,18 @@
         Err(httparse::Error::TooManyHeaders) => return Err(Fault::HeadTooLarge),
         _ => return Err(Fault::Malformed("the head cannot be read")),
     }
-    let (method, target) = (parsed.method.unwrap_or_default(), parsed.path.unwrap_or_default());
+    let (method, target) = (
+        parsed.method.unwrap_or_default(),
+        parsed.path.unwrap_or_default(),
+    );
     let version = parsed.version.unwrap_or_default();
     let headers = &*parsed.headers;
     let keeps = http::keeps(headers, version);
     if method == "GET" && target == "/healthz" {
         let body = Body::new(headers, false)?;
-        return Ok(Head::Answer(Heard::Ready { keeps: keeps && body.done() }));
+        return Ok(Head::Answer(Heard::Ready {
+            keeps: keeps && body.done(),
+        }));
     }
     if method != "POST" {
         return Ok(Head::Answer(Heard::Bad(405, "all jobs come by POST")));
@@ -193,24 +206,35 @@
     target: &str,
     keeps: bool,
 ) -> Result<ClientRequest, Fault> {
-    let need = |name, why| http::one(headers, name)?.filter(|v| !v.is_empty()).ok_or(Fault::Malformed(why));
+    let need = |name, why| {
+        http::one(headers, name)?
+            .filter(|v| !v.is_empty())
+            .ok_or(Fault::Malformed(why))
+    };
     let id = need("request-id", "no Request-Id")?;
     let class = place(&names.classes, need("request-class", "no Request-Class")?);
     let tenant = match names.tenants.is_empty() {
         true => Some(0),
         false => place(&names.tenants, need("tenant", "no Tenant")?),
     };
-    let within =
-        decimal(need("request-timeout", "no Request-Timeout")?).filter(|seconds| *seconds < 86_400.0);
+    let within = decimal(need("request-timeout", "no Request-Timeout")?)
+        .filter(|seconds| *seconds < 86_400.0);
     let hint = match http::one(headers, "work-hint")? {
         None => None,
         Some(text) => Some(decimal(text).ok_or(Fault::Malformed("the hint cannot be read"))?),
     };
     let (mut slots, mut memory) = (1.0, 0.0);
     let figures = http::one(headers, "request-info")?.unwrap_or_default();
-    for figure in figures.split(',').map(str::trim).filter(|figure| !figure.is_empty()) {
-        let (name, value) = figure.split_once('=').ok_or(Fault::Malformed("a figure without a value"))?;
-        let value = decimal(value.trim()).ok_or(Fault::Malformed("a figure that cannot be read"))? as f32;
+    for figure in figures
+        .split(',')
+        .map(str::trim)
+        .filter(|figure| !figure.is_empty())
+    {
+        let (name, value) = figure
+            .split_once('=')
+            .ok_or(Fault::Malformed("a figure without a value"))?;
+        let value =
+            decimal(value.trim()).ok_or(Fault::Malformed("a figure that cannot be read"))? as f32;
         match name.trim() {
             "slots" => slots = value,
             "memory" => memory = value,
@@ -221,11 +245,18 @@
     Ok(ClientRequest {
         target: target.to_string(),
         id: id.to_string(),
-        reference: http::one(headers, "idempotency-key")?.unwrap_or_default().to_string(),
+        reference: http::one(headers, "idempotency-key")?
+            .unwrap_or_default()
+            .to_string(),
         class: class.and_then(|at| u8::try_from(at).ok()).ok_or(unknown)?,
-        tenant: tenant.and_then(|at| u16::try_from(at).ok()).ok_or(Fault::Malformed("an unknown Tenant"))?,
-        within: (within.ok_or(Fault::Malformed("the Request-Timeout cannot be read"))? * 1e9) as Nanos,
-        hint: hint.map(|micros| (micros * 1e3) as Nanos).filter(|hint| *hint > 0),
+        tenant: tenant
+            .and_then(|at| u16::try_from(at).ok())
+            .ok_or(Fault::Malformed("an unknown Tenant"))?,
+        within: (within.ok_or(Fault::Malformed("the Request-Timeout cannot be read"))? * 1e9)
+            as Nanos,
+        hint: hint
+            .map(|micros| (micros * 1e3) as Nanos)
+            .filter(|hint| *hint > 0),
         slots,
         memory,
         body: Vec::new(),
@@ -254,8 +285,10 @@
 pub fn message(status: u16, more: &str, body: &[u8], keeps: bool) -> Vec<u8> {
     let close = if keeps { "" } else { "Connection: close\r\n" };
     let length = body.len();
-    let head =
-        format!("HTTP/1.1 {status} {}\r\n{more}{close}Content-Length: {length}\r\n\r\n", reason(status));
+    let head = format!(
+        "HTTP/1.1 {status} {}\r\n{more}{close}Content-Length: {length}\r\n\r\n",
+        reason(status)
+    );
     let mut bytes = head.into_bytes();
     bytes.extend_from_slice(body);
     bytes
--- a/crates/protocol/src/cuts_tests.rs
+++ b/crates/protocol/src/cuts_tests.rs
@@ -22,7 +22,9 @@
     ends.push(bytes.len());
     ends.sort_unstable();
     let mut from = 0;
-    ends.into_iter().map(|end| &bytes[std::mem::replace(&mut from, end)..end]).collect()
+    ends.into_iter()
+        .map(|end| &bytes[std::mem::replace(&mut from, end)..end])
+        .collect()
 }
 
 fn heard(parts: &[&[u8]]) -> Vec<Heard> {
@@ -91,33 +93,50 @@
 }
 
 fn answer() -> impl Strategy<Value = Vec<u8>> {
-    let word = prop::sample::select(vec!["started", "running", "done", "failed", "returned", "lost"]);
+    let word = prop::sample::select(vec![
+        "started", "running", "done", "failed", "returned", "lost",
+    ]);
     let id = prop::sample::select(vec!["9b1f", "9b1f", "9b1f", "ffff"]);
     let status = prop::sample::select(vec!["200", "200", "200", "500", "503", "504", "400", "102"]);
-    (status, vec((id, word, any::<bool>()), 0..5), any::<bool>()).prop_map(|(status, lines, unrun)| {
-        let unrun = if unrun { "Not-Started: 1\r\n" } else { "" };
-        let mut text = format!("HTTP/1.1 {status} X\r\n{unrun}Transfer-Encoding: chunked\r\n\r\n");
-        for (id, word, result) in lines {
-            let result = if result { ",\"result\":\"r\"" } else { "" };
-            let line = format!("{{\"id\":\"{id}\",\"state\":\"{word}\"{result}}}\n");
-            text.push_str(&format!("{:x}\r\n{line}\r\n", line.len()));
-        }
-        text.push_str("0\r\n\r\n");
-        text.into_bytes()
-    })
+    (status, vec((id, word, any::<bool>()), 0..5), any::<bool>()).prop_map(
+        |(status, lines, unrun)| {
+            let unrun = if unrun { "Not-Started: 1\r\n" } else { "" };
+            let mut text =
+                format!("HTTP/1.1 {status} X\r\n{unrun}Transfer-Encoding: chunked\r\n\r\n");
+            for (id, word, result) in lines {
+                let result = if result { ",\"result\":\"r\"" } else { "" };
+                let line = format!("{{\"id\":\"{id}\",\"state\":\"{word}\"{result}}}\n");
+                text.push_str(&format!("{:x}\r\n{line}\r\n", line.len()));
+            }
+            text.push_str("0\r\n\r\n");
+            text.into_bytes()
+        },
+    )
 }
 
 fn list() -> impl Strategy<Value = Vec<u8>> {
-    (vec(prop::sample::select(vec!["ready", "draining", "gone", "lost"]), 0..5), any::<u32>()).prop_map(
-        |(hosts, seq)| {
+    (
+        vec(
+            prop::sample::select(vec!["ready", "draining", "gone", "lost"]),
+            0..5,
+        ),
+        any::<u32>(),
+    )
+        .prop_map(|(hosts, seq)| {
             let entry = |(at, health): (usize, &&str)| {
                 format!("{{\"host\":\"w{at}\",\"dial\":\"10.0.0.1:{at}\",\"health\":\"{health}\"}}")
             };
             let hosts: Vec<_> = hosts.iter().enumerate().map(entry).collect();
-            let body = format!("{{\"seq\":{seq},\"whole\":true,\"hosts\":[{}]}}", hosts.join(","));
-            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
-        },
-    )
+            let body = format!(
+                "{{\"seq\":{seq},\"whole\":true,\"hosts\":[{}]}}",
+                hosts.join(",")
+            );
+            format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
+            .into_bytes()
+        })
 }
 
 /// Bytes that look like a protocol's for a while.
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -58,7 +58,9 @@
 
 /// A call for the whole list, or a watch from a version on.
 pub fn call(address: &str, watch: Option<(u64, u64)>) -> Vec<u8> {
-    let query = watch.map(|(seq, wait)| format!("?index={seq}&wait={wait}")).unwrap_or_default();
+    let query = watch
+        .map(|(seq, wait)| format!("?index={seq}&wait={wait}"))
+        .unwrap_or_default();
     format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {address}\r\n\r\n").into_bytes()
 }
 
@@ -77,17 +79,33 @@
             return Err(format!("no address to dial for {:?}", raw.host));
         }
         // A zone or kind that the settings do not name matches none of them.
-        let zone = place(&names.zones, &raw.site).and_then(|at| u16::try_from(at).ok()).unwrap_or(u16::MAX);
-        let worker_type =
-            place(&names.worker_types, &raw.class).and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX);
+        let zone = place(&names.zones, &raw.site)
+            .and_then(|at| u16::try_from(at).ok())
+            .unwrap_or(u16::MAX);
+        let worker_type = place(&names.worker_types, &raw.class)
+            .and_then(|at| u8::try_from(at).ok())
+            .unwrap_or(u8::MAX);
         let (group, size, born) = (raw.block, raw.share, raw.born_ms.saturating_mul(1_000_000));
         if raw.host.is_empty() || !size.is_finite() {
             return Err(format!("an entry without sense for {:?}", raw.host));
         }
-        Ok(Host { host: raw.host, dial, standing, zone, worker_type, group, size, born })
+        Ok(Host {
+            host: raw.host,
+            dial,
+            standing,
+            zone,
+            worker_type,
+            group,
+            size,
+            born,
+        })
     };
     let hosts = raw.hosts.into_iter().map(host).collect::<Result<_, _>>()?;
-    Ok(Listing { seq: raw.seq, whole: raw.whole, hosts })
+    Ok(Listing {
+        seq: raw.seq,
+        whole: raw.whole,
+        hosts,
+    })
 }
 
 /// Reads one answer of discovery, however its bytes are cut.
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -30,8 +30,10 @@
     pub fn head(&mut self) -> Result<Option<usize>, Fault> {
         // Only what is new is looked at. Guards against a head that comes byte by byte being read as often.
         let from = self.scanned.saturating_sub(3);
-        let found =
-            self.bytes[from..].windows(4).position(|four| four == b"\r\n\r\n").map(|at| from + at + 4);
+        let found = self.bytes[from..]
+            .windows(4)
+            .position(|four| four == b"\r\n\r\n")
+            .map(|at| from + at + 4);
         self.scanned = self.bytes.len();
         match found {
             Some(end) if end <= HEAD_LIMIT => Ok(Some(end)),
@@ -68,7 +70,11 @@
 
     /// Empty lines before a request are passed over.
     pub fn skip_empty_lines(&mut self) {
-        let empty = self.bytes.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        let empty = self
+            .bytes
+            .iter()
+            .take_while(|byte| matches!(byte, b'\r' | b'\n'))
+            .count();
         if empty > 0 {
             self.drop_front(empty);
         }
@@ -78,11 +84,16 @@
 /// The one value of a header; more than one that differ are a fault.
 pub fn one<'a>(headers: &[Header<'a>], name: &str) -> Result<Option<&'a str>, Fault> {
     let mut found = None;
-    for header in headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name)) {
-        let value =
-            std::str::from_utf8(header.value).map_err(|_| Fault::Malformed("a header is not UTF-8"))?;
+    for header in headers
+        .iter()
+        .filter(|header| header.name.eq_ignore_ascii_case(name))
+    {
+        let value = std::str::from_utf8(header.value)
+            .map_err(|_| Fault::Malformed("a header is not UTF-8"))?;
         if found.is_some_and(|other| other != value) {
-            return Err(Fault::Malformed("a header comes twice with different values"));
+            return Err(Fault::Malformed(
+                "a header comes twice with different values",
+            ));
         }
         found = Some(value);
     }
@@ -92,11 +103,17 @@
 /// Whether the sender wants the connection to stay open after this message.
 pub fn keeps(headers: &[Header], version: u8) -> bool {
     let says = |word: &str| {
-        let named = headers.iter().filter(|header| header.name.eq_ignore_ascii_case("connection"));
+        let named = headers
+            .iter()
+            .filter(|header| header.name.eq_ignore_ascii_case("connection"));
         let mut words = named.flat_map(|header| header.value.split(|byte| *byte == b','));
         words.any(|value| value.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     };
-    if version == 0 { says("keep-alive") } else { !says("close") }
+    if version == 0 {
+        says("keep-alive")
+    } else {
+        !says("close")
+    }
 }
 
 #[derive(Debug, PartialEq)]
@@ -126,7 +143,11 @@
             (Some(_), None) => return Err(Fault::Malformed("an unknown transfer coding")),
             (None, Some(length)) => {
                 let digits = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
-                let length = if digits { length.parse::<u64>().ok() } else { None };
+                let length = if digits {
+                    length.parse::<u64>().ok()
+                } else {
+                    None
+                };
                 let length = length.ok_or(Fault::Malformed("a length that is no number"))?;
                 Reading::Length(usize::try_from(length).map_err(|_| Fault::BodyTooLarge)?)
             }
@@ -146,7 +167,12 @@
     }
 
     /// Moves what can be read from the inlet to `out`, which holds `limit` at most; true at the body's end.
-    pub fn advance(&mut self, inlet: &mut Inlet, out: &mut Vec<u8>, limit: usize) -> Result<bool, Fault> {
+    pub fn advance(
+        &mut self,
+        inlet: &mut Inlet,
+        out: &mut Vec<u8>,
+        limit: usize,
+    ) -> Result<bool, Fault> {
         let mut used = 0;
         let result = self.step(&inlet.bytes, &mut used, out, limit);
         inlet.drop_front(used);
@@ -186,7 +212,11 @@
                     Ok(Status::Complete((count, size))) => {
                         *used += count;
                         let size = usize::try_from(size).map_err(|_| Fault::BodyTooLarge)?;
-                        self.reading = if size == 0 { Reading::Trailer(0) } else { Reading::Data(size) };
+                        self.reading = if size == 0 {
+                            Reading::Trailer(0)
+                        } else {
+                            Reading::Data(size)
+                        };
                     }
                     Ok(Status::Partial) if rest.len() <= SIZE_LINE_LIMIT => return Ok(false),
                     _ => return Err(Fault::Malformed("a chunk without a size")),
@@ -212,7 +242,11 @@
                     let Some(end) = end else { return Ok(false) };
                     *used += end + 1;
                     let empty = rest[..end].trim_ascii().is_empty();
-                    self.reading = if empty { Reading::Done } else { Reading::Trailer(seen + end + 1) };
+                    self.reading = if empty {
+                        Reading::Done
+                    } else {
+                        Reading::Trailer(seen + end + 1)
+                    };
                 }
             }
         }
@@ -237,7 +271,8 @@
     pub fn feed(&mut self, bytes: &[u8], limit: usize) -> Result<Option<(Vec<u8>, bool)>, Fault> {
         self.inlet.bytes.extend_from_slice(bytes);
         if self.open.is_none() {
-            let read = |status, keeps, headers: &[Header]| Ok((status, keeps, Body::new(headers, true)?));
+            let read =
+                |status, keeps, headers: &[Header]| Ok((status, keeps, Body::new(headers, true)?));
             self.open = self.inlet.answer(read)?;
         }
         let Some((_, keeps, body)) = &mut self.open else {
@@ -246,12 +281,18 @@
         if !body.advance(&mut self.inlet, &mut self.text, limit)? {
             return Ok(None);
         }
-        Ok(Some((std::mem::take(&mut self.text), *keeps && self.inlet.bytes.is_empty())))
+        Ok(Some((
+            std::mem::take(&mut self.text),
+            *keeps && self.inlet.bytes.is_empty(),
+        )))
     }
 
     /// At the end of the connection: the text, if that is how its body ends.
     pub fn closed(&mut self) -> Option<Vec<u8>> {
-        let ends = self.open.as_ref().is_some_and(|(.., body)| body.reading == Reading::ToEnd);
+        let ends = self
+            .open
+            .as_ref()
+            .is_some_and(|(.., body)| body.reading == Reading::ToEnd);
         ends.then(|| std::mem::take(&mut self.text))
     }
 }
--- a/crates/protocol/src/talk.rs
+++ b/crates/protocol/src/talk.rs
@@ -19,11 +19,30 @@
 }
 
 pub fn datagram(from: u16, share: &Share) -> [u8; LENGTH] {
-    let ([a, b], [c, d], [e, f]) =
-        (from.to_be_bytes(), share.worker.port.to_be_bytes(), share.work.to_be_bytes());
+    let ([a, b], [c, d], [e, f]) = (
+        from.to_be_bytes(),
+        share.worker.port.to_be_bytes(),
+        share.work.to_be_bytes(),
+    );
     let [x, y] = MARK;
     let [i, j, k, l] = share.worker.addr;
-    [x, y, VERSION, a, b, i, j, k, l, c, d, share.halves, e, f, share.sign]
+    [
+        x,
+        y,
+        VERSION,
+        a,
+        b,
+        i,
+        j,
+        k,
+        l,
+        c,
+        d,
+        share.halves,
+        e,
+        f,
+        share.sign,
+    ]
 }
 
 /// The teller and what it tells. `peers` has the address of each dispatcher, in the order of their numbers.
@@ -41,6 +60,17 @@
     if peers.get(usize::from(from)) != Some(&sender) {
         return Err(Fault::Sender);
     }
-    let worker = WorkerId { addr: [i, j, k, l], port: u16::from_be_bytes([c, d]) };
-    Ok((from, Share { worker, halves, work: u16::from_be_bytes([e, f]), sign }))
+    let worker = WorkerId {
+        addr: [i, j, k, l],
+        port: u16::from_be_bytes([c, d]),
+    };
+    Ok((
+        from,
+        Share {
+            worker,
+            halves,
+            work: u16::from_be_bytes([e, f]),
+            sign,
+        },
+    ))
 }
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -26,7 +26,10 @@
     size: usize,
     mut say: impl FnMut(&mut M, &[u8]) -> Vec<T>,
 ) -> Vec<T> {
-    bytes.chunks(size).flat_map(|piece| say(machine, piece)).collect()
+    bytes
+        .chunks(size)
+        .flat_map(|piece| say(machine, piece))
+        .collect()
 }
 
 fn hear(bytes: &[u8], size: usize) -> Vec<Heard> {
@@ -70,7 +73,11 @@
 fn a_request_is_heard_however_it_is_cut(rest: &str, body: &str) {
     let twice = [HEAD, rest, "\r\n", HEAD, rest].concat();
     for size in [1, 2, 7, 64, 10_000] {
-        assert_eq!(hear(twice.as_bytes(), size), [expected(body), expected(body)], "{size}");
+        assert_eq!(
+            hear(twice.as_bytes(), size),
+            [expected(body), expected(body)],
+            "{size}"
+        );
     }
 }
 
@@ -78,7 +85,10 @@
 fn leave_is_given_once_and_only_while_the_body_is_out() {
     let head = [HEAD, "Expect: 100-continue\r\nContent-Length: 1\r\n\r\n"].concat();
     assert_eq!(hear(head.as_bytes(), 1), [Heard::Continue]);
-    assert_eq!(hear([&head, "x"].concat().as_bytes(), 10_000), [expected("x")]);
+    assert_eq!(
+        hear([&head, "x"].concat().as_bytes(), 10_000),
+        [expected("x")]
+    );
 }
 
 #[test_case("", true; "by default")]
@@ -127,7 +137,12 @@
 #[test]
 fn an_attempt_carries_what_must_go_on() {
     let (target, id, body) = ("/api?q".into(), "9b1f".into(), b"body".to_vec());
-    let request = ClientRequest { target, id, body, ..ClientRequest::default() };
+    let request = ClientRequest {
+        target,
+        id,
+        body,
+        ..ClientRequest::default()
+    };
     let text = String::from_utf8(posting("w", &request, 1_250_000_000)).unwrap();
     assert_eq!(
         text,
@@ -141,7 +156,9 @@
 
 /// A 200 with one chunk a line.
 fn streamed(lines: &[&str]) -> Vec<u8> {
-    let chunks = lines.iter().map(|line| format!("{:x}\r\n{line}\r\n", line.len()));
+    let chunks = lines
+        .iter()
+        .map(|line| format!("{:x}\r\n{line}\r\n", line.len()));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     format!("{head}{}0\r\n\r\n", chunks.collect::<String>()).into_bytes()
 }
@@ -175,7 +192,10 @@
 #[test_case("nothing of the kind\r\n\r\n", Outcome::Broken, false; "no head")]
 fn a_status_is_an_outcome(text: &str, outcome: Outcome, reusable: bool) {
     let (told, reply) = told(text.as_bytes(), 10_000);
-    assert_eq!((told, reply.finished(), reply.reusable()), (vec![Told::Ended(outcome)], true, reusable));
+    assert_eq!(
+        (told, reply.finished(), reply.reusable()),
+        (vec![Told::Ended(outcome)], true, reusable)
+    );
 }
 
 #[test_case(&streamed(&[STARTED])[..60], Some(Told::Ended(Outcome::Broken)); "before the end")]
@@ -190,7 +210,12 @@
 #[test_case(3; "a third")]
 fn garbage_ends_in_order(seed: u64) {
     let mut chance = Pcg::new(seed);
-    let good = [&streamed(&[STARTED, DONE])[..], HEAD.as_bytes(), b"Content-Length: 5\r\n\r\nhello"].concat();
+    let good = [
+        &streamed(&[STARTED, DONE])[..],
+        HEAD.as_bytes(),
+        b"Content-Length: 5\r\n\r\nhello",
+    ]
+    .concat();
     for _ in 0..3_000 {
         let mut bytes = good[(chance.unit() * good.len() as f64) as usize..].to_vec();
         for _ in 0..(chance.unit() * 8.0) as usize {
@@ -199,7 +224,11 @@
         }
         let size = 1 + (chance.unit() * 40.0) as usize;
         let _ = hear(&bytes, size);
-        let ends = told(&bytes, size).0.iter().filter(|told| **told != Told::Started).count();
+        let ends = told(&bytes, size)
+            .0
+            .iter()
+            .filter(|told| **told != Told::Started)
+            .count();
         assert!(ends <= 1);
         let _ = Sounding::new(&["x0".to_string()]).feed(&bytes);
         let _ = Bulletin::default().feed(&bytes);
@@ -224,9 +253,14 @@
 #[test_case("x0=NaN", &["x0"] => (0, [0.0; 4]); "no number")]
 fn a_probe_tells_a_report(body: &str, fields: &[&str]) -> (usize, [f32; 4]) {
     let fields: Vec<String> = fields.iter().map(|field| field.to_string()).collect();
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     let told = Sounding::new(&fields).feed(answer.as_bytes());
-    let Some((Outcome::Settled, Report { count, values }, true)) = told else { panic!("{told:?}") };
+    let Some((Outcome::Settled, Report { count, values }, true)) = told else {
+        panic!("{told:?}")
+    };
     (count, values)
 }
 
@@ -238,8 +272,14 @@
     let list = listing(text.as_bytes(), &names()).unwrap();
     let host = &list.hosts[0];
     assert_eq!((list.seq, list.whole, host.host.as_str()), (41, true, "w"));
-    assert_eq!((host.standing, host.zone, host.worker_type, host.group), (Standing::Ready, 1, 0, 3));
-    assert_eq!((host.size, host.born, host.dial.unwrap().port()), (1.5, 2_000_000, 3000));
+    assert_eq!(
+        (host.standing, host.zone, host.worker_type, host.group),
+        (Standing::Ready, 1, 0, 3)
+    );
+    assert_eq!(
+        (host.size, host.born, host.dial.unwrap().port()),
+        (1.5, 2_000_000, 3000)
+    );
 }
 
 #[test_case("ready", "poorly"; "an unknown health")]
@@ -247,7 +287,10 @@
 #[test_case("\"w\"", "\"\""; "no host")]
 #[test_case("1.5", "null"; "no size")]
 fn a_list_with_an_entry_without_sense_is_malformed(from: &str, to: &str) {
-    let text = format!(r#"{{"seq":41,"whole":true,"hosts":[{}]}}"#, ENTRY.replace(from, to));
+    let text = format!(
+        r#"{{"seq":41,"whole":true,"hosts":[{}]}}"#,
+        ENTRY.replace(from, to)
+    );
     assert!(listing(text.as_bytes(), &names()).is_err());
 }
 
@@ -257,9 +300,12 @@
 #[test_case("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\n{}", None; "a failure")]
 fn a_bulletin_is_read_however_it_is_cut(text: &str, keeps: Option<bool>) {
     for size in [1, 5, 10_000] {
-        let said = in_pieces(&mut Bulletin::default(), text.as_bytes(), size, |bulletin, piece| {
-            vec![bulletin.feed(piece)]
-        });
+        let said = in_pieces(
+            &mut Bulletin::default(),
+            text.as_bytes(),
+            size,
+            |bulletin, piece| vec![bulletin.feed(piece)],
+        );
         let whole = said.into_iter().rfind(|said| *said != Ok(None));
         match keeps {
             Some(keeps) => assert_eq!(whole, Some(Ok(Some((b"{}".to_vec(), keeps))))),
@@ -287,8 +333,16 @@
 #[test_case(|bytes| bytes[4] = 1, 7000 => false; "of a number with another address")]
 #[test_case(|_| (), 7009 => false; "of a stranger")]
 fn datagrams_are_read(spoil: fn(&mut Vec<u8>), port: u16) -> bool {
-    let worker = WorkerId { addr: [10, 1, 2, 3], port: 4 };
-    let share = Share { worker, halves: 5, work: 600, sign: 7 };
+    let worker = WorkerId {
+        addr: [10, 1, 2, 3],
+        port: 4,
+    };
+    let share = Share {
+        worker,
+        halves: 5,
+        work: 600,
+        sign: 7,
+    };
     let mut bytes = super::talk::datagram(0, &share).to_vec();
     spoil(&mut bytes);
     let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
@@ -300,23 +354,47 @@
 fn a_list_of_a_thousand_workers_is_read_whole() {
     let host = |at: usize| {
         let name = format!("{at:0>200}");
-        ENTRY.replace("\"w\"", &format!("\"{name}\"")).replace(',', ",\n            ")
+        ENTRY
+            .replace("\"w\"", &format!("\"{name}\""))
+            .replace(',', ",\n            ")
     };
     let hosts: Vec<String> = (0..1_024).map(host).collect();
     let text = format!(
         "{{\n    \"seq\": 1,\n    \"whole\": true,\n    \"hosts\": [{}]\n}}",
         hosts.join(",\n        ")
     );
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-    let (body, _) = Bulletin::default().feed(answer.as_bytes()).unwrap().unwrap();
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+        text.len()
+    );
+    let (body, _) = Bulletin::default()
+        .feed(answer.as_bytes())
+        .unwrap()
+        .unwrap();
     let list = listing(&body, &names()).unwrap();
-    assert_eq!((list.hosts.len(), list.hosts[1_023].host.len()), (1_024, 200));
+    assert_eq!(
+        (list.hosts.len(), list.hosts[1_023].host.len()),
+        (1_024, 200)
+    );
 }
 
 #[test]
 fn a_datagram_names_the_last_of_a_thousand_dispatchers() {
-    let peers: Vec<SocketAddr> = (0..1_024_u16).map(|at| ([127, 0, 0, 1], 10_000 + at).into()).collect();
-    let worker = WorkerId { addr: [10, 0, 0, 1], port: 9 };
-    let share = Share { worker, halves: 3, work: 40, sign: Share::UNKNOWN };
-    assert_eq!(talk::read(&talk::datagram(1_023, &share), peers[1_023], &peers), Ok((1_023, share)));
+    let peers: Vec<SocketAddr> = (0..1_024_u16)
+        .map(|at| ([127, 0, 0, 1], 10_000 + at).into())
+        .collect();
+    let worker = WorkerId {
+        addr: [10, 0, 0, 1],
+        port: 9,
+    };
+    let share = Share {
+        worker,
+        halves: 3,
+        work: 40,
+        sign: Share::UNKNOWN,
+    };
+    assert_eq!(
+        talk::read(&talk::datagram(1_023, &share), peers[1_023], &peers),
+        Ok((1_023, share))
+    );
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -16,11 +16,20 @@
 /// A attempt's bytes, in one piece. The reference goes on as it came. Guards against workers that cannot tell a repeat of
 /// a referenced request from another one.
 pub fn posting(host: &str, request: &ClientRequest, within: Nanos) -> Vec<u8> {
-    let ClientRequest { target, id, reference, body, .. } = request;
+    let ClientRequest {
+        target,
+        id,
+        reference,
+        body,
+        ..
+    } = request;
     let seconds = within as f64 / 1e9;
     let length = body.len();
-    let known =
-        if reference.is_empty() { String::new() } else { format!("Idempotency-Key: {reference}\r\n") };
+    let known = if reference.is_empty() {
+        String::new()
+    } else {
+        format!("Idempotency-Key: {reference}\r\n")
+    };
     let mut bytes = format!(
         "POST {target} HTTP/1.1\r\nHost: {host}\r\nRequest-Id: {id}\r\nRequest-Timeout: {seconds:.3}\r\n\
          {known}Content-Length: {length}\r\n\r\n"
@@ -70,7 +79,17 @@
     pub fn new(id: String) -> Self {
         let (inlet, lines) = (Inlet::default(), Vec::new());
         let (body, keeps, streams, ended, broken, fed) = (None, false, false, false, false, 0);
-        Reply { id, inlet, body, keeps, lines, streams, ended, broken, fed }
+        Reply {
+            id,
+            inlet,
+            body,
+            keeps,
+            lines,
+            streams,
+            ended,
+            broken,
+            fed,
+        }
     }
 
     pub fn feed(&mut self, bytes: &[u8]) {
@@ -128,15 +147,23 @@
         let Some(body) = &mut self.body else {
             return self.head();
         };
-        let done = body.advance(&mut self.inlet, &mut self.lines, BODY_LIMIT).ok()?;
+        let done = body
+            .advance(&mut self.inlet, &mut self.lines, BODY_LIMIT)
+            .ok()?;
         if !self.streams {
             self.lines.clear();
             return Some(Step::Wait);
         }
         let end = self.lines.iter().position(|byte| *byte == b'\n');
-        let Some(end) = end.or_else(|| (done && !self.lines.is_empty()).then_some(self.lines.len())) else {
+        let Some(end) =
+            end.or_else(|| (done && !self.lines.is_empty()).then_some(self.lines.len()))
+        else {
             let over = done && !self.ended;
-            return Some(if over { Step::Tell(Told::Ended(Outcome::Broken)) } else { Step::Wait });
+            return Some(if over {
+                Step::Tell(Told::Ended(Outcome::Broken))
+            } else {
+                Step::Wait
+            });
         };
         let line: Vec<u8> = self.lines.drain(..self.lines.len().min(end + 1)).collect();
         if line.trim_ascii().is_empty() {
@@ -159,8 +186,17 @@
     fn head(&mut self) -> Option<Step> {
         let read = |status, keeps, headers: &[httparse::Header]| {
             let interim = (100..200).contains(&status);
-            let body = if interim { None } else { Some(Body::new(headers, true)?) };
-            Ok((status, keeps, body, http::one(headers, "not-started")? == Some("1")))
+            let body = if interim {
+                None
+            } else {
+                Some(Body::new(headers, true)?)
+            };
+            Ok((
+                status,
+                keeps,
+                body,
+                http::one(headers, "not-started")? == Some("1"),
+            ))
         };
         let Some((status, keeps, body, not_run)) = self.inlet.answer(read).ok()? else {
             return Some(Step::Wait);
@@ -184,7 +220,10 @@
 impl<'a> Sounding<'a> {
     /// `fields` are the names of a report's values, in the order that the decisions know.
     pub fn new(fields: &'a [String]) -> Self {
-        Sounding { fields, answer: Whole::default() }
+        Sounding {
+            fields,
+            answer: Whole::default(),
+        }
     }
 
     /// The outcome, the report and whether the connection may be used again.
@@ -206,8 +245,12 @@
 fn report(text: &[u8], fields: &[String]) -> Report {
     let text = String::from_utf8_lossy(text);
     let value = |field: &String| {
-        let mut pairs = text.split([',', '\n']).filter_map(|pair| pair.trim().split_once('='));
-        pairs.find(|(name, _)| name.trim() == field).and_then(|(_, value)| value.trim().parse::<f32>().ok())
+        let mut pairs = text
+            .split([',', '\n'])
+            .filter_map(|pair| pair.trim().split_once('='));
+        pairs
+            .find(|(name, _)| name.trim() == field)
+            .and_then(|(_, value)| value.trim().parse::<f32>().ok())
     };
     let mut report = Report::default();
     for (place, field) in report.values.iter_mut().zip(fields) {
--- a/crates/rosewalld/src/ground.rs
+++ b/crates/rosewalld/src/ground.rs
@@ -20,12 +20,21 @@
 
 impl Sockets {
     pub fn new(ex: Rc<LocalExecutor<'static>>) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let unix = u64::try_from(unix.as_nanos()).unwrap_or_default();
         // For tests: a wall clock that is off by so many ms.
-        let skew = std::env::var("ROSEWALL_SKEW_MS").ok().and_then(|ms| ms.parse::<i32>().ok()).unwrap_or(0);
+        let skew = std::env::var("ROSEWALL_SKEW_MS")
+            .ok()
+            .and_then(|ms| ms.parse::<i32>().ok())
+            .unwrap_or(0);
         let unix = unix.saturating_add_signed(i64::from(skew) * 1_000_000);
-        Sockets { ex, base: Instant::now(), unix }
+        Sockets {
+            ex,
+            base: Instant::now(),
+            unix,
+        }
     }
 }
 
@@ -40,7 +49,8 @@
 
     async fn until(&self, at: Nanos) {
         // The reactor's clock may be a little ahead of what was read here: it is never too early by more.
-        Timer::at(self.base + Duration::from_nanos(at.saturating_sub(self.unix).min(u64::MAX / 4))).await;
+        Timer::at(self.base + Duration::from_nanos(at.saturating_sub(self.unix).min(u64::MAX / 4)))
+            .await;
     }
 
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> Task<()> {
@@ -48,7 +58,10 @@
     }
 
     fn mail(&self, at: SocketAddr, through: Option<SocketAddr>) -> io::Result<Datagrams> {
-        Ok(Datagrams { socket: Async::<UdpSocket>::bind(at)?, through })
+        Ok(Datagrams {
+            socket: Async::<UdpSocket>::bind(at)?,
+            through,
+        })
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<Socket> {
@@ -87,11 +100,15 @@
         }
         let mut whole = vec![0; PREFIX + bytes.len()];
         let (length, _) = self.socket.recv_from(&mut whole).await?;
-        let Some((&[a, b, c, d, x, y], rest)) = whole[..length].split_first_chunk::<PREFIX>() else {
+        let Some((&[a, b, c, d, x, y], rest)) = whole[..length].split_first_chunk::<PREFIX>()
+        else {
             return Err(ErrorKind::InvalidData.into());
         };
         bytes[..rest.len()].copy_from_slice(rest);
-        Ok((rest.len(), ([a, b, c, d], u16::from_be_bytes([x, y])).into()))
+        Ok((
+            rest.len(),
+            ([a, b, c, d], u16::from_be_bytes([x, y])).into(),
+        ))
     }
 }
 
@@ -123,13 +140,21 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buffer: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_read(cx, buffer)
     }
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_write(cx, bytes)
     }
 
--- a/crates/rosewalld/src/life/logger.rs
+++ b/crates/rosewalld/src/life/logger.rs
@@ -36,7 +36,8 @@
         let seconds = self.start.elapsed().as_secs_f64();
         let lost = self.lost.swap(0, Ordering::Relaxed);
         if lost > 0 {
-            let line = format!("{seconds:.3} WARN {lost} lines of the log were lost: no one read it\n");
+            let line =
+                format!("{seconds:.3} WARN {lost} lines of the log were lost: no one read it\n");
             if self.notes.try_send(Note::Line(line)).is_err() {
                 self.lost.fetch_add(lost, Ordering::Relaxed);
             }
@@ -75,13 +76,21 @@
 
 pub fn start() {
     let (notes, lines) = sync_channel(WAITING);
-    let writer = std::thread::Builder::new().name("log".to_string()).stack_size(64 * 1024);
+    let writer = std::thread::Builder::new()
+        .name("log".to_string())
+        .stack_size(64 * 1024);
     if writer.spawn(move || write(&lines)).is_err() {
         return;
     }
-    let logger = Logger { start: Instant::now(), notes, lost: AtomicU64::new(0) };
+    let logger = Logger {
+        start: Instant::now(),
+        notes,
+        lost: AtomicU64::new(0),
+    };
     if log::set_boxed_logger(Box::new(logger)).is_ok() {
-        let level = std::env::var("ROSEWALL_LOG").ok().and_then(|level| level.parse().ok());
+        let level = std::env::var("ROSEWALL_LOG")
+            .ok()
+            .and_then(|level| level.parse().ok());
         log::set_max_level(level.unwrap_or(LevelFilter::Info));
     }
 }
--- a/crates/rosewalld/src/life/start.rs
+++ b/crates/rosewalld/src/life/start.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 
 pub fn run() -> Result<(), String> {
-    let path =
-        std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG names no configuration".to_string())?;
+    let path = std::env::var("PROXY_CONFIG")
+        .map_err(|_| "PROXY_CONFIG names no configuration".to_string())?;
     let given = load(&path)?;
     let ex = Rc::new(LocalExecutor::new());
     async_io::block_on(ex.run(serve(&path, given, ex.clone())))
@@ -23,22 +23,28 @@
 
 /// Reads the file that is named; an error says what is wrong in it.
 pub fn load(path: &str) -> Result<Given, String> {
-    let text =
-        std::fs::read(path).map_err(|error| format!("cannot read the configuration {path}: {error}"))?;
-    let mut given =
-        given::read(&text).map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
+    let text = std::fs::read(path)
+        .map_err(|error| format!("cannot read the configuration {path}: {error}"))?;
+    let mut given = given::read(&text)
+        .map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
     if let Some(path) = given.cluster.take() {
         let joining = std::fs::read_to_string(&path)
-            .map_err(|source| ClusterError::Unread { path: path.clone().into(), source })
+            .map_err(|source| ClusterError::Unread {
+                path: path.clone().into(),
+                source,
+            })
             .and_then(|text| file::read(Path::new(&path), &text))
             .and_then(|joining| given.join(joining));
         joining.map_err(|fault| fault.line())?;
     }
-    given::check(&given).map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
+    given::check(&given)
+        .map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
     // Guards against a system that allows fewer descriptors than are told.
     let system = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    given.sockets =
-        system.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX).min(given.sockets);
+    given.sockets = system
+        .and_then(|most| usize::try_from(most).ok())
+        .unwrap_or(usize::MAX)
+        .min(given.sockets);
     Ok(given)
 }
 
@@ -48,7 +54,10 @@
     let listener = TcpListener::bind(given.listen)
         .and_then(Async::new)
         .map_err(|error| format!("cannot listen on {}: {error}", given.listen))?;
-    let listening = listener.get_ref().local_addr().map_err(|error| error.to_string())?;
+    let listening = listener
+        .get_ref()
+        .local_addr()
+        .map_err(|error| error.to_string())?;
     let mut node = Node::start(Sockets::new(ex), given, Listener(listener))?;
     log::info!("listening on {listening}");
     let shared: Rc<Shared<Sockets>> = node.shared.clone();
--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -16,7 +16,9 @@
     let (lock, ended) = &RUNNING;
     let running = lock.lock().unwrap_or_else(|held| held.into_inner());
     let wait = |running: &mut usize| *running > 0 && *running + processes > AT_ONCE;
-    let mut running = ended.wait_while(running, wait).unwrap_or_else(|held| held.into_inner());
+    let mut running = ended
+        .wait_while(running, wait)
+        .unwrap_or_else(|held| held.into_inner());
     *running += processes;
     Place(processes)
 }
@@ -30,10 +32,29 @@
 
 /// Workers of two seats; a cold one takes 1.5 times what it can do.
 fn scenario(dispatchers: usize, seconds: f64, fault: Vec<Fault>) -> Scenario {
-    let fleet = Fleet { dispatchers, workers: 8, ..Fleet::default() };
-    let load = Load { clients: 4, pause_ms: 60.0, ..Load::default() };
-    let cold = ColdStart { multiple: 1.5, ..ColdStart::default() };
-    Scenario { seed: 7, seconds, fleet, load, cold, fault, ..Scenario::default() }
+    let fleet = Fleet {
+        dispatchers,
+        workers: 8,
+        ..Fleet::default()
+    };
+    let load = Load {
+        clients: 4,
+        pause_ms: 60.0,
+        ..Load::default()
+    };
+    let cold = ColdStart {
+        multiple: 1.5,
+        ..ColdStart::default()
+    };
+    Scenario {
+        seed: 7,
+        seconds,
+        fleet,
+        load,
+        cold,
+        fault,
+        ..Scenario::default()
+    }
 }
 
 fn played(scenario: &Scenario) -> Report {
@@ -60,17 +81,31 @@
 fn half_are_killed_during_a_release_of_workers() {
     let faults = vec![Fault::join(1_500, 3), Fault::new(2_500, What::Kill, 4..8)];
     let report = kept(&Scenario {
-        load: Load { clients: 6, pause_ms: 40.0, ..Load::default() },
+        load: Load {
+            clients: 6,
+            pause_ms: 40.0,
+            ..Load::default()
+        },
         ..scenario(8, 10.0, faults)
     });
-    let least = report.cold.iter().map(|used| used.of_half).fold(f64::INFINITY, f64::min);
-    assert!(least > 0.25, "a cold worker got {least:.2} of what today's rule allows it");
+    let least = report
+        .cold
+        .iter()
+        .map(|used| used.of_half)
+        .fold(f64::INFINITY, f64::min);
+    assert!(
+        least > 0.25,
+        "a cold worker got {least:.2} of what today's rule allows it"
+    );
 }
 
 /// The keepers' side gives rights, the other has its own parts only; both send to the same cold workers.
 #[test]
 fn a_split_with_a_cold_worker_on_both_sides() {
-    let faults = vec![Fault::new(1_000, What::Split, 0..4).lasting(6_000), Fault::join(2_000, 2)];
+    let faults = vec![
+        Fault::new(1_000, What::Split, 0..4).lasting(6_000),
+        Fault::join(2_000, 2),
+    ];
     let report = kept(&scenario(8, 10.0, faults));
     assert!(report.lost > 100, "nothing was cut");
 }
@@ -99,13 +134,29 @@
 #[test]
 fn dispatchers_roll_one_after_the_other_while_workers_join() {
     let rolls = (0..5).map(|at| Fault::new(1_000 + 1_600 * at as u64, What::Roll, [at]));
-    kept(&scenario(5, 10.0, rolls.chain([Fault::join(2_000, 1), Fault::join(5_000, 1)]).collect()));
+    kept(&scenario(
+        5,
+        10.0,
+        rolls
+            .chain([Fault::join(2_000, 1), Fault::join(5_000, 1)])
+            .collect(),
+    ));
 }
 
 #[test]
 fn a_fifth_of_datagrams_is_lost_and_clocks_lie_five_seconds_apart() {
-    let mut scenario = scenario(6, 9.0, vec![Fault::join(2_000, 3), Fault::new(4_000, What::Drain, [2])]);
-    scenario.datagrams = Way { loss: 0.2, twice: 0.1, delay_ms: 1, jitter_ms: 30, cut: false };
+    let mut scenario = scenario(
+        6,
+        9.0,
+        vec![Fault::join(2_000, 3), Fault::new(4_000, What::Drain, [2])],
+    );
+    scenario.datagrams = Way {
+        loss: 0.2,
+        twice: 0.1,
+        delay_ms: 1,
+        jitter_ms: 30,
+        cut: false,
+    };
     (scenario.fleet.skew_ms, scenario.fleet.peers) = (5_000, true);
     kept(&scenario);
 }
@@ -114,10 +165,18 @@
 #[test]
 fn a_budget_that_is_not_kept_shows() {
     let mut scenario = scenario(5, 6.0, vec![Fault::join(1_000, 3)]);
-    (scenario.cold.told_multiple, scenario.load.pause_ms, scenario.load.clients) = (Some(400.0), 5.0, 10);
+    (
+        scenario.cold.told_multiple,
+        scenario.load.pause_ms,
+        scenario.load.clients,
+    ) = (Some(400.0), 5.0, 10);
     scenario.fleet.workers = 3;
     let report = played(&scenario);
-    assert!(report.violations.iter().any(|broken| broken.rule == 4), "not found: {:?}", report.cold);
+    assert!(
+        report.violations.iter().any(|broken| broken.rule == 4),
+        "not found: {:?}",
+        report.cold
+    );
 }
 
 /// How long until these know just each other.
@@ -125,7 +184,10 @@
     let from = Instant::now();
     while !stage.agree(who) {
         let views: Vec<_> = who.iter().map(|at| stage.view(*at)).collect();
-        assert!(from.elapsed() < within, "not agreed after {within:?}: {views:?}");
+        assert!(
+            from.elapsed() < within,
+            "not agreed after {within:?}: {views:?}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     from.elapsed()
@@ -137,7 +199,12 @@
     let _place = place(24);
     let mut scenario = scenario(8, 60.0, vec![Fault::new(55_000, What::Start, 8..24)]);
     (scenario.fleet.says, scenario.fleet.workers) = (24, 12);
-    scenario.load = Load { clients: 6, pause_ms: 50.0, work_ms: 8.0, ..Load::default() };
+    scenario.load = Load {
+        clients: 6,
+        pause_ms: 50.0,
+        work_ms: 8.0,
+        ..Load::default()
+    };
     let mut stage = Stage::set(&scenario).expect("the rig could not start");
     stage.ask();
     let all: Vec<usize> = (0..24).collect();
@@ -163,7 +230,10 @@
     println!("six: {:?}", agreed(&stage, &all[..6], limit));
     even(&stage, "six");
     let report = stage.judge();
-    assert!(report.violations.is_empty() && report.missed < 0.05, "{report:#?}");
+    assert!(
+        report.violations.is_empty() && report.missed < 0.05,
+        "{report:#?}"
+    );
 }
 
 #[test]
@@ -174,7 +244,12 @@
     stage.start_as(4, "n3").expect("no start");
     stage.until_ready(4).expect("not ready");
     let process = stage.process(3).expect("it runs");
-    let line = process.line("RW-CLUSTER-TWICE", Duration::from_secs(5)).expect("the older one was not told");
-    assert!(line.contains("n3") && line.contains("give one of the two another name"), "{line}");
+    let line = process
+        .line("RW-CLUSTER-TWICE", Duration::from_secs(5))
+        .expect("the older one was not told");
+    assert!(
+        line.contains("n3") && line.contains("give one of the two another name"),
+        "{line}"
+    );
     assert!(stage.judge().violations.is_empty());
 }
--- a/crates/rosewalld/tests/daemon.rs
+++ b/crates/rosewalld/tests/daemon.rs
@@ -2,8 +2,8 @@
 mod mixed;
 
 use rosewall_cluster_testbed::stand::{
-    Act, Client, Daemon, Discovery, Worker, configuration, counter_in, field, host, listen, message, request,
-    script, vanished_machine,
+    Act, Client, Daemon, Discovery, Worker, configuration, counter_in, field, host, listen,
+    message, request, script, vanished_machine,
 };
 use std::io::{BufReader, Write};
 use std::process::Command;
@@ -21,11 +21,18 @@
 fn stage(acts: &[Act]) -> Stage {
     let script = script(acts);
     let workers = [Worker::start(&script), Worker::start(&script)];
-    let hosts = vec![host("a", &workers[0].dial, "ready"), host("b", &workers[1].dial, "ready")];
+    let hosts = vec![
+        host("a", &workers[0].dial, "ready"),
+        host("b", &workers[1].dial, "ready"),
+    ];
     let discovery = Discovery::start(hosts);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
     daemon.until_ready();
-    Stage { workers, discovery, daemon }
+    Stage {
+        workers,
+        discovery,
+        daemon,
+    }
 }
 
 impl Stage {
@@ -39,12 +46,25 @@
     let stage = stage(&[]);
     let mut client = stage.daemon.client();
     client.send(
-        request("9b1f", "charge", 5.0, "Work-Hint: 5000\r\nRequest-Info: slots=1\r\n", "some {body}")
-            .as_bytes(),
+        request(
+            "9b1f",
+            "charge",
+            5.0,
+            "Work-Hint: 5000\r\nRequest-Info: slots=1\r\n",
+            "some {body}",
+        )
+        .as_bytes(),
     );
     let answer = client.answer().unwrap();
-    assert_eq!((answer.status, answer.body), (200, b"did some {body}".to_vec()));
-    let seen: Vec<_> = stage.workers.iter().flat_map(|worker| worker.seen.lock().unwrap().clone()).collect();
+    assert_eq!(
+        (answer.status, answer.body),
+        (200, b"did some {body}".to_vec())
+    );
+    let seen: Vec<_> = stage
+        .workers
+        .iter()
+        .flat_map(|worker| worker.seen.lock().unwrap().clone())
+        .collect();
     let first = "POST /api/do?x=1&y=%20 HTTP/1.1".to_string();
     assert_eq!(seen, [(first, "9b1f".to_string(), b"some {body}".to_vec())]);
 }
@@ -58,7 +78,9 @@
     let dial = listen(move |mut stream| {
         let (head, _) = message(&mut BufReader::new(stream))?;
         kept.lock().unwrap().push(head);
-        stream.write_all(b"HTTP/1.1 500 Other\r\nContent-Length: 0\r\n\r\n").ok()
+        stream
+            .write_all(b"HTTP/1.1 500 Other\r\nContent-Length: 0\r\n\r\n")
+            .ok()
     });
     let discovery = Discovery::start(vec![host("a", &dial, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
@@ -68,7 +90,12 @@
     assert_eq!(client.answer().unwrap().status, 502);
     let heads = heads.lock().unwrap();
     assert!(heads.len() > 1, "it was not repeated");
-    assert!(heads.iter().all(|head| field(head, "idempotency-key").as_deref() == expected), "{heads:?}");
+    assert!(
+        heads
+            .iter()
+            .all(|head| field(head, "idempotency-key").as_deref() == expected),
+        "{heads:?}"
+    );
 }
 
 #[test]
@@ -78,7 +105,11 @@
     for at in 0..20 {
         assert_eq!(client.ask(&format!("id{at}"), "thumb", 5.0).status, 200);
     }
-    let opened: u32 = stage.workers.iter().map(|worker| worker.connections.load(Ordering::SeqCst)).sum();
+    let opened: u32 = stage
+        .workers
+        .iter()
+        .map(|worker| worker.connections.load(Ordering::SeqCst))
+        .sum();
     assert!(opened <= 2, "{opened} connections for one txn at a time");
     assert_eq!(stage.postings(), 20);
 }
@@ -108,7 +139,13 @@
     let statuses = [0, 1, 2, 3].map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status);
     assert_eq!((statuses, worker.count()), ([200; 4], 4));
     assert!(daemon.counter("pool_broke") > 0);
-    assert_eq!((daemon.counter("postings"), daemon.counter("ended_unconnected")), (4, 0));
+    assert_eq!(
+        (
+            daemon.counter("postings"),
+            daemon.counter("ended_unconnected")
+        ),
+        (4, 0)
+    );
 }
 
 /// Never ran: posted again whatever the scheme.
@@ -136,7 +173,11 @@
 #[test_case(Act::Body("{\"id\":\"ID\",\"state\":\"running\",\"share\":0.4}\n"); "an end without a last line")]
 #[test_case(Act::Oversized; "an oversized line")]
 fn what_may_have_run_is_repeated_only_where_allowed(act: Act) {
-    for (scheme, expected) in [("thumb", (200, 2)), ("invoice", (200, 2)), ("charge", (502, 1))] {
+    for (scheme, expected) in [
+        ("thumb", (200, 2)),
+        ("invoice", (200, 2)),
+        ("charge", (502, 1)),
+    ] {
         let stage = stage(&[act]);
         let answer = stage.daemon.client().ask("id", scheme, 5.0);
         assert_eq!((answer.status, stage.postings()), expected, "{scheme}");
@@ -151,7 +192,13 @@
     let mut client = stage.daemon.client();
     let statuses = [(); 3].map(|()| client.ask("id", scheme, 5.0).status);
     assert_eq!((statuses, stage.postings()), ([502, 409, 409], 1));
-    assert_eq!((stage.daemon.counter("ended_unfit"), stage.daemon.counter("requests_known")), (1, 2));
+    assert_eq!(
+        (
+            stage.daemon.counter("ended_unfit"),
+            stage.daemon.counter("requests_known")
+        ),
+        (1, 2)
+    );
 }
 
 #[test]
@@ -161,7 +208,10 @@
     client.send(request("id", "charge", 5.0, "", "first").as_bytes());
     stage.daemon.until_counter("started", 1);
     assert_eq!(stage.daemon.client().ask("id", "thumb", 5.0).status, 409);
-    assert_eq!((client.answer().unwrap().body, stage.postings()), (b"did first".to_vec(), 1));
+    assert_eq!(
+        (client.answer().unwrap().body, stage.postings()),
+        (b"did first".to_vec(), 1)
+    );
 }
 
 /// Nothing comes back: the posting ends with the time of the client.
@@ -184,7 +234,11 @@
 #[test_case("charge", true; "once only, never up")]
 fn what_found_no_connection_never_ran(scheme: &str, vanished: bool) {
     let (_listener, full) = vanished_machine();
-    let dial = if vanished { full.0.as_str() } else { "127.0.0.1:1" };
+    let dial = if vanished {
+        full.0.as_str()
+    } else {
+        "127.0.0.1:1"
+    };
     let discovery = Discovery::start(vec![host("dead", dial, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
     daemon.until_ready();
@@ -196,18 +250,32 @@
 fn nothing_new_goes_to_a_worker_that_drains() {
     let stage = stage(&[]);
     stage.discovery.until_watched();
-    stage.discovery.tell(vec![host("a", &stage.workers[0].dial, "draining")]);
+    stage
+        .discovery
+        .tell(vec![host("a", &stage.workers[0].dial, "draining")]);
     for at in 0..10 {
-        assert_eq!(stage.daemon.client().ask(&format!("id{at}"), "thumb", 5.0).status, 200);
+        assert_eq!(
+            stage
+                .daemon
+                .client()
+                .ask(&format!("id{at}"), "thumb", 5.0)
+                .status,
+            200
+        );
     }
-    assert_eq!((stage.workers[0].count(), stage.workers[1].count()), (0, 10));
+    assert_eq!(
+        (stage.workers[0].count(), stage.workers[1].count()),
+        (0, 10)
+    );
 }
 
 #[test]
 fn a_connection_to_a_reborn_worker_is_not_used_again() {
     let stage = stage(&[]);
     stage.discovery.until_watched();
-    stage.discovery.tell(vec![host("a", &stage.workers[0].dial, "gone")]);
+    stage
+        .discovery
+        .tell(vec![host("a", &stage.workers[0].dial, "gone")]);
     assert_eq!(stage.daemon.client().ask("one", "thumb", 5.0).status, 200);
     let mut reborn = host("b", &stage.workers[1].dial, "ready");
     reborn["born_ms"] = 1.into();
@@ -250,8 +318,11 @@
 #[test]
 fn a_stop_answers_what_is_in_hand_and_takes_no_one_in() {
     let mut stage = stage(&[Act::Later(300), Act::Silent, Act::Silent]);
-    let (mut soon, mut never, mut idle) =
-        (stage.daemon.client(), stage.daemon.client(), stage.daemon.client());
+    let (mut soon, mut never, mut idle) = (
+        stage.daemon.client(),
+        stage.daemon.client(),
+        stage.daemon.client(),
+    );
     assert_eq!(idle.get("/healthz"), 200);
     soon.send(request("soon", "charge", 60.0, "", "x").as_bytes());
     stage.daemon.until_counter("postings", 1);
@@ -263,14 +334,28 @@
     stage.daemon.until_counter("postings", 3);
     stage.daemon.signal("TERM");
     let settled = soon.answer().unwrap();
-    assert_eq!((settled.status, settled.head.contains("Connection: close")), (200, true));
+    assert_eq!(
+        (settled.status, settled.head.contains("Connection: close")),
+        (200, true)
+    );
     let reversed = never.answer().unwrap();
-    assert_eq!((reversed.status, reversed.head.contains("Connection: close")), (502, true));
+    assert_eq!(
+        (reversed.status, reversed.head.contains("Connection: close")),
+        (502, true)
+    );
     assert_eq!((again.answer().unwrap().status, stage.postings()), (503, 3));
     assert!(idle.is_closed());
     let (code, counters) = stage.daemon.ended();
     let count = |name| counter_in(&counters, name);
-    assert_eq!((code, count("settled"), count("reversed"), count("broken_promises")), (Some(0), 1, 1, 0));
+    assert_eq!(
+        (
+            code,
+            count("settled"),
+            count("reversed"),
+            count("broken_promises")
+        ),
+        (Some(0), 1, 1, 0)
+    );
     assert_eq!(count("clients_idle_closed"), 1);
     assert!(std::net::TcpStream::connect(&stage.daemon.address).is_err());
 }
@@ -283,10 +368,15 @@
     stage.daemon.until_counter("postings", 1);
     stage.daemon.signal("TERM");
     // The signal is handled a moment later; a client that came before it is served all the same.
-    let status = (0..200).map(|_| stage.daemon.client().get("/healthz")).find(|status| *status != 200);
+    let status = (0..200)
+        .map(|_| stage.daemon.client().get("/healthz"))
+        .find(|status| *status != 200);
     assert_eq!(status, Some(503));
     let answer = stage.daemon.client().ask("late", "thumb", 5.0);
-    assert_eq!((answer.status, answer.head.contains("Connection: close")), (200, true));
+    assert_eq!(
+        (answer.status, answer.head.contains("Connection: close")),
+        (200, true)
+    );
     assert_eq!(held.answer().unwrap().status, 502);
     assert_eq!(stage.daemon.ended().0, Some(0));
 }
@@ -301,12 +391,16 @@
     daemon.until_ready();
     let mut crowd: Vec<Client> = (0..40).map(|_| daemon.client()).collect();
     // All are connected as far as they know. The last one is served once the oldest idle ones made room.
-    assert_eq!(crowd.last_mut().unwrap().ask("id", "thumb", 15.0).status, 200);
+    assert_eq!(
+        crowd.last_mut().unwrap().ask("id", "thumb", 15.0).status,
+        200
+    );
     assert!(daemon.counter("clients_idle_closed") > 0);
     assert_eq!(daemon.counter("accept_failed"), 0);
 }
 
-const GOOD: &str = "Request-Id: a\r\nRequest-Class: thumb\r\nTenant: acme\r\nRequest-Timeout: 1\r\n";
+const GOOD: &str =
+    "Request-Id: a\r\nRequest-Class: thumb\r\nTenant: acme\r\nRequest-Timeout: 1\r\n";
 
 #[test_case("POST /api HTTP/1.1\r\nRequest-Class: thumb\r\nTenant: acme\r\nRequest-Timeout: 1\r\n\r\n", 400; "no id")]
 #[test_case("POST /api HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: thumb\r\nTenant: acme\r\n\r\n", 400; "no time")]
@@ -334,10 +428,17 @@
 fn bad_input_is_turned_down_before_anything_is_sent(text: &str, status: u16) {
     let stage = stage(&[]);
     let mut client = stage.daemon.client();
-    client.send(text.replace("GOOD", GOOD).replace("BIG", &"x".repeat(65_537)).as_bytes());
+    client.send(
+        text.replace("GOOD", GOOD)
+            .replace("BIG", &"x".repeat(65_537))
+            .as_bytes(),
+    );
     assert_eq!(client.answer().map(|answer| answer.status), Some(status));
     assert!(client.is_closed());
-    assert_eq!((stage.daemon.counter("requests_bad"), stage.postings()), (1, 0));
+    assert_eq!(
+        (stage.daemon.counter("requests_bad"), stage.postings()),
+        (1, 0)
+    );
     assert_eq!(stage.daemon.client().ask("next", "thumb", 5.0).status, 200);
 }
 
@@ -406,7 +507,10 @@
     crowd.iter_mut().for_each(|client| client.send(b"POST "));
     assert_eq!(daemon.client().ask("after", "thumb", 20.0).status, 200);
     // Room was made by the crowd, not by the connection to the worker.
-    assert_eq!((daemon.counter("connects"), daemon.counter("pool_evicted")), (1, 0));
+    assert_eq!(
+        (daemon.counter("connects"), daemon.counter("pool_evicted")),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -433,7 +537,13 @@
     let _silent = [ask(5), ask(6)];
     daemon.until_counter("connects", 7);
     assert_eq!(ask(7).answer().unwrap().status, 503);
-    assert_eq!((daemon.counter("ended_unconnected"), daemon.counter("ended_moot")), (0, 3));
+    assert_eq!(
+        (
+            daemon.counter("ended_unconnected"),
+            daemon.counter("ended_moot")
+        ),
+        (0, 3)
+    );
 }
 
 #[test]
@@ -442,12 +552,17 @@
     stage.discovery.until_watched();
     stage.discovery.go_down();
     stage.daemon.until_counter("lists_failed", 2);
-    assert_eq!(stage.daemon.client().ask("during", "thumb", 5.0).status, 200);
+    assert_eq!(
+        stage.daemon.client().ask("during", "thumb", 5.0).status,
+        200
+    );
     // A slow machine calls less often, never more.
     std::thread::sleep(std::time::Duration::from_millis(300));
     assert!(stage.discovery.calls() < 12, "calls for the list spin");
     let new = Worker::start(&script(&[]));
-    stage.discovery.come_back(vec![host("c", &new.dial, "ready")]);
+    stage
+        .discovery
+        .come_back(vec![host("c", &new.dial, "ready")]);
     assert_eq!(stage.daemon.client().ask("after", "thumb", 5.0).status, 200);
     assert_eq!(new.count(), 1);
 }
@@ -456,7 +571,10 @@
 #[test]
 fn a_list_that_is_asked_for_goes_on_from_the_version_known() {
     let worker = Worker::start(&script(&[]));
-    let (known, new) = (host("a", &worker.dial, "ready"), Worker::start(&script(&[])));
+    let (known, new) = (
+        host("a", &worker.dial, "ready"),
+        Worker::start(&script(&[])),
+    );
     let discovery = Discovery::start(vec![known.clone()]);
     let mut configuration = configuration(&discovery.address, 1024);
     configuration["settings"]["RegistryMode"] = "on_request".into();
@@ -490,18 +608,28 @@
 fn a_new_configuration_names_another_discovery_and_one_without_sense_changes_nothing() {
     let stage = stage(&[]);
     stage.discovery.until_watched();
-    stage.daemon.reload("{", "the configuration stays as it was");
+    stage
+        .daemon
+        .reload("{", "the configuration stays as it was");
     let mut wrong = configuration(&stage.discovery.address, 1024);
     wrong["settings"]["Contract"]["ColdFrom"] = (-1).into();
-    stage.daemon.reload(&wrong.to_string(), "setting cold.from is out of range: -1");
+    stage
+        .daemon
+        .reload(&wrong.to_string(), "setting cold.from is out of range: -1");
     let new = Worker::start(&script(&[]));
     let discovery = Discovery::start(vec![host("c", &new.dial, "ready")]);
-    stage.daemon.reload(&configuration(&discovery.address, 1024).to_string(), "a new configuration");
+    stage.daemon.reload(
+        &configuration(&discovery.address, 1024).to_string(),
+        "a new configuration",
+    );
     discovery.until_watched();
     assert_eq!(stage.daemon.client().ask("one", "thumb", 5.0).status, 200);
     assert_eq!((stage.postings(), new.count()), (0, 1));
     // And back again, more than once.
-    stage.daemon.reload(&configuration(&stage.discovery.address, 1024).to_string(), "a new configuration");
+    stage.daemon.reload(
+        &configuration(&stage.discovery.address, 1024).to_string(),
+        "a new configuration",
+    );
     stage.discovery.tell(Vec::new());
     assert_eq!(stage.daemon.client().ask("two", "thumb", 5.0).status, 200);
     assert_eq!((stage.postings(), new.count()), (1, 1));
@@ -512,10 +640,16 @@
 fn a_drain_is_heard_while_the_watch_moves_to_an_agent_that_says_nothing() {
     let stage = stage(&[]);
     let (_deaf, (deaf, _held)) = vanished_machine();
-    stage.daemon.reload(&configuration(&deaf, 1024).to_string(), "a new configuration: discovery at");
+    stage.daemon.reload(
+        &configuration(&deaf, 1024).to_string(),
+        "a new configuration: discovery at",
+    );
     let lists = stage.daemon.counter("lists");
     let [a, b] = &stage.workers;
-    stage.discovery.tell(vec![host("a", &a.dial, "draining"), host("b", &b.dial, "ready")]);
+    stage.discovery.tell(vec![
+        host("a", &a.dial, "draining"),
+        host("b", &b.dial, "ready"),
+    ]);
     stage.daemon.until_counter("lists", lists + 1);
     let mut client = stage.daemon.client();
     for at in 0..6 {
@@ -541,7 +675,9 @@
 fn a_malformed_list_is_passed_over_and_fetched_whole_again() {
     let stage = stage(&[]);
     stage.discovery.until_watched();
-    stage.discovery.garble("{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"a\"}]}");
+    stage
+        .discovery
+        .garble("{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"a\"}]}");
     assert_eq!(stage.daemon.counter("lists_malformed"), 1);
     assert_eq!(stage.daemon.client().ask("id", "thumb", 5.0).status, 200);
 }
@@ -571,7 +707,10 @@
     }
     let output = command.output().unwrap();
     let errors = String::from_utf8(output.stderr).unwrap();
-    assert_eq!((output.status.success(), errors.lines().count()), (false, 1));
+    assert_eq!(
+        (output.status.success(), errors.lines().count()),
+        (false, 1)
+    );
     assert!(errors.contains(message), "{errors}");
 }
 
@@ -579,11 +718,15 @@
 #[test]
 fn a_list_of_a_thousand_workers_is_served() {
     let worker = Worker::start(&script(&[]));
-    let hosts = (0..1_024).map(|at| host(&format!("w{at}"), &worker.dial, "ready")).collect();
+    let hosts = (0..1_024)
+        .map(|at| host(&format!("w{at}"), &worker.dial, "ready"))
+        .collect();
     let discovery = Discovery::start(hosts);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
     daemon.until_ready();
     let mut client = daemon.client();
-    let statuses: Vec<u16> = (0..20).map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status).collect();
+    let statuses: Vec<u16> = (0..20)
+        .map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status)
+        .collect();
     assert_eq!(statuses, [200; 20]);
 }
--- a/crates/rosewalld/tests/ends.rs
+++ b/crates/rosewalld/tests/ends.rs
@@ -36,14 +36,21 @@
 impl Stage {
     fn new(mode: &str) -> Stage {
         let workers = [(); 2].map(|()| Worker::start(&script(&[])));
-        let hosts = ["a", "b"].iter().zip(&workers).map(|(name, worker)| host(name, &worker.dial, "ready"));
+        let hosts = ["a", "b"]
+            .iter()
+            .zip(&workers)
+            .map(|(name, worker)| host(name, &worker.dial, "ready"));
         let discovery = Discovery::start(hosts.collect());
         let mut given = configuration(&discovery.address, 1024);
         given["settings"]["RegistryMode"] = mode.into();
         let daemon = Daemon::start(&given);
         daemon.until_ready();
         discovery.until_watched();
-        Stage { workers, discovery, daemon }
+        Stage {
+            workers,
+            discovery,
+            daemon,
+        }
     }
 
     fn drain_the_first(&self, discovery: &Discovery) {
@@ -63,7 +70,11 @@
     let begun = Instant::now();
     stage.drain_the_first(&stage.discovery);
     stage.discovery.until_followed();
-    assert!(begun.elapsed() < Duration::from_secs(seconds), "heard after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(seconds),
+        "heard after {:?}",
+        begun.elapsed()
+    );
     nothing_goes_to_the_first(&stage.daemon, &stage.workers);
 }
 
@@ -78,7 +89,10 @@
     discovery.go_deaf();
     let calls = discovery.calls();
     if moves {
-        stage.daemon.reload(&configuration(&other.address, 1024).to_string(), "a new configuration");
+        stage.daemon.reload(
+            &configuration(&other.address, 1024).to_string(),
+            "a new configuration",
+        );
     }
     discovery.fall_silent();
     discovery.until_called(calls + 6);
@@ -86,7 +100,11 @@
     discovery.come_to();
     let begun = Instant::now();
     discovery.until_followed();
-    assert!(begun.elapsed() < Duration::from_millis(350), "heard after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(350),
+        "heard after {:?}",
+        begun.elapsed()
+    );
     nothing_goes_to_the_first(&stage.daemon, &stage.workers);
 }
 
@@ -98,7 +116,11 @@
     stage.drain_the_first(&stage.discovery);
     let begun = Instant::now();
     stage.discovery.until_followed();
-    assert!(begun.elapsed() < Duration::from_secs(1), "heard after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(1),
+        "heard after {:?}",
+        begun.elapsed()
+    );
     nothing_goes_to_the_first(&stage.daemon, &stage.workers);
 }
 
@@ -118,13 +140,25 @@
     let mut client = daemon.client();
     client.send(request("id", "charge", 20.0, "", "a body").as_bytes());
     daemon.until_counter("connects", 1);
-    discovery.tell(vec![host("a", &dial, health), host("b", &worker.dial, "ready")]);
-    let local = queue.iter().map(|stream| stream.local_addr().unwrap()).collect::<Vec<_>>();
-    let mut came =
-        std::iter::repeat_with(|| listener.accept().unwrap()).find(|(_, from)| !local.contains(from));
+    discovery.tell(vec![
+        host("a", &dial, health),
+        host("b", &worker.dial, "ready"),
+    ]);
+    let local = queue
+        .iter()
+        .map(|stream| stream.local_addr().unwrap())
+        .collect::<Vec<_>>();
+    let mut came = std::iter::repeat_with(|| listener.accept().unwrap())
+        .find(|(_, from)| !local.contains(from));
     let (stream, _) = came.as_mut().unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    assert_eq!(stream.read(&mut [0]).ok(), Some(0), "sent to a worker that is {health}");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
+    assert_eq!(
+        stream.read(&mut [0]).ok(),
+        Some(0),
+        "sent to a worker that is {health}"
+    );
     assert_eq!((client.answer().unwrap().status, worker.count()), (200, 1));
 }
 
@@ -147,7 +181,9 @@
     daemon.until_counter("requests", 1);
     let next = request("ahead", "charge", 15.0, "", &"x".repeat(60_000));
     let stream = client.reader.get_mut();
-    stream.set_write_timeout(Some(Duration::from_secs(3))).unwrap();
+    stream
+        .set_write_timeout(Some(Duration::from_secs(3)))
+        .unwrap();
     let _ = stream.write_all(next.repeat(more.div_ceil(next.len())).as_bytes());
     drop(client);
     let left = Instant::now();
@@ -169,10 +205,15 @@
     (1..6).for_each(|at| {
         client.send(request(&format!("id{at}"), "thumb", 5.0, "", &"x".repeat(30_000)).as_bytes())
     });
-    let statuses: Vec<u16> = std::iter::from_fn(|| client.answer()).map(|answer| answer.status).collect();
+    let statuses: Vec<u16> = std::iter::from_fn(|| client.answer())
+        .map(|answer| answer.status)
+        .collect();
     assert!(statuses.len() > 2 && statuses.len() < 6, "{statuses:?}");
     let (last, served) = statuses.split_last().unwrap();
-    assert!(*last == 503 && served.iter().all(|status| *status == 200), "{statuses:?}");
+    assert!(
+        *last == 503 && served.iter().all(|status| *status == 200),
+        "{statuses:?}"
+    );
 }
 
 /// Guards against a worker whose answer never ends: the txn has its time, and everyone else their turn.
@@ -186,7 +227,11 @@
     }
     assert_eq!(daemon.client().ask("beside", "thumb", 1.0).status, 200);
     assert_eq!(client.answer().unwrap().status, 502);
-    assert!(begun.elapsed() < Duration::from_millis(2_050), "answered after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(2_050),
+        "answered after {:?}",
+        begun.elapsed()
+    );
 }
 
 /// Guards against connections that a worker keeps busy for ever after its last line.
@@ -196,7 +241,10 @@
     assert_eq!(daemon.client().ask("id", "charge", 5.0).status, 200);
     let answered = Instant::now();
     while worker.ended.load(std::sync::atomic::Ordering::SeqCst) == 0 {
-        assert!(answered.elapsed() < Duration::from_secs(2), "the connection is still open");
+        assert!(
+            answered.elapsed() < Duration::from_secs(2),
+            "the connection is still open"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -208,5 +256,9 @@
     let (worker, daemon) = one_worker(&[Act::DoneTwice; 8]);
     let mut client = daemon.client();
     let statuses = [0, 1, 2, 3].map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status);
-    assert_eq!((statuses, worker.count()), ([200; 4], 4), "a txn ran more than once");
+    assert_eq!(
+        (statuses, worker.count()),
+        ([200; 4], 4),
+        "a txn ran more than once"
+    );
 }
