--- a/crates/rosewalld/tests/mixed/mod.rs
+++ b/crates/rosewalld/tests/mixed/mod.rs
@@ -36,9 +36,13 @@
     }
     let turn = now.ran.len();
     now.ran.push(id.clone());
-    drop(news.wait_while(now, |now| turn >= now.ended + SEATS).unwrap());
+    drop(
+        news.wait_while(now, |now| turn >= now.ended + SEATS)
+            .unwrap(),
+    );
     let chunk = |state: &str| {
-        let line = format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n");
+        let line =
+            format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n");
         format!("{:x}\r\n{line}\r\n", line.len())
     };
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -46,7 +50,9 @@
     sleep(WORK);
     state.lock().unwrap().ended += 1;
     news.notify_all();
-    started.and_then(|()| stream.write_all(format!("{}0\r\n\r\n", chunk("done")).as_bytes())).ok()
+    started
+        .and_then(|()| stream.write_all(format!("{}0\r\n\r\n", chunk("done")).as_bytes()))
+        .ok()
 }
 
 /// Asks one after the other for 7 s: whether each was served, and how long it took.
@@ -60,7 +66,10 @@
         let status = client.answer().expect("a txn without an answer").status;
         (status == 200, from.elapsed().as_secs_f64())
     };
-    (0..).map(ask).take_while(|_| begin.elapsed() < Duration::from_secs(7)).collect()
+    (0..)
+        .map(ask)
+        .take_while(|_| begin.elapsed() < Duration::from_secs(7))
+        .collect()
 }
 
 /// Of four dispatchers two are of each shape; of six workers one drains, one hangs and one starts cold. All is judged by the
@@ -76,9 +85,16 @@
         listen(move |stream| serve(&worker, stream))
     };
     let dials: Vec<String> = workers.iter().map(listen).collect();
-    let line = |at: usize, health: &str| host(["a", "b", "c", "d", "e", "f"][at], &dials[at], health);
+    let line =
+        |at: usize, health: &str| host(["a", "b", "c", "d", "e", "f"][at], &dials[at], health);
     let discovery = Discovery::start((0..5).map(|at| line(at, "ready")).collect());
-    let free = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let free = || {
+        UdpSocket::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap()
+            .to_string()
+    };
     let peers: Vec<String> = (0..4).map(|_| free()).collect();
     let start = |me: usize| {
         let mut given = configuration(&discovery.address, 1024);
@@ -89,7 +105,11 @@
         if me % 2 == 1 {
             settings["Bounds"]["Peers"] = true.into();
             let address = |at: usize| {
-                if lost && at != me { free() } else { peers[at].clone() }
+                if lost && at != me {
+                    free()
+                } else {
+                    peers[at].clone()
+                }
             };
             let peers: Vec<String> = (0..4).map(address).collect();
             given["talk"] = serde_json::json!({"listen": peers[me], "peers": peers});
@@ -100,7 +120,9 @@
     daemons.iter().for_each(Daemon::until_ready);
     let daemons = &daemons;
     let (drained, born, told) = thread::scope(|scope| {
-        let clients: Vec<_> = (0..28).map(|n| scope.spawn(move || client(&daemons[n % 4], n))).collect();
+        let clients: Vec<_> = (0..28)
+            .map(|n| scope.spawn(move || client(&daemons[n % 4], n)))
+            .collect();
         sleep(Duration::from_millis(1_000));
         workers[1].0.lock().unwrap().hangs = true;
         sleep(Duration::from_millis(1_000));
@@ -109,33 +131,74 @@
         workers[1].0.lock().unwrap().hangs = false;
         sleep(Duration::from_millis(500));
         let (mut cold, born) = (line(5, "ready"), Instant::now());
-        cold["born_ms"] = (SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64).into();
+        cold["born_ms"] = (SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_millis() as u64)
+            .into();
         discovery.tell(vec![cold]);
         let mut told = [Vec::new(), Vec::new()];
-        clients.into_iter().enumerate().for_each(|(n, client)| told[n % 2].extend(client.join().unwrap()));
+        clients
+            .into_iter()
+            .enumerate()
+            .for_each(|(n, client)| told[n % 2].extend(client.join().unwrap()));
         (drained, born, told)
     });
-    assert!(told.iter().flatten().all(|(_, took)| *took < 1.55), "an answer after its expiry");
-    let mut once: Vec<String> = workers.iter().flat_map(|w| w.0.lock().unwrap().ran.clone()).collect();
+    assert!(
+        told.iter().flatten().all(|(_, took)| *took < 1.55),
+        "an answer after its expiry"
+    );
+    let mut once: Vec<String> = workers
+        .iter()
+        .flat_map(|w| w.0.lock().unwrap().ran.clone())
+        .collect();
     once.retain(|id| id.contains("charge"));
     once.sort();
-    assert!(once.windows(2).all(|pair| pair[0] != pair[1]), "a once-only txn ran twice");
+    assert!(
+        once.windows(2).all(|pair| pair[0] != pair[1]),
+        "a once-only txn ran twice"
+    );
     let late = drained + Duration::from_millis(550);
-    assert!(workers[0].0.lock().unwrap().sent.iter().all(|at| *at < late), "sent to a worker that drains");
+    assert!(
+        workers[0]
+            .0
+            .lock()
+            .unwrap()
+            .sent
+            .iter()
+            .all(|at| *at < late),
+        "sent to a worker that drains"
+    );
     let cold = workers[5].0.lock().unwrap().sent.clone();
     for from in &cold {
-        let window = cold.iter().filter(|at| *at >= from && **at < *from + Duration::from_secs(1));
-        let (work, since) = (window.count() as f64 * WORK.as_secs_f64(), (*from - born).as_secs_f64());
+        let window = cold
+            .iter()
+            .filter(|at| *at >= from && **at < *from + Duration::from_secs(1));
+        let (work, since) = (
+            window.count() as f64 * WORK.as_secs_f64(),
+            (*from - born).as_secs_f64(),
+        );
         let most = MULTIPLE * SEATS as f64 * (0.2 + 0.8 * since / 6.0);
         assert!(work <= most, "a cold worker got {work:.2} s of {most:.2}");
     }
     let mean = |told: &[(bool, f64)], of: fn(&(bool, f64)) -> f64| {
         told.iter().map(of).sum::<f64>() / told.len() as f64
     };
-    let [old, new] =
-        told.each_ref().map(|told| (mean(told, |told| f64::from(told.0)), mean(told, |told| told.1)));
-    assert!((old.0 - new.0).abs() < 0.1 && old.0.min(new.0) > 0.8, "served {old:?} {new:?}");
+    let [old, new] = told.each_ref().map(|told| {
+        (
+            mean(told, |told| f64::from(told.0)),
+            mean(told, |told| told.1),
+        )
+    });
+    assert!(
+        (old.0 - new.0).abs() < 0.1 && old.0.min(new.0) > 0.8,
+        "served {old:?} {new:?}"
+    );
     assert!((old.1 - new.1).abs() < 0.05, "took {old:?} {new:?}");
-    let counts = [(1, "told"), (1, "heard"), (0, "told")].map(|(at, name)| daemons[at].counter(name));
-    assert!(counts[0] > 0 && (counts[1] == 0) == lost && counts[2] == 0, "{counts:?}");
+    let counts =
+        [(1, "told"), (1, "heard"), (0, "told")].map(|(at, name)| daemons[at].counter(name));
+    assert!(
+        counts[0] > 0 && (counts[1] == 0) == lost && counts[2] == 0,
+        "{counts:?}"
+    );
 }
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -86,7 +86,10 @@
                     take(&shared, stream, slot, full_since);
                     // Only a door at which no one waits ends a time without room. Guards against a queue there that
                     // goes on for as long as a place falls free now and then, and ages all who are in it.
-                    if futures_lite::future::poll_once(door.ready()).await.is_none() {
+                    if futures_lite::future::poll_once(door.ready())
+                        .await
+                        .is_none()
+                    {
                         full_since = None;
                     }
                 }
@@ -109,7 +112,8 @@
     let late = shared.ground.now() + nanos(LAST_WITHIN);
     while shared.ground.now() < late {
         let slot = shared.budget.client().map(|slot| (slot, false));
-        let Some(slot) = slot.or_else(|| shared.budget.turned_away().map(|slot| (slot, true))) else {
+        let Some(slot) = slot.or_else(|| shared.budget.turned_away().map(|slot| (slot, true)))
+        else {
             pause(&shared.ground, PAUSE).await;
             continue;
         };
@@ -139,7 +143,17 @@
     let door = (now, now.saturating_sub(from.unwrap_or(now)));
     let serving = async move {
         let (intake, buffer) = (Intake::default(), vec![0; READ]);
-        let mut link = Link { shared, stream, intake, buffer, asked: false, away, over: false, door, slot };
+        let mut link = Link {
+            shared,
+            stream,
+            intake,
+            buffer,
+            asked: false,
+            away,
+            over: false,
+            door,
+            slot,
+        };
         // What ends a connection is the client's doing, or was counted.
         let _ = link.serve().await;
     };
@@ -184,8 +198,13 @@
                 Heard::Continue => self.write(client::CONTINUE).await?,
                 Heard::Ready { keeps } => {
                     let ready = self.shared.ready.get() && !self.shared.stopping.get();
-                    let (status, body) = if ready { (200, "ready\n") } else { (503, "not ready\n") };
-                    self.write(&client::message(status, "", body.as_bytes(), keeps)).await?;
+                    let (status, body) = if ready {
+                        (200, "ready\n")
+                    } else {
+                        (503, "not ready\n")
+                    };
+                    self.write(&client::message(status, "", body.as_bytes(), keeps))
+                        .await?;
                     if !keeps {
                         return self.part().await;
                     }
@@ -194,7 +213,8 @@
                 Heard::Bad(status, why) => {
                     self.shared.turned_down(status, why);
                     let why = format!("{why}\n");
-                    self.write(&client::message(status, "", why.as_bytes(), false)).await?;
+                    self.write(&client::message(status, "", why.as_bytes(), false))
+                        .await?;
                     return self.part().await;
                 }
                 Heard::Request(request) => {
@@ -205,7 +225,8 @@
                     let at = self.now().saturating_sub(if sent { waited } else { 0 });
                     if self.away && !self.room().await {
                         self.shared.counters.turned_away.add();
-                        self.write(&client::answer(&Answer::Declined { come_back: 0 }, false)).await?;
+                        self.write(&client::answer(&Answer::Declined { come_back: 0 }, false))
+                            .await?;
                         return self.part().await;
                     }
                     if !self.carry(at, request).await? {
@@ -225,7 +246,10 @@
             (false, false) => REQUEST_WITHIN,
         };
         let mut until = self.now() + nanos(limit);
-        let (waits, close) = self.shared.budget.waits(self.now(), self.waiter(self.asked));
+        let (waits, close) = self
+            .shared
+            .budget
+            .waits(self.now(), self.waiter(self.asked));
         let mut waits = Some(waits);
         loop {
             if let Some(heard) = self.intake.next(&self.shared.names) {
@@ -258,7 +282,8 @@
                     let late = error.kind() == io::ErrorKind::TimedOut;
                     if late && !self.intake.idle() {
                         self.shared.counters.requests_cut.add();
-                        let text = client::message(408, "", b"the request did not come whole\n", false);
+                        let text =
+                            client::message(408, "", b"the request did not come whole\n", false);
                         self.write(&text).await?;
                     } else if late || error.kind() == io::ErrorKind::ConnectionAborted {
                         self.shared.counters.clients_idle_closed.add();
@@ -294,9 +319,18 @@
 
     /// Hands a request that was read at `at` to the hub and writes its answer; false where the connection ends with it.
     async fn carry(&mut self, at: Nanos, request: ClientRequest) -> io::Result<bool> {
-        let (request_id, keeps, bytes) = (self.shared.next_request_id(), request.keeps, request.body.len());
+        let (request_id, keeps, bytes) = (
+            self.shared.next_request_id(),
+            request.keeps,
+            request.body.len(),
+        );
         let (reply, answered) = async_channel::bounded(1);
-        self.shared.tell(News::Arrived { request_id, at, request, reply });
+        self.shared.tell(News::Arrived {
+            request_id,
+            at,
+            request,
+            reply,
+        });
         let answer = self.answer(&answered, bytes).await;
         let Some(answer) = answer else {
             self.shared.tell(News::Left(request_id));
@@ -344,7 +378,12 @@
     }
 
     async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        within(&self.shared.ground, WRITE_WITHIN, self.stream.write_all(bytes)).await
+        within(
+            &self.shared.ground,
+            WRITE_WITHIN,
+            self.stream.write_all(bytes),
+        )
+        .await
     }
 
     /// Ends a connection after an answer: what the client still sends is read for a moment, if its descriptor is not
--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -124,7 +124,8 @@
             return;
         }
         let mut seen = false;
-        let Err(Broken { fault, silent }) = watch(shared, spans, address, &mut seen, &told, &mut from).await;
+        let Err(Broken { fault, silent }) =
+            watch(shared, spans, address, &mut seen, &told, &mut from).await;
         // A watch that told something and then fell silent is opened anew at once, from the version known: what it missed is
         // soon held against this dispatcher. Only when that call fails too is the pause the decisions'. It hurts where a
         // service that all follow is late with all of them.
@@ -133,7 +134,11 @@
             waits = false;
             continue;
         }
-        failures = if seen || leave.is_some() { 0 } else { failures + 1 };
+        failures = if seen || leave.is_some() {
+            0
+        } else {
+            failures + 1
+        };
         // Where each call costs the service, the list goes on from the version that is known: one call in place of two,
         // and the changes in place of the whole. Guards against a service that is kept busy by those it failed.
         from = from.filter(|_| leave.is_some());
@@ -169,7 +174,9 @@
     loop {
         let wait = from.map(|seq| (seq, spans.wait_ms));
         let text = discovery::call(&address.to_string(), wait);
-        let begin = wait.map_or(spans.whole, |(_, ms)| Duration::from_millis(ms) + spans.past);
+        let begin = wait.map_or(spans.whole, |(_, ms)| {
+            Duration::from_millis(ms) + spans.past
+        });
         let call = |kept: Option<G::Stream>| exchange(ground, address, kept, &text, begin);
         let answer = match kept.take() {
             None if wait.is_none() => soonest(ground, spans.again, || call(None)).await,
@@ -183,7 +190,10 @@
             // Passed over, and the whole list is fetched by a new watch.
             shared.counters.lists_malformed.add();
             *from = None;
-            Broken { fault: format!("malformed list: {fault}"), silent: false }
+            Broken {
+                fault: format!("malformed list: {fault}"),
+                silent: false,
+            }
         })?;
         // A service that has lost its count is asked for the whole.
         let lost = from.is_some_and(|from| listing.seq < from) && !listing.whole;
@@ -250,7 +260,9 @@
     let mut bulletin = Bulletin::default();
     let rest = async {
         while count > 0 {
-            if let Some((text, keeps)) = bulletin.feed(&buffer[..count]).map_err(io::Error::other)? {
+            if let Some((text, keeps)) =
+                bulletin.feed(&buffer[..count]).map_err(io::Error::other)?
+            {
                 return Ok((stream, text, keeps));
             }
             count = stream.read(&mut buffer).await?;
--- a/crates/runtime/src/hub.rs
+++ b/crates/runtime/src/hub.rs
@@ -33,9 +33,22 @@
 }
 
 impl<G: Ground> HubDriver<G> {
-    pub fn new(shared: Rc<Shared<G>>, news: Receiver<News<G>>, hub: Hub, leave: Option<Sender<()>>) -> Self {
+    pub fn new(
+        shared: Rc<Shared<G>>,
+        news: Receiver<News<G>>,
+        hub: Hub,
+        leave: Option<Sender<()>>,
+    ) -> Self {
         let (replies, out) = (FxHashMap::default(), FxHashMap::default());
-        HubDriver { shared, news, hub, leave, replies, out, effects: Vec::new() }
+        HubDriver {
+            shared,
+            news,
+            hub,
+            leave,
+            replies,
+            out,
+            effects: Vec::new(),
+        }
     }
 
     /// The list as it was kept, before anything else.
@@ -80,26 +93,54 @@
     fn take(&mut self, news: News<G>) {
         let now = self.shared.ground.now();
         let input = match news {
-            News::Arrived { request_id, at, request, reply } => {
+            News::Arrived {
+                request_id,
+                at,
+                request,
+                reply,
+            } => {
                 self.replies.insert(request_id, reply);
-                Input::Arrived { request_id, at, request }
+                Input::Arrived {
+                    request_id,
+                    at,
+                    request,
+                }
             }
             News::Left(request_id) => {
                 self.replies.remove(&request_id);
                 Input::Left(request_id)
             }
-            News::Told { request_id, attempt_index, told } => Input::Told { request_id, attempt_index, told },
+            News::Told {
+                request_id,
+                attempt_index,
+                told,
+            } => Input::Told {
+                request_id,
+                attempt_index,
+                told,
+            },
             News::Spare { worker, conn } => {
                 // One that leads elsewhere by now is of no use.
                 if self.hub.dial(worker) == Some(conn.dial) {
-                    self.shared.pool.borrow_mut().put(now, worker, conn.dial, conn);
+                    self.shared
+                        .pool
+                        .borrow_mut()
+                        .put(now, worker, conn.dial, conn);
                 }
                 return;
             }
             News::Probed(probed) => Input::Probed(probed),
             News::Shared { from, share } => Input::Shared { from, share },
             News::View(place) => Input::View(place),
-            News::Right { worker, work, until } => Input::Right { worker, work, until },
+            News::Right {
+                worker,
+                work,
+                until,
+            } => Input::Right {
+                worker,
+                work,
+                until,
+            },
             News::List(listing) => Input::List(listing),
             News::ListFailed => Input::ListFailed,
             News::Stop(by) => Input::Stop(by),
@@ -133,26 +174,46 @@
                 }
                 let place = (attempt.request_id, attempt.attempt_index);
                 let off = Rc::new(Cell::new(false));
-                let task = shared.ground.spawn(worker::post(shared.clone(), attempt, ready, off.clone()));
+                let task =
+                    shared
+                        .ground
+                        .spawn(worker::post(shared.clone(), attempt, ready, off.clone()));
                 self.out.insert(place, Out { task, off });
             }
-            Effect::CancelUnsent { request_id, attempt_index } => {
+            Effect::CancelUnsent {
+                request_id,
+                attempt_index,
+            } => {
                 if let Some(out) = self.out.get(&(request_id, attempt_index)) {
                     out.off.set(true);
                 }
             }
-            Effect::Abort { request_id, attempt_index } => {
-                drop(self.out.remove(&(request_id, attempt_index)))
-            }
-            Effect::Finished { request_id, attempt_index } => {
+            Effect::Abort {
+                request_id,
+                attempt_index,
+            } => drop(self.out.remove(&(request_id, attempt_index))),
+            Effect::Finished {
+                request_id,
+                attempt_index,
+            } => {
                 if let Some(out) = self.out.remove(&(request_id, attempt_index)) {
                     out.task.detach();
                 }
             }
-            Effect::Probe { worker, dial, host, limit } => {
-                shared.ground.spawn(worker::sound(shared.clone(), worker, dial, host, limit)).detach();
+            Effect::Probe {
+                worker,
+                dial,
+                host,
+                limit,
+            } => {
+                shared
+                    .ground
+                    .spawn(worker::sound(shared.clone(), worker, dial, host, limit))
+                    .detach();
+            }
+            Effect::EvictIdle { worker, dial } => {
+                shared.pool.borrow_mut().drop_worker(worker, dial)
             }
-            Effect::EvictIdle { worker, dial } => shared.pool.borrow_mut().drop_worker(worker, dial),
             Effect::Tell { to, share } => {
                 let now = shared.ground.now();
                 match (&shared.members, &shared.talk) {
@@ -166,7 +227,11 @@
                     members.want(shared.ground.now(), worker, work);
                 }
             }
-            Effect::Joint { worker, work, window } => {
+            Effect::Joint {
+                worker,
+                work,
+                window,
+            } => {
                 if let Some(members) = &shared.members {
                     members.joint(worker, work, window);
                 }
--- a/crates/runtime/src/members.rs
+++ b/crates/runtime/src/members.rs
@@ -17,8 +17,15 @@
 /// What the decisions are to hear.
 pub enum Heard {
     View(Option<(u16, u16)>),
-    Right { worker: WorkerId, work: Nanos, until: Nanos },
-    Shared { from: u16, share: Share },
+    Right {
+        worker: WorkerId,
+        work: Nanos,
+        until: Nanos,
+    },
+    Shared {
+        from: u16,
+        share: Share,
+    },
 }
 
 pub struct Members<M> {
@@ -32,10 +39,22 @@
 }
 
 impl<M: Mail> Members<M> {
-    pub fn new(mail: M, cluster: Cluster, counters: Rc<Counters>, heard: impl Fn(Heard) + 'static) -> Self {
+    pub fn new(
+        mail: M,
+        cluster: Cluster,
+        counters: Rc<Counters>,
+        heard: impl Fn(Heard) + 'static,
+    ) -> Self {
         let sooner = async_channel::bounded(1);
         let (cluster, waits) = (RefCell::new(cluster), Cell::new(0));
-        Members { mail, cluster, counters, heard: Box::new(heard), sooner, waits }
+        Members {
+            mail,
+            cluster,
+            counters,
+            heard: Box::new(heard),
+            sooner,
+            waits,
+        }
     }
 
     /// Lets the machine act and carries out what it says.
@@ -49,9 +68,17 @@
                     Err(_) => self.counters.members_lost.add(),
                 },
                 Effect::View(place) => (self.heard)(Heard::View(place)),
-                Effect::Right { worker, work, until } => {
+                Effect::Right {
+                    worker,
+                    work,
+                    until,
+                } => {
                     self.counters.rights_got.add();
-                    (self.heard)(Heard::Right { worker, work, until });
+                    (self.heard)(Heard::Right {
+                        worker,
+                        work,
+                        until,
+                    });
                 }
                 Effect::Heard { from, share } => {
                     self.counters.heard.add();
@@ -132,10 +159,30 @@
             members.digest(),
             members.me.incarnation
         )?;
-        write!(f, " bytes={} malformed={}", counts.sent_bytes, counts.malformed)?;
-        write!(f, " other_version={} other_cluster={}", counts.other_version, counts.other_cluster)?;
-        write!(f, " suspected={} refuted={}", members.counts.suspected, members.counts.refuted)?;
-        write!(f, " rights_given={} rights_short={}", cluster.giver.given, cluster.giver.short)?;
-        write!(f, " rights_late={} words_bounded={}", cluster.holder.late, cluster.hearing.bounded)
+        write!(
+            f,
+            " bytes={} malformed={}",
+            counts.sent_bytes, counts.malformed
+        )?;
+        write!(
+            f,
+            " other_version={} other_cluster={}",
+            counts.other_version, counts.other_cluster
+        )?;
+        write!(
+            f,
+            " suspected={} refuted={}",
+            members.counts.suspected, members.counts.refuted
+        )?;
+        write!(
+            f,
+            " rights_given={} rights_short={}",
+            cluster.giver.given, cluster.giver.short
+        )?;
+        write!(
+            f,
+            " rights_late={} words_bounded={}",
+            cluster.holder.late, cluster.hearing.bounded
+        )
     }
 }
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -49,17 +49,25 @@
         let names = given::names(map);
         let kept = listing(&given.known, &names).unwrap_or_else(|fault| {
             log::warn!("no kept list of workers: {fault}");
-            Listing { seq: 0, whole: true, hosts: Vec::new() }
+            Listing {
+                seq: 0,
+                whole: true,
+                hosts: Vec::new(),
+            }
         });
         let dispatcher = Dispatcher::start(now, given.seed, map)?;
         // What settings need not name: a common keep-alive time of servers, and a connect time for one data centre.
         let idle = pick::<Nanos>(map, "connection.idle_timeout").unwrap_or(5_000_000_000);
         let connect_within = pick::<Nanos>(map, "connect.timeout").unwrap_or(250_000_000);
-        let report = map.get("report.wire_fields").map(String::as_str).unwrap_or_default();
+        let report = map
+            .get("report.wire_fields")
+            .map(String::as_str)
+            .unwrap_or_default();
         let talk = match &given.talk {
             Some(talk) => {
                 let mail = ground.mail(talk.listen, None);
-                let mail = mail.map_err(|error| format!("cannot listen on {}: {error}", talk.listen))?;
+                let mail =
+                    mail.map_err(|error| format!("cannot listen on {}: {error}", talk.listen))?;
                 Some(Talk::new(mail, pick(map, "me")?, talk.peers.clone()))
             }
             None => None,
@@ -77,7 +85,15 @@
                     // The hub outlives the members' driver but for the very end.
                     let _ = tell.try_send(match heard {
                         Heard::View(place) => News::View(place),
-                        Heard::Right { worker, work, until } => News::Right { worker, work, until },
+                        Heard::Right {
+                            worker,
+                            work,
+                            until,
+                        } => News::Right {
+                            worker,
+                            work,
+                            until,
+                        },
                         Heard::Shared { from, share } => News::Shared { from, share },
                     });
                 };
@@ -86,14 +102,19 @@
             None => None,
         };
         let workers = match &given.joining {
-            Some(joining) => {
-                Workers::by_own_clock(joining.clocks, pick(map, "slow_start.duration").unwrap_or(0))
-            }
+            Some(joining) => Workers::by_own_clock(
+                joining.clocks,
+                pick(map, "slow_start.duration").unwrap_or(0),
+            ),
             None => Workers::default(),
         };
         let shared = Rc::new(Shared {
             ground,
-            report: report.split(',').filter(|word| !word.is_empty()).map(str::to_string).collect(),
+            report: report
+                .split(',')
+                .filter(|word| !word.is_empty())
+                .map(str::to_string)
+                .collect(),
             counters: counters.clone(),
             budget: Rc::new(Budget::new(given.sockets, given.memory_mb)),
             pool: RefCell::new(Pool::new(idle)),
@@ -107,7 +128,9 @@
             talk,
             members,
         });
-        let asked = map.get("endpoints.mode").is_some_and(|mode| mode == "asked");
+        let asked = map
+            .get("endpoints.mode")
+            .is_some_and(|mode| mode == "asked");
         let (leave, left) = async_channel::unbounded();
         let hub = Hub::new(dispatcher, counters, connect_within, workers);
         let mut hub = HubDriver::new(shared.clone(), news, hub, asked.then_some(leave));
@@ -128,8 +151,19 @@
             }
         });
         let (end, ended) = async_channel::bounded(1);
-        let accepting = shared.ground.spawn(client::accept(shared.clone(), door, ended));
-        Ok(Node { shared, given, hub, list, accepting, _hearing: hearing, end, mover })
+        let accepting = shared
+            .ground
+            .spawn(client::accept(shared.clone(), door, ended));
+        Ok(Node {
+            shared,
+            given,
+            hub,
+            list,
+            accepting,
+            _hearing: hearing,
+            end,
+            mover,
+        })
     }
 
     /// Ends when the hub or the watch on the list does. Neither does by itself. Guards against a program that still
@@ -141,10 +175,18 @@
     /// Takes in the configuration anew: where discovery is, and the limits. Guards against an end of the program at the
     /// signal, and against a list of workers that no longer changes.
     pub fn reload(&self, given: &Given) {
-        let as_started =
-            |given: &Given| (given.listen, given.talk.clone(), given.joining.clone(), given.map.clone());
+        let as_started = |given: &Given| {
+            (
+                given.listen,
+                given.talk.clone(),
+                given.joining.clone(),
+                given.map.clone(),
+            )
+        };
         if as_started(given) != as_started(&self.given) {
-            log::warn!("a new listen address, talk, cluster and settings act from the next start only");
+            log::warn!(
+                "a new listen address, talk, cluster and settings act from the next start only"
+            );
         }
         self.shared.budget.limit(given.sockets, given.memory_mb);
         let _ = self.mover.try_send(given.discovery);
@@ -169,6 +211,9 @@
             let look = shared.ground.now() + nanos(LOOK);
             shared.ground.until(look).await;
         }
-        log::info!("{} clients were still connected at the end", shared.budget.clients());
+        log::info!(
+            "{} clients were still connected at the end",
+            shared.budget.clients()
+        );
     }
 }
--- a/crates/runtime/src/talk.rs
+++ b/crates/runtime/src/talk.rs
@@ -21,7 +21,12 @@
 
 impl<M: Mail> Talk<M> {
     pub fn new(mail: M, me: u16, peers: Vec<SocketAddr>) -> Self {
-        Talk { mail, me, peers, out: RefCell::new(Pace::new(A_SECOND)) }
+        Talk {
+            mail,
+            me,
+            peers,
+            out: RefCell::new(Pace::new(A_SECOND)),
+        }
     }
 
     /// To one peer. What cannot be sent is lost, as any datagram may be.
@@ -38,12 +43,18 @@
     }
 
     /// Hears for ever; each line goes to `heard` with its teller.
-    pub async fn hear<G: Ground>(&self, ground: &G, counters: &Counters, heard: impl Fn(u16, Share)) {
+    pub async fn hear<G: Ground>(
+        &self,
+        ground: &G,
+        counters: &Counters,
+        heard: impl Fn(u16, Share),
+    ) {
         let (mut pace, mut bytes) = (Pace::new(A_SECOND), [0; LENGTH + 1]);
         loop {
             let came = self.mail.receive(&mut bytes).await;
             let line = came.ok().filter(|_| pace.allows(ground.now()));
-            match line.and_then(|(length, sender)| read(&bytes[..length], sender, &self.peers).ok()) {
+            match line.and_then(|(length, sender)| read(&bytes[..length], sender, &self.peers).ok())
+            {
                 Some((from, share)) => {
                     counters.heard.add();
                     heard(from, share);
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -50,10 +50,17 @@
         return Ok(conn);
     }
     let ground = &shared.ground;
-    let slot =
-        within(ground, limit, async { Ok(descriptor(shared).await) }).await.map_err(|_| Outcome::Moot)?;
+    let slot = within(ground, limit, async { Ok(descriptor(shared).await) })
+        .await
+        .map_err(|_| Outcome::Moot)?;
     shared.counters.connects.add();
-    let connect = async { Ok(Conn { stream: ground.connect(dial).await?, dial, _slot: slot }) };
+    let connect = async {
+        Ok(Conn {
+            stream: ground.connect(dial).await?,
+            dial,
+            _slot: slot,
+        })
+    };
     within(ground, limit, connect).await.map_err(|error| {
         shared.counters.connects_failed.add();
         log::debug!("no connection to {dial}: {error}");
@@ -111,7 +118,11 @@
             Ok(true) => return Ok((conn, Some(since))),
             Ok(false) => {}
             Err(_) => {
-                return Err(if off.get() { Outcome::Moot } else { Outcome::NoConnection });
+                return Err(if off.get() {
+                    Outcome::Moot
+                } else {
+                    Outcome::NoConnection
+                });
             }
         }
         if off.get() {
@@ -128,7 +139,11 @@
     if within(ground, limit, writing).await.unwrap_or(false) {
         return Ok((conn, None));
     }
-    Err(if off.get() { Outcome::Moot } else { Outcome::NoConnection })
+    Err(if off.get() {
+        Outcome::Moot
+    } else {
+        Outcome::NoConnection
+    })
 }
 
 /// Carries one attempt, unless it is called off before its last byte; what it ended in is told once.
@@ -138,9 +153,23 @@
     ready: Option<(Conn<G::Stream>, Nanos)>,
     off: Rc<Cell<bool>>,
 ) {
-    let OutboundAttempt { request_id, attempt_index, worker, dial, id, message, connect_within } = attempt;
+    let OutboundAttempt {
+        request_id,
+        attempt_index,
+        worker,
+        dial,
+        id,
+        message,
+        connect_within,
+    } = attempt;
     let connect_within = Duration::from_nanos(connect_within);
-    let tell = |told| shared.tell(News::Told { request_id, attempt_index, told });
+    let tell = |told| {
+        shared.tell(News::Told {
+            request_id,
+            attempt_index,
+            told,
+        })
+    };
     let (mut conn, kept) = match sent(&shared, ready, dial, connect_within, &message, &off).await {
         Ok(sent) => sent,
         Err(outcome) => return tell(Told::Ended(outcome)),
@@ -203,7 +232,11 @@
         (Outcome::TimeOut, Report::default())
     };
     let (outcome, report) = ask(&shared, worker, dial, &host, limit).or(late).await;
-    shared.tell(News::Probed(Probed { worker, outcome, report }));
+    shared.tell(News::Probed(Probed {
+        worker,
+        outcome,
+        report,
+    }));
 }
 
 async fn ask<G: Ground>(
@@ -219,7 +252,12 @@
         Ok(conn) => conn,
         Err(outcome) => return (outcome, none),
     };
-    if conn.stream.write_all(&probe(host, !shared.report.is_empty())).await.is_err() {
+    if conn
+        .stream
+        .write_all(&probe(host, !shared.report.is_empty()))
+        .await
+        .is_err()
+    {
         return (Outcome::NoConnection, none);
     }
     let mut sounding = Sounding::new(&shared.report);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -52,8 +52,10 @@
 ];
 
 /// Lists with one value a class.
-const BY_CLASS: &[(&str, &str)] =
-    &[("FamilyInfo.ClassStretch", "objective_stretch"), ("FamilyInfo.ClassKind", "worker_type")];
+const BY_CLASS: &[(&str, &str)] = &[
+    ("FamilyInfo.ClassStretch", "objective_stretch"),
+    ("FamilyInfo.ClassKind", "worker_type"),
+];
 
 /// Words that a value may hold.
 const VALUES: &[(&str, &str)] = &[
@@ -71,7 +73,10 @@
 ];
 
 fn find<'a>(table: &[(&str, &'a str)], word: &str) -> Option<&'a str> {
-    table.iter().find(|(theirs, _)| *theirs == word).map(|(_, ours)| *ours)
+    table
+        .iter()
+        .find(|(theirs, _)| *theirs == word)
+        .map(|(_, ours)| *ours)
 }
 
 /// The settings as a plain map under our names; what has no name here is left out.
@@ -84,14 +89,19 @@
             map.insert(name.to_string(), ours);
         } else if let Some(name) = find(BY_CLASS, path) {
             for (at, one) in value.split(',').enumerate() {
-                map.entry(format!("class.{at}.{name}")).or_insert_with(|| one.to_string());
+                map.entry(format!("class.{at}.{name}"))
+                    .or_insert_with(|| one.to_string());
             }
         } else if let Some((prefix, part)) = path.rsplit_once('.')
             && let Some(name) = find(PART_NAMES, part)
         {
             let (list, at) = prefix.split_once('.').unwrap_or((prefix, ""));
             // A name may be any word, also one that has another meaning as a value.
-            let ours = if name == "name" { value.to_string() } else { ours };
+            let ours = if name == "name" {
+                value.to_string()
+            } else {
+                ours
+            };
             match list {
                 "Schemes" => map.insert(format!("class.{at}.{name}"), ours),
                 "Parties" => map.insert(format!("tenant.{at}.{name}"), ours),
@@ -101,12 +111,16 @@
             report_words.insert(field.to_lowercase(), value.replace('_', "-"));
         } else if path == "Report.Fields" {
             map.insert("report.wire_fields".into(), value.to_string());
-            let words = value.split(',').map(|word| find(VALUES, word).unwrap_or(word));
+            let words = value
+                .split(',')
+                .map(|word| find(VALUES, word).unwrap_or(word));
             map.insert("report.fields".into(), words.collect::<Vec<_>>().join(","));
         }
     }
     if let Some(fields) = map.get_mut("report.fields") {
-        let words = fields.split(',').map(|word| report_words.get(word).map_or(word, String::as_str));
+        let words = fields
+            .split(',')
+            .map(|word| report_words.get(word).map_or(word, String::as_str));
         *fields = words.collect::<Vec<_>>().join(",");
     }
     map
--- a/crates/simulation/src/agent.rs
+++ b/crates/simulation/src/agent.rs
@@ -55,7 +55,11 @@
 impl Agent {
     pub fn start(core: &Rc<Core>, addresses: [SocketAddr; 2], lines: Vec<Line>) -> Rc<Agent> {
         let count = lines.len();
-        let known = Known { seq: 1, lines: lines.into_iter().map(Some).collect(), changed: vec![1; count] };
+        let known = Known {
+            seq: 1,
+            lines: lines.into_iter().map(Some).collect(),
+            changed: vec![1; count],
+        };
         let agent = Rc::new(Agent {
             core: core.clone(),
             beside: Cell::new(0),
@@ -91,7 +95,9 @@
             known.seq += 1;
             known.changed[host] = known.seq;
             known.lines[host] = Some(line);
-            self.past.borrow_mut().push((self.core.now(), known.clone()));
+            self.past
+                .borrow_mut()
+                .push((self.core.now(), known.clone()));
         }
         self.stir();
     }
@@ -123,7 +129,9 @@
     pub fn go_back(self: &Rc<Self>, span: Nanos) {
         let (now, then) = (self.core.now(), self.core.now().saturating_sub(span));
         let past = self.past.borrow();
-        let Some((_, known)) = past.iter().rev().find(|(at, _)| *at <= then) else { return };
+        let Some((_, known)) = past.iter().rev().find(|(at, _)| *at <= then) else {
+            return;
+        };
         *self.back.borrow_mut() = Some((now + span, known.clone()));
         self.stir_at(now + span);
     }
@@ -148,7 +156,12 @@
 
     fn shown(&self) -> (Known, bool) {
         let now = self.core.now();
-        if let Some((_, known)) = self.back.borrow().as_ref().filter(|(until, _)| now < *until) {
+        if let Some((_, known)) = self
+            .back
+            .borrow()
+            .as_ref()
+            .filter(|(until, _)| now < *until)
+        {
             return (known.clone(), true);
         }
         let mut known = self.known.borrow().clone();
@@ -174,17 +187,23 @@
             if since.is_some_and(|since| known.changed[host] <= since) {
                 continue;
             }
-            let gone = line.as_ref().is_none_or(|line| line.standing == Standing::Gone);
+            let gone = line
+                .as_ref()
+                .is_none_or(|line| line.standing == Standing::Gone);
             // A whole list does not name who is gone: that tells only those who knew of it.
             if since.is_none() && gone && !judge.named(machine).contains(&host) {
                 continue;
             }
-            let (standing, born) =
-                line.as_ref().map_or((Standing::Gone, 0), |line| (line.standing, line.born));
+            let (standing, born) = line
+                .as_ref()
+                .map_or((Standing::Gone, 0), |line| (line.standing, line.born));
             judge.told(now, machine, host, standing, born, known.seq);
         }
         self.core.note("told", machine as u64, known.seq, || {
-            format!("dispatcher machine {machine} of list {} since {since:?}", known.seq)
+            format!(
+                "dispatcher machine {machine} of list {} since {since:?}",
+                known.seq
+            )
         });
     }
 
@@ -201,9 +220,14 @@
         let mut inbox = Inbox::default();
         while let Ok(Some(message)) = inbox.message(&mut stream, false).await {
             let number = |name: &str| {
-                let query = message.target.split_once('?').map_or("", |(_, query)| query);
-                let found =
-                    query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name);
+                let query = message
+                    .target
+                    .split_once('?')
+                    .map_or("", |(_, query)| query);
+                let found = query
+                    .split('&')
+                    .filter_map(|pair| pair.split_once('='))
+                    .find(|(key, _)| *key == name);
                 found.and_then(|(_, value)| value.parse::<u64>().ok())
             };
             let since = number("index");
@@ -268,10 +292,15 @@
         if since.is_none() && line.standing == Standing::Gone {
             return None;
         }
-        Some(json!({"host": format!("w{host:03}"), "dial": line.dial.to_string(),
+        Some(
+            json!({"host": format!("w{host:03}"), "dial": line.dial.to_string(),
             "site": format!("z{}", line.zone), "class": "k", "block": line.cell, "health": health, "share": 1.0,
-            "born_ms": line.born / MS}))
+            "born_ms": line.born / MS}),
+        )
     };
-    let hosts: Vec<_> = (0..known.lines.len()).filter(changed).filter_map(entry).collect();
+    let hosts: Vec<_> = (0..known.lines.len())
+        .filter(changed)
+        .filter_map(entry)
+        .collect();
     json!({"seq": known.seq, "whole": since.is_none(), "hosts": hosts}).to_string()
 }
--- a/crates/simulation/src/client.rs
+++ b/crates/simulation/src/client.rs
@@ -55,7 +55,13 @@
     pub fn new(core: &Rc<Core>, scenario: &Rc<Scenario>, doors: Vec<SocketAddr>) -> Rc<Self> {
         let machine = core.net.borrow_mut().machine(0);
         let kept = RefCell::new(doors.iter().map(|_| Vec::new()).collect());
-        Rc::new(Clients { core: core.clone(), scenario: scenario.clone(), doors, machine, kept })
+        Rc::new(Clients {
+            core: core.clone(),
+            scenario: scenario.clone(),
+            doors,
+            machine,
+            kept,
+        })
     }
 
     /// Starts all that the scenario has of clients; `start` is the world's.
@@ -63,7 +69,8 @@
         let scenario = self.scenario.clone();
         for (at, load) in scenario.load.iter().enumerate() {
             let chance = Chance::new(scenario.seed, 1000 + at as u64);
-            self.core.spawn(self.clone().load(load.clone(), start, chance));
+            self.core
+                .spawn(self.clone().load(load.clone(), start, chance));
         }
         for one in scenario.txn.iter().cloned() {
             let clients = self.clone();
@@ -72,7 +79,13 @@
                 let expiry = clients.scenario.scheme[one.scheme].expiry_ms as f64;
                 let within = ms(one.within_ms.unwrap_or(expiry));
                 let leave = one.leave_ms.map(ms);
-                let wish = Wish { scheme: one.scheme, work: ms(one.work_ms), within, leave, hint: None };
+                let wish = Wish {
+                    scheme: one.scheme,
+                    work: ms(one.work_ms),
+                    within,
+                    leave,
+                    hint: None,
+                };
                 clients.ask(one.dispatcher, wish).await;
             });
         }
@@ -94,8 +107,12 @@
     }
 
     async fn load(self: Rc<Self>, load: Load, start: Nanos, mut chance: Chance) {
-        let until =
-            start + load.until_ms.unwrap_or(self.scenario.length_ms).min(self.scenario.length_ms) * MS;
+        let until = start
+            + load
+                .until_ms
+                .unwrap_or(self.scenario.length_ms)
+                .min(self.scenario.length_ms)
+                * MS;
         self.core.until(0, start + load.from_ms * MS).await;
         loop {
             self.core.sleep(chance.gap(load.rate)).await;
@@ -107,9 +124,17 @@
             let work = ms(low * (high / low).powf(chance.unit()));
             let within = self.scenario.scheme[load.scheme].expiry_ms * MS;
             let leave = chance.is(load.leave).then(|| chance.below(1, within));
-            let hint = load.hints.then(|| (work as f64 * (0.8 + 0.4 * chance.unit())) as Nanos);
+            let hint = load
+                .hints
+                .then(|| (work as f64 * (0.8 + 0.4 * chance.unit())) as Nanos);
             let first = chance.below(0, self.doors.len() as u64) as usize;
-            let wish = Wish { scheme: load.scheme, work, within, leave, hint };
+            let wish = Wish {
+                scheme: load.scheme,
+                work,
+                within,
+                leave,
+                hint,
+            };
             self.core.spawn(self.clone().insist(
                 first,
                 wish,
@@ -143,16 +168,24 @@
         {
             return Some(line);
         }
-        self.call(at).await.map(|stream| Line { stream, inbox: Inbox::default() })
+        self.call(at).await.map(|stream| Line {
+            stream,
+            inbox: Inbox::default(),
+        })
     }
 
     async fn call(&self, at: usize) -> Option<VStream> {
         let connect = Net::connect(&self.core, self.machine, self.doors[at]);
-        by(&self.core, self.core.now() + CONNECT_WITHIN, connect).await?.ok()
+        by(&self.core, self.core.now() + CONNECT_WITHIN, connect)
+            .await?
+            .ok()
     }
 
     fn text(&self, txn: usize, wish: &Wish, body: &str) -> String {
-        let hint = wish.hint.map(|hint| format!("Work-Hint: {}\r\n", hint / 1000)).unwrap_or_default();
+        let hint = wish
+            .hint
+            .map(|hint| format!("Work-Hint: {}\r\n", hint / 1000))
+            .unwrap_or_default();
         format!(
             "POST /api/do HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {txn:08x}\r\nRequest-Class: s{}\r\n\
              Tenant: t\r\nRequest-Timeout: {:.3}\r\n{hint}Content-Length: {}\r\n\r\n{body}",
@@ -163,7 +196,10 @@
     }
 
     fn asks(&self, wish: &Wish, bad: Option<&'static str>) -> usize {
-        self.core.judge.borrow_mut().asks(wish.scheme, wish.work, bad)
+        self.core
+            .judge
+            .borrow_mut()
+            .asks(wish.scheme, wish.work, bad)
     }
 
     /// One request to one dispatcher.
@@ -173,13 +209,21 @@
         core.note("asks", txn as u64, at as u64, || {
             format!("txn {txn:08x} of scheme {} at dispatcher {at}", wish.scheme)
         });
-        let body = "x"
-            .repeat(core.draw(|chance| if chance.is(0.02) { 40_000 } else { chance.below(0, 600) as usize }));
+        let body = "x".repeat(core.draw(|chance| {
+            if chance.is(0.02) {
+                40_000
+            } else {
+                chance.below(0, 600) as usize
+            }
+        }));
         let text = self.text(txn, &wish, &body);
         // Once more over a new connection, where the dispatcher has closed a kept one before it read any of this.
         for fresh in [false, true] {
             let line = if fresh {
-                self.call(at).await.map(|stream| Line { stream, inbox: Inbox::default() })
+                self.call(at).await.map(|stream| Line {
+                    stream,
+                    inbox: Inbox::default(),
+                })
             } else {
                 self.line(at).await
             };
@@ -205,7 +249,12 @@
                     core.note("answered", txn as u64, message.status.into(), || {
                         format!("txn {txn:08x} with {}", message.status)
                     });
-                    core.judge.borrow_mut().answered(core.now(), txn, message.status, &message.body);
+                    core.judge.borrow_mut().answered(
+                        core.now(),
+                        txn,
+                        message.status,
+                        &message.body,
+                    );
                     if !message.closes() {
                         self.kept.borrow_mut()[at].push(line);
                     }
@@ -223,12 +272,18 @@
                         });
                         continue;
                     }
-                    core.note("lost", txn as u64, 0, || format!("txn {txn:08x}: its connection ended"));
-                    core.judge.borrow_mut().lost(core.now(), txn, "its connection ended");
+                    core.note("lost", txn as u64, 0, || {
+                        format!("txn {txn:08x}: its connection ended")
+                    });
+                    core.judge
+                        .borrow_mut()
+                        .lost(core.now(), txn, "its connection ended");
                     return Ended::Failed;
                 }
                 None if wish.leave.is_some() => {
-                    core.note("left", txn as u64, 0, || format!("the client of txn {txn:08x}"));
+                    core.note("left", txn as u64, 0, || {
+                        format!("the client of txn {txn:08x}")
+                    });
                     core.judge.borrow_mut().left(core.now(), txn);
                     if core.draw(|chance| chance.is(0.3)) {
                         line.stream.reset();
@@ -236,8 +291,12 @@
                     return Ended::Left;
                 }
                 None => {
-                    core.note("unanswered", txn as u64, 0, || format!("txn {txn:08x} to its end"));
-                    core.judge.borrow_mut().lost(core.now(), txn, "nothing came before its expiry");
+                    core.note("unanswered", txn as u64, 0, || {
+                        format!("txn {txn:08x} to its end")
+                    });
+                    core.judge
+                        .borrow_mut()
+                        .lost(core.now(), txn, "nothing came before its expiry");
                     return Ended::Failed;
                 }
             }
@@ -257,15 +316,25 @@
     async fn misbehave(&self, kind: Badness, at: usize, mut chance: Chance) -> Option<()> {
         let core = &self.core;
         let mut stream = self.call(at).await?;
-        core.note("misbehaves", kind as u64, at as u64, || format!("a client at dispatcher {at}: {kind:?}"));
+        core.note("misbehaves", kind as u64, at as u64, || {
+            format!("a client at dispatcher {at}: {kind:?}")
+        });
         let scheme = chance.below(0, self.scenario.scheme.len() as u64) as usize;
-        let wish = Wish { scheme, work: 5 * MS, within: 500 * MS, leave: None, hint: None };
+        let wish = Wish {
+            scheme,
+            work: 5 * MS,
+            within: 500 * MS,
+            leave: None,
+            hint: None,
+        };
         let bad = |why| self.asks(&wish, Some(why));
         let whole = |txn| self.text(txn, &wish, "body");
         match kind {
             Badness::Silent => {}
             Badness::Garbage => {
-                let bytes: Vec<u8> = (0..chance.below(1, 3000)).map(|_| chance.below(0, 256) as u8).collect();
+                let bytes: Vec<u8> = (0..chance.below(1, 3000))
+                    .map(|_| chance.below(0, 256) as u8)
+                    .collect();
                 stream.write_all(&bytes).await.ok()?;
             }
             Badness::HalfHead | Badness::HalfBody => {
@@ -291,15 +360,20 @@
             Badness::HugeHead => {
                 let text = whole(bad("its head is too large"));
                 let more = format!("X-More: {}\r\nTenant", "m".repeat(20_000));
-                stream.write_all(text.replacen("Tenant", &more, 1).as_bytes()).await.ok()?;
+                stream
+                    .write_all(text.replacen("Tenant", &more, 1).as_bytes())
+                    .await
+                    .ok()?;
             }
             Badness::HugeBody => {
                 let text = self.text(bad("its body is too large"), &wish, &"b".repeat(70_000));
                 stream.write_all(text.as_bytes()).await.ok()?;
             }
             Badness::EndlessChunks => {
-                let text = whole(bad("its body never ends"))
-                    .replace("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n");
+                let text = whole(bad("its body never ends")).replace(
+                    "Content-Length: 4\r\n\r\nbody",
+                    "Transfer-Encoding: chunked\r\n\r\n",
+                );
                 stream.write_all(text.as_bytes()).await.ok()?;
                 for _ in 0..400 {
                     stream.write_all(b"100\r\n").await.ok()?;
@@ -311,24 +385,36 @@
                 let text = whole(bad("it has no id"));
                 let from = text.find("Request-Id")?;
                 let end = from + text[from..].find("\r\n")? + 2;
-                stream.write_all(format!("{}{}", &text[..from], &text[end..]).as_bytes()).await.ok()?;
+                stream
+                    .write_all(format!("{}{}", &text[..from], &text[end..]).as_bytes())
+                    .await
+                    .ok()?;
             }
             Badness::UnknownScheme => {
                 let text = whole(bad("its scheme is unknown"));
                 stream
-                    .write_all(text.replace("Request-Class: s", "Request-Class: no-").as_bytes())
+                    .write_all(
+                        text.replace("Request-Class: s", "Request-Class: no-")
+                            .as_bytes(),
+                    )
                     .await
                     .ok()?;
             }
             Badness::TwoLengths => {
                 let text = whole(bad("it has two lengths"));
                 let two = "Content-Length: 4\r\nContent-Length: 0\r\n\r\n";
-                stream.write_all(text.replace("Content-Length: 4\r\n\r\n", two).as_bytes()).await.ok()?;
+                stream
+                    .write_all(text.replace("Content-Length: 4\r\n\r\n", two).as_bytes())
+                    .await
+                    .ok()?;
             }
             Badness::LengthAndChunks => {
                 let text = whole(bad("it has a length and a coding"));
                 let two = "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n";
-                stream.write_all(text.replace("Content-Length: 4\r\n\r\n", two).as_bytes()).await.ok()?;
+                stream
+                    .write_all(text.replace("Content-Length: 4\r\n\r\n", two).as_bytes())
+                    .await
+                    .ok()?;
             }
             Badness::BareLineFeeds => {
                 let text = whole(bad("its lines end in bare line feeds")).replace("\r\n", "\n");
@@ -340,7 +426,9 @@
                 // It says that it has left, and still reads.
                 let txn = self.asks(&wish, None);
                 stream.write_all(whole(txn).as_bytes()).await.ok()?;
-                core.judge.borrow_mut().sent(core.now(), txn, stream.peer(), Nanos::MAX);
+                core.judge
+                    .borrow_mut()
+                    .sent(core.now(), txn, stream.peer(), Nanos::MAX);
                 stream.end().ok()?;
                 core.judge.borrow_mut().left(core.now(), txn);
                 self.linger(stream).await;
@@ -362,12 +450,22 @@
                 let txn = self.asks(&wish, None);
                 let text = whole(txn).replace("HTTP/1.1", "HTTP/1.0");
                 stream.write_all(text.as_bytes()).await.ok()?;
-                core.judge.borrow_mut().sent(core.now(), txn, stream.peer(), core.now() + wish.within);
+                core.judge.borrow_mut().sent(
+                    core.now(),
+                    txn,
+                    stream.peer(),
+                    core.now() + wish.within,
+                );
                 let mut inbox = Inbox::default();
                 let until = core.now() + wish.within + SLACK + LISTENS;
                 match by(core, until, inbox.message(&mut stream, true)).await {
                     Some(Ok(Some(message))) => {
-                        core.judge.borrow_mut().answered(core.now(), txn, message.status, &message.body);
+                        core.judge.borrow_mut().answered(
+                            core.now(),
+                            txn,
+                            message.status,
+                            &message.body,
+                        );
                     }
                     _ => core.judge.borrow_mut().lost(core.now(), txn, "in HTTP/1.0"),
                 }
@@ -380,13 +478,21 @@
     async fn twice(&self, at: usize, mut stream: VStream, scheme: usize) -> Option<()> {
         let core = &self.core;
         let within = self.scenario.scheme[scheme].expiry_ms.min(900) * MS;
-        let wish = Wish { scheme, work: 400 * MS, within, leave: None, hint: Some(400 * MS) };
+        let wish = Wish {
+            scheme,
+            work: 400 * MS,
+            within,
+            leave: None,
+            hint: Some(400 * MS),
+        };
         let txn = self.asks(&wish, None);
         let text = self.text(txn, &wish, "first");
         let other = self.call(at).await;
         stream.write_all(text.as_bytes()).await.ok()?;
         let machine = stream.peer();
-        core.judge.borrow_mut().sent(core.now(), txn, machine, core.now() + within);
+        core.judge
+            .borrow_mut()
+            .sent(core.now(), txn, machine, core.now() + within);
         core.judge.borrow_mut().doubles(txn);
         let until = core.now() + within + SLACK + LISTENS;
         let again = async {
@@ -409,9 +515,17 @@
                     core.note("answered", txn as u64, message.status.into(), || {
                         format!("txn {txn:08x} with {}, whose id came twice", message.status)
                     });
-                    core.judge.borrow_mut().answered(core.now(), txn, message.status, &message.body);
+                    core.judge.borrow_mut().answered(
+                        core.now(),
+                        txn,
+                        message.status,
+                        &message.body,
+                    );
                 }
-                _ => core.judge.borrow_mut().lost(core.now(), txn, "whose id came twice"),
+                _ => core
+                    .judge
+                    .borrow_mut()
+                    .lost(core.now(), txn, "whose id came twice"),
             }
         };
         futures_lite::future::zip(first, by(core, until, again)).await;
--- a/crates/simulation/src/core.rs
+++ b/crates/simulation/src/core.rs
@@ -28,7 +28,8 @@
     pub fn new(seed: u64, stream: u64) -> Self {
         // Spread by the golden ratio, so that seeds and streams that follow one another have nothing in common.
         Chance(Pcg::new(
-            seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (stream + 1).wrapping_mul(0xd1b5_4a32_d192_ed03),
+            seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+                ^ (stream + 1).wrapping_mul(0xd1b5_4a32_d192_ed03),
         ))
     }
 
@@ -141,12 +142,19 @@
     /// One line of the timeline: all of it goes into the digest, and to the trace if there is one.
     pub fn note(&self, what: &'static str, a: u64, b: u64, words: impl FnOnce() -> String) {
         let mut hash = self.digest.get();
-        for part in [self.now.get(), what.len() as u64 ^ u64::from(what.as_bytes()[0]) << 8, a, b] {
+        for part in [
+            self.now.get(),
+            what.len() as u64 ^ u64::from(what.as_bytes()[0]) << 8,
+            a,
+            b,
+        ] {
             hash = (hash ^ part).wrapping_mul(0x0100_0000_01b3).rotate_left(23);
         }
         self.digest.set(hash);
         if let Some(trace) = &self.trace {
-            trace.borrow_mut().push((self.now.get(), format!("{what} {}", words())));
+            trace
+                .borrow_mut()
+                .push((self.now.get(), format!("{what} {}", words())));
         }
     }
 
@@ -172,7 +180,9 @@
         let mut queue = self.queue.borrow_mut();
         queue.serial += 1;
         let serial = queue.serial;
-        queue.heap.push(Reverse((at.max(self.now.get()), tie, serial)));
+        queue
+            .heap
+            .push(Reverse((at.max(self.now.get()), tie, serial)));
         queue.events.insert(serial, (owner, event));
         serial
     }
@@ -191,10 +201,14 @@
 
     /// Lets the next event happen; false where there is none.
     pub fn step(self: &Rc<Self>) -> bool {
-        let Some(at) = self.next_at() else { return false };
+        let Some(at) = self.next_at() else {
+            return false;
+        };
         let found = {
             let mut queue = self.queue.borrow_mut();
-            let Some(Reverse((_, _, serial))) = queue.heap.pop() else { return false };
+            let Some(Reverse((_, _, serial))) = queue.heap.pop() else {
+                return false;
+            };
             queue.events.remove(&serial)
         };
         self.now.set(at);
@@ -212,7 +226,12 @@
 
     /// Ends at the moment.
     pub fn until(self: &Rc<Self>, owner: Owner, at: Nanos) -> Until {
-        Until { core: self.clone(), owner, at, armed: None }
+        Until {
+            core: self.clone(),
+            owner,
+            at,
+            armed: None,
+        }
     }
 
     pub async fn sleep(self: &Rc<Self>, span: Nanos) {
@@ -221,7 +240,11 @@
 
     /// Timers that an owner waits for just now.
     pub fn timers(&self, owner: Owner) -> usize {
-        self.timers.borrow().get(&owner).copied().unwrap_or_default()
+        self.timers
+            .borrow()
+            .get(&owner)
+            .copied()
+            .unwrap_or_default()
     }
 
     fn count_timer(&self, owner: Owner, more: bool) {
--- a/crates/simulation/src/draw.rs
+++ b/crates/simulation/src/draw.rs
@@ -1,8 +1,8 @@
 //! A scenario from a seed: sizes, schemes, load and faults, mixed so that troubles meet.
 use crate::core::Chance;
 use crate::scenario::{
-    BADNESSES, Bad, Effect, Fault, Group, Limits, Load, Members, Net, One, Rules, Scenario, Scheme, Trouble,
-    Worker,
+    BADNESSES, Bad, Effect, Fault, Group, Limits, Load, Members, Net, One, Rules, Scenario, Scheme,
+    Trouble, Worker,
 };
 
 const AT_WORKERS: [Trouble; 14] = [
@@ -81,7 +81,10 @@
         })
         .collect();
     // From quiet to well over what the fleet can do, over three schemes.
-    let full = worker.iter().map(|worker| worker.slots as f64 * worker.speed).sum::<f64>();
+    let full = worker
+        .iter()
+        .map(|worker| worker.slots as f64 * worker.speed)
+        .sum::<f64>();
     let busy = *chance.among(&[0.2, 0.4, 0.6, 0.8, 1.3]);
     let load = (0..kinds.len())
         .map(|scheme| {
@@ -103,7 +106,9 @@
         .collect();
     let mut fault = Vec::new();
     // Troubles gather round a few moments, so that they meet; some at the very same one.
-    let moments: Vec<f64> = (0..chance.below(1, 4)).map(|_| chance.below(300, length_ms) as f64).collect();
+    let moments: Vec<f64> = (0..chance.below(1, 4))
+        .map(|_| chance.below(300, length_ms) as f64)
+        .collect();
     for _ in 0..chance.below(1, 8) {
         let kind = match chance.is(0.6) {
             true => *chance.among(&AT_WORKERS),
@@ -125,8 +130,18 @@
             _ => 1.0,
         };
         let for_ms = *chance.among(&[50.0, 150.0, 400.0, 1000.0, 2500.0]);
-        let (target, scheme) = (chance.below(0, most as u64) as usize, chance.below(0, 3) as usize);
-        fault.push(Fault { at_ms, kind, target, for_ms, share, scheme });
+        let (target, scheme) = (
+            chance.below(0, most as u64) as usize,
+            chance.below(0, 3) as usize,
+        );
+        fault.push(Fault {
+            at_ms,
+            kind,
+            target,
+            for_ms,
+            share,
+            scheme,
+        });
         // What a list says of one that drains matters most while the list itself is in trouble.
         if matches!(kind, Trouble::Drain | Trouble::DrainReturn) && chance.is(0.4) {
             let kind = *chance.among(&[
@@ -135,13 +150,28 @@
                 Trouble::ReloadDead,
                 Trouble::ListSilent,
             ]);
-            let before = if kind == Trouble::ListBack { -400.0 } else { 20.0 };
+            let before = if kind == Trouble::ListBack {
+                -400.0
+            } else {
+                20.0
+            };
             let at_ms = (at_ms - before).max(0.0);
             let target = chance.below(0, dispatchers as u64) as usize;
-            fault.push(Fault { at_ms, kind, target, for_ms: 2500.0, share: 1.0, scheme: 0 });
+            fault.push(Fault {
+                at_ms,
+                kind,
+                target,
+                for_ms: 2500.0,
+                share: 1.0,
+                scheme: 0,
+            });
         }
     }
-    let bads = if chance.is(0.4) { chance.below(1, 5) } else { 0 };
+    let bads = if chance.is(0.4) {
+        chance.below(1, 5)
+    } else {
+        0
+    };
     let bad = (0..bads)
         .map(|_| Bad {
             at_ms: chance.below(100, length_ms) as f64,
@@ -158,32 +188,68 @@
             let within = chance.below(100, 800) as f64;
             let at_ms = (moment - *chance.among(&[0.0, within, within - 20.0, 50.0])).max(0.0);
             let leave_ms = chance.is(0.3).then_some((moment - at_ms).max(1.0));
-            let (scheme, dispatcher) =
-                (chance.below(0, 3) as usize, chance.below(0, dispatchers as u64) as usize);
+            let (scheme, dispatcher) = (
+                chance.below(0, 3) as usize,
+                chance.below(0, dispatchers as u64) as usize,
+            );
             let work_ms = *chance.among(&[5.0, 100.0, within]);
-            One { at_ms, scheme, dispatcher, work_ms, within_ms: Some(within), leave_ms }
+            One {
+                at_ms,
+                scheme,
+                dispatcher,
+                work_ms,
+                within_ms: Some(within),
+                leave_ms,
+            }
         })
         .collect();
     // Drawn last, and by a stream of its own, so that all else stays what it was under this seed.
     let mut chance = Chance::new(seed, 2);
     let members = (dispatchers > 1 && chance.is(0.5)).then(|| Members {
-        keepers: if dispatchers < 3 { 1 } else { *chance.among(&[0, 3, 3]) },
+        keepers: if dispatchers < 3 {
+            1
+        } else {
+            *chance.among(&[0, 3, 3])
+        },
         peers: chance.is(0.5),
         loss: *chance.among(&[0.0, 0.05, 0.2]),
         twice: *chance.among(&[0.0, 0.1]),
         jitter_ms: *chance.among(&[0, 5, 200]),
         skew_ms: *chance.among(&[0, 500, 5_000]),
     });
-    for _ in 0..if members.is_some() { chance.below(0, 3) } else { 0 } {
+    for _ in 0..if members.is_some() {
+        chance.below(0, 3)
+    } else {
+        0
+    } {
         let kind = *chance.among(&[Trouble::Deaf, Trouble::Mute, Trouble::Split, Trouble::Kill]);
-        let (at_ms, target) =
-            (chance.below(300, length_ms) as f64, chance.below(0, dispatchers as u64) as usize);
+        let (at_ms, target) = (
+            chance.below(300, length_ms) as f64,
+            chance.below(0, dispatchers as u64) as usize,
+        );
         let for_ms = *chance.among(&[150.0, 1000.0, 2500.0]);
-        fault.push(Fault { at_ms, kind, target, for_ms, share: 1.0, scheme: 0 });
+        fault.push(Fault {
+            at_ms,
+            kind,
+            target,
+            for_ms,
+            share: 1.0,
+            scheme: 0,
+        });
     }
     if members.is_some() && chance.is(0.5) {
-        let (at_ms, target) = (chance.below(300, length_ms) as f64, chance.below(0, count as u64) as usize);
-        fault.push(Fault { at_ms, kind: Trouble::Rebirth, target, for_ms: 0.0, share: 1.0, scheme: 0 });
+        let (at_ms, target) = (
+            chance.below(300, length_ms) as f64,
+            chance.below(0, count as u64) as usize,
+        );
+        fault.push(Fault {
+            at_ms,
+            kind: Trouble::Rebirth,
+            target,
+            for_ms: 0.0,
+            share: 1.0,
+            scheme: 0,
+        });
     }
     Scenario {
         members,
--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -43,9 +43,16 @@
         self.fell_by_root += report.tally.fell_by_root;
         self.violations += u64::from(!report.violations.is_empty());
         // Added up, so that the order does not matter; mixed with the seed, so that two cannot change places.
-        let mixed = (report.digest ^ report.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)).rotate_left(17);
-        self.digest = self.digest.wrapping_add(mixed.wrapping_mul(0xd1b5_4a32_d192_ed03));
-        let mut rules: Vec<Rule> = report.violations.iter().map(|violation| violation.rule).collect();
+        let mixed =
+            (report.digest ^ report.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)).rotate_left(17);
+        self.digest = self
+            .digest
+            .wrapping_add(mixed.wrapping_mul(0xd1b5_4a32_d192_ed03));
+        let mut rules: Vec<Rule> = report
+            .violations
+            .iter()
+            .map(|violation| violation.rule)
+            .collect();
         rules.sort_unstable();
         rules.dedup();
         for rule in rules {
@@ -58,7 +65,10 @@
 /// The scenario of a seed: drawn, or a given one under that seed.
 pub fn scenario(seed: u64, given: Option<&Scenario>) -> Scenario {
     match given {
-        Some(given) => Scenario { seed, ..given.clone() },
+        Some(given) => Scenario {
+            seed,
+            ..given.clone()
+        },
         None => draw(seed),
     }
 }
@@ -115,7 +125,12 @@
 
 /// Drops what is not needed for the violation: the same rule is still broken in what is left.
 pub fn shrink(scenario: &Scenario, rule: Rule, mut seen: impl FnMut(&Scenario)) -> Scenario {
-    let breaks = |scenario: &Scenario| play(scenario, false).violations.iter().any(|one| one.rule == rule);
+    let breaks = |scenario: &Scenario| {
+        play(scenario, false)
+            .violations
+            .iter()
+            .any(|one| one.rule == rule)
+    };
     let mut least = scenario.clone();
     loop {
         let before = least.clone();
@@ -138,22 +153,44 @@
         // Then smaller: fewer of each, shorter, calmer.
         type Change = fn(&mut Scenario);
         let changes: [Change; 8] = [
-            |s| s.bad.iter_mut().for_each(|bad| bad.count = bad.count.div_ceil(2)),
-            |s| s.load.iter_mut().for_each(|load| load.rate = (load.rate * 5.0).round() / 10.0),
-            |s| s.load.iter_mut().for_each(|load| (load.retries, load.leave) = (0, 0.0)),
+            |s| {
+                s.bad
+                    .iter_mut()
+                    .for_each(|bad| bad.count = bad.count.div_ceil(2))
+            },
+            |s| {
+                s.load
+                    .iter_mut()
+                    .for_each(|load| load.rate = (load.rate * 5.0).round() / 10.0)
+            },
+            |s| {
+                s.load
+                    .iter_mut()
+                    .for_each(|load| (load.retries, load.leave) = (0, 0.0))
+            },
             |s| s.length_ms = (s.length_ms * 3 / 4).max(100),
             |s| s.net.split = 0.0,
             |s| s.net.harsh = false,
             |s| {
-                let used =
-                    s.fault.iter().filter(|fault| fault.kind.at_worker()).map(|fault| fault.target + 1);
+                let used = s
+                    .fault
+                    .iter()
+                    .filter(|fault| fault.kind.at_worker())
+                    .map(|fault| fault.target + 1);
                 let needed = used.max().unwrap_or(0).max(1);
                 s.worker.truncate((s.worker.len() - 1).max(needed));
             },
             |s| {
-                let faults = s.fault.iter().filter(|fault| !fault.kind.at_worker()).map(|fault| fault.target);
-                let clients =
-                    s.bad.iter().map(|bad| bad.dispatcher).chain(s.txn.iter().map(|txn| txn.dispatcher));
+                let faults = s
+                    .fault
+                    .iter()
+                    .filter(|fault| !fault.kind.at_worker())
+                    .map(|fault| fault.target);
+                let clients = s
+                    .bad
+                    .iter()
+                    .map(|bad| bad.dispatcher)
+                    .chain(s.txn.iter().map(|txn| txn.dispatcher));
                 let needed = faults.chain(clients).max().unwrap_or(0) + 1;
                 s.dispatchers = (s.dispatchers - 1).max(needed);
             },
--- a/crates/simulation/src/http.rs
+++ b/crates/simulation/src/http.rs
@@ -35,7 +35,8 @@
 
     /// Whether the connection ends with it.
     pub fn closes(&self) -> bool {
-        self.field("connection").is_some_and(|word| word.eq_ignore_ascii_case("close"))
+        self.field("connection")
+            .is_some_and(|word| word.eq_ignore_ascii_case("close"))
     }
 }
 
@@ -45,7 +46,11 @@
 
 impl Inbox {
     /// The next whole message; none where the connection ends before one begins.
-    pub async fn message(&mut self, stream: &mut VStream, answer: bool) -> io::Result<Option<Message>> {
+    pub async fn message(
+        &mut self,
+        stream: &mut VStream,
+        answer: bool,
+    ) -> io::Result<Option<Message>> {
         let mut buffer = [0; 4096];
         loop {
             if let Some(message) = self.parse(answer)? {
@@ -60,26 +65,39 @@
     }
 
     fn parse(&mut self, answer: bool) -> io::Result<Option<Message>> {
-        let Some(head) = self.bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4) else {
+        let Some(head) = self
+            .bytes
+            .windows(4)
+            .position(|four| four == b"\r\n\r\n")
+            .map(|at| at + 4)
+        else {
             return Ok(None);
         };
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let (mut target, mut status) = (String::new(), 0);
         let headers = if answer {
             let mut parsed = httparse::Response::new(&mut headers);
-            parsed.parse(&self.bytes[..head]).map_err(|_| wrong("an answer's head"))?;
+            parsed
+                .parse(&self.bytes[..head])
+                .map_err(|_| wrong("an answer's head"))?;
             status = parsed.code.unwrap_or_default();
             parsed.headers.to_vec()
         } else {
             let mut parsed = httparse::Request::new(&mut headers);
-            parsed.parse(&self.bytes[..head]).map_err(|_| wrong("a request's head"))?;
+            parsed
+                .parse(&self.bytes[..head])
+                .map_err(|_| wrong("a request's head"))?;
             target = parsed.path.unwrap_or_default().to_string();
             parsed.headers.to_vec()
         };
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        let fields: Vec<_> =
-            headers.iter().map(|header| (header.name.to_string(), text(header.value))).collect();
-        let length = fields.iter().find(|(name, _)| name.eq_ignore_ascii_case("content-length"));
+        let fields: Vec<_> = headers
+            .iter()
+            .map(|header| (header.name.to_string(), text(header.value)))
+            .collect();
+        let length = fields
+            .iter()
+            .find(|(name, _)| name.eq_ignore_ascii_case("content-length"));
         let length = length.map_or(Ok(0), |(_, value)| value.parse::<usize>());
         let end = head + length.map_err(|_| wrong("a length"))?;
         if self.bytes.len() < end {
@@ -89,6 +107,13 @@
         self.bytes.drain(..end);
         let from = self.before;
         self.before += end as u64;
-        Ok(Some(Message { target, status, fields, body, from, to: self.before }))
+        Ok(Some(Message {
+            target,
+            status,
+            fields,
+            body,
+            from,
+            to: self.before,
+        }))
     }
 }
--- a/crates/simulation/src/judge.rs
+++ b/crates/simulation/src/judge.rs
@@ -66,7 +66,9 @@
 impl Attempt {
     /// Whether the dispatcher was told that it never ran.
     fn proven(&self) -> bool {
-        self.proof.as_ref().is_some_and(|(end, half)| half.read.get() >= *end)
+        self.proof
+            .as_ref()
+            .is_some_and(|(end, half)| half.read.get() >= *end)
     }
 }
 
@@ -155,7 +157,12 @@
 }
 
 impl Judge {
-    pub fn new(start: Nanos, rules: Rules, schemes: &[crate::scenario::Scheme], mean_work: f64) -> Self {
+    pub fn new(
+        start: Nanos,
+        rules: Rules,
+        schemes: &[crate::scenario::Scheme],
+        mean_work: f64,
+    ) -> Self {
         let facts = |scheme: &crate::scenario::Scheme| SchemeFacts {
             effect: scheme.effect,
             group: scheme.group,
@@ -171,7 +178,10 @@
             cold: Vec::new(),
             mean_work,
             violations: Vec::new(),
-            tally: Tally { classes: vec![ClassTally::default(); schemes.len()], ..Tally::default() },
+            tally: Tally {
+                classes: vec![ClassTally::default(); schemes.len()],
+                ..Tally::default()
+            },
         }
     }
 
@@ -257,7 +267,11 @@
     pub fn blame_double(&mut self, now: Nanos, txn: usize) {
         let declined = matches!(self.txns[txn].ended, Some((_, End::Answered(503))));
         if !declined {
-            self.blame(now, Rule::Bad, format!("the id of txn {txn} was taken twice"));
+            self.blame(
+                now,
+                Rule::Bad,
+                format!("the id of txn {txn} was taken twice"),
+            );
         }
     }
 
@@ -270,7 +284,11 @@
             let what = format!("txn {txn} was answered with {status} after it had ended: {end:?}");
             return self.blame(now, Rule::Answer, what);
         }
-        let doubtful = truth.attempts.iter().filter(|attempt| !attempt.proven()).count();
+        let doubtful = truth
+            .attempts
+            .iter()
+            .filter(|attempt| !attempt.proven())
+            .count();
         if status == 200 {
             let made = std::str::from_utf8(body).ok().and_then(|text| {
                 let (of, number) = text.strip_prefix("made ")?.split_once(' ')?;
@@ -290,12 +308,17 @@
                 Effect::OnceOnly => doubtful > 0,
             };
             if harms {
-                let what =
-                    format!("txn {txn} ({effect:?}) was declined with {doubtful} postings not proven unrun");
+                let what = format!(
+                    "txn {txn} ({effect:?}) was declined with {doubtful} postings not proven unrun"
+                );
                 self.blame(now, Rule::Effect, what);
             }
         } else if self.txns[txn].bad.is_none() && status != 502 {
-            self.blame(now, Rule::Answer, format!("txn {txn} is sound and was answered with {status}"));
+            self.blame(
+                now,
+                Rule::Answer,
+                format!("txn {txn} is sound and was answered with {status}"),
+            );
         }
         if self.txns[txn].bad.is_some() && status == 200 {
             self.blame(now, Rule::Bad, format!("txn {txn} is bad and was served"));
@@ -303,7 +326,11 @@
         let late = self.txns[txn].expiry.saturating_add(SLACK);
         if now > late {
             let by = (now - late) as f64 / 1e6;
-            self.blame(now, Rule::Answer, format!("txn {txn} was answered {by:.1} ms too late"));
+            self.blame(
+                now,
+                Rule::Answer,
+                format!("txn {txn} was answered {by:.1} ms too late"),
+            );
         } else if status == 200 {
             self.tally.in_time += 1;
             self.tally.classes[self.txns[txn].scheme].in_time += 1;
@@ -317,21 +344,41 @@
         if truth.ended.is_some() {
             return;
         }
-        let Some((_, machine)) = truth.sent else { return self.excuse(now, txn) };
+        let Some((_, machine)) = truth.sent else {
+            return self.excuse(now, txn);
+        };
         if self.was_killed(machine) || truth.bad.is_some() || truth.forgone {
             return self.excuse(now, txn);
         }
-        self.blame(now, Rule::Answer, format!("txn {txn} was taken and not answered: {how}"));
+        self.blame(
+            now,
+            Rule::Answer,
+            format!("txn {txn} was taken and not answered: {how}"),
+        );
         self.end(now, txn, End::Excused);
     }
 
     /// A whole posting has reached a worker: its first and last byte were written then. Gives its place, or none if no
     /// client sent such a txn.
-    pub fn arrived(&mut self, now: Nanos, from: &From, txn: Option<usize>, at: &At) -> Option<usize> {
+    pub fn arrived(
+        &mut self,
+        now: Nanos,
+        from: &From,
+        txn: Option<usize>,
+        at: &At,
+    ) -> Option<usize> {
         self.tally.postings += 1;
-        let From { machine, first, last } = *from;
+        let From {
+            machine,
+            first,
+            last,
+        } = *from;
         let Some(txn) = txn.filter(|txn| *txn < self.txns.len()) else {
-            self.blame(now, Rule::Bad, "a posting with an id that no client sent".to_string());
+            self.blame(
+                now,
+                Rule::Bad,
+                "a posting with an id that no client sent".to_string(),
+            );
             return None;
         };
         let facts = &self.schemes[self.txns[txn].scheme];
@@ -339,14 +386,20 @@
         let truth = &self.txns[txn];
         let mut blames = Vec::new();
         if let Some(why) = truth.bad {
-            blames.push((Rule::Bad, format!("txn {txn} went to a worker, and is bad: {why}")));
+            blames.push((
+                Rule::Bad,
+                format!("txn {txn} went to a worker, and is bad: {why}"),
+            ));
         }
         match truth.ended {
             // One whose id came twice and was declined unposted is new to the dispatcher.
             Some((_, End::Answered(503))) if truth.twice => {}
             Some((at, end)) if last > at + SLACK => {
                 let after = (last - at) as f64 / 1e6;
-                blames.push((Rule::Over, format!("txn {txn} was sent {after:.1} ms after its end: {end:?}")));
+                blames.push((
+                    Rule::Over,
+                    format!("txn {txn} was sent {after:.1} ms after its end: {end:?}"),
+                ));
             }
             Some((_, End::Answered(503 | 429))) if effect == Effect::OnceOnly => {
                 blames.push((
@@ -389,8 +442,10 @@
             }
         }
         match self.told.get(&(machine, at.host)) {
-            None => blames
-                .push((Rule::Drain, format!("worker {} is on no list of who posted txn {txn}", at.host))),
+            None => blames.push((
+                Rule::Drain,
+                format!("worker {} is on no list of who posted txn {txn}", at.host),
+            )),
             Some(told) if told.standing != Standing::Ready => {
                 let limit = told.since + self.rules.grace_ms * MS + SLACK;
                 if first > limit {
@@ -404,9 +459,16 @@
             }
             Some(_) => {}
         }
-        blames.into_iter().for_each(|(rule, what)| self.blame(now, rule, what));
+        blames
+            .into_iter()
+            .for_each(|(rule, what)| self.blame(now, rule, what));
         let truth = &mut self.txns[txn];
-        truth.attempts.push(Attempt { zone: at.zone, cell: at.cell, first, proof: None });
+        truth.attempts.push(Attempt {
+            zone: at.zone,
+            cell: at.cell,
+            first,
+            proof: None,
+        });
         Some(truth.attempts.len() - 1)
     }
 
@@ -420,7 +482,11 @@
         let effect = self.schemes[self.txns[txn].scheme].effect;
         self.txns[txn].runs += 1;
         if effect == Effect::OnceOnly && self.txns[txn].runs > 1 {
-            self.blame(now, Rule::Effect, format!("txn {txn} is once-only and ran twice"));
+            self.blame(
+                now,
+                Rule::Effect,
+                format!("txn {txn} is once-only and ran twice"),
+            );
         }
     }
 
@@ -449,15 +515,31 @@
             Some(known) if known.standing != Standing::Ready && known.born == born => known.since,
             _ => now,
         };
-        let born = if standing == Standing::Gone { known.map_or(born, |known| known.born) } else { born };
+        let born = if standing == Standing::Gone {
+            known.map_or(born, |known| known.born)
+        } else {
+            born
+        };
         let seq = known.map_or(seq, |known| known.seq.max(seq));
-        self.told.insert((machine, host), Told { standing, since, born, seq });
+        self.told.insert(
+            (machine, host),
+            Told {
+                standing,
+                since,
+                born,
+                seq,
+            },
+        );
     }
 
     /// Whom a dispatcher was told of.
     pub fn named(&self, machine: usize) -> Vec<usize> {
-        let mut hosts: Vec<usize> =
-            self.told.keys().filter(|(of, _)| *of == machine).map(|(_, host)| *host).collect();
+        let mut hosts: Vec<usize> = self
+            .told
+            .keys()
+            .filter(|(of, _)| *of == machine)
+            .map(|(_, host)| *host)
+            .collect();
         hosts.sort_unstable();
         hosts
     }
@@ -465,7 +547,16 @@
     /// A cold process begins; its capacity is in work a unit of time once it is warm.
     pub fn born(&mut self, host: usize, born: Nanos, capacity: f64) {
         let (work, all) = Default::default();
-        self.cold.push(Cold { host, born, capacity, work, sum: 0.0, all, all_sum: 0.0, fell: false });
+        self.cold.push(Cold {
+            host,
+            born,
+            capacity,
+            work,
+            sum: 0.0,
+            all,
+            all_sum: 0.0,
+            fell: false,
+        });
     }
 
     /// The part of its capacity that a process has.
@@ -478,21 +569,36 @@
     }
 
     /// Work has reached a worker; true where the worker falls over under it.
-    pub fn loads(&mut self, now: Nanos, machine: usize, host: usize, born: Nanos, work: f64) -> bool {
+    pub fn loads(
+        &mut self,
+        now: Nanos,
+        machine: usize,
+        host: usize,
+        born: Nanos,
+        work: f64,
+    ) -> bool {
         let warmth = self.warmth(now, born);
         if warmth >= 1.0 {
             return false;
         }
-        let informed = self.told.get(&(machine, host)).is_some_and(|told| told.born == born);
+        let informed = self
+            .told
+            .get(&(machine, host))
+            .is_some_and(|told| told.born == born);
         let (window, multiple) = (self.rules.fall_ms * MS, self.rules.fall_multiple);
-        let Some(cold) = self.cold.iter_mut().find(|cold| cold.host == host && cold.born == born) else {
+        let Some(cold) = self
+            .cold
+            .iter_mut()
+            .find(|cold| cold.host == host && cold.born == born)
+        else {
             return false;
         };
         let most = multiple * cold.capacity * warmth * window as f64;
         let limit = most * CHANCE;
-        for (counts, list, sum) in
-            [(informed, &mut cold.work, &mut cold.sum), (true, &mut cold.all, &mut cold.all_sum)]
-        {
+        for (counts, list, sum) in [
+            (informed, &mut cold.work, &mut cold.sum),
+            (true, &mut cold.all, &mut cold.all_sum),
+        ] {
             while list.front().is_some_and(|(at, _)| at + window < now) {
                 *sum -= list.pop_front().map_or(0.0, |(_, work)| work);
             }
@@ -504,7 +610,11 @@
         let (sum, all) = (cold.sum, cold.all_sum);
         let calls = most / self.mean_work.max(1.0);
         let by_root = (calls + 2.0 * calls.sqrt() + 2.0) * self.mean_work;
-        if informed && all > by_root && sum * 3.0 >= all * 2.0 && !std::mem::replace(&mut cold.fell, true) {
+        if informed
+            && all > by_root
+            && sum * 3.0 >= all * 2.0
+            && !std::mem::replace(&mut cold.fell, true)
+        {
             self.tally.fell_by_root += 1;
         }
         // What came from those who did not know of its start is no one's fault, up to a third.
--- a/crates/simulation/src/mail.rs
+++ b/crates/simulation/src/mail.rs
@@ -54,16 +54,28 @@
 impl VMail {
     /// Whoever was at the address before is there no longer.
     pub fn new(core: &Rc<Core>, machine: usize, at: SocketAddr) -> Self {
-        let desk = Desk { machine, waiting: VecDeque::new(), waker: None };
+        let desk = Desk {
+            machine,
+            waiting: VecDeque::new(),
+            waker: None,
+        };
         core.post.borrow_mut().desks.insert(at, desk);
-        VMail { core: core.clone(), at, machine }
+        VMail {
+            core: core.clone(),
+            at,
+            machine,
+        }
     }
 }
 
 impl Drop for VMail {
     fn drop(&mut self) {
         let mut post = self.core.post.borrow_mut();
-        if post.desks.get(&self.at).is_some_and(|desk| desk.machine == self.machine) {
+        if post
+            .desks
+            .get(&self.at)
+            .is_some_and(|desk| desk.machine == self.machine)
+        {
             post.desks.remove(&self.at);
         }
     }
@@ -73,12 +85,18 @@
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let core = &self.core;
         let ways = core.post.borrow().ways;
-        if !core.post.borrow().passes(core.now(), &self.at, &to) || core.draw(|chance| chance.is(ways.loss)) {
+        if !core.post.borrow().passes(core.now(), &self.at, &to)
+            || core.draw(|chance| chance.is(ways.loss))
+        {
             return Ok(());
         }
         for _ in 0..1 + u8::from(core.draw(|chance| chance.is(ways.twice))) {
             let late = core.draw(|chance| chance.below(ways.latency.0, ways.latency.1 + 1));
-            let event = Event::Datagram { to, from: self.at, bytes: bytes.to_vec() };
+            let event = Event::Datagram {
+                to,
+                from: self.at,
+                bytes: bytes.to_vec(),
+            };
             core.at(core.now() + late, 0, event);
         }
         Ok(())
@@ -87,8 +105,13 @@
     async fn receive(&self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         poll_fn(|cx| {
             let mut post = self.core.post.borrow_mut();
-            let desk = post.desks.get_mut(&self.at).filter(|desk| desk.machine == self.machine);
-            let Some(desk) = desk else { return Poll::Pending };
+            let desk = post
+                .desks
+                .get_mut(&self.at)
+                .filter(|desk| desk.machine == self.machine);
+            let Some(desk) = desk else {
+                return Poll::Pending;
+            };
             let Some((got, from)) = desk.waiting.pop_front() else {
                 desk.waker = Some(cx.waker().clone());
                 return Poll::Pending;
@@ -105,7 +128,9 @@
 pub fn deliver(core: &Rc<Core>, to: SocketAddr, from: SocketAddr, bytes: Vec<u8>) {
     let woken = {
         let mut post = core.post.borrow_mut();
-        let Some(desk) = post.desks.get_mut(&to) else { return };
+        let Some(desk) = post.desks.get_mut(&to) else {
+            return;
+        };
         if desk.waiting.len() < WAITING {
             desk.waiting.push_back((bytes, from));
         }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -102,15 +102,24 @@
 }
 
 fn load(path: &PathBuf) -> Result<Scenario, String> {
-    let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     file::read(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
 fn chosen(which: &Which) -> Result<Scenario, String> {
     let given = which.scenario.as_ref().map(load).transpose()?;
     match (which.seed, &given) {
-        (Some(seed), given) => Ok(among(seed, given.as_ref(), which.dispatchers.map(usize::from))),
-        (None, Some(given)) => Ok(among(given.seed, Some(given), which.dispatchers.map(usize::from))),
+        (Some(seed), given) => Ok(among(
+            seed,
+            given.as_ref(),
+            which.dispatchers.map(usize::from),
+        )),
+        (None, Some(given)) => Ok(among(
+            given.seed,
+            Some(given),
+            which.dispatchers.map(usize::from),
+        )),
         (None, None) => Err("name a --seed or a --scenario".to_string()),
     }
 }
@@ -139,13 +148,22 @@
 
 fn show(report: &Report) {
     for violation in &report.violations {
-        print(&format!("  {:>10.3} ms  {:?}: {}", violation.at_ms, violation.rule, violation.what));
+        print(&format!(
+            "  {:>10.3} ms  {:?}: {}",
+            violation.at_ms, violation.rule, violation.what
+        ));
     }
 }
 
 fn run(cli: &Cli) -> Result<bool, String> {
     match &cli.command {
-        Command::Explore { seeds, first, jobs, scenario, dispatchers } => {
+        Command::Explore {
+            seeds,
+            first,
+            jobs,
+            scenario,
+            dispatchers,
+        } => {
             let given = scenario.as_ref().map(load).transpose()?;
             let (bar, start) = (bar(*seeds), Instant::now());
             let all = *first..first.saturating_add(*seeds);
@@ -153,11 +171,18 @@
             let sum = explore_by(all, cores(*jobs), make, |report| {
                 bar.inc(1);
                 if !report.violations.is_empty() && !cli.json {
-                    let from = scenario.as_ref().map(|path| format!(" --scenario {}", path.display()));
+                    let from = scenario
+                        .as_ref()
+                        .map(|path| format!(" --scenario {}", path.display()));
                     let among = dispatchers.map(|count| format!(" --dispatchers {count}"));
-                    let (seed, from) = (report.seed, from.unwrap_or_default() + &among.unwrap_or_default());
+                    let (seed, from) = (
+                        report.seed,
+                        from.unwrap_or_default() + &among.unwrap_or_default(),
+                    );
                     bar.suspend(|| {
-                        print(&format!("seed {seed}: rosewall-simulate replay --seed {seed}{from} --trace"));
+                        print(&format!(
+                            "seed {seed}: rosewall-simulate replay --seed {seed}{from} --trace"
+                        ));
                         show(report);
                     });
                 }
@@ -187,7 +212,10 @@
                 print(&json(&report)?);
                 return Ok(report.violations.is_empty());
             }
-            report.trace.iter().for_each(|(at, words)| print(&format!("{at:>10.3} ms  {words}")));
+            report
+                .trace
+                .iter()
+                .for_each(|(at, words)| print(&format!("{at:>10.3} ms  {words}")));
             show(&report);
             let tally = &report.tally;
             print(&format!(
@@ -222,21 +250,30 @@
                     less.length_ms
                 );
             });
-            let text = if cli.json { json(&least)? } else { file::write(&least)? };
+            let text = if cli.json {
+                json(&least)?
+            } else {
+                file::write(&least)?
+            };
             match out {
-                Some(path) => {
-                    std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))?
-                }
+                Some(path) => std::fs::write(path, text)
+                    .map_err(|error| format!("{}: {error}", path.display()))?,
                 None => print(&text),
             }
             Ok(true)
         }
         Command::Draw { seed } => {
             let drawn = scenario(*seed, None);
-            print(&if cli.json { json(&drawn)? } else { file::write(&drawn)? });
+            print(&if cli.json {
+                json(&drawn)?
+            } else {
+                file::write(&drawn)?
+            });
             Ok(true)
         }
-        Command::Sabotage { seeds, first, jobs } => sabotage(*seeds, *first, cores(*jobs), cli.json),
+        Command::Sabotage { seeds, first, jobs } => {
+            sabotage(*seeds, *first, cores(*jobs), cli.json)
+        }
     }
 }
 
@@ -249,7 +286,10 @@
         print(&match (as_json, found.worlds, found.rule) {
             (true, ..) => json(&found)?,
             (false, Some(worlds), Some(rule)) => {
-                format!("{:<22} found after {worlds:>4} worlds by {rule:?}: {}", found.fault, found.what)
+                format!(
+                    "{:<22} found after {worlds:>4} worlds by {rule:?}: {}",
+                    found.fault, found.what
+                )
             }
             _ => format!("{:<22} NOT found in {seeds} worlds", found.fault),
         });
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -122,11 +122,21 @@
 
 impl Net {
     pub fn new(ways: Ways) -> Self {
-        Net { ways, machines: Vec::new(), links: Slab::new(), doors: FxHashMap::default() }
+        Net {
+            ways,
+            machines: Vec::new(),
+            links: Slab::new(),
+            doors: FxHashMap::default(),
+        }
     }
 
     pub fn machine(&mut self, owner: Owner) -> usize {
-        self.machines.push(Machine { owner, silent: false, open: 0, most: 0 });
+        self.machines.push(Machine {
+            owner,
+            silent: false,
+            open: 0,
+            most: 0,
+        });
         self.machines.len() - 1
     }
 
@@ -138,15 +148,28 @@
     /// Opens a door; what stood there before is gone.
     pub fn listen(core: &Rc<Core>, machine: usize, at: SocketAddr, backlog: usize) -> VDoor {
         let mut net = core.net.borrow_mut();
-        net.doors.insert(at, Entry { machine, backlog, ..Entry::default() });
-        VDoor { core: core.clone(), at, machine }
+        net.doors.insert(
+            at,
+            Entry {
+                machine,
+                backlog,
+                ..Entry::default()
+            },
+        );
+        VDoor {
+            core: core.clone(),
+            at,
+            machine,
+        }
     }
 
     fn send(core: &Rc<Core>, link: usize, half: usize, part: Part) {
         let (low, high) = core.net.borrow().ways.latency;
         let latency = core.draw(|chance| chance.below(low, high + 1)).max(1);
         let mut net = core.net.borrow_mut();
-        let Some(known) = net.links.get_mut(link) else { return };
+        let Some(known) = net.links.get_mut(link) else {
+            return;
+        };
         let flow = &mut known.flows[half];
         let last = flow.flying.back().map_or(0, |(at, _)| *at);
         let at = (core.now() + latency).max(last);
@@ -166,8 +189,12 @@
         {
             let mut net = core.net.borrow_mut();
             let net = &mut *net;
-            let Some(known) = net.links.get_mut(link) else { return };
-            let Some((_, part)) = known.flows[half].flying.pop_front() else { return };
+            let Some(known) = net.links.get_mut(link) else {
+                return;
+            };
+            let Some((_, part)) = known.flows[half].flying.pop_front() else {
+                return;
+            };
             let (to, from) = (1 - half, half);
             if let Part::Bytes(bytes) = &part {
                 known.flows[half].flying_bytes -= bytes.len();
@@ -177,26 +204,49 @@
                 known.machines[1] = door.machine;
             }
             let owners = known.machines.map(|machine| net.machines[machine].owner);
-            let lost = known.machines.iter().any(|machine| net.machines[*machine].silent);
+            let lost = known
+                .machines
+                .iter()
+                .any(|machine| net.machines[*machine].silent);
             if !lost {
                 match part {
                     Part::Bytes(bytes) if known.open[to] => {
                         known.flows[half].here.extend(bytes);
-                        wakers.extend(known.flows[half].reader.take().map(|waker| (owners[to], waker)));
+                        wakers.extend(
+                            known.flows[half]
+                                .reader
+                                .take()
+                                .map(|waker| (owners[to], waker)),
+                        );
                     }
                     // There is no one left to read it.
                     Part::Bytes(_) => replies.push((to, Part::Reset)),
                     Part::End => {
                         known.flows[half].ended = true;
-                        wakers.extend(known.flows[half].reader.take().map(|waker| (owners[to], waker)));
+                        wakers.extend(
+                            known.flows[half]
+                                .reader
+                                .take()
+                                .map(|waker| (owners[to], waker)),
+                        );
                     }
                     Part::Reset => {
                         known.broken[to] = true;
                         if net.ways.harsh {
                             known.flows[half].here.clear();
                         }
-                        wakers.extend(known.flows[from].reader.take().map(|waker| (owners[to], waker)));
-                        wakers.extend(known.flows[to].writer.take().map(|waker| (owners[to], waker)));
+                        wakers.extend(
+                            known.flows[from]
+                                .reader
+                                .take()
+                                .map(|waker| (owners[to], waker)),
+                        );
+                        wakers.extend(
+                            known.flows[to]
+                                .writer
+                                .take()
+                                .map(|waker| (owners[to], waker)),
+                        );
                         wakers.extend(known.connecting.take().map(|waker| (owners[to], waker)));
                     }
                     Part::Call => match net.doors.get_mut(&known.port) {
@@ -217,7 +267,9 @@
                 }
             }
         }
-        replies.into_iter().for_each(|(half, part)| Net::send(core, link, half, part));
+        replies
+            .into_iter()
+            .for_each(|(half, part)| Net::send(core, link, half, part));
         for (owner, waker) in wakers {
             core.mark(owner);
             waker.wake();
@@ -240,7 +292,9 @@
     fn close(core: &Rc<Core>, link: usize, side: usize) {
         let part = {
             let mut net = core.net.borrow_mut();
-            let Some(known) = net.links.get_mut(link) else { return };
+            let Some(known) = net.links.get_mut(link) else {
+                return;
+            };
             if !std::mem::take(&mut known.open[side]) {
                 return;
             }
@@ -265,16 +319,26 @@
 
     /// All connections of a machine break, as its process dies: each other side is told, and its doors close.
     pub fn kill(core: &Rc<Core>, machine: usize) {
-        core.net.borrow_mut().doors.retain(|_, door| door.machine != machine);
+        core.net
+            .borrow_mut()
+            .doors
+            .retain(|_, door| door.machine != machine);
         for (link, side) in Net::links_of(core, machine) {
             let mut wakers = Vec::new();
             let tell = {
                 let mut net = core.net.borrow_mut();
                 let owner = net.machines[machine].owner;
-                let Some(known) = net.links.get_mut(link) else { continue };
+                let Some(known) = net.links.get_mut(link) else {
+                    continue;
+                };
                 let was = std::mem::take(&mut known.open[side]);
                 known.broken[side] = true;
-                wakers.extend(known.flows[1 - side].reader.take().map(|waker| (owner, waker)));
+                wakers.extend(
+                    known.flows[1 - side]
+                        .reader
+                        .take()
+                        .map(|waker| (owner, waker)),
+                );
                 wakers.extend(known.flows[side].writer.take().map(|waker| (owner, waker)));
                 if was && (side == 0 || !std::mem::take(&mut known.waiting)) {
                     net.machines[machine].open -= 1;
@@ -307,7 +371,11 @@
     fn links_of(core: &Rc<Core>, machine: usize) -> Vec<(usize, usize)> {
         let net = core.net.borrow();
         let sides = |(link, known): (usize, &Link)| {
-            known.machines.iter().position(|one| *one == machine).map(|side| (link, side))
+            known
+                .machines
+                .iter()
+                .position(|one| *one == machine)
+                .map(|side| (link, side))
         };
         net.links.iter().filter_map(sides).collect()
     }
@@ -337,11 +405,18 @@
             net.machines[machine].most = net.machines[machine].most.max(net.machines[machine].open);
             net.links.insert(link)
         };
-        let stream = VStream { core: core.clone(), link, side: 0, machine };
+        let stream = VStream {
+            core: core.clone(),
+            link,
+            side: 0,
+            machine,
+        };
         Net::send(core, link, 0, Part::Call);
         let up = std::future::poll_fn(|cx| {
             let mut net = core.net.borrow_mut();
-            let Some(known) = net.links.get_mut(link) else { return Poll::Ready(false) };
+            let Some(known) = net.links.get_mut(link) else {
+                return Poll::Ready(false);
+            };
             match known.up {
                 _ if known.broken[0] => Poll::Ready(false),
                 Some(up) => Poll::Ready(up),
@@ -351,7 +426,11 @@
                 }
             }
         });
-        if up.await { Ok(stream) } else { Err(ErrorKind::ConnectionRefused.into()) }
+        if up.await {
+            Ok(stream)
+        } else {
+            Err(ErrorKind::ConnectionRefused.into())
+        }
     }
 }
 
@@ -367,7 +446,9 @@
     /// The machine at the other side.
     pub fn peer(&self) -> usize {
         let net = self.core.net.borrow();
-        net.links.get(self.link).map_or(0, |known| known.machines[1 - self.side])
+        net.links
+            .get(self.link)
+            .map_or(0, |known| known.machines[1 - self.side])
     }
 
     /// What this side writes, as the judge sees it.
@@ -382,14 +463,19 @@
 
     fn flow(&self, half: usize) -> Rc<Half> {
         let net = self.core.net.borrow();
-        net.links.get(self.link).map(|known| known.flows[half].half.clone()).unwrap_or_default()
+        net.links
+            .get(self.link)
+            .map(|known| known.flows[half].half.clone())
+            .unwrap_or_default()
     }
 
     /// Breaks the connection: the other side is told, and this one finds it broken too.
     pub fn reset(self) {
         {
             let mut net = self.core.net.borrow_mut();
-            let Some(known) = net.links.get_mut(self.link) else { return };
+            let Some(known) = net.links.get_mut(self.link) else {
+                return;
+            };
             if known.broken[self.side] {
                 return;
             }
@@ -406,10 +492,16 @@
 }
 
 impl AsyncRead for VStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buffer: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         let split = self.core.net.borrow().ways.split;
         let mut net = self.core.net.borrow_mut();
-        let Some(known) = net.links.get_mut(self.link) else { return Poll::Ready(Ok(0)) };
+        let Some(known) = net.links.get_mut(self.link) else {
+            return Poll::Ready(Ok(0));
+        };
         let flow = &mut known.flows[1 - self.side];
         if flow.here.is_empty() {
             return if known.broken[self.side] {
@@ -471,7 +563,12 @@
             flow.half.write(self.core.now(), count);
             count
         };
-        Net::send(&self.core, self.link, self.side, Part::Bytes(bytes[..count].to_vec()));
+        Net::send(
+            &self.core,
+            self.link,
+            self.side,
+            Part::Bytes(bytes[..count].to_vec()),
+        );
         Poll::Ready(Ok(count))
     }
 
@@ -487,7 +584,9 @@
 impl Stream for VStream {
     fn look(&self) -> Look {
         let net = self.core.net.borrow();
-        let Some(known) = net.links.get(self.link) else { return Look::Ended };
+        let Some(known) = net.links.get(self.link) else {
+            return Look::Ended;
+        };
         let flow = &known.flows[1 - self.side];
         match (flow.here.is_empty(), known.broken[self.side] || flow.ended) {
             (false, _) => Look::Bytes,
@@ -541,16 +640,20 @@
         let waiting = {
             let mut net = self.core.net.borrow_mut();
             match net.doors.get(&self.at) {
-                Some(door) if door.machine == self.machine => {
-                    net.doors.remove(&self.at).map(|door| door.queue).unwrap_or_default()
-                }
+                Some(door) if door.machine == self.machine => net
+                    .doors
+                    .remove(&self.at)
+                    .map(|door| door.queue)
+                    .unwrap_or_default(),
                 _ => VecDeque::new(),
             }
         };
         for link in waiting {
             {
                 let mut net = self.core.net.borrow_mut();
-                let Some(known) = net.links.get_mut(link) else { continue };
+                let Some(known) = net.links.get_mut(link) else {
+                    continue;
+                };
                 known.open[1] = false;
             }
             Net::send(&self.core, link, 1, Part::Reset);
@@ -590,13 +693,22 @@
             let Some(door) = net.doors.get_mut(&self.at) else {
                 return Err(ErrorKind::NotConnected.into());
             };
-            let Some(link) = door.queue.pop_front() else { return Err(ErrorKind::WouldBlock.into()) };
-            let Some(known) = net.links.get_mut(link).filter(|known| known.open[1]) else { continue };
+            let Some(link) = door.queue.pop_front() else {
+                return Err(ErrorKind::WouldBlock.into());
+            };
+            let Some(known) = net.links.get_mut(link).filter(|known| known.open[1]) else {
+                continue;
+            };
             known.waiting = false;
             let machine = &mut net.machines[self.machine];
             machine.open += 1;
             machine.most = machine.most.max(machine.open);
-            return Ok(VStream { core: self.core.clone(), link, side: 1, machine: self.machine });
+            return Ok(VStream {
+                core: self.core.clone(),
+                link,
+                side: 1,
+                machine: self.machine,
+            });
         }
     }
 }
--- a/crates/simulation/src/sabotage.rs
+++ b/crates/simulation/src/sabotage.rs
@@ -37,14 +37,27 @@
     });
     let seed = best.into_inner();
     if seed == u64::MAX {
-        return Found { fault: format!("{fault:?}"), worlds: None, rule: None, what: String::new() };
+        return Found {
+            fault: format!("{fault:?}"),
+            worlds: None,
+            rule: None,
+            what: String::new(),
+        };
     }
     plant(Some(fault));
     let violations = play(&draw(seed), false).violations;
     plant(None);
-    let (rule, what) = violations.first().map(|one| (one.rule, one.what.clone())).unzip();
+    let (rule, what) = violations
+        .first()
+        .map(|one| (one.rule, one.what.clone()))
+        .unzip();
     let what = what.unwrap_or_default();
-    Found { fault: format!("{fault:?}"), worlds: Some(seed - first + 1), rule, what }
+    Found {
+        fault: format!("{fault:?}"),
+        worlds: Some(seed - first + 1),
+        rule,
+        what,
+    }
 }
 
 /// Each fault in turn.
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -48,11 +48,16 @@
 impl Scenario {
     /// The mean work of a txn over all loads, in ns of one seat; 0 where there is no load.
     pub fn mean_work(&self) -> f64 {
-        let mean = |[low, high]: [f64; 2]| if high > low { (high - low) / (high / low).ln() } else { low };
-        let (sum, rate) = self
-            .load
-            .iter()
-            .fold((0.0, 0.0), |(sum, rate), load| (sum + load.rate * mean(load.work_ms), rate + load.rate));
+        let mean = |[low, high]: [f64; 2]| {
+            if high > low {
+                (high - low) / (high / low).ln()
+            } else {
+                low
+            }
+        };
+        let (sum, rate) = self.load.iter().fold((0.0, 0.0), |(sum, rate), load| {
+            (sum + load.rate * mean(load.work_ms), rate + load.rate)
+        });
         if rate > 0.0 { 1e6 * sum / rate } else { 0.0 }
     }
 }
@@ -73,7 +78,14 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 384, memory_mb: 48, postings: 3, probes: false, idle_ms: 5000, connect_ms: 250 }
+        Limits {
+            sockets: 384,
+            memory_mb: 48,
+            postings: 3,
+            probes: false,
+            idle_ms: 5000,
+            connect_ms: 250,
+        }
     }
 }
 
@@ -92,7 +104,12 @@
 
 impl Default for Net {
     fn default() -> Self {
-        Net { latency_us: [50, 400], split: 0.1, harsh: false, backlog: 64 }
+        Net {
+            latency_us: [50, 400],
+            split: 0.1,
+            harsh: false,
+            backlog: 64,
+        }
     }
 }
 
@@ -125,7 +142,13 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Rules { grace_ms: 3000, fall_multiple: 4.0, fall_ms: 2000, cold_from: 0.2, cold_ms: 10_000 }
+        Rules {
+            grace_ms: 3000,
+            fall_multiple: 4.0,
+            fall_ms: 2000,
+            cold_from: 0.2,
+            cold_ms: 10_000,
+        }
     }
 }
 
@@ -385,7 +408,11 @@
 }
 
 fn line_at(text: &str, span: Range<usize>) -> usize {
-    text.bytes().take(span.start).filter(|byte| *byte == b'\n').count() + 1
+    text.bytes()
+        .take(span.start)
+        .filter(|byte| *byte == b'\n')
+        .count()
+        + 1
 }
 
 /// The line at which the entry `at` of a list begins, or that of a plain name.
@@ -395,27 +422,74 @@
     let heads = |line: &str| {
         let line = line.trim();
         line == format!("[[{list}]]")
-            || line.strip_prefix(list).is_some_and(|rest| rest.trim().starts_with('='))
+            || line
+                .strip_prefix(list)
+                .is_some_and(|rest| rest.trim().starts_with('='))
     };
-    text.lines().enumerate().filter(|(_, line)| heads(line)).nth(at).map(|(line, _)| line + 1)
+    text.lines()
+        .enumerate()
+        .filter(|(_, line)| heads(line))
+        .nth(at)
+        .map(|(line, _)| line + 1)
 }
 
 type Wrong = (&'static str, usize, String);
 
 /// What a reader of types alone does not see.
 fn check(scenario: &Scenario) -> Result<(), Wrong> {
-    let no =
-        |holds: bool, list, at, fault: &str| if holds { Ok(()) } else { Err((list, at, fault.to_string())) };
-    let Scenario { dispatchers, length_ms, scheme, worker, .. } = scenario;
-    no((1..=MOST_DISPATCHERS).contains(dispatchers), "dispatchers", 0, "1 to 4096 dispatchers are played")?;
-    no((1..=MOST_MS).contains(length_ms), "length_ms", 0, "a world lasts from 1 ms to 30 min")?;
+    let no = |holds: bool, list, at, fault: &str| {
+        if holds {
+            Ok(())
+        } else {
+            Err((list, at, fault.to_string()))
+        }
+    };
+    let Scenario {
+        dispatchers,
+        length_ms,
+        scheme,
+        worker,
+        ..
+    } = scenario;
+    no(
+        (1..=MOST_DISPATCHERS).contains(dispatchers),
+        "dispatchers",
+        0,
+        "1 to 4096 dispatchers are played",
+    )?;
+    no(
+        (1..=MOST_MS).contains(length_ms),
+        "length_ms",
+        0,
+        "a world lasts from 1 ms to 30 min",
+    )?;
     no(!scheme.is_empty(), "scheme", 0, "there is no scheme")?;
-    no((1..=MOST_WORKERS).contains(&worker.len()), "worker", 0, "1 to 4096 workers are played")?;
+    no(
+        (1..=MOST_WORKERS).contains(&worker.len()),
+        "worker",
+        0,
+        "1 to 4096 workers are played",
+    )?;
     let [low, high] = scenario.net.latency_us;
-    no(low > 0 && low <= high, "net", 0, "latencies begin above 0 and end no lower")?;
-    no((0.0..=1.0).contains(&scenario.net.split), "net", 0, "a part lies from 0 to 1")?;
+    no(
+        low > 0 && low <= high,
+        "net",
+        0,
+        "latencies begin above 0 and end no lower",
+    )?;
+    no(
+        (0.0..=1.0).contains(&scenario.net.split),
+        "net",
+        0,
+        "a part lies from 0 to 1",
+    )?;
     if let Some(members) = &scenario.members {
-        no(matches!(members.keepers, 0 | 1 | 3 | 5), "members", 0, "there are 0, 1, 3 or 5 keepers")?;
+        no(
+            matches!(members.keepers, 0 | 1 | 3 | 5),
+            "members",
+            0,
+            "there are 0, 1, 3 or 5 keepers",
+        )?;
         let parts = (0.0..=1.0).contains(&members.loss) && (0.0..=1.0).contains(&members.twice);
         no(parts, "members", 0, "a part lies from 0 to 1")?;
         no(
@@ -426,12 +500,23 @@
         )?;
     }
     for (at, one) in scheme.iter().enumerate() {
-        no(one.expiry_ms > 0 && one.sla_ms > 0, "scheme", at, "times are above 0")?;
+        no(
+            one.expiry_ms > 0 && one.sla_ms > 0,
+            "scheme",
+            at,
+            "times are above 0",
+        )?;
     }
     for (at, one) in worker.iter().enumerate() {
-        no(one.slots > 0 && one.speed > 0.0, "worker", at, "a worker has slots and a speed")?;
+        no(
+            one.slots > 0 && one.speed > 0.0,
+            "worker",
+            at,
+            "a worker has slots and a speed",
+        )?;
     }
-    let work = |list, at, low: f64, high: f64| no(low > 0.0 && low <= high, list, at, "work is above 0");
+    let work =
+        |list, at, low: f64, high: f64| no(low > 0.0 && low <= high, list, at, "work is above 0");
     let known = |list, at, one: usize| no(one < scheme.len(), list, at, "there is no such scheme");
     for (at, load) in scenario.load.iter().enumerate() {
         known("load", at, load.scheme)?;
@@ -446,10 +531,20 @@
     for (at, txn) in scenario.txn.iter().enumerate() {
         known("txn", at, txn.scheme)?;
         work("txn", at, txn.work_ms, txn.work_ms)?;
-        no(txn.dispatcher < *dispatchers, "txn", at, "there is no such dispatcher")?;
+        no(
+            txn.dispatcher < *dispatchers,
+            "txn",
+            at,
+            "there is no such dispatcher",
+        )?;
     }
     for (at, bad) in scenario.bad.iter().enumerate() {
-        no(bad.dispatcher < *dispatchers, "bad", at, "there is no such dispatcher")?;
+        no(
+            bad.dispatcher < *dispatchers,
+            "bad",
+            at,
+            "there is no such dispatcher",
+        )?;
     }
     for (at, fault) in scenario.fault.iter().enumerate() {
         let (most, what) = match fault.kind.at_worker() {
@@ -457,7 +552,12 @@
             false => (*dispatchers, "there is no such dispatcher"),
         };
         no(fault.target < most, "fault", at, what)?;
-        no(fault.at_ms >= 0.0 && fault.for_ms >= 0.0, "fault", at, "times are not below 0")?;
+        no(
+            fault.at_ms >= 0.0 && fault.for_ms >= 0.0,
+            "fault",
+            at,
+            "times are not below 0",
+        )?;
         known("fault", at, fault.scheme)?;
     }
     Ok(())
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -78,7 +78,8 @@
 
 const CHUNKED: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-const UNSTARTED: &str = "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+const UNSTARTED: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
 fn line(id: &str, state: &str, more: &str) -> String {
     format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\"{more}}}\n")
@@ -98,7 +99,9 @@
         let (life, end) = async_channel::bounded(1);
         let spec = scenario.worker[host].clone();
         if born > 0 {
-            core.judge.borrow_mut().born(host, born, spec.slots as f64 * spec.speed);
+            core.judge
+                .borrow_mut()
+                .born(host, born, spec.slots as f64 * spec.speed);
         }
         let idle = (scenario.limits.idle_ms as f64 * MS as f64 * spec.keeps) as Nanos;
         let process = Rc::new(Process {
@@ -179,15 +182,16 @@
         let mut inbox = Inbox::default();
         loop {
             let idle_until = self.core.now() + self.idle.max(MS);
-            let early =
-                self.troubles.borrow().odd.holds(&self.core) && self.core.draw(|chance| chance.is(0.05));
+            let early = self.troubles.borrow().odd.holds(&self.core)
+                && self.core.draw(|chance| chance.is(0.05));
             if early {
                 // Answers before it has all, and is gone.
                 let _ = by(&self.core, idle_until, stream.readable()).await;
                 let _ = stream.write_all(UNSTARTED.as_bytes()).await;
                 return;
             }
-            let Some(Ok(Some(message))) = by(&self.core, idle_until, inbox.message(&mut stream, false)).await
+            let Some(Ok(Some(message))) =
+                by(&self.core, idle_until, inbox.message(&mut stream, false)).await
             else {
                 return;
             };
@@ -211,25 +215,60 @@
         let id = message.field("request-id").unwrap_or_default().to_string();
         let txn = usize::from_str_radix(&id, 16).ok();
         let half = stream.received();
-        let (first, last) = (half.written_at(message.from), half.written_at(message.to - 1));
-        let from = From { machine: stream.peer(), first, last };
-        let at = At { host: self.host, zone: self.spec.zone, cell: self.spec.cell };
-        core.note("arrived", txn.unwrap_or(usize::MAX) as u64, self.host as u64, || {
-            format!("txn {id} at worker {}, by dispatcher machine {}", self.host, from.machine)
-        });
-        let attempt = core.judge.borrow_mut().arrived(core.now(), &from, txn, &at)?;
+        let (first, last) = (
+            half.written_at(message.from),
+            half.written_at(message.to - 1),
+        );
+        let from = From {
+            machine: stream.peer(),
+            first,
+            last,
+        };
+        let at = At {
+            host: self.host,
+            zone: self.spec.zone,
+            cell: self.spec.cell,
+        };
+        core.note(
+            "arrived",
+            txn.unwrap_or(usize::MAX) as u64,
+            self.host as u64,
+            || {
+                format!(
+                    "txn {id} at worker {}, by dispatcher machine {}",
+                    self.host, from.machine
+                )
+            },
+        );
+        let attempt = core
+            .judge
+            .borrow_mut()
+            .arrived(core.now(), &from, txn, &at)?;
         let txn = txn?;
         let (scheme, work) = {
             let judge = core.judge.borrow();
             (judge.txns[txn].scheme, judge.txns[txn].work)
         };
-        let falls =
-            core.judge.borrow_mut().loads(core.now(), from.machine, self.host, self.born, work as f64);
+        let falls = core.judge.borrow_mut().loads(
+            core.now(),
+            from.machine,
+            self.host,
+            self.born,
+            work as f64,
+        );
         if falls {
-            core.note("falls", self.host as u64, 0, || format!("worker {} over", self.host));
+            core.note("falls", self.host as u64, 0, || {
+                format!("worker {} over", self.host)
+            });
             let _ = self.fallen.try_send(self.host);
         }
-        let job = Job { process: self.clone(), txn, attempt, id, work };
+        let job = Job {
+            process: self.clone(),
+            txn,
+            attempt,
+            id,
+            work,
+        };
         let (full, errs, fails, swallows, odd) = {
             let troubles = self.troubles.borrow();
             (
@@ -315,13 +354,20 @@
     }
 
     fn done(&self) -> String {
-        line(&self.id, "done", &format!(",\"result\":\"{}\"", self.result()))
+        line(
+            &self.id,
+            "done",
+            &format!(",\"result\":\"{}\"", self.result()),
+        )
     }
 
     async fn turn_away(&self, stream: &mut VStream, text: &str) -> Option<bool> {
         let sent = stream.sent();
         let end = sent.wrote.get() + text.len() as u64;
-        self.core().judge.borrow_mut().turned_away(self.txn, self.attempt, end, sent);
+        self.core()
+            .judge
+            .borrow_mut()
+            .turned_away(self.txn, self.attempt, end, sent);
         stream.write_all(text.as_bytes()).await.ok().map(|()| true)
     }
 
@@ -364,7 +410,11 @@
         let mut open = stream.write_all(text.as_bytes()).await.is_ok();
         let warmth = core.judge.borrow().warmth(core.now(), process.born);
         let slow = process.troubles.borrow().slow;
-        let slow = if core.now() < slow.until { slow.share.max(0.01) } else { 1.0 };
+        let slow = if core.now() < slow.until {
+            slow.share.max(0.01)
+        } else {
+            1.0
+        };
         let span = (self.work as f64 / process.spec.speed / warmth * slow) as Nanos;
         core.sleep(span).await;
         process.unstalled().await;
@@ -379,14 +429,17 @@
             return None;
         }
         let line = chunk(&line(&self.id, "returned", ""));
-        self.turn_away(stream, &format!("{CHUNKED}{line}0\r\n\r\n")).await
+        self.turn_away(stream, &format!("{CHUNKED}{line}0\r\n\r\n"))
+            .await
     }
 
     /// Every line of the protocol's table, and what is on none.
     async fn oddly(&self, stream: &mut VStream) -> Option<bool> {
         let core = self.core().clone();
         let kind = core.draw(|chance| chance.below(0, 24));
-        core.note("oddly", self.txn as u64, kind, || format!("txn {} is answered in way {kind}", self.id));
+        core.note("oddly", self.txn as u64, kind, || {
+            format!("txn {} is answered in way {kind}", self.id)
+        });
         let may_run = |job: &Job| {
             if core.draw(|chance| chance.is(0.5)) {
                 job.runs();
@@ -418,7 +471,10 @@
             }
             6 => {
                 may_run(self);
-                format!("{CHUNKED}{}0\r\n\r\n", chunk(&line("ffffffff", "done", ",\"result\":\"x\"")))
+                format!(
+                    "{CHUNKED}{}0\r\n\r\n",
+                    chunk(&line("ffffffff", "done", ",\"result\":\"x\""))
+                )
             }
             7 => {
                 may_run(self);
@@ -441,7 +497,11 @@
                 may_run(self);
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n").await;
                 loop {
-                    if stream.write_all(b"X-More: and more and more and more\r\n").await.is_err() {
+                    if stream
+                        .write_all(b"X-More: and more and more and more\r\n")
+                        .await
+                        .is_err()
+                    {
                         return None;
                     }
                     core.sleep(MS).await;
@@ -472,7 +532,8 @@
             }
             15 => {
                 kept = false;
-                "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".to_string()
+                "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+                    .to_string()
             }
             16 => {
                 self.runs();
@@ -483,7 +544,11 @@
             17 => {
                 self.runs();
                 kept = false;
-                format!("HTTP/1.1 200 OK\r\n\r\n{}{}", line(id, "started", ""), self.done())
+                format!(
+                    "HTTP/1.1 200 OK\r\n\r\n{}{}",
+                    line(id, "started", ""),
+                    self.done()
+                )
             }
             18 => {
                 self.runs();
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -69,7 +69,9 @@
     }
 
     async fn until(&self, at: Nanos) {
-        self.core.until(self.machine, at.saturating_sub(self.ahead)).await;
+        self.core
+            .until(self.machine, at.saturating_sub(self.ahead))
+            .await;
     }
 
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> Task<()> {
@@ -142,7 +144,15 @@
 impl Stage {
     /// What a dispatcher at this place is given.
     fn given(&self, place: usize, known: &str, sockets: usize) -> Result<Given, String> {
-        let Scenario { limits, rules, scheme, worker, seed, dispatchers, .. } = &*self.scenario;
+        let Scenario {
+            limits,
+            rules,
+            scheme,
+            worker,
+            seed,
+            dispatchers,
+            ..
+        } = &*self.scenario;
         let schemes: Vec<Value> = scheme
             .iter()
             .enumerate()
@@ -162,12 +172,17 @@
                     "ExpiryNs": scheme.expiry_ms * MS, "Value": scheme.value, "TardyValue": 0.2 * scheme.value})
             })
             .collect();
-        let zones = worker.iter().map(|worker| worker.zone).max().unwrap_or_default();
+        let zones = worker
+            .iter()
+            .map(|worker| worker.zone)
+            .max()
+            .unwrap_or_default();
         let zones: Vec<String> = (0..=zones).map(|zone| format!("z{zone}")).collect();
         let stretch: Vec<f64> = scheme.iter().map(|scheme| scheme.stretch).collect();
         let known: Value = serde_json::from_str(known).map_err(|error| error.to_string())?;
         let address = self.places.borrow()[place].address;
-        let epoch = Chance::new(*seed, 50_000 + self.core.now() % 1_000_003).below(0, u32::MAX.into());
+        let epoch =
+            Chance::new(*seed, 50_000 + self.core.now() % 1_000_003).below(0, u32::MAX.into());
         let text = json!({
             "name": format!("n{place}"), "listen": door(place).to_string(),
             "discovery": self.agents[place].addresses[address].to_string(),
@@ -193,11 +208,15 @@
                 name: format!("n{place}"),
                 listen: post_box(place),
                 seeds: count(3).map(post_box).collect(),
-                keepers: count(members.keepers).map(|place| format!("n{place}")).collect(),
+                keepers: count(members.keepers)
+                    .map(|place| format!("n{place}"))
+                    .collect(),
                 through: None,
                 clocks: members.skew_ms * MS,
             };
-            given.map.insert("share.allowed".into(), members.peers.to_string());
+            given
+                .map
+                .insert("share.allowed".into(), members.peers.to_string());
             given.join(joining).map_err(|fault| fault.line())?;
         }
         Ok(given)
@@ -205,7 +224,11 @@
 
     /// How far the clock at a place is ahead: drawn, the same at each start.
     fn ahead(&self, place: usize) -> Nanos {
-        let skew = self.scenario.members.as_ref().map_or(0, |members| members.skew_ms * MS);
+        let skew = self
+            .scenario
+            .members
+            .as_ref()
+            .map_or(0, |members| members.skew_ms * MS);
         Chance::new(self.scenario.seed, 60_000 + place as u64).below(0, skew + 1)
     }
 
@@ -215,23 +238,38 @@
         core.net.borrow_mut().machines[machine].owner = machine;
         self.agents[place].beside.set(machine);
         let (known, ahead) = (self.agents[place].list(machine), self.ahead(place));
-        let started = self.given(place, &known, self.scenario.limits.sockets).and_then(|given| {
-            let ex = Rc::new(LocalExecutor::new());
-            let tasks = Rc::new(Cell::new(0));
-            let ground =
-                Virtual { core: core.clone(), machine, ex: Rc::downgrade(&ex), tasks: tasks.clone(), ahead };
-            let door = Net::listen(core, machine, door(place), 128);
-            let node = Node::start(ground, given, door)?;
-            let mut places = self.places.borrow_mut();
-            let address = places[place].address;
-            places[place] = Place { ex: Some(ex), node: Some(node), machine, tasks, address };
-            Ok(())
-        });
+        let started = self
+            .given(place, &known, self.scenario.limits.sockets)
+            .and_then(|given| {
+                let ex = Rc::new(LocalExecutor::new());
+                let tasks = Rc::new(Cell::new(0));
+                let ground = Virtual {
+                    core: core.clone(),
+                    machine,
+                    ex: Rc::downgrade(&ex),
+                    tasks: tasks.clone(),
+                    ahead,
+                };
+                let door = Net::listen(core, machine, door(place), 128);
+                let node = Node::start(ground, given, door)?;
+                let mut places = self.places.borrow_mut();
+                let address = places[place].address;
+                places[place] = Place {
+                    ex: Some(ex),
+                    node: Some(node),
+                    machine,
+                    tasks,
+                    address,
+                };
+                Ok(())
+            });
         core.note("starts", place as u64, machine as u64, || {
             format!("dispatcher {place} as machine {machine}")
         });
         if let Err(fault) = started {
-            core.judge.borrow_mut().blame(core.now(), Rule::Program, format!("no start: {fault}"));
+            core.judge
+                .borrow_mut()
+                .blame(core.now(), Rule::Program, format!("no start: {fault}"));
         }
         core.mark(machine);
     }
@@ -248,7 +286,9 @@
 
     fn kill_dispatcher(&self, place: usize) {
         let machine = self.places.borrow()[place].machine;
-        self.core.note("killed", place as u64, machine as u64, || format!("dispatcher {place}"));
+        self.core.note("killed", place as u64, machine as u64, || {
+            format!("dispatcher {place}")
+        });
         self.core.judge.borrow_mut().kill(machine);
         Net::kill(&self.core, machine);
         self.take_down(place);
@@ -262,8 +302,12 @@
             let place = &mut places[place];
             (place.node.take(), place.ex.clone(), place.machine)
         };
-        let (Some(node), Some(ex)) = (node, ex) else { return };
-        core.note("stops", place as u64, machine as u64, || format!("dispatcher {place}"));
+        let (Some(node), Some(ex)) = (node, ex) else {
+            return;
+        };
+        core.note("stops", place as u64, machine as u64, || {
+            format!("dispatcher {place}")
+        });
         let (end, ended) = async_channel::bounded::<()>(1);
         ex.spawn(async move {
             node.stop().await;
@@ -272,8 +316,13 @@
         .detach();
         core.mark(machine);
         drop(ex);
-        let longest =
-            self.scenario.scheme.iter().map(|scheme| scheme.expiry_ms * MS).max().unwrap_or_default();
+        let longest = self
+            .scenario
+            .scheme
+            .iter()
+            .map(|scheme| scheme.expiry_ms * MS)
+            .max()
+            .unwrap_or_default();
         let kill_at = now + longest.min(KILL_MOST) + KILL_MORE;
         let stopped = crate::core::by(core, kill_at, ended.recv()).await;
         if stopped.is_none() {
@@ -283,7 +332,9 @@
                 format!("dispatcher {place} did not end in time"),
             );
         }
-        core.note("stopped", place as u64, machine as u64, || format!("dispatcher {place}"));
+        core.note("stopped", place as u64, machine as u64, || {
+            format!("dispatcher {place}")
+        });
         // Whatever it had not answered by its end is lost, and was not killed.
         self.take_down(place);
     }
@@ -307,7 +358,10 @@
         for agent in &self.agents {
             let (until, late) = agent.late.get();
             let late = if self.core.now() < until { late } else { 0 };
-            let wait = self.core.draw(|chance| chance.below(notice.0, notice.1 + 1)) + late;
+            let wait = self
+                .core
+                .draw(|chance| chance.below(notice.0, notice.1 + 1))
+                + late;
             let (agent, line, core) = (agent.clone(), line.clone(), self.core.clone());
             self.core.spawn(async move {
                 core.sleep(wait).await;
@@ -321,8 +375,16 @@
         let dial = self.workers.borrow()[host].dial;
         // Lists tell whole milliseconds.
         let born = self.core.now() / MS * MS;
-        let process = Process::start(&self.core, host, &self.scenario, dial, born, self.fallen.clone());
-        self.core.note("born", host as u64, born, || format!("worker {host}"));
+        let process = Process::start(
+            &self.core,
+            host,
+            &self.scenario,
+            dial,
+            born,
+            self.fallen.clone(),
+        );
+        self.core
+            .note("born", host as u64, born, || format!("worker {host}"));
         self.workers.borrow_mut()[host] = process;
         self.announce(host, Standing::Ready, (5 * MS, 400 * MS));
     }
@@ -332,10 +394,16 @@
         let (core, host) = (self.core.clone(), fault.target);
         core.until(0, START + ms(fault.at_ms)).await;
         core.note("fault", fault.kind as u64, host as u64, || {
-            format!("{:?} at {host} for {} ms, share {}", fault.kind, fault.for_ms, fault.share)
+            format!(
+                "{:?} at {host} for {} ms, share {}",
+                fault.kind, fault.for_ms, fault.share
+            )
         });
         let (span, now) = (ms(fault.for_ms), core.now());
-        let spell = Spell { until: now + span, share: fault.share };
+        let spell = Spell {
+            until: now + span,
+            share: fault.share,
+        };
         if fault.kind.at_worker() {
             let process = self.workers.borrow()[host].clone();
             match fault.kind {
@@ -389,7 +457,9 @@
             Trouble::ListBack => agent.go_back(span),
             Trouble::ListLacks => {
                 let count = self.workers.borrow().len();
-                let hosts = (0..count).filter(|_| core.draw(|chance| chance.is(fault.share))).collect();
+                let hosts = (0..count)
+                    .filter(|_| core.draw(|chance| chance.is(fault.share)))
+                    .collect();
                 agent.lack(hosts, spell.until);
             }
             Trouble::ListGarbled => {
@@ -410,12 +480,23 @@
                     self.start_dispatcher(place);
                 }
             }
-            Trouble::Deaf => drop(core.post.borrow_mut().deaf.insert(post_box(place), spell.until)),
-            Trouble::Mute => drop(core.post.borrow_mut().mute.insert(post_box(place), spell.until)),
+            Trouble::Deaf => drop(
+                core.post
+                    .borrow_mut()
+                    .deaf
+                    .insert(post_box(place), spell.until),
+            ),
+            Trouble::Mute => drop(
+                core.post
+                    .borrow_mut()
+                    .mute
+                    .insert(post_box(place), spell.until),
+            ),
             Trouble::Split => {
                 // All up to this one on one side.
                 let mut post = core.post.borrow_mut();
-                post.apart.extend((0..=place).map(|place| (post_box(place), spell.until)));
+                post.apart
+                    .extend((0..=place).map(|place| (post_box(place), spell.until)));
             }
             Trouble::Reload | Trouble::ReloadDead => {
                 let old = self.places.borrow()[place].address;
@@ -450,7 +531,8 @@
             return;
         }
         process.die();
-        self.core.note("dies", host as u64, 0, || format!("worker {host}"));
+        self.core
+            .note("dies", host as u64, 0, || format!("worker {host}"));
         self.announce(host, Standing::Gone, (5 * MS, 800 * MS));
         if span > 0 {
             self.core.sleep(span).await;
@@ -471,14 +553,26 @@
         let scenario = Rc::new(scenario.clone());
         let home = Rc::new(LocalExecutor::new());
         let [low, high] = scenario.net.latency_us;
-        let ways =
-            Ways { latency: (low * 1000, high * 1000), split: scenario.net.split, harsh: scenario.net.harsh };
-        let judge = Judge::new(START, scenario.rules.clone(), &scenario.scheme, scenario.mean_work());
+        let ways = Ways {
+            latency: (low * 1000, high * 1000),
+            split: scenario.net.split,
+            harsh: scenario.net.harsh,
+        };
+        let judge = Judge::new(
+            START,
+            scenario.rules.clone(),
+            &scenario.scheme,
+            scenario.mean_work(),
+        );
         let core = Core::new(START, scenario.seed, Net::new(ways), judge, &home, trace);
         if let Some(members) = &scenario.members {
             let late = members.jitter_ms * MS;
             let latency = (ways.latency.0, ways.latency.1 + late);
-            core.post.borrow_mut().ways = mail::Ways { loss: members.loss, twice: members.twice, latency };
+            core.post.borrow_mut().ways = mail::Ways {
+                loss: members.loss,
+                twice: members.twice,
+                latency,
+            };
         }
         // Machine 0 is no one's, so that an owner that is not the world's has a number above it.
         core.net.borrow_mut().machine(0);
@@ -503,9 +597,21 @@
                 Agent::start(&core, addresses, lines.clone())
             })
             .collect();
-        let places = RefCell::new((0..scenario.dispatchers).map(|_| Place::default()).collect());
+        let places = RefCell::new(
+            (0..scenario.dispatchers)
+                .map(|_| Place::default())
+                .collect(),
+        );
         let (workers, orders) = (RefCell::new(workers), Cell::new(0));
-        let stage = Rc::new(Stage { core, scenario, places, agents, workers, fallen, orders });
+        let stage = Rc::new(Stage {
+            core,
+            scenario,
+            places,
+            agents,
+            workers,
+            fallen,
+            orders,
+        });
         let doors = (0..stage.scenario.dispatchers).map(door).collect();
         let clients = Clients::new(&stage.core, &stage.scenario, doors);
         (0..stage.scenario.dispatchers).for_each(|place| stage.start_dispatcher(place));
@@ -517,7 +623,12 @@
                 of.die(host, &process, 0).await;
             }
         });
-        World { stage, clients, home, steps: 0 }
+        World {
+            stage,
+            clients,
+            home,
+            steps: 0,
+        }
     }
 
     /// Plays it to its end.
@@ -529,9 +640,21 @@
             core.spawn(self.stage.clone().fault(fault));
         }
         // Faults that come back take their time twice at the most.
-        let faults = scenario.fault.iter().map(|fault| ms(fault.at_ms + 2.0 * fault.for_ms));
-        let calm = faults.max().unwrap_or_default().max(scenario.length_ms * MS) + 100 * MS;
-        let longest = scenario.scheme.iter().map(|scheme| scheme.expiry_ms * MS).max().unwrap_or_default();
+        let faults = scenario
+            .fault
+            .iter()
+            .map(|fault| ms(fault.at_ms + 2.0 * fault.for_ms));
+        let calm = faults
+            .max()
+            .unwrap_or_default()
+            .max(scenario.length_ms * MS)
+            + 100 * MS;
+        let longest = scenario
+            .scheme
+            .iter()
+            .map(|scheme| scheme.expiry_ms * MS)
+            .max()
+            .unwrap_or_default();
         self.play(START + calm);
         self.play(START + calm + 2 * longest + 5 * SECOND);
         core.judge.borrow_mut().close(core.now());
@@ -545,12 +668,21 @@
             core.spawn(async move { stage.stop_dispatcher(place).await });
         }
         self.play(core.now() + KILL_MOST + KILL_MORE + SECOND);
-        let machines: Vec<usize> = self.stage.places.borrow().iter().map(|place| place.machine).collect();
+        let machines: Vec<usize> = self
+            .stage
+            .places
+            .borrow()
+            .iter()
+            .map(|place| place.machine)
+            .collect();
         for machine in machines {
             let open = core.net.borrow().machines[machine].open;
             if open > 0 {
-                let what = format!("machine {machine} holds {open} connections after its process ended");
-                core.judge.borrow_mut().blame(core.now(), Rule::GivenBack, what);
+                let what =
+                    format!("machine {machine} holds {open} connections after its process ended");
+                core.judge
+                    .borrow_mut()
+                    .blame(core.now(), Rule::GivenBack, what);
             }
         }
         self.report(&scenario)
@@ -568,7 +700,10 @@
             steps: self.steps,
             virtual_s: since(core.now()) / 1e3,
             digest: core.digest(),
-            trace: trace.into_iter().map(|(at, words)| (since(at), words)).collect(),
+            trace: trace
+                .into_iter()
+                .map(|(at, words)| (since(at), words))
+                .collect(),
         }
     }
 
@@ -579,7 +714,11 @@
             let Some(node) = &place.node else { continue };
             let shared = &node.shared;
             let holds = [
-                ("connections", core.net.borrow().machines[place.machine].open, REST_OPEN),
+                (
+                    "connections",
+                    core.net.borrow().machines[place.machine].open,
+                    REST_OPEN,
+                ),
                 ("tasks", place.tasks.get(), REST_TASKS),
                 ("timers", core.timers(place.machine), REST_TIMERS),
                 ("txns", shared.active_requests.get(), 0),
@@ -587,8 +726,11 @@
             ];
             for (what, count, most) in holds {
                 if count > most {
-                    let words = format!("dispatcher {at} holds {count} {what} at rest, {most} are needed");
-                    core.judge.borrow_mut().blame(core.now(), Rule::GivenBack, words);
+                    let words =
+                        format!("dispatcher {at} holds {count} {what} at rest, {most} are needed");
+                    core.judge
+                        .borrow_mut()
+                        .blame(core.now(), Rule::GivenBack, words);
                 }
             }
         }
@@ -629,7 +771,10 @@
                 }
                 let ex = {
                     let places = self.stage.places.borrow();
-                    places.iter().find(|place| place.machine == owner).and_then(|place| place.ex.clone())
+                    places
+                        .iter()
+                        .find(|place| place.machine == owner)
+                        .and_then(|place| place.ex.clone())
                 };
                 if let Some(ex) = ex {
                     self.turn(owner, &ex);
@@ -655,13 +800,19 @@
             );
         }
         if turns >= SPIN {
-            core.judge.borrow_mut().blame(core.now(), Rule::Program, format!("machine {machine} spins"));
+            core.judge.borrow_mut().blame(
+                core.now(),
+                Rule::Program,
+                format!("machine {machine} spins"),
+            );
         }
         let most = core.net.borrow().machines[machine].most;
         if most > self.stage.scenario.limits.sockets {
             core.net.borrow_mut().machines[machine].most = 0;
             let what = format!("machine {machine} holds {most} connections");
-            core.judge.borrow_mut().blame(core.now(), Rule::Descriptors, what);
+            core.judge
+                .borrow_mut()
+                .blame(core.now(), Rule::Descriptors, what);
         }
     }
 }
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -10,7 +10,9 @@
     let jobs = std::thread::available_parallelism().map_or(1, |cores| cores.get());
     let mut broken = Vec::new();
     let sum = explore(0..500, jobs, None, |report| {
-        broken.extend((!report.violations.is_empty()).then(|| (report.seed, report.violations.clone())));
+        broken.extend(
+            (!report.violations.is_empty()).then(|| (report.seed, report.violations.clone())),
+        );
     });
     assert_eq!((sum.worlds, broken), (500, Vec::new()));
     // A world in which nothing is asked or served would break no rule either.
@@ -21,7 +23,10 @@
 fn a_seed_gives_one_world_whoever_plays_it_beside_it() {
     let alone = explore(0..16, 1, None, |_| ());
     let together = explore(0..16, 5, None, |_| ());
-    assert_eq!((alone.digest, alone.steps), (together.digest, together.steps));
+    assert_eq!(
+        (alone.digest, alone.steps),
+        (together.digest, together.steps)
+    );
     assert_ne!(alone.digest, explore(1..17, 5, None, |_| ()).digest);
 }
 
@@ -48,7 +53,9 @@
 #[test_case(include_str!("../scenarios/left-while-connecting.toml"), 1; "found: posted for a client that had left")]
 fn what_meets_by_plan_breaks_no_rule(text: &str, least: u64) {
     let tallies = unbroken(text, 0..20);
-    tallies.iter().for_each(|tally| assert!(tally.settled >= least, "{tally:?}"));
+    tallies
+        .iter()
+        .for_each(|tally| assert!(tally.settled >= least, "{tally:?}"));
 }
 
 /// Found among 30,000: kinds of workers that were taken to have more seats than any has, and so a cold worker that got twice
@@ -65,7 +72,10 @@
 /// SLA times shows no more than that.
 #[test]
 fn a_worker_smaller_than_its_kind_is_not_pushed_over() {
-    assert_eq!(play(&scenario(1_006_095, None), false).violations, Vec::new());
+    assert_eq!(
+        play(&scenario(1_006_095, None), false).violations,
+        Vec::new()
+    );
 }
 
 /// What the operators count: beyond the N calls that a cold worker may get, 2 x root of N + 2 are chance, also where thirty
@@ -74,8 +84,16 @@
 #[test_case(30)]
 fn cold_workers_stand_many_dispatchers(dispatchers: usize) {
     let jobs = std::thread::available_parallelism().map_or(1, |cores| cores.get());
-    let sum = explore_by(0..150, jobs, |seed| among(seed, None, Some(dispatchers)), |_| ());
-    assert_eq!((sum.worlds, sum.fell_by_root, sum.broken.get(&Rule::Cold)), (150, 0, None));
+    let sum = explore_by(
+        0..150,
+        jobs,
+        |seed| among(seed, None, Some(dispatchers)),
+        |_| (),
+    );
+    assert_eq!(
+        (sum.worlds, sum.fell_by_root, sum.broken.get(&Rule::Cold)),
+        (150, 0, None)
+    );
     assert!(sum.settled > sum.txns / 2, "{sum:?}");
 }
 
@@ -99,11 +117,14 @@
 #[test_case(include_str!("../scenarios/small-odd.toml"), 0.1; "odd lists, and workers that flap, swallow or are full")]
 fn a_large_fleet_goes_on_serving(text: &str, most: f64) {
     let tallies = unbroken(text, 0..8);
-    let (txns, missed) = tallies
-        .iter()
-        .fold((0, 0), |(txns, missed), tally| (txns + tally.txns, missed + tally.declined + tally.reversed));
+    let (txns, missed) = tallies.iter().fold((0, 0), |(txns, missed), tally| {
+        (txns + tally.txns, missed + tally.declined + tally.reversed)
+    });
     let share = missed as f64 / txns as f64;
-    assert!(txns > 5_000 && share < most, "{missed} of {txns} txns were not settled");
+    assert!(
+        txns > 5_000 && share < most,
+        "{missed} of {txns} txns were not settled"
+    );
 }
 
 /// Found on the operators' `calm+mass` days: at dispatchers that see a request a second or fewer, all classes looked alike
@@ -114,7 +135,10 @@
     let tallies = unbroken(include_str!("../scenarios/short-beside-long.toml"), 0..8);
     let served = |class: usize| {
         let sum = |count: fn(&ClassTally) -> u64| {
-            tallies.iter().map(|tally| count(&tally.classes[class])).sum::<u64>()
+            tallies
+                .iter()
+                .map(|tally| count(&tally.classes[class]))
+                .sum::<u64>()
         };
         sum(|class| class.in_time) as f64 / sum(|class| class.requests) as f64
     };
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -19,7 +19,10 @@
 
     pub fn take(&mut self, count: usize) -> Result<&'a [u8], Fault> {
         let (head, rest) = self.bytes.split_at_checked(count).ok_or_else(|| {
-            format!("a field of {count} bytes overruns its end by {}", count - self.bytes.len())
+            format!(
+                "a field of {count} bytes overruns its end by {}",
+                count - self.bytes.len()
+            )
         })?;
         self.bytes = rest;
         Ok(head)
@@ -59,7 +62,9 @@
     pub fn record(&mut self) -> Result<(u8, Fields<'a>), Fault> {
         let code = self.u8()?;
         let length = self.u32()?;
-        let fields = self.take(length as usize).map_err(|fault| format!("record of code {code}: {fault}"))?;
+        let fields = self
+            .take(length as usize)
+            .map_err(|fault| format!("record of code {code}: {fault}"))?;
         Ok((code, Fields::new(fields)))
     }
 }
@@ -80,10 +85,14 @@
     let length = u32::from_le_bytes(length);
     buffer.clear();
     // `take` keeps a false length from reserving memory that never fills.
-    let got =
-        input.take(length.into()).read_to_end(buffer).map_err(|error| format!("cannot read: {error}"))?;
+    let got = input
+        .take(length.into())
+        .read_to_end(buffer)
+        .map_err(|error| format!("cannot read: {error}"))?;
     if got < length as usize {
-        return Err(format!("input ended inside a frame: {got} of {length} bytes"));
+        return Err(format!(
+            "input ended inside a frame: {got} of {length} bytes"
+        ));
     }
     Ok(true)
 }
@@ -98,7 +107,10 @@
 
 impl Reply {
     pub fn new() -> Self {
-        Self { bytes: vec![0; HEADER], records: 0 }
+        Self {
+            bytes: vec![0; HEADER],
+            records: 0,
+        }
     }
 
     pub fn clear(&mut self) {
@@ -121,6 +133,9 @@
         let length = (self.bytes.len() - HEADER) as u32;
         self.bytes[..4].copy_from_slice(&self.records.to_le_bytes());
         self.bytes[4..HEADER].copy_from_slice(&length.to_le_bytes());
-        output.write_all(&self.bytes).and_then(|()| output.flush()).map_err(|e| format!("cannot write: {e}"))
+        output
+            .write_all(&self.bytes)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("cannot write: {e}"))
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -34,7 +34,8 @@
                 Incoming::Unknown => {}
                 Incoming::Create { seed, settings } => {
                     let instance = current.ok_or("a start before any instance was named")?;
-                    self.instances.insert(instance, Dispatcher::start(now, seed, &settings)?);
+                    self.instances
+                        .insert(instance, Dispatcher::start(now, seed, &settings)?);
                 }
                 Incoming::Stop => {
                     let instance = current.ok_or("a stop before any instance was named")?;
@@ -42,16 +43,17 @@
                 }
                 Incoming::For(event) => {
                     let instance = current.ok_or("an event before any instance was named")?;
-                    let dispatcher = self
-                        .instances
-                        .get_mut(&instance)
-                        .ok_or_else(|| format!("an event for instance {instance}, which does not run"))?;
+                    let dispatcher = self.instances.get_mut(&instance).ok_or_else(|| {
+                        format!("an event for instance {instance}, which does not run")
+                    })?;
                     dispatcher.handle(now, event, &mut self.actions);
                     if !self.actions.is_empty() && answering != Some(instance) {
                         translate::switch(instance, reply);
                         answering = Some(instance);
                     }
-                    self.actions.drain(..).for_each(|action| translate::outgoing(&action, reply));
+                    self.actions
+                        .drain(..)
+                        .for_each(|action| translate::outgoing(&action, reply));
                 }
             }
         }
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -14,7 +14,10 @@
 
 fn create(settings: &str) -> Vec<u8> {
     let length = (settings.len() as u32).to_le_bytes();
-    record(1, &[&7_u64.to_le_bytes()[..], &length, settings.as_bytes()].concat())
+    record(
+        1,
+        &[&7_u64.to_le_bytes()[..], &length, settings.as_bytes()].concat(),
+    )
 }
 
 fn answer(records: &[Vec<u8>]) -> Result<Vec<u8>, Fault> {
@@ -37,13 +40,23 @@
 
 #[test]
 fn unknown_records_and_settings_are_skipped() {
-    assert_eq!(answer(&[record(99, &[1, 2, 3]), on(3), create(SETTINGS)]), Ok(vec![0; 8]));
+    assert_eq!(
+        answer(&[record(99, &[1, 2, 3]), on(3), create(SETTINGS)]),
+        Ok(vec![0; 8])
+    );
 }
 
 #[test]
 fn an_instance_may_start_again_in_the_batch_of_its_stop() {
     let list = record(2, &[&[0; 8][..], &[2], &[0; 4]].concat());
-    let out = answer(&[on(3), create(SETTINGS), record(10, &[]), create(SETTINGS), list]).unwrap();
+    let out = answer(&[
+        on(3),
+        create(SETTINGS),
+        record(10, &[]),
+        create(SETTINGS),
+        list,
+    ])
+    .unwrap();
     // Context, the beat's timer and the call for the list.
     assert_eq!((out[0], out[8], out[17], out[38]), (3, 77, 74, 66));
 }
@@ -73,7 +86,9 @@
 #[test_case(&[3, 0, 10, 0, 10, 0, 0, 1, 9, 0, 4, 8, 0, 1] => true; "ours")]
 #[test_case(&[3, 0, 4, 0, 1, 2, 3, 4] => false; "of another length")]
 fn messages(bytes: &[u8]) -> bool {
-    let incoming = translate::incoming(9, codec::Fields::new(bytes)).ok().unwrap();
+    let incoming = translate::incoming(9, codec::Fields::new(bytes))
+        .ok()
+        .unwrap();
     matches!(incoming, translate::Incoming::For(rosewall::types::Event::Shared { from: 3, share })
         if share.halves == 4 && share.work == 8)
 }
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,7 +1,8 @@
 //! The wire's words to ours and back. No name of the wire is known outside this file, but the settings'.
 use crate::codec::{Fault, Fields, Reply};
 use rosewall::types::{
-    Action, Ended, Event, Listed, Outcome, Probed, Report, Request, Scope, Share, Standing, WorkerId,
+    Action, Ended, Event, Listed, Outcome, Probed, Report, Request, Scope, Share, Standing,
+    WorkerId,
 };
 use rosewall_settings::{Map, ours};
 
@@ -20,16 +21,23 @@
         1 => {
             let seed = f.u64()?;
             let length = f.u32()? as usize;
-            let text =
-                std::str::from_utf8(f.take(length)?).map_err(|_| "settings are not UTF-8".to_string())?;
-            return Ok(Incoming::Create { seed, settings: settings(text)? });
+            let text = std::str::from_utf8(f.take(length)?)
+                .map_err(|_| "settings are not UTF-8".to_string())?;
+            return Ok(Incoming::Create {
+                seed,
+                settings: settings(text)?,
+            });
         }
         10 => return Ok(Incoming::Stop),
         2 => list(&mut f)?,
         3 => Event::Arrived(request(&mut f)?),
-        4 => Event::StreamBegun { request_id: f.u32()? },
+        4 => Event::StreamBegun {
+            request_id: f.u32()?,
+        },
         5 => ended(&mut f)?,
-        6 => Event::Lapsed { request_id: f.u32()? },
+        6 => Event::Lapsed {
+            request_id: f.u32()?,
+        },
         7 => Event::Due { token: f.u64()? },
         8 => probed(&mut f)?,
         9 => match shared(&mut f)? {
@@ -48,8 +56,10 @@
 /// The settings come as one path=value pair a line.
 fn settings(text: &str) -> Result<Map, Fault> {
     let lines = text.lines().filter(|line| !line.is_empty());
-    let pairs =
-        lines.map(|line| line.split_once('=').ok_or_else(|| format!("setting without a value: {line:?}")));
+    let pairs = lines.map(|line| {
+        line.split_once('=')
+            .ok_or_else(|| format!("setting without a value: {line:?}"))
+    });
     Ok(ours(pairs.collect::<Result<Vec<_>, _>>()?))
 }
 
@@ -76,8 +86,17 @@
             0 => Standing::Gone,
             other => return Err(format!("unknown availability {other} of a worker")),
         };
-        let (zone, worker_type, size, started, group) = (f.u16()?, f.u8()?, f.f32()?, f.u64()?, f.u16()?);
-        entries.push(Listed { worker: worker(f)?, standing, zone, worker_type, size, started, group });
+        let (zone, worker_type, size, started, group) =
+            (f.u16()?, f.u8()?, f.f32()?, f.u64()?, f.u16()?);
+        entries.push(Listed {
+            worker: worker(f)?,
+            standing,
+            zone,
+            worker_type,
+            size,
+            started,
+            group,
+        });
     }
     Ok(Event::List { scope, entries })
 }
@@ -89,7 +108,15 @@
     let (tenant, deadline, bits, slots) = (f.u16()?, f.u64()?, f.u16()?, f.f32()?);
     let memory = if f.is_empty() { 0.0 } else { f.f32()? };
     let hint = (bits & VALID_HINT != 0 && hint > 0).then_some(hint);
-    Ok(Request { id, class, tenant, hint, slots, memory, deadline })
+    Ok(Request {
+        id,
+        class,
+        tenant,
+        hint,
+        slots,
+        memory,
+        deadline,
+    })
 }
 
 fn outcome(code: u16) -> Result<Outcome, Fault> {
@@ -126,12 +153,22 @@
     if !f.is_empty() {
         let _note = f.u8()?;
     }
-    Ok(Event::Ended(Ended { request_id, attempt_index, outcome, complete, report: report(f)? }))
+    Ok(Event::Ended(Ended {
+        request_id,
+        attempt_index,
+        outcome,
+        complete,
+        report: report(f)?,
+    }))
 }
 
 fn probed(f: &mut Fields<'_>) -> Result<Event, Fault> {
     let (worker, _took, outcome) = (worker(f)?, f.u64()?, outcome(f.u16()?)?);
-    Ok(Event::Probed(Probed { worker, outcome, report: report(f)? }))
+    Ok(Event::Probed(Probed {
+        worker,
+        outcome,
+        report: report(f)?,
+    }))
 }
 
 /// What dispatchers tell each other: a worker, half seats and work out at it, and how it runs.
@@ -143,14 +180,22 @@
     if usize::from(length) != SHARE {
         return Ok(None);
     }
-    let share = Share { worker: worker(f)?, halves: f.u8()?, work: f.u16()?, sign: f.u8()? };
+    let share = Share {
+        worker: worker(f)?,
+        halves: f.u8()?,
+        work: f.u16()?,
+        sign: f.u8()?,
+    };
     Ok(Some(Event::Shared { from, share }))
 }
 
 /// News of a posting; that it has started is all that is used.
 fn note(f: &mut Fields<'_>) -> Result<Option<Event>, Fault> {
     let (request_id, _worker, attempt_index, _share) = (f.u32()?, f.address()?, f.u8()?, f.f32()?);
-    Ok((f.u8()? == 1).then_some(Event::Started { request_id, attempt_index }))
+    Ok((f.u8()? == 1).then_some(Event::Started {
+        request_id,
+        attempt_index,
+    }))
 }
 
 pub fn switch(instance: u32, reply: &mut Reply) {
@@ -162,18 +207,44 @@
         Action::Post { request_id, worker } => {
             // No time-out of its own: until the client gives up.
             let (port, within) = (worker.port.to_le_bytes(), 0_u64.to_le_bytes());
-            reply.record(68, &[&request_id.to_le_bytes(), &worker.addr, &port, &within]);
+            reply.record(
+                68,
+                &[&request_id.to_le_bytes(), &worker.addr, &port, &within],
+            );
         }
         Action::Probe { worker } => reply.record(75, &[&worker.addr, &worker.port.to_le_bytes()]),
-        Action::Decline { request_id, come_back } => {
+        Action::Decline {
+            request_id,
+            come_back,
+        } => {
             reply.record(65, &[&request_id.to_le_bytes(), &come_back.to_le_bytes()]);
         }
         Action::Reverse { request_id } => reply.record(73, &[&request_id.to_le_bytes()]),
         Action::Follow => reply.record(66, &[&[1]]),
-        Action::Tell { to, share: Share { worker, halves, work, sign } } => {
+        Action::Tell {
+            to,
+            share:
+                Share {
+                    worker,
+                    halves,
+                    work,
+                    sign,
+                },
+        } => {
             let (to, length) = (to.to_le_bytes(), (SHARE as u16).to_le_bytes());
             let port = worker.port.to_le_bytes();
-            reply.record(71, &[&to, &length, &worker.addr, &port, &[*halves], &work.to_le_bytes(), &[*sign]]);
+            reply.record(
+                71,
+                &[
+                    &to,
+                    &length,
+                    &worker.addr,
+                    &port,
+                    &[*halves],
+                    &work.to_le_bytes(),
+                    &[*sign],
+                ],
+            );
         }
         // The simulator's dispatchers are no members of anything: nothing is asked for or given.
         Action::Want { .. } | Action::Joint { .. } => {}
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -23,12 +23,17 @@
 impl Worker {
     /// What its rights still allow.
     pub(crate) fn granted(&self, now: Nanos) -> f64 {
-        self.rights.iter().filter(|(until, _)| now < *until).map(|(_, work)| work).sum()
+        self.rights
+            .iter()
+            .filter(|(until, _)| now < *until)
+            .map(|(_, work)| work)
+            .sum()
     }
 
     /// Takes work out of the rights, those first that end first; what they do not cover is left.
     pub(crate) fn spend(&mut self, now: Nanos, mut work: f64) -> f64 {
-        self.rights.retain(|(until, left)| now < *until && *left > 0.0);
+        self.rights
+            .retain(|(until, left)| now < *until && *left > 0.0);
         for (_, left) in &mut self.rights {
             let used = left.min(work);
             (*left, work) = (*left - used, work - used);
@@ -51,7 +56,11 @@
     /// For how many dispatchers workers are shared out: where they come and go the same for a whole octave, as a hand of
     /// another size at each would move all lanes.
     pub(crate) fn among(&self) -> f64 {
-        if self.met { self.dispatchers.log2().ceil().exp2() } else { self.dispatchers }
+        if self.met {
+            self.dispatchers.log2().ceil().exp2()
+        } else {
+            self.dispatchers
+        }
     }
 
     /// The workers that this one keeps to, where dispatchers come and go: one of each `m`th part of the ids, so that a
@@ -68,7 +77,8 @@
         for lane in 0..m {
             if !sound(active[lane]) {
                 let mut others = (1..n).map(|step| (active[lane] + step) % n);
-                let other = others.find(|place| sound(*place) && warm(*place) && !active.contains(place));
+                let other =
+                    others.find(|place| sound(*place) && warm(*place) && !active.contains(place));
                 active[lane] = other.unwrap_or(active[lane]);
             }
         }
@@ -80,7 +90,9 @@
     pub(crate) fn dealt_to(&self, place: usize, n: usize, m: usize) -> impl Iterator<Item = u16> {
         let (me, all) = (self.me, self.dispatchers as usize);
         let keeps = move |to: usize| (to * m % n + n - place * m % n) % n < m;
-        (0..all).filter(move |to| *to != me && keeps(*to)).map(|to| to as u16)
+        (0..all)
+            .filter(move |to| *to != me && keeps(*to))
+            .map(|to| to as u16)
     }
 
     pub(crate) fn right(&mut self, worker: WorkerId, work: Nanos, until: Nanos) {
@@ -109,7 +121,14 @@
         let mine = me < slots && (me + slots - of % slots) % slots < holders as u64;
         // What a process before this one sent may still count.
         let fresh = now < self.begun + self.says("overload.window") as Nanos;
-        (part * self.bears(worker, now) / holders, if mine && !fresh { self.slots / holders } else { 0.0 })
+        (
+            part * self.bears(worker, now) / holders,
+            if mine && !fresh {
+                self.slots / holders
+            } else {
+                0.0
+            },
+        )
     }
 
     /// Whether a request waits for a right to a cold worker that it would have gone to. Once, and not for long: where none
@@ -117,14 +136,21 @@
     /// their request has gone elsewhere, which were half of all.
     pub(crate) fn awaits_right(&mut self, now: Nanos, key: usize, acts: &mut Vec<Action>) -> bool {
         let active = &mut self.requests[key];
-        let Some(at) =
-            self.lacking.filter(|_| self.rights && self.met && !active.asked && active.attempts_sent == 0)
+        let Some(at) = self
+            .lacking
+            .filter(|_| self.rights && self.met && !active.asked && active.attempts_sent == 0)
         else {
             return false;
         };
         active.asked = true;
-        acts.push(Action::Want { worker: self.workers[at].id, work: active.most as Nanos });
-        acts.push(Action::Timer { at: now + ANSWER, token: token(active.request.id, 0) });
+        acts.push(Action::Want {
+            worker: self.workers[at].id,
+            work: active.most as Nanos,
+        });
+        acts.push(Action::Timer {
+            at: now + ANSWER,
+            token: token(active.request.id, 0),
+        });
         true
     }
 
@@ -133,10 +159,19 @@
         let window = self.says("overload.window") as Nanos;
         for worker in self.workers.iter().filter(|_| self.rights) {
             let cold = worker.standing == Standing::Ready && self.warmth(worker, now) < 1.0;
-            let lately = worker.started + self.says("slow_start.duration") as Nanos + 5_000_000_000 > now;
+            let lately =
+                worker.started + self.says("slow_start.duration") as Nanos + 5_000_000_000 > now;
             if cold || (worker.started > 0 && lately) {
-                let work = if cold { GIVEN * self.bears(worker, now) } else { 0.0 };
-                acts.push(Action::Joint { worker: worker.id, work: work as Nanos, window });
+                let work = if cold {
+                    GIVEN * self.bears(worker, now)
+                } else {
+                    0.0
+                };
+                acts.push(Action::Joint {
+                    worker: worker.id,
+                    work: work as Nanos,
+                    window,
+                });
             }
         }
     }
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -9,12 +9,18 @@
     class.0.idempotency=idempotent class.0.retry_scope=all class.0.retry_window=0 class.0.latency_objective=3e8 class.0.priority_weight=1";
 
 fn worker(n: u8) -> WorkerId {
-    WorkerId { addr: [10, 0, 0, n], port: 9 }
+    WorkerId {
+        addr: [10, 0, 0, n],
+        port: 9,
+    }
 }
 
 /// One of so many by the settings, with so many workers, the last of which started just after.
 fn dispatcher(slots: u16, me: u16, workers: u8, cold: u8) -> Dispatcher {
-    let pair = |word: &str| word.split_once('=').map(|(name, value)| (name.to_string(), value.to_string()));
+    let pair = |word: &str| {
+        word.split_once('=')
+            .map(|(name, value)| (name.to_string(), value.to_string()))
+    };
     let mut map: Map = SETTINGS.split_whitespace().filter_map(pair).collect();
     map.insert("dispatchers".into(), slots.to_string());
     map.insert("me".into(), me.to_string());
@@ -22,10 +28,25 @@
     let entry = |n: u8| {
         let started = if n + cold >= workers { MS } else { 0 };
         let standing = Standing::Ready;
-        Listed { worker: worker(n), standing, zone: 0, worker_type: 0, size: 1.0, started, group: 0 }
+        Listed {
+            worker: worker(n),
+            standing,
+            zone: 0,
+            worker_type: 0,
+            size: 1.0,
+            started,
+            group: 0,
+        }
     };
     let entries = (0..workers).map(entry).collect();
-    d.handle(MS, Event::List { scope: Scope::Whole, entries }, &mut Vec::new());
+    d.handle(
+        MS,
+        Event::List {
+            scope: Scope::Whole,
+            entries,
+        },
+        &mut Vec::new(),
+    );
     d
 }
 
@@ -108,7 +129,12 @@
 #[test]
 fn a_part_is_not_kept_in_the_first_window_of_a_process() {
     let holds = |at: Nanos| {
-        (0..4).any(|me| dispatcher(4, me, 1, 1).own_part(&dispatcher(4, me, 1, 1).workers[0], at).1 > 0.0)
+        (0..4).any(|me| {
+            dispatcher(4, me, 1, 1)
+                .own_part(&dispatcher(4, me, 1, 1).workers[0], at)
+                .1
+                > 0.0
+        })
     };
     assert_eq!((holds(999 * MS), holds(1_000 * MS)), (false, true));
 }
@@ -119,7 +145,11 @@
     for (work, until) in [(50, 200), (30, 100)] {
         d.handle(
             2 * MS,
-            Event::Right { worker: worker(1), work: work * MS, until: until * MS },
+            Event::Right {
+                worker: worker(1),
+                work: work * MS,
+                until: until * MS,
+            },
             &mut Vec::new(),
         );
     }
@@ -127,9 +157,27 @@
     let ms = |work: f64| (work / 1e6).round() as i64;
     assert_eq!(ms(w.granted(50 * MS)), 80);
     // That which ends first goes first; what is not covered is left.
-    assert_eq!((ms(w.spend(50 * MS, 40e6)), ms(w.granted(50 * MS)), ms(w.granted(150 * MS))), (0, 40, 40));
-    assert_eq!((ms(w.spend(50 * MS, 60e6)), ms(w.granted(50 * MS))), (20, 0));
-    d.handle(60 * MS, Event::Right { worker: worker(1), work: MS, until: 100 * MS }, &mut Vec::new());
+    assert_eq!(
+        (
+            ms(w.spend(50 * MS, 40e6)),
+            ms(w.granted(50 * MS)),
+            ms(w.granted(150 * MS))
+        ),
+        (0, 40, 40)
+    );
+    assert_eq!(
+        (ms(w.spend(50 * MS, 60e6)), ms(w.granted(50 * MS))),
+        (20, 0)
+    );
+    d.handle(
+        60 * MS,
+        Event::Right {
+            worker: worker(1),
+            work: MS,
+            until: 100 * MS,
+        },
+        &mut Vec::new(),
+    );
     assert_eq!(d.workers[1].granted(100 * MS), 0.0);
 }
 
@@ -159,16 +207,31 @@
     seen(&mut d, Some((1, 4)));
     let now = 2_000 * MS;
     let acts = arrive(&mut d, now);
-    let [Action::Want { worker: of, work }, Action::Timer { at, token }] = acts[..] else {
+    let [
+        Action::Want { worker: of, work },
+        Action::Timer { at, token },
+    ] = acts[..]
+    else {
         panic!("{acts:?}")
     };
     assert_eq!((of, work, at), (worker(0), 60 * MS, now + 5 * MS));
     if comes {
-        d.handle(now + MS, Event::Right { worker: of, work, until: now + 90 * MS }, &mut Vec::new());
+        d.handle(
+            now + MS,
+            Event::Right {
+                worker: of,
+                work,
+                until: now + 90 * MS,
+            },
+            &mut Vec::new(),
+        );
     }
     let mut acts = Vec::new();
     d.handle(at, Event::Due { token }, &mut acts);
-    assert!(!acts.iter().any(|act| matches!(act, Action::Want { .. })), "asked twice: {acts:?}");
+    assert!(
+        !acts.iter().any(|act| matches!(act, Action::Want { .. })),
+        "asked twice: {acts:?}"
+    );
     acts.iter().any(|act| matches!(act, Action::Post { .. }))
 }
 
@@ -187,13 +250,20 @@
         let mut acts = Vec::new();
         d.tell_joint(now, &mut acts);
         acts.iter().find_map(|act| match act {
-            Action::Joint { worker: of, work, .. } if *of == worker(1) => Some(work / MS),
+            Action::Joint {
+                worker: of, work, ..
+            } if *of == worker(1) => Some(work / MS),
             _ => None,
         })
     };
     // Half of 1.5 times two seats for a second, of which a fifth at first.
     assert_eq!(
-        (joint(500 * MS), joint(4_001 * MS), joint(6_500 * MS), joint(12_000 * MS)),
+        (
+            joint(500 * MS),
+            joint(4_001 * MS),
+            joint(6_500 * MS),
+            joint(12_000 * MS)
+        ),
         (Some(300), Some(900), Some(0), None)
     );
 }
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -10,7 +10,9 @@
 
 impl Pcg {
     pub fn new(seed: u64) -> Self {
-        let mut pcg = Self { state: seed.wrapping_add(INCREMENT) };
+        let mut pcg = Self {
+            state: seed.wrapping_add(INCREMENT),
+        };
         pcg.draw();
         pcg
     }
