--- a/src/policy.rs
+++ b/src/policy.rs
@@ -44,15 +44,41 @@
     (&[Out], Input::NotRun, ALL, Held, Step::Place),
     (&[Again], Input::NotRun, ALL, Doubted, Step::Place),
     (&[Out], Input::MayHaveRun, &[Idempotent], Held, Step::Place),
-    (&[Out, Again], Input::MayHaveRun, &[Keyed], Doubted, Step::Place),
-    (&[Out], Input::MayHaveRun, &[NonIdempotent], Answered, Step::Reverse),
+    (
+        &[Out, Again],
+        Input::MayHaveRun,
+        &[Keyed],
+        Doubted,
+        Step::Place,
+    ),
+    (
+        &[Out],
+        Input::MayHaveRun,
+        &[NonIdempotent],
+        Answered,
+        Step::Reverse,
+    ),
     (&[Held], Input::GivenUp, ALL, Answered, Step::Decline),
-    (&[Out, Doubted, Again], Input::GivenUp, ALL, Answered, Step::Reverse),
-    (&[Held, Out, Doubted, Again], Input::Left, ALL, Answered, Step::Nothing),
+    (
+        &[Out, Doubted, Again],
+        Input::GivenUp,
+        ALL,
+        Answered,
+        Step::Reverse,
+    ),
+    (
+        &[Held, Out, Doubted, Again],
+        Input::Left,
+        ALL,
+        Answered,
+        Step::Nothing,
+    ),
 ];
 
 fn next(stage: Stage, input: Input, effect: Effect) -> (Stage, Step) {
-    let row = TABLE.iter().find(|row| row.0.contains(&stage) && row.1 == input && row.2.contains(&effect));
+    let row = TABLE
+        .iter()
+        .find(|row| row.0.contains(&stage) && row.1 == input && row.2.contains(&effect));
     row.map_or((stage, Step::Nothing), |row| (row.3, row.4))
 }
 
@@ -63,7 +89,9 @@
         Outcome::Full | Outcome::NoConnection | Outcome::Moot => Input::NotRun,
         // Nothing is proven, and no worker is to blame. Guards against clients that spoil trust.
         Outcome::Unfit => Input::GivenUp,
-        Outcome::Error | Outcome::TimeOut | Outcome::Broken | Outcome::Withdrawn => Input::MayHaveRun,
+        Outcome::Error | Outcome::TimeOut | Outcome::Broken | Outcome::Withdrawn => {
+            Input::MayHaveRun
+        }
     }
 }
 
@@ -81,7 +109,13 @@
 
 /// Where each lane ends, as work of the class `own`: a lane that step one gives the part `targets[i]` of the
 /// work in `whole` keeps (1 + shift i) times what it then has of the class (step two).
-fn cut(whole: &Bins, own: &Bins, targets: &[f64], shift: impl Iterator<Item = f64>, ends: &mut Vec<f64>) {
+fn cut(
+    whole: &Bins,
+    own: &Bins,
+    targets: &[f64],
+    shift: impl Iterator<Item = f64>,
+    ends: &mut Vec<f64>,
+) {
     let scale = whole.iter().sum::<f64>() / targets.iter().sum::<f64>().max(f64::MIN_POSITIVE);
     let (mut bin, mut used, mut sum, mut end) = (0, 0.0, 0.0, 0.0);
     ends.clear();
@@ -105,8 +139,16 @@
 fn corrections(low: f64, high: f64) -> (f64, f64, f64) {
     // Present above 0.1; shifts of 40, 40 and 20%: all from the design page.
     let present = |estimate: f64| estimate > 0.1;
-    let r = if present(low) || present(high) { 0.4 } else { 0.0 };
-    if present(high) && high > low { (r, 0.0, 0.2) } else { (r, 0.4, 0.0) }
+    let r = if present(low) || present(high) {
+        0.4
+    } else {
+        0.0
+    };
+    if present(high) && high > low {
+        (r, 0.0, 0.2)
+    } else {
+        (r, 0.4, 0.0)
+    }
 }
 
 impl Worker {
@@ -117,8 +159,13 @@
     /// Guards against a worker that starts all and fails most, or one class.
     fn doubt(&self, now: Nanos, mean: f64, class: usize, effect: Effect) -> f64 {
         let all = (self.trust.now(now, Worker::HALF) - mean).clamp(0.0, 0.95);
-        let of = self.of.iter().enumerate().filter(|(at, _)| *at == class || effect == NonIdempotent);
-        of.map(|(_, trust)| trust.now(now, 3.0 * Worker::HALF)).fold(all, f64::max)
+        let of = self
+            .of
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| *at == class || effect == NonIdempotent);
+        of.map(|(_, trust)| trust.now(now, 3.0 * Worker::HALF))
+            .fold(all, f64::max)
     }
 
     /// It took no connection: for 1 s, and twice as long each time that it does so again, it has no lane.
@@ -145,8 +192,14 @@
         let mut values: Vec<f64> = new.classes.iter().map(|class| class.value).collect();
         values.sort_by(f64::total_cmp);
         let count = values.len();
-        let median = if count == 0 { 0.0 } else { (values[(count - 1) / 2] + values[count / 2]) / 2.0 };
-        new.classes.iter_mut().for_each(|class| class.high = class.value > median);
+        let median = if count == 0 {
+            0.0
+        } else {
+            (values[(count - 1) / 2] + values[count / 2]) / 2.0
+        };
+        new.classes
+            .iter_mut()
+            .for_each(|class| class.high = class.value > median);
         new.shares &= new.dispatchers > 1.0;
         Ok(new)
     }
@@ -155,9 +208,10 @@
         match event {
             Event::List { scope, entries } => self.list(now, scope, &entries, acts),
             Event::Arrived(request) => self.arrived(now, request, acts),
-            Event::Started { request_id, attempt_index } => {
-                self.started(now, request_id, attempt_index, acts)
-            }
+            Event::Started {
+                request_id,
+                attempt_index,
+            } => self.started(now, request_id, attempt_index, acts),
             Event::StreamBegun { request_id } | Event::Lapsed { request_id } => {
                 self.input(now, request_id, Input::Left, acts)
             }
@@ -174,10 +228,15 @@
                 }
             }
             Event::View(place) => self.view(now, place),
-            Event::Right { worker, work, until } => self.right(worker, work, until),
+            Event::Right {
+                worker,
+                work,
+                until,
+            } => self.right(worker, work, until),
             // This dispatcher ends: all in hand is answered by then, as at its deadline.
             Event::Closing { by } => self.requests.iter_mut().for_each(|(_, active)| {
-                (active.request.deadline, active.due) = (active.request.deadline.min(by), active.due.min(by));
+                (active.request.deadline, active.due) =
+                    (active.request.deadline.min(by), active.due.min(by));
             }),
             Event::Due { token: BEAT } => self.beat(now, acts),
             Event::Due { token: ASK } => self.follow(now, acts),
@@ -186,7 +245,10 @@
     }
 
     fn beat(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        acts.push(Action::Timer { at: now + BEAT_EVERY, token: BEAT });
+        acts.push(Action::Timer {
+            at: now + BEAT_EVERY,
+            token: BEAT,
+        });
         self.gaps.iter_mut().for_each(|gaps| gaps.measure(now));
         self.survey(now);
         self.tell_joint(now, acts);
@@ -194,7 +256,10 @@
             self.keep_to(now);
         }
         if self.absurd > 0 {
-            acts.push(Action::Say(format!("{} absurd figures in reports", std::mem::take(&mut self.absurd))));
+            acts.push(Action::Say(format!(
+                "{} absurd figures in reports",
+                std::mem::take(&mut self.absurd)
+            )));
         }
         for at in 0..if self.shares { self.workers.len() } else { 0 } {
             if self.workers[at].out > 0.0 {
@@ -203,14 +268,22 @@
         }
         for w in &mut self.workers {
             // Until it has run a job, what its kind has shown.
-            if let Some((mean, _)) = self.paces.get(usize::from(w.worker_type)).filter(|_| w.paced == 0.0) {
+            if let Some((mean, _)) = self
+                .paces
+                .get(usize::from(w.worker_type))
+                .filter(|_| w.paced == 0.0)
+            {
                 w.own_pace = *mean;
             }
             w.blend(now);
             let limit = if w.logged { 0.1 } else { 0.5 };
             if w.logged != (w.doubt(now, self.distrust, 0, NonIdempotent) > limit) {
                 w.logged = !w.logged;
-                let what = if w.logged { "distrusted" } else { "trusted again" };
+                let what = if w.logged {
+                    "distrusted"
+                } else {
+                    "trusted again"
+                };
                 acts.push(Action::Say(format!("worker {}: {what}", w.id)));
             }
         }
@@ -225,37 +298,68 @@
         }
         self.tally(now);
         let worker = &mut self.workers[at];
-        let Worker { id, out, ahead, said, .. } = *worker;
+        let Worker {
+            id,
+            out,
+            ahead,
+            said,
+            ..
+        } = *worker;
         let right = (ahead - said.left(now, worker.seats).1).abs() <= TELL_FROM * self.mean;
         if !due && right && (out == 0.0 || now < said.at + TELL_EVERY) {
             return;
         }
-        worker.said = Told { seats: out, work: ahead, at: now, ..said };
+        worker.said = Told {
+            seats: out,
+            work: ahead,
+            at: now,
+            ..said
+        };
         let (pace, jobs) = worker.seen_pace();
-        let known = if jobs > 0.0 { Share::sign_of(pace) } else { Share::UNKNOWN };
+        let known = if jobs > 0.0 {
+            Share::sign_of(pace)
+        } else {
+            Share::UNKNOWN
+        };
         let sign = if silent { Share::SILENT } else { known };
-        let share = Share { worker: id, halves: (2.0 * out).ceil() as u8, work: (ahead / 16e6) as u16, sign };
+        let share = Share {
+            worker: id,
+            halves: (2.0 * out).ceil() as u8,
+            work: (ahead / 16e6) as u16,
+            sign,
+        };
         let (me, all) = (self.me, self.dispatchers as usize);
-        let place = |s: &RequestClass| Some((s.all.iter().position(|worker| *worker == at)?, s.all.len()));
+        let place =
+            |s: &RequestClass| Some((s.all.iter().position(|worker| *worker == at)?, s.all.len()));
         let Some((place, n)) = self.classes.iter().find_map(place) else {
             return;
         };
         let m = self.stretches(n);
         if self.met {
-            return acts.extend(self.dealt_to(place, n, m).map(|to| Action::Tell { to, share }));
+            return acts.extend(
+                self.dealt_to(place, n, m)
+                    .map(|to| Action::Tell { to, share }),
+            );
         }
         let lane = (0..m).rfind(|lane| lane * n / m <= place).unwrap_or(0);
         // By the turns of `keep_to` one of each `len` dispatchers in a row.
         let (from, len) = (lane * n / m, (lane + 1) * n / m - lane * n / m);
         let of = |row: usize| row * len + (place - from + len - lane * row % len) % len;
         let others = (0..=all / len).map(of).filter(|to| *to < all && *to != me);
-        acts.extend(others.map(|to| Action::Tell { to: to as u16, share }));
+        acts.extend(others.map(|to| Action::Tell {
+            to: to as u16,
+            share,
+        }));
     }
 
     fn survey(&mut self, now: Nanos) {
-        let ready = || self.workers.iter().filter(|worker| worker.standing == Standing::Ready);
-        self.distrust =
-            ready().map(|w| w.trust.now(now, Worker::HALF)).sum::<f64>() / ready().count().max(1) as f64;
+        let ready = || {
+            self.workers
+                .iter()
+                .filter(|worker| worker.standing == Standing::Ready)
+        };
+        self.distrust = ready().map(|w| w.trust.now(now, Worker::HALF)).sum::<f64>()
+            / ready().count().max(1) as f64;
         // Full capacity by what is known of the fleet: seats at their pace for their size, the least fourth
         // of the warm where there are some. Guards against a figure that falls with their number, as of many
         // one is slow, and against a mean of large and small.
@@ -266,7 +370,10 @@
         let pace = |w: &Worker| if w.paced > 0.0 { w.pace.max(1.0) } else { 1.0 };
         let mut units: Vec<f64> = full.map(|w| w.seats / pace(w) / w.size).collect();
         units.sort_unstable_by(f64::total_cmp);
-        self.unit = units.get(units.len().saturating_sub(1) / 4).copied().unwrap_or(0.0);
+        self.unit = units
+            .get(units.len().saturating_sub(1) / 4)
+            .copied()
+            .unwrap_or(0.0);
     }
 
     fn follow(&mut self, now: Nanos, acts: &mut Vec<Action>) {
@@ -285,20 +392,29 @@
                 self.ask_failures += 1;
                 self.following = false;
                 self.ask_at = now + (wait * (0.5 + self.chance.unit())) as Nanos;
-                acts.push(Action::Timer { at: self.ask_at, token: ASK });
+                acts.push(Action::Timer {
+                    at: self.ask_at,
+                    token: ASK,
+                });
                 return;
             }
-            Scope::Kept => acts.push(Action::Timer { at: now + BEAT_EVERY, token: BEAT }), // the first event
+            Scope::Kept => acts.push(Action::Timer {
+                at: now + BEAT_EVERY,
+                token: BEAT,
+            }), // the first event
             Scope::Changes | Scope::Whole => (self.following, self.ask_failures) = (true, 0),
         }
         if scope != Scope::Changes {
             // Whoever a whole list leaves out is gone.
-            self.workers.iter_mut().for_each(|worker| worker.standing = Standing::Gone);
+            self.workers
+                .iter_mut()
+                .for_each(|worker| worker.standing = Standing::Gone);
         }
         for entry in entries {
             let at = *self.known.entry(entry.worker).or_insert(self.workers.len());
             if at == self.workers.len() {
-                self.workers.push(Worker::new(entry.worker, entry.started, self.classes.len()));
+                self.workers
+                    .push(Worker::new(entry.worker, entry.started, self.classes.len()));
             }
             let worker = &mut self.workers[at];
             if entry.started != worker.started {
@@ -326,7 +442,8 @@
         order.sort_unstable_by_key(|at| self.workers[*at].id);
         for class in &mut self.classes {
             let fits = |w: &usize| {
-                class.worker_type < 0 || i64::from(self.workers[*w].worker_type) == class.worker_type
+                class.worker_type < 0
+                    || i64::from(self.workers[*w].worker_type) == class.worker_type
             };
             class.all = order.iter().copied().filter(fits).collect();
         }
@@ -341,7 +458,11 @@
     /// who sends how much evens out. Those who tell each other hear from however many share.
     fn stretches(&self, n: usize) -> usize {
         let each = n as f64 / self.among();
-        let most = if self.shares { f64::INFINITY } else { SHARERS * each };
+        let most = if self.shares {
+            f64::INFINITY
+        } else {
+            SHARERS * each
+        };
         (8.0_f64.max(FEW_SHARERS * each).min(most).ceil() as usize).min(n)
     }
 
@@ -363,11 +484,19 @@
                 let others = (0..len - 1).map(|step| among[other(step)]);
                 let warm = others.filter(|at| self.warmth(&self.workers[*at], now) >= 1.0);
                 let mut all = std::iter::once(among[turn]).chain(warm);
-                all.find(|at| !self.workers[*at].refuses(now)).unwrap_or(among[turn])
+                all.find(|at| !self.workers[*at].refuses(now))
+                    .unwrap_or(among[turn])
+            };
+            let lanes = if self.met {
+                self.dealt(now, all, m)
+            } else {
+                (0..m).map(pick).collect()
             };
-            let lanes = if self.met { self.dealt(now, all, m) } else { (0..m).map(pick).collect() };
             self.classes[at].lanes = lanes;
-            self.sharers = f64::max(self.sharers, self.dispatchers * m as f64 / (n as f64).max(1.0));
+            self.sharers = f64::max(
+                self.sharers,
+                self.dispatchers * m as f64 / (n as f64).max(1.0),
+            );
         }
     }
 
@@ -376,7 +505,10 @@
         if worker.started == 0 {
             return 1.0;
         }
-        let (age, from) = (now.saturating_sub(worker.started) as f64, self.says("slow_start.from"));
+        let (age, from) = (
+            now.saturating_sub(worker.started) as f64,
+            self.says("slow_start.from"),
+        );
         (from + (1.0 - from) * age / self.says("slow_start.duration").max(1.0)).min(1.0)
     }
 
@@ -387,13 +519,23 @@
         if self.rights {
             return self.own_part(worker, now);
         }
-        let (warmth, window) = (self.warmth(worker, now), self.says("overload.window").max(1.0));
+        let (warmth, window) = (
+            self.warmth(worker, now),
+            self.says("overload.window").max(1.0),
+        );
         // Half of what is allowed: a third may come from those not told of its start, the rest is for hints.
         let most = 0.5 * self.says("overload.multiple") * self.unit * worker.size * warmth * window;
-        let turns = if self.shares { self.sharers.ceil() } else { SHARERS }.min(self.dispatchers);
+        let turns = if self.shares {
+            self.sharers.ceil()
+        } else {
+            SHARERS
+        }
+        .min(self.dispatchers);
         // Two have a turn at once, and more as it warms, as one has few requests in a window; the part of each
         // stays what it is at the start. All count alike, by what the list and the settings tell.
-        let at_once = (2.0 * warmth / self.says("slow_start.from").max(0.01)).floor().clamp(1.0, turns);
+        let at_once = (2.0 * warmth / self.says("slow_start.from").max(0.01))
+            .floor()
+            .clamp(1.0, turns);
         let place = (self.says("me") * turns / self.dispatchers) as u64;
         let [a, b, c, d] = worker.id.addr.map(u64::from);
         let of = a + b + c + d + u64::from(worker.id.port);
@@ -407,32 +549,79 @@
     pub(crate) fn budget(&self, worker: &Worker, now: Nanos) -> f64 {
         let (most, part) = self.turn(worker, now);
         let from = now.saturating_sub(self.says("overload.window") as Nanos);
-        let spent = worker.spent.iter().filter(|(at, _)| *at >= from).map(|(_, work)| work);
-        let own = if part > 0.0 { most - spent.sum::<f64>() } else { 0.0 };
-        if self.rights { own.max(0.0) + worker.granted(now) } else { own }
+        let spent = worker
+            .spent
+            .iter()
+            .filter(|(at, _)| *at >= from)
+            .map(|(_, work)| work);
+        let own = if part > 0.0 {
+            most - spent.sum::<f64>()
+        } else {
+            0.0
+        };
+        if self.rights {
+            own.max(0.0) + worker.granted(now)
+        } else {
+            own
+        }
     }
 
     /// Draws a class's lanes anew.
     fn recut(&mut self, now: Nanos, at: usize) {
         let (r, low, high) = corrections(self.gaps[0].estimate, self.gaps[1].estimate);
-        let lone = self.classes.iter().all(|class| class.high == self.classes[0].high);
+        let lone = self
+            .classes
+            .iter()
+            .all(|class| class.high == self.classes[0].high);
         let mut whole = [0.0; BINS];
-        for class in self.classes.iter().filter(|class| class.worker_type == self.classes[at].worker_type) {
-            whole.iter_mut().zip(&class.bins).for_each(|(sum, work)| *sum += work);
+        for class in self
+            .classes
+            .iter()
+            .filter(|class| class.worker_type == self.classes[at].worker_type)
+        {
+            whole
+                .iter_mut()
+                .zip(&class.bins)
+                .for_each(|(sum, work)| *sum += work);
         }
         let effect = self.classes[at].effect;
         let mut targets = std::mem::take(&mut self.targets);
         targets.clear();
-        targets.extend(shifts(self.classes[at].lanes.len(), r).zip(&self.classes[at].lanes).map(|(p, w)| {
-            let (worker, warmth) = (&self.workers[*w], self.warmth(&self.workers[*w], now));
-            // One that is sent to by turns has the whole of its part in its turn.
-            let turn = if warmth < 1.0 { self.turn(worker, now).1 } else { 1.0 };
-            let part = if self.rights && self.met { warmth } else { warmth.min(1.0) * turn };
-            (1.0 + p) * worker.size * (1.0 - worker.doubt(now, self.distrust, at, effect)) * part
-        }));
+        targets.extend(
+            shifts(self.classes[at].lanes.len(), r)
+                .zip(&self.classes[at].lanes)
+                .map(|(p, w)| {
+                    let (worker, warmth) = (&self.workers[*w], self.warmth(&self.workers[*w], now));
+                    // One that is sent to by turns has the whole of its part in its turn.
+                    let turn = if warmth < 1.0 {
+                        self.turn(worker, now).1
+                    } else {
+                        1.0
+                    };
+                    let part = if self.rights && self.met {
+                        warmth
+                    } else {
+                        warmth.min(1.0) * turn
+                    };
+                    (1.0 + p)
+                        * worker.size
+                        * (1.0 - worker.doubt(now, self.distrust, at, effect))
+                        * part
+                }),
+        );
         let class = &mut self.classes[at];
-        let shift = if lone { 0.0 } else { [low, high][usize::from(class.high)] };
-        cut(&whole, &class.bins, &targets, shifts(targets.len(), shift), &mut class.ends);
+        let shift = if lone {
+            0.0
+        } else {
+            [low, high][usize::from(class.high)]
+        };
+        cut(
+            &whole,
+            &class.bins,
+            &targets,
+            shifts(targets.len(), shift),
+            &mut class.ends,
+        );
         self.targets = targets;
     }
 
@@ -454,11 +643,25 @@
     fn choose(&mut self, now: Nanos, key: usize, mine: usize) -> Option<(usize, f64, f64)> {
         self.tally(now);
         let active = &self.requests[key];
-        let ActiveRequest { request, effect, most, need, doubt, .. } = *active;
+        let ActiveRequest {
+            request,
+            effect,
+            most,
+            need,
+            doubt,
+            ..
+        } = *active;
         let class = &self.classes[usize::from(request.class)];
         // Where a repeat is bound to a group, its workers may be any in the list.
         let bound = doubt.filter(|_| effect == Keyed && !is(Fault::WindowIgnored));
-        let (lanes, mean) = (if bound.is_some() { &class.all } else { &class.lanes }, class.mean());
+        let (lanes, mean) = (
+            if bound.is_some() {
+                &class.all
+            } else {
+                &class.lanes
+            },
+            class.mean(),
+        );
         let Congestion { delay, late } = self.start_delays.congestion(now, self.rare);
         let fleet = self.unseen * delay;
         // Guards against lanes that hold all sizes once the whole fleet has queues of which each sees little.
@@ -468,7 +671,11 @@
         self.lacking = None;
         for step in 0..2 * lanes.len() {
             let far = step.div_ceil(2);
-            let lane = if step % 2 == 1 { mine.checked_add(far) } else { mine.checked_sub(far) };
+            let lane = if step % 2 == 1 {
+                mine.checked_add(far)
+            } else {
+                mine.checked_sub(far)
+            };
             let Some(&at) = lane.and_then(|lane| lanes.get(lane)) else {
                 continue;
             };
@@ -485,7 +692,10 @@
             }
             let worker = &self.workers[at];
             // One's part of the seats, which a job as large may have alone, less what others told of.
-            let (sharing, all) = (if self.shares { 1.0 } else { self.dispatchers }, worker.seats.round());
+            let (sharing, all) = (
+                if self.shares { 1.0 } else { self.dispatchers },
+                worker.seats.round(),
+            );
             let (part, told) = ((all / sharing).max(1.0), worker.told(now).0);
             let seat = worker.out + told + need.min(part) <= part;
             let doubt = worker.doubt(now, self.distrust, usize::from(request.class), effect);
@@ -496,7 +706,11 @@
             }
             let room = active.room(now, worker.pace).max(1.0);
             // Who is sent to by turns and within a budget is not as busy as the rest.
-            let others = if cold { (0.0, 0.0) } else { (fleet * room, self.others) };
+            let others = if cold {
+                (0.0, 0.0)
+            } else {
+                (fleet * room, self.others)
+            };
             let wait = worker.wait(now, need, mean, others);
             let strain = wait / room + self.zones.part(worker.zone, room);
             // Taken when there is a seat for it in this dispatcher's part, the worker is not distrusted, and
@@ -506,15 +720,24 @@
             }
             // Own jobs in flight, and their work, weigh again: what others see and do is alike. A job that
             // fails loses all, one that waits out its room a part. And it failed there before.
-            let failed = active.attempts[..active.attempts_sent].iter().any(|attempt| attempt.worker == at);
+            let failed = active.attempts[..active.attempts_sent]
+                .iter()
+                .any(|attempt| attempt.worker == at);
             let held = (worker.ahead / room + worker.out) / worker.seats;
-            let apart = if bound.is_some() { 0.0 } else { each_lane * far as f64 };
+            let apart = if bound.is_some() {
+                0.0
+            } else {
+                each_lane * far as f64
+            };
             let cost = strain + held + doubt + f64::from(failed) + apart;
             if cost < least {
                 // Turned away is by the queue: that a worker is slow shortens its room, but is no overload,
                 // and counts only as far as starts are late.
                 let pace = 1.0 + (worker.pace - 1.0) * (3.0 * late).min(1.0);
-                (least, best) = (cost, Some((at, wait, wait / active.room(now, pace).max(1.0))));
+                (least, best) = (
+                    cost,
+                    Some((at, wait, wait / active.room(now, pace).max(1.0))),
+                );
             }
         }
         best
@@ -523,7 +746,10 @@
     fn arrived(&mut self, now: Nanos, request: Request, acts: &mut Vec<Action>) {
         let Some(class) = self.classes.get_mut(usize::from(request.class)) else {
             // A class that the settings do not name: nothing is known that would make sending it safe.
-            acts.push(Action::Decline { request_id: request.id, come_back: 0 });
+            acts.push(Action::Decline {
+                request_id: request.id,
+                come_back: 0,
+            });
             return;
         };
         let slots = f64::from(request.slots).max(1.0);
@@ -534,21 +760,38 @@
         // Halves in 20 s, or under 150 jobs in up to 60 s, by when the mix moves; what starts tell likewise.
         let seen = self.classes.iter().map(|class| class.seen).sum::<f64>();
         self.rare = (150.0 / seen).clamp(1.0, 3.0);
-        self.mean = self.classes.iter().flat_map(|class| &class.bins).sum::<f64>() / seen;
+        self.mean = self
+            .classes
+            .iter()
+            .flat_map(|class| &class.bins)
+            .sum::<f64>()
+            / seen;
         let keep = fade(1.0, self.cut_at, now, 20.0 * SECOND * self.rare);
         self.cut_at = now;
         self.classes.iter_mut().for_each(|class| class.age(keep));
         let class = &self.classes[usize::from(request.class)];
         self.gaps[usize::from(class.high)].arrival(now);
         let due = (now + (class.sla + class.stretch * run) as Nanos).min(request.deadline);
-        let key = self.requests.insert(ActiveRequest::new(request, class.effect, work, run, need, due));
+        let key = self.requests.insert(ActiveRequest::new(
+            request,
+            class.effect,
+            work,
+            run,
+            need,
+            due,
+        ));
         self.held.insert(request.id, key);
         self.place(now, key, acts);
     }
 
     fn place(&mut self, now: Nanos, key: usize, acts: &mut Vec<Action>) {
-        let ActiveRequest { request: Request { id, deadline, .. }, due, run, attempts_sent, .. } =
-            self.requests[key];
+        let ActiveRequest {
+            request: Request { id, deadline, .. },
+            due,
+            run,
+            attempts_sent,
+            ..
+        } = self.requests[key];
         if attempts_sent >= self.most_attempts || now >= deadline {
             return self.input(now, id, Input::GivenUp, acts);
         }
@@ -561,7 +804,10 @@
             }
             // Cold workers may soon take more: ask again shortly, as long as it can still be in time.
             None if now + (run as Nanos) < due => {
-                acts.push(Action::Timer { at: now + 25_000_000, token: token(id, attempts_sent) });
+                acts.push(Action::Timer {
+                    at: now + 25_000_000,
+                    token: token(id, attempts_sent),
+                });
             }
             _ => self.input(now, id, Input::GivenUp, acts),
         }
@@ -573,7 +819,11 @@
     fn kept(&mut self, now: Nanos, key: usize, wait: f64, strain: f64) -> bool {
         let class = usize::from(self.requests[key].request.class);
         let worth = self.classes[class].worth(self.worth_basis);
-        let most = self.classes.iter().map(|class| class.worth(self.worth_basis)).fold(0.0, f64::max);
+        let most = self
+            .classes
+            .iter()
+            .map(|class| class.worth(self.worth_basis))
+            .fold(0.0, f64::max);
         let late = self.start_delays.congestion(now, self.rare).late;
         let strain = strain + self.turned * self.pressure(class, wait, strain);
         let fits = (3.0 - 2.0 * strain * (1.0 + 3.0 * late)).clamp(0.0, 1.0);
@@ -588,7 +838,11 @@
     /// as much. Guards against queues that only the class with the longest time to spare can bear: it alone was served.
     fn pressure(&self, class: usize, wait: f64, strain: f64) -> f64 {
         let worth = self.classes[class].worth(self.worth_basis);
-        let others = self.classes.iter().enumerate().filter(|(at, other)| *at != class && other.seen > 0.0);
+        let others = self
+            .classes
+            .iter()
+            .enumerate()
+            .filter(|(at, other)| *at != class && other.seen > 0.0);
         let strains = others.map(|(_, other)| {
             let part = (other.worth(self.worth_basis) / worth).min(1.0);
             part * ((wait / other.usual_room()).min(HOPELESS) - strain)
@@ -604,18 +858,39 @@
         let active = &mut self.requests[key];
         let worker = &mut self.workers[at];
         worker.spent.retain(|(at, _)| *at >= from);
-        let own = if cold { worker.spend(now, active.most) } else { active.most };
+        let own = if cold {
+            worker.spend(now, active.most)
+        } else {
+            active.most
+        };
         worker.spent.push_back((now, own));
         let expected = worker.queue(active.need, worker.told(now));
-        active.attempts[active.attempts_sent] =
-            Attempt { worker: at, at: now, expected, started: None, out: true };
+        active.attempts[active.attempts_sent] = Attempt {
+            worker: at,
+            at: now,
+            expected,
+            started: None,
+            out: true,
+        };
         let token = token(active.request.id, active.attempts_sent);
-        let id = AttemptId { request: active.request.id, number: active.attempts_sent as u8 };
+        let id = AttemptId {
+            request: active.request.id,
+            number: active.attempts_sent as u8,
+        };
         let time_to_spare = active.room(now, worker.pace);
-        self.start_delays.sent(Sent { id, at: now, expected, time_to_spare, run: active.run });
+        self.start_delays.sent(Sent {
+            id,
+            at: now,
+            expected,
+            time_to_spare,
+            run: active.run,
+        });
         active.attempts_sent += 1;
         active.stage = next(active.stage, Input::Posted, active.effect).0;
-        acts.push(Action::Post { request_id: active.request.id, worker: worker.id });
+        acts.push(Action::Post {
+            request_id: active.request.id,
+            worker: worker.id,
+        });
         // Overdue: a start later than expected by 300 ms, or without start notes by twice the run. Others'
         // jobs there are, by the lanes, of like size: where none was heard of, one may be ahead. Guards
         // against taking for hung, among many dispatchers, what is only busy with others' work.
@@ -626,7 +901,13 @@
         self.tell(now, at, false, false, acts);
     }
 
-    fn started(&mut self, now: Nanos, request_id: RequestId, attempt_index: u8, acts: &mut Vec<Action>) {
+    fn started(
+        &mut self,
+        now: Nanos,
+        request_id: RequestId,
+        attempt_index: u8,
+        acts: &mut Vec<Action>,
+    ) {
         let Some((key, attempt)) = self.attempt(request_id, attempt_index) else {
             return;
         };
@@ -634,13 +915,21 @@
         self.tally(now);
         let worker = &mut self.workers[attempt.worker];
         worker.heard(now, 0.1);
-        worker.reached = worker.reached.max(if self.first_come { attempt.at } else { 0 });
+        worker.reached = worker
+            .reached
+            .max(if self.first_come { attempt.at } else { 0 });
         if std::mem::take(&mut worker.silent) {
             worker.trust = Trust::default();
         }
         (worker.lag, worker.lag_at) = (attempt.delay(now), now);
         self.zones.observe(worker.zone, worker.lag);
-        self.start_delays.started(AttemptId { request: request_id, number: attempt_index }, now);
+        self.start_delays.started(
+            AttemptId {
+                request: request_id,
+                number: attempt_index,
+            },
+            now,
+        );
         let active = &self.requests[key];
         let run = 2.0 * active.run * worker.pace + 0.5 * SECOND;
         acts.push(Action::Timer {
@@ -665,18 +954,31 @@
         let worker = &mut self.workers[attempt.worker];
         // A worker that has shown life since is only busy; one that has not may be hung.
         let silent = attempt.started.is_none() && worker.alive < attempt.at;
-        let by = if silent { 0.8 } else { f64::from(attempt.started.is_some()) * 0.15 };
+        let by = if silent {
+            0.8
+        } else {
+            f64::from(attempt.started.is_some()) * 0.15
+        };
         worker.trust.add(now, Worker::HALF, by);
         if silent {
             worker.silent = true;
             self.tell(now, attempt.worker, true, true, acts);
         }
         let age = now - attempt.started.unwrap_or(attempt.at);
-        acts.push(Action::Timer { at: now + age.max(300_000_000), token });
+        acts.push(Action::Timer {
+            at: now + age.max(300_000_000),
+            token,
+        });
     }
 
     fn ended(&mut self, now: Nanos, end: Ended, acts: &mut Vec<Action>) {
-        let Ended { request_id, attempt_index, outcome, complete, report } = end;
+        let Ended {
+            request_id,
+            attempt_index,
+            outcome,
+            complete,
+            report,
+        } = end;
         let Some((key, attempt)) = self.attempt(request_id, attempt_index) else {
             return;
         };
@@ -684,9 +986,17 @@
             self.learn_seats(now, key, attempt.worker);
         }
         self.requests[key].attempts[usize::from(attempt_index)].out = false;
-        self.start_delays.ended(AttemptId { request: request_id, number: attempt_index });
+        self.start_delays.ended(AttemptId {
+            request: request_id,
+            number: attempt_index,
+        });
         self.read_report(now, attempt.worker, report);
-        let ActiveRequest { run, due, request: Request { class, hint, .. }, .. } = self.requests[key];
+        let ActiveRequest {
+            run,
+            due,
+            request: Request { class, hint, .. },
+            ..
+        } = self.requests[key];
         let class = usize::from(class);
         let warm = self.warmth(&self.workers[attempt.worker], now) >= 1.0;
         let mut slow = false;
@@ -707,13 +1017,18 @@
                     // first ones more. Guards against a slow worker to which each sends few jobs.
                     let pace = ((now - from) as f64 / run).clamp(0.2, 10.0);
                     // A cold one is slow for another reason: a tenth, and its kind is not told.
-                    worker.paced = if warm { (worker.paced + 1.0).min(9.0) } else { 9.0 };
+                    worker.paced = if warm {
+                        (worker.paced + 1.0).min(9.0)
+                    } else {
+                        9.0
+                    };
                     slow = pace > 2.0 * worker.pace;
                     worker.own_pace += (pace - worker.own_pace) / (worker.paced + 1.0);
                     worker.blend(now);
                     if warm {
                         let worker_type = usize::from(worker.worker_type);
-                        self.paces.resize(self.paces.len().max(worker_type + 1), (1.0, 0.0));
+                        self.paces
+                            .resize(self.paces.len().max(worker_type + 1), (1.0, 0.0));
                         let (mean, count) = &mut self.paces[worker_type];
                         *count = (*count + 1.0).min(50.0);
                         *mean += (pace - *mean) / *count;
@@ -734,7 +1049,11 @@
         if outcome == Outcome::NoConnection {
             self.keep_to(now);
         }
-        let input = if complete { Input::Settled } else { sorted(outcome) };
+        let input = if complete {
+            Input::Settled
+        } else {
+            sorted(outcome)
+        };
         let active = &mut self.requests[key];
         if input == Input::MayHaveRun {
             active.doubt.get_or_insert((attempt.worker, attempt.at));
@@ -747,7 +1066,12 @@
         let sane = |value: &f32| (0.0..1e4).contains(value);
         let values = &report.values[..report.count.min(report.values.len())];
         self.absurd += values.iter().filter(|value| !sane(value)).count() as u64;
-        let value = |at: Option<usize>| values.get(at?).filter(|value| sane(value)).map(|v| f64::from(*v));
+        let value = |at: Option<usize>| {
+            values
+                .get(at?)
+                .filter(|value| sane(value))
+                .map(|v| f64::from(*v))
+        };
         let [free, inflight] = self.report_at.map(value);
         if free.is_none() && inflight.is_none() {
             return;
@@ -760,7 +1084,11 @@
         }
         let worker = &mut self.workers[at];
         let by_slots = free.map(|free| worker.seats - free - worker.running);
-        worker.others = inflight.map(|all| all - worker.out).or(by_slots).unwrap_or(0.0).max(0.0);
+        worker.others = inflight
+            .map(|all| all - worker.out)
+            .or(by_slots)
+            .unwrap_or(0.0)
+            .max(0.0);
         // Reports are late: a lone dispatcher would take its own newest jobs for others'.
         worker.others *= if self.shares { 0.0 } else { self.unseen };
         worker.others_at = now;
@@ -773,7 +1101,11 @@
             return;
         };
         let active = &mut self.requests[key];
-        let effect = if is(Fault::OnceOnlyAgain) { Idempotent } else { active.effect };
+        let effect = if is(Fault::OnceOnlyAgain) {
+            Idempotent
+        } else {
+            active.effect
+        };
         let (stage, step) = next(active.stage, input, effect);
         active.stage = stage;
         match step {
@@ -783,13 +1115,18 @@
                 // Come back when a usual job has had time to end.
                 let most = self.says("retry_after.allowed") * self.says("retry_after.max");
                 let come_back = most.min(0.5 * SECOND) as Nanos;
-                acts.push(Action::Decline { request_id, come_back });
+                acts.push(Action::Decline {
+                    request_id,
+                    come_back,
+                });
             }
             Step::Reverse => acts.push(Action::Reverse { request_id }),
         }
         let active = &self.requests[key];
         if active.stage == Answered
-            && active.attempts[..active.attempts_sent].iter().all(|attempt| !attempt.out)
+            && active.attempts[..active.attempts_sent]
+                .iter()
+                .all(|attempt| !attempt.out)
         {
             self.held.remove(&request_id);
             self.requests.remove(key);
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -15,16 +15,30 @@
     class.0.objective_stretch=2 class.1.objective_stretch=2 class.2.objective_stretch=2";
 
 fn settings() -> Map {
-    let pair = |word: &str| word.split_once('=').map(|(name, value)| (name.to_string(), value.to_string()));
+    let pair = |word: &str| {
+        word.split_once('=')
+            .map(|(name, value)| (name.to_string(), value.to_string()))
+    };
     SETTINGS.split_whitespace().filter_map(pair).collect()
 }
 
 fn id(n: u8) -> WorkerId {
-    WorkerId { addr: [10, 0, 0, n], port: 9 }
+    WorkerId {
+        addr: [10, 0, 0, n],
+        port: 9,
+    }
 }
 
 fn entry(n: u8, standing: Standing, started: Nanos) -> Listed {
-    Listed { worker: id(n), standing, zone: 0, worker_type: 0, size: 2.0, started, group: u16::from(n % 2) }
+    Listed {
+        worker: id(n),
+        standing,
+        zone: 0,
+        worker_type: 0,
+        size: 2.0,
+        started,
+        group: u16::from(n % 2),
+    }
 }
 
 /// One of so many dispatchers, with the list it kept.
@@ -33,7 +47,14 @@
     map.insert("dispatchers".into(), dispatchers.to_string());
     map.insert("me".into(), me.to_string());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
-    d.handle(0, Event::List { scope: Scope::Kept, entries }, &mut Vec::new());
+    d.handle(
+        0,
+        Event::List {
+            scope: Scope::Kept,
+            entries,
+        },
+        &mut Vec::new(),
+    );
     d
 }
 
@@ -48,7 +69,15 @@
 }
 
 fn request(id: RequestId, class: u8, hint: Nanos, now: Nanos) -> Request {
-    Request { id, class, tenant: 0, hint: Some(hint), slots: 1.0, memory: 0.5, deadline: now + 5_000 * MS }
+    Request {
+        id,
+        class,
+        tenant: 0,
+        hint: Some(hint),
+        slots: 1.0,
+        memory: 0.5,
+        deadline: now + 5_000 * MS,
+    }
 }
 
 fn handle(d: &mut Dispatcher, now: Nanos, event: Event) -> Vec<Action> {
@@ -62,10 +91,23 @@
 fn starts_of_late(d: &mut Dispatcher, now: Nanos, delay: f64, late: u32) {
     let wait = 2.0 * SECOND;
     for request in 0..32 {
-        let id = AttemptId { request: 1_000_000 + request, number: 0 };
-        let time_to_spare = if request >= 32 - late { 0.5 * wait } else { 1.25 * wait };
+        let id = AttemptId {
+            request: 1_000_000 + request,
+            number: 0,
+        };
+        let time_to_spare = if request >= 32 - late {
+            0.5 * wait
+        } else {
+            1.25 * wait
+        };
         let expected = wait - delay * time_to_spare;
-        d.start_delays.sent(Sent { id, at: now - wait as Nanos, expected, time_to_spare, run: 0.0 });
+        d.start_delays.sent(Sent {
+            id,
+            at: now - wait as Nanos,
+            expected,
+            time_to_spare,
+            run: 0.0,
+        });
         d.start_delays.started(id, now);
     }
 }
@@ -101,7 +143,10 @@
     let (mut whole, mut own, mut ends) = ([0.0; BINS], [0.0; BINS], Vec::new());
     (8..40).for_each(|bin| (whole[bin], own[bin]) = (10.0, if bin < 24 { 5.0 } else { 1.0 }));
     cut(&whole, &own, &[1.0; 2], shifts(2, 0.4), &mut ends);
-    assert_eq!(ends.iter().map(|end| end.round()).collect::<Vec<_>>(), [48.0, 70.0]);
+    assert_eq!(
+        ends.iter().map(|end| end.round()).collect::<Vec<_>>(),
+        [48.0, 70.0]
+    );
 }
 
 /// Guards against a crowd at the end: of many that have seen one job each, a larger one goes anywhere.
@@ -111,7 +156,9 @@
         let mut d = dispatcher(10);
         d.classes[0].bins[bin_of(1e6)] = 1e6;
         let acts = handle(&mut d, MS, Event::Arrived(request(1, 0, hint * MS, 0)));
-        let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
+        let [Action::Post { worker, .. }] = acts[..] else {
+            panic!("{acts:?}")
+        };
         worker.addr[3]
     };
     let lanes: std::collections::BTreeSet<u8> = (0..40).map(|n| lane(100 + 5 * n)).collect();
@@ -124,7 +171,11 @@
 fn autocorrelation(arrivals: u64, run: u64) -> bool {
     let (mut gaps, mut now) = (Gaps::default(), 0);
     for n in 0..arrivals {
-        now += if (n / run).is_multiple_of(2) { 10 * MS } else { 90 * MS };
+        now += if (n / run).is_multiple_of(2) {
+            10 * MS
+        } else {
+            90 * MS
+        };
         gaps.arrival(now);
     }
     gaps.measure(now);
@@ -150,17 +201,34 @@
 #[test_case(Standing::Gone; "gone")]
 fn nothing_new_to_a_worker_that_leaves(standing: Standing) {
     let mut d = dispatcher(2);
-    handle(&mut d, MS, Event::List { scope: Scope::Changes, entries: vec![entry(0, standing, 0)] });
+    handle(
+        &mut d,
+        MS,
+        Event::List {
+            scope: Scope::Changes,
+            entries: vec![entry(0, standing, 0)],
+        },
+    );
     for n in 0..20 {
         let acts = handle(&mut d, 2 * MS, Event::Arrived(request(n, 0, 10 * MS, 0)));
-        assert!(acts.iter().all(|act| !matches!(act, Action::Post { worker, .. } if *worker == id(0))));
+        assert!(
+            acts.iter()
+                .all(|act| !matches!(act, Action::Post { worker, .. } if *worker == id(0)))
+        );
     }
 }
 
 #[test]
 fn a_whole_list_names_all_there_are() {
     let mut d = dispatcher(2);
-    handle(&mut d, MS, Event::List { scope: Scope::Whole, entries: vec![entry(1, Standing::Ready, 0)] });
+    handle(
+        &mut d,
+        MS,
+        Event::List {
+            scope: Scope::Whole,
+            entries: vec![entry(1, Standing::Ready, 0)],
+        },
+    );
     assert_eq!(d.workers[0].standing, Standing::Gone);
 }
 
@@ -171,17 +239,49 @@
     for seed in 0..50 {
         let mut d = Dispatcher::start(0, seed, &settings()).unwrap();
         let mut acts = Vec::new();
-        d.handle(0, Event::List { scope: Scope::Kept, entries: Vec::new() }, &mut acts);
+        d.handle(
+            0,
+            Event::List {
+                scope: Scope::Kept,
+                entries: Vec::new(),
+            },
+            &mut acts,
+        );
         assert!(acts.contains(&Action::Follow));
         acts.clear();
-        d.handle(MS, Event::List { scope: Scope::Failed, entries: Vec::new() }, &mut acts);
-        let [Action::Timer { at: again, token: ASK }] = acts[..] else { panic!("{acts:?}") };
+        d.handle(
+            MS,
+            Event::List {
+                scope: Scope::Failed,
+                entries: Vec::new(),
+            },
+            &mut acts,
+        );
+        let [
+            Action::Timer {
+                at: again,
+                token: ASK,
+            },
+        ] = acts[..]
+        else {
+            panic!("{acts:?}")
+        };
         assert!(handle(&mut d, again, Event::Due { token: BEAT }).is_empty());
-        assert_eq!(handle(&mut d, again, Event::Due { token: ASK }), vec![Action::Follow]);
+        assert_eq!(
+            handle(&mut d, again, Event::Due { token: ASK }),
+            vec![Action::Follow]
+        );
         at.push(again);
     }
-    let least = |from: Nanos| at.iter().filter(|at| (from..from + 25 * MS).contains(at)).count();
-    assert!((0..40).all(|part| least(part * 25 * MS) <= 10), "many call as one");
+    let least = |from: Nanos| {
+        at.iter()
+            .filter(|at| (from..from + 25 * MS).contains(at))
+            .count()
+    };
+    assert!(
+        (0..40).all(|part| least(part * 25 * MS) <= 10),
+        "many call as one"
+    );
 }
 
 /// Guards against a cold worker pushed over by all together, and against parts of its budget in which no job fits.
@@ -194,10 +294,23 @@
     let mut d = among(12, me, Vec::new());
     d.classes[0].sla = 90.0 * SECOND;
     let entries = vec![entry(0, Standing::Ready, started * MS)];
-    handle(&mut d, started * MS, Event::List { scope: Scope::Changes, entries });
-    let one = |n| Request { deadline: 99_000 * MS, ..request(n, 0, 300 * MS, at * MS) };
+    handle(
+        &mut d,
+        started * MS,
+        Event::List {
+            scope: Scope::Changes,
+            entries,
+        },
+    );
+    let one = |n| Request {
+        deadline: 99_000 * MS,
+        ..request(n, 0, 300 * MS, at * MS)
+    };
     let posts = (0..20).map(|n| handle(&mut d, at * MS, Event::Arrived(one(n))));
-    posts.flatten().filter(|act| matches!(act, Action::Post { .. })).count()
+    posts
+        .flatten()
+        .filter(|act| matches!(act, Action::Post { .. }))
+        .count()
 }
 
 /// Guards against a budget spent twice by a restart, and against an idle cold worker taken for as busy as the fleet.
@@ -207,10 +320,24 @@
 fn a_cold_worker_after_a_restart(at: Nanos, lag: f64) -> bool {
     let mut d = Dispatcher::start(0, 7, &settings()).unwrap();
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
-    handle(&mut d, 2_000 * MS, Event::List { scope: Scope::Kept, entries });
+    handle(
+        &mut d,
+        2_000 * MS,
+        Event::List {
+            scope: Scope::Kept,
+            entries,
+        },
+    );
     starts_of_late(&mut d, at * MS, lag, 32);
-    !handle(&mut d, at * MS, Event::Arrived(request(1, 0, 20 * MS, at * MS))).is_empty()
-        && d.requests.iter().any(|(_, active)| active.attempts_sent == 1)
+    !handle(
+        &mut d,
+        at * MS,
+        Event::Arrived(request(1, 0, 20 * MS, at * MS)),
+    )
+    .is_empty()
+        && d.requests
+            .iter()
+            .any(|(_, active)| active.attempts_sent == 1)
 }
 
 /// Most of a large fleet's list is out of date. Guards against lanes that lead nowhere for as long as no one tells.
@@ -231,7 +358,11 @@
     assert!(!d.workers[first].refuses(1_500 * MS));
     // None that is cold in its place, as its turns count on who keeps to it.
     d.workers[first].refused(2_000 * MS);
-    d.workers.iter_mut().enumerate().filter(|(at, _)| *at != first).for_each(|(_, w)| w.started = 1);
+    d.workers
+        .iter_mut()
+        .enumerate()
+        .filter(|(at, _)| *at != first)
+        .for_each(|(_, w)| w.started = 1);
     d.keep_to(2_000 * MS);
     assert_eq!(d.classes[0].lanes[2], first);
 }
@@ -240,18 +371,37 @@
 /// against ones that use the old and leave the new alone, and against more than the rule allows from all together.
 #[test_case(100, 60, 36, 0.25; "most of the workers")]
 #[test_case(4, 10, 2, 0.05; "a few of each")]
-fn cold_workers_get_their_work_from_all_together(dispatchers: u32, workers: u8, replaced: u8, least: f64) {
+fn cold_workers_get_their_work_from_all_together(
+    dispatchers: u32,
+    workers: u8,
+    replaced: u8,
+    least: f64,
+) {
     let started = 50_000 * MS;
-    let list: Vec<Listed> =
-        (0..workers).map(|n| entry(n, Standing::Ready, if n < replaced { started } else { 0 })).collect();
+    let list: Vec<Listed> = (0..workers)
+        .map(|n| entry(n, Standing::Ready, if n < replaced { started } else { 0 }))
+        .collect();
     let mut sent: Vec<(u8, Nanos, f64)> = Vec::new();
     for me in 0..dispatchers {
-        let (mut d, mut dice) = (among(dispatchers, me, warm(workers)), Pcg::new(u64::from(me)));
+        let (mut d, mut dice) = (
+            among(dispatchers, me, warm(workers)),
+            Pcg::new(u64::from(me)),
+        );
         let mut hint = || (20.0 + dice.unit() * 140.0) as Nanos * MS;
         (0..60).for_each(|_| d.classes[0].add(hint() as f64));
-        handle(&mut d, started, Event::List { scope: Scope::Whole, entries: list.clone() });
+        handle(
+            &mut d,
+            started,
+            Event::List {
+                scope: Scope::Whole,
+                entries: list.clone(),
+            },
+        );
         for n in 100..120 {
-            let (now, hint) = (started + u64::from(n - 100) * 200 * MS + u64::from(me) * MS, hint());
+            let (now, hint) = (
+                started + u64::from(n - 100) * 200 * MS + u64::from(me) * MS,
+                hint(),
+            );
             for act in handle(&mut d, now, Event::Arrived(request(n, 0, hint, now))) {
                 let Action::Post { worker, request_id } = act else {
                     continue;
@@ -261,14 +411,24 @@
                 handle(
                     &mut d,
                     now,
-                    Event::Ended(Ended { request_id, attempt_index: 0, outcome, complete: true, report }),
+                    Event::Ended(Ended {
+                        request_id,
+                        attempt_index: 0,
+                        outcome,
+                        complete: true,
+                        report,
+                    }),
                 );
             }
         }
     }
     let work = |n: u8, from: Nanos| {
-        let within = |(m, at, _): &&(u8, Nanos, f64)| *m == n && (from..from + 1_000 * MS).contains(at);
-        sent.iter().filter(within).map(|(_, _, work)| work).sum::<f64>()
+        let within =
+            |(m, at, _): &&(u8, Nanos, f64)| *m == n && (from..from + 1_000 * MS).contains(at);
+        sent.iter()
+            .filter(within)
+            .map(|(_, _, work)| work)
+            .sum::<f64>()
     };
     let all: f64 = (0..replaced)
         .flat_map(|n| (0..4).map(move |s| (n, s)))
@@ -276,11 +436,17 @@
         .sum();
     // What they can do at their coldest: two seats at a fifth of their speed.
     let most = 2.0 * 0.2 * 4.0 * f64::from(replaced);
-    assert!(all > least * most, "cold workers got {all} s of {most} s of work");
+    assert!(
+        all > least * most,
+        "cold workers got {all} s of {most} s of work"
+    );
     for n in 0..replaced {
         for from in (0..30).map(|part| started + part * 100 * MS) {
             let warmth = 0.2 + 0.8 * (from - started) as f64 / 10e9;
-            assert!(work(n, from) < 3.0 * 2.0 * warmth, "cold worker {n} pushed over");
+            assert!(
+                work(n, from) < 3.0 * 2.0 * warmth,
+                "cold worker {n} pushed over"
+            );
         }
     }
 }
@@ -295,7 +461,12 @@
 
 #[test]
 fn unseen_queues_are_taken_as_long_as_the_fleets() {
-    let mut worker = Worker { seats: 2.0, lag: 0.0, lag_at: 0, ..Worker::default() };
+    let mut worker = Worker {
+        seats: 2.0,
+        lag: 0.0,
+        lag_at: 0,
+        ..Worker::default()
+    };
     assert!(worker.wait(10_000 * MS, 1.0, 0.0, (SECOND, 0.0)) > 0.9 * SECOND);
     (worker.others, worker.others_at) = (0.0, 0);
     assert!(worker.wait(10_000 * MS, 1.0, SECOND, (0.0, 4.0)) > SECOND);
@@ -306,7 +477,14 @@
 #[test_case(1.99, 0 => false; "cheap ones go first")]
 fn turned_away(strain: f64, class: u8) -> bool {
     let mut d = dispatcher(1);
-    let key = d.requests.insert(ActiveRequest::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(ActiveRequest::new(
+        request(1, class, MS, 0),
+        Idempotent,
+        1.0,
+        1.0,
+        1.0,
+        0,
+    ));
     d.kept(0, key, 0.0, strain)
 }
 
@@ -318,7 +496,8 @@
     let now = now.max(1) * MS + 60_000 * MS * u64::from(alive == 0);
     let mut acts = Vec::new();
     d.handle(now, Event::Arrived(request(1, 0, 800 * MS, now)), &mut acts);
-    acts.iter().any(|act| matches!(act, Action::Timer { at, .. } if *at > now + 1_000 * MS))
+    acts.iter()
+        .any(|act| matches!(act, Action::Timer { at, .. } if *at > now + 1_000 * MS))
 }
 
 /// Guards against small requests turned away for the waits that large ones can bear.
@@ -329,9 +508,19 @@
     drop(handle(
         &mut d,
         MS,
-        Event::Arrived(Request { deadline: 60_000 * MS, ..request(1, 0, hint * MS, 0) }),
+        Event::Arrived(Request {
+            deadline: 60_000 * MS,
+            ..request(1, 0, hint * MS, 0)
+        }),
     ));
-    handle(&mut d, wait * MS, Event::Started { request_id: 1, attempt_index: 0 });
+    handle(
+        &mut d,
+        wait * MS,
+        Event::Started {
+            request_id: 1,
+            attempt_index: 0,
+        },
+    );
     d.start_delays.congestion(wait * MS, 1.0).delay < 0.2
 }
 
@@ -342,7 +531,14 @@
     let mut d = dispatcher(1);
     d.rare = rare;
     starts_of_late(&mut d, 10_000 * MS, 0.0, 32);
-    let key = d.requests.insert(ActiveRequest::new(request(1, 2, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(ActiveRequest::new(
+        request(1, 2, MS, 0),
+        Idempotent,
+        1.0,
+        1.0,
+        1.0,
+        0,
+    ));
     (0..20).all(|_| d.kept(13_000 * MS, key, 0.0, 0.6))
 }
 
@@ -358,7 +554,11 @@
         lanes = d.classes[0].lanes.len();
         d.classes[0].lanes.iter().for_each(|at| users[*at] += 1);
     }
-    (lanes, users.iter().copied().min().unwrap(), users.iter().copied().max().unwrap())
+    (
+        lanes,
+        users.iter().copied().min().unwrap(),
+        users.iter().copied().max().unwrap(),
+    )
 }
 
 /// Guards against a worker that is full or dead: answering at once, it looked idle and drew all that waited.
@@ -370,10 +570,22 @@
         [Action::Post { worker, .. }] => worker,
         _ => panic!("{acts:?}"),
     };
-    let first = posted_to(&handle(&mut d, MS, Event::Arrived(request(1, 0, 100 * MS, MS))));
-    let ended =
-        Ended { request_id: 1, attempt_index: 0, outcome, complete: false, report: Report::default() };
-    assert_ne!(posted_to(&handle(&mut d, 2 * MS, Event::Ended(ended))), first);
+    let first = posted_to(&handle(
+        &mut d,
+        MS,
+        Event::Arrived(request(1, 0, 100 * MS, MS)),
+    ));
+    let ended = Ended {
+        request_id: 1,
+        attempt_index: 0,
+        outcome,
+        complete: false,
+        report: Report::default(),
+    };
+    assert_ne!(
+        posted_to(&handle(&mut d, 2 * MS, Event::Ended(ended))),
+        first
+    );
     assert!(d.workers[d.known[&first]].lag > 0.2 * SECOND);
 }
 
@@ -383,8 +595,13 @@
 fn who_is_blamed(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
     handle(&mut d, 0, Event::Arrived(request(1, 0, 100 * MS, 0)));
-    let ended =
-        Ended { request_id: 1, attempt_index: 0, outcome, complete: false, report: Report::default() };
+    let ended = Ended {
+        request_id: 1,
+        attempt_index: 0,
+        outcome,
+        complete: false,
+        report: Report::default(),
+    };
     let reversed = handle(&mut d, 0, Event::Ended(ended)) == [Action::Reverse { request_id: 1 }];
     (reversed, d.workers[0].trust.distrust)
 }
@@ -395,13 +612,27 @@
 fn silence_where_others_start(starts: bool) -> (bool, f64) {
     let mut d = dispatcher(1);
     handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, MS)));
-    handle(&mut d, 50 * MS, Event::Arrived(request(2, 0, 100 * MS, 50 * MS)));
+    handle(
+        &mut d,
+        50 * MS,
+        Event::Arrived(request(2, 0, 100 * MS, 50 * MS)),
+    );
     if starts {
-        handle(&mut d, 60 * MS, Event::Started { request_id: 2, attempt_index: 0 });
+        handle(
+            &mut d,
+            60 * MS,
+            Event::Started {
+                request_id: 2,
+                attempt_index: 0,
+            },
+        );
     }
     handle(&mut d, 600 * MS, Event::Due { token: token(1, 0) });
     d.tally(600 * MS);
-    (d.workers[0].doubt(600 * MS, 0.0, 0, Idempotent) > 0.25, d.workers[0].out)
+    (
+        d.workers[0].doubt(600 * MS, 0.0, 0, Idempotent) > 0.25,
+        d.workers[0].out,
+    )
 }
 
 /// Guards against a worker that starts all and fails most: its starts had it trusted again at once.
@@ -412,11 +643,27 @@
     let mut d = dispatcher(1);
     for n in 0..12 {
         let class = failing.get(n as usize % 2).copied().unwrap_or(2);
-        let outcome = if failing.contains(&class) { Outcome::Error } else { Outcome::Settled };
+        let outcome = if failing.contains(&class) {
+            Outcome::Error
+        } else {
+            Outcome::Settled
+        };
         handle(&mut d, 0, Event::Arrived(request(n, class, 100 * MS, 0)));
-        handle(&mut d, 0, Event::Started { request_id: n, attempt_index: 0 });
-        let ended =
-            Ended { request_id: n, attempt_index: 0, outcome, complete: false, report: Report::default() };
+        handle(
+            &mut d,
+            0,
+            Event::Started {
+                request_id: n,
+                attempt_index: 0,
+            },
+        );
+        let ended = Ended {
+            request_id: n,
+            attempt_index: 0,
+            outcome,
+            complete: false,
+            report: Report::default(),
+        };
         handle(&mut d, 0, Event::Ended(ended));
     }
     let late = 20 * SECOND as Nanos;
@@ -435,18 +682,34 @@
         complete: false,
         report: Report::default(),
     };
-    let [Action::Post { worker: first, .. }] = acts[..] else { panic!("{acts:?}") };
-    d.workers.iter_mut().for_each(|worker| (worker.lag, worker.lag_at) = (0.1 * SECOND, 0));
+    let [Action::Post { worker: first, .. }] = acts[..] else {
+        panic!("{acts:?}")
+    };
+    d.workers
+        .iter_mut()
+        .for_each(|worker| (worker.lag, worker.lag_at) = (0.1 * SECOND, 0));
     d.distrust = 0.9;
     acts = handle(&mut d, 0, Event::Ended(ended));
-    assert!(matches!(acts[..], [Action::Post { worker, .. }] if worker != first), "{acts:?}");
+    assert!(
+        matches!(acts[..], [Action::Post { worker, .. }] if worker != first),
+        "{acts:?}"
+    );
 }
 
 #[test]
 fn late_reports_do_not_add_seats() {
     let mut d = dispatcher(1);
-    (0..4).for_each(|n| drop(handle(&mut d, 0, Event::Arrived(request(n, 0, 100 * MS, 0)))));
-    let report = Report { count: 2, values: [0.0, 2.0, 0.0, 0.0] };
+    (0..4).for_each(|n| {
+        drop(handle(
+            &mut d,
+            0,
+            Event::Arrived(request(n, 0, 100 * MS, 0)),
+        ))
+    });
+    let report = Report {
+        count: 2,
+        values: [0.0, 2.0, 0.0, 0.0],
+    };
     d.read_report(MS, 0, report);
     assert_eq!(d.workers[0].seats, 2.0);
 }
@@ -461,10 +724,32 @@
 #[test_case(0, 9, 240 => 2.0; "the others were to end long ago")]
 fn seats_by_jobs_that_surely_ran_together(restarted: Nanos, third: Nanos, settled: Nanos) -> f64 {
     let mut d = dispatcher(1);
-    (0..3).for_each(|n| drop(handle(&mut d, 0, Event::Arrived(request(n, 0, 100 * MS, 0)))));
-    (0..2).for_each(|request_id| drop(handle(&mut d, MS, Event::Started { request_id, attempt_index: 0 })));
+    (0..3).for_each(|n| {
+        drop(handle(
+            &mut d,
+            0,
+            Event::Arrived(request(n, 0, 100 * MS, 0)),
+        ))
+    });
+    (0..2).for_each(|request_id| {
+        drop(handle(
+            &mut d,
+            MS,
+            Event::Started {
+                request_id,
+                attempt_index: 0,
+            },
+        ))
+    });
     d.workers[0].started = restarted * MS;
-    handle(&mut d, third * MS, Event::Started { request_id: 2, attempt_index: 0 });
+    handle(
+        &mut d,
+        third * MS,
+        Event::Started {
+            request_id: 2,
+            attempt_index: 0,
+        },
+    );
     handle(&mut d, settled * MS, ended(0, 0, Outcome::Settled));
     d.workers[0].seats
 }
@@ -472,9 +757,15 @@
 #[test]
 fn distrust_of_all_is_distrust_of_none() {
     let mut d = dispatcher(3);
-    d.workers.iter_mut().for_each(|worker| worker.trust.add(0, Worker::HALF, 0.8));
+    d.workers
+        .iter_mut()
+        .for_each(|worker| worker.trust.add(0, Worker::HALF, 0.8));
     d.beat(0, &mut Vec::new());
-    assert!(d.workers.iter().all(|worker| worker.doubt(0, d.distrust, 0, Idempotent) == 0.0));
+    assert!(
+        d.workers
+            .iter()
+            .all(|worker| worker.doubt(0, d.distrust, 0, Idempotent) == 0.0)
+    );
     d.workers[1].trust.add(0, Worker::HALF, 0.9);
     d.beat(0, &mut Vec::new());
     let doubts = [1, 0].map(|at: usize| d.workers[at].doubt(0, d.distrust, 0, Idempotent));
@@ -489,12 +780,25 @@
 #[test_case(1_000, 1_000; "a thousand of each")]
 #[test_case(4_096, 4_096; "four thousand of each")]
 fn any_size_of_fleet(workers: u16, dispatchers: u32) {
-    let listed =
-        |n: u16| Listed { worker: WorkerId { addr: [10; 4], port: n }, ..entry(0, Standing::Ready, 0) };
-    let mut d = among(dispatchers, dispatchers - 1, (0..workers).map(listed).collect());
-    let acts: Vec<Action> =
-        (1..40).flat_map(|n| handle(&mut d, 0, Event::Arrived(request(n, 2, 100 * MS, 0)))).collect();
-    let (attempts_sent, wanted) = (acts.iter().any(|act| matches!(act, Action::Post { .. })), workers > 0);
+    let listed = |n: u16| Listed {
+        worker: WorkerId {
+            addr: [10; 4],
+            port: n,
+        },
+        ..entry(0, Standing::Ready, 0)
+    };
+    let mut d = among(
+        dispatchers,
+        dispatchers - 1,
+        (0..workers).map(listed).collect(),
+    );
+    let acts: Vec<Action> = (1..40)
+        .flat_map(|n| handle(&mut d, 0, Event::Arrived(request(n, 2, 100 * MS, 0))))
+        .collect();
+    let (attempts_sent, wanted) = (
+        acts.iter().any(|act| matches!(act, Action::Post { .. })),
+        workers > 0,
+    );
     assert!(attempts_sent == wanted && d.classes[2].lanes.len() <= usize::from(workers));
 }
 
@@ -534,23 +838,48 @@
         if dice.unit() < 0.02 {
             let kept = &d.classes[0].lanes;
             let any = (dice.unit() * f64::from(workers)) as usize;
-            let n = if fleet > 6 && !kept.is_empty() { kept[any % kept.len()] } else { any };
-            standing[n] = [Standing::Ready, Standing::Draining, Standing::Gone][(dice.unit() * 3.0) as usize];
-            started[n] = if standing[n] == Standing::Ready { now } else { started[n] };
+            let n = if fleet > 6 && !kept.is_empty() {
+                kept[any % kept.len()]
+            } else {
+                any
+            };
+            standing[n] =
+                [Standing::Ready, Standing::Draining, Standing::Gone][(dice.unit() * 3.0) as usize];
+            started[n] = if standing[n] == Standing::Ready {
+                now
+            } else {
+                started[n]
+            };
             let entries = vec![entry(n as u8, standing[n], started[n])];
-            events.push(Event::List { scope: Scope::Changes, entries });
+            events.push(Event::List {
+                scope: Scope::Changes,
+                entries,
+            });
         }
         // Untrue, repeated, of workers that are not there, out of order: no rule rests on them.
         while d.shares && dice.unit() < 0.6 {
-            let [from, n, halves, work, sign] =
-                [f64::from(dispatchers), f64::from(workers) + 2.0, 6.0, 300.0, 256.0]
-                    .map(|below| (dice.unit() * below) as u16);
-            let share = Share { worker: id(n as u8), halves: halves as u8, work, sign: sign as u8 };
+            let [from, n, halves, work, sign] = [
+                f64::from(dispatchers),
+                f64::from(workers) + 2.0,
+                6.0,
+                300.0,
+                256.0,
+            ]
+            .map(|below| (dice.unit() * below) as u16);
+            let share = Share {
+                worker: id(n as u8),
+                halves: halves as u8,
+                work,
+                sign: sign as u8,
+            };
             events.push(Event::Shared { from, share });
         }
         for (id, record) in &mut requests {
             let odds = dice.unit();
-            assert!(record.answers > 0 || now <= record.deadline + 10 * MS, "a request without its answer");
+            assert!(
+                record.answers > 0 || now <= record.deadline + 10 * MS,
+                "a request without its answer"
+            );
             if odds < 0.01 && record.answers == 0 && now < record.deadline {
                 record.answers += 1;
                 events.push(Event::Lapsed { request_id: *id });
@@ -563,7 +892,10 @@
                     0.05..0.06 => Outcome::Error,
                     0.06..0.07 => Outcome::Broken,
                     0.07..0.2 => {
-                        events.push(Event::Started { request_id: *id, attempt_index });
+                        events.push(Event::Started {
+                            request_id: *id,
+                            attempt_index,
+                        });
                         continue;
                     }
                     _ => continue,
@@ -587,7 +919,14 @@
         if dice.unit() < 0.5 && step < 5_000 {
             let class = (dice.unit() * 3.0) as u8;
             let one = request(step, class, (20.0 + dice.unit() * 400.0) as Nanos * MS, now);
-            requests.insert(step, Record { class, deadline: one.deadline, ..Record::default() });
+            requests.insert(
+                step,
+                Record {
+                    class,
+                    deadline: one.deadline,
+                    ..Record::default()
+                },
+            );
             events.push(Event::Arrived(one));
         }
         let due = timers.extract_if(.., |(at, _)| *at <= now);
@@ -597,15 +936,26 @@
             for act in acts.drain(..) {
                 match act {
                     Action::Timer { at, token } => timers.push((at.max(now + 1), token)),
-                    Action::Post { request_id, worker, .. } => {
+                    Action::Post {
+                        request_id, worker, ..
+                    } => {
                         let n = usize::from(worker.addr[3]);
                         let record = requests.get_mut(&request_id).unwrap();
-                        assert!(record.answers == 0 && now < record.deadline, "posted after its answer");
+                        assert!(
+                            record.answers == 0 && now < record.deadline,
+                            "posted after its answer"
+                        );
                         assert!(record.out.is_empty(), "two attempts out");
-                        assert!(standing[n] == Standing::Ready, "posted to a worker that leaves");
+                        assert!(
+                            standing[n] == Standing::Ready,
+                            "posted to a worker that leaves"
+                        );
                         if let (1.., Some((first, since))) = (record.class, record.first_doubt) {
                             assert!(record.class == 1, "an effect twice");
-                            assert!(first % 2 == n % 2 && now < since + 400 * MS, "outside group or window");
+                            assert!(
+                                first % 2 == n % 2 && now < since + 400 * MS,
+                                "outside group or window"
+                            );
                         }
                         let work = d.requests[d.held[&request_id]].work;
                         // In hinted work a second, by the most that was ever believed: beliefs move meanwhile.
@@ -618,7 +968,10 @@
                         let warmth = 0.2 + 0.8 * (now - started[n]) as f64 / 10e9;
                         // Half of all in any window.
                         let part = 3.0 * unit * 2.0 * SECOND * warmth * 0.5;
-                        assert!(started[n] == 0 || warmth > 1.0 || sent < part, "cold pushed over");
+                        assert!(
+                            started[n] == 0 || warmth > 1.0 || sent < part,
+                            "cold pushed over"
+                        );
                         record.out.push((record.sent, n, now));
                         record.sent += 1;
                     }
@@ -628,16 +981,26 @@
                         assert!(now <= record.deadline + 10 * MS, "answered late");
                         let doubted = record.class > 0 && record.first_doubt.is_some();
                         let declined = matches!(act, Action::Decline { .. });
-                        assert!(!(declined && (doubted || !record.out.is_empty())), "declined in doubt");
+                        assert!(
+                            !(declined && (doubted || !record.out.is_empty())),
+                            "declined in doubt"
+                        );
                     }
                     _ => {}
                 }
             }
         }
     }
-    assert!(requests.values().all(|record| record.answers == 1), "a request without its one answer");
+    assert!(
+        requests.values().all(|record| record.answers == 1),
+        "a request without its one answer"
+    );
     assert!(d.requests.is_empty(), "kept {:?}", d.requests.iter().next());
-    assert!(requests.values().any(|record| record.sent > u8::from(workers > 1)));
+    assert!(
+        requests
+            .values()
+            .any(|record| record.sent > u8::from(workers > 1))
+    );
 }
 
 /// A dispatcher that ends answers all by the moment given: guards against requests with later deadlines that are
@@ -676,7 +1039,14 @@
     map.insert("dispatchers".into(), dispatchers.to_string());
     map.insert("peer_load.allowed".into(), "true".into());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
-    d.handle(0, Event::List { scope: Scope::Kept, entries: warm(workers) }, &mut Vec::new());
+    d.handle(
+        0,
+        Event::List {
+            scope: Scope::Kept,
+            entries: warm(workers),
+        },
+        &mut Vec::new(),
+    );
     d
 }
 
@@ -691,18 +1061,25 @@
     let mut d = sharing(3, 2);
     let post = |d: &mut Dispatcher, id, now| {
         let acts = handle(d, now, Event::Arrived(request(id, 2, 100 * MS, now)));
-        acts.into_iter().find_map(
-            |act| {
-                if let Action::Post { worker, .. } = act { Some(worker) } else { None }
-            },
-        )
+        acts.into_iter().find_map(|act| {
+            if let Action::Post { worker, .. } = act {
+                Some(worker)
+            } else {
+                None
+            }
+        })
     };
     let mine = post(&mut d, 1, 900 * MS).unwrap();
     handle(&mut d, 910 * MS, settled(1));
     if let Some((halves, work)) = told {
         // What is told twice by one counts once; of a worker that is not known, not at all.
         for worker in [mine, mine, id(99)] {
-            let share = Share { worker, halves, work, sign: Share::UNKNOWN };
+            let share = Share {
+                worker,
+                halves,
+                work,
+                sign: Share::UNKNOWN,
+            };
             handle(&mut d, 950 * MS, Event::Shared { from: 1, share });
         }
     }
@@ -712,7 +1089,13 @@
 
 fn settled(request_id: RequestId) -> Event {
     let (outcome, report) = (Outcome::Settled, Report::default());
-    Event::Ended(Ended { request_id, attempt_index: 0, outcome, complete: true, report })
+    Event::Ended(Ended {
+        request_id,
+        attempt_index: 0,
+        outcome,
+        complete: true,
+        report,
+    })
 }
 
 /// Guards against a slow or hung worker that each dispatcher finds out with requests of its own.
@@ -721,9 +1104,17 @@
 #[test_case(Share::SILENT => (100, 80); "silence, as its own")]
 fn what_others_met_at_a_worker_counts(sign: u8) -> (i64, i64) {
     let mut d = sharing(3, 2);
-    let share = Share { worker: id(0), halves: 2, work: 10, sign };
+    let share = Share {
+        worker: id(0),
+        halves: 2,
+        work: 10,
+        sign,
+    };
     handle(&mut d, 900 * MS, Event::Shared { from: 1, share });
-    ((d.workers[0].pace * 100.0) as i64, (d.workers[0].trust.distrust * 100.0).round() as i64)
+    (
+        (d.workers[0].pace * 100.0) as i64,
+        (d.workers[0].trust.distrust * 100.0).round() as i64,
+    )
 }
 
 /// Guards against a slow worker taken for well until its first job has ended, and one alone taken for more than a rough hint.
@@ -732,8 +1123,19 @@
 #[test_case(false, 400 => 100; "where no one tells of others")]
 fn jobs_that_still_run_tell_the_pace(shares: bool, age: Nanos) -> i64 {
     let mut d = if shares { sharing(3, 1) } else { dispatcher(1) };
-    drop(handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0))));
-    handle(&mut d, MS, Event::Started { request_id: 1, attempt_index: 0 });
+    drop(handle(
+        &mut d,
+        MS,
+        Event::Arrived(request(1, 2, 100 * MS, 0)),
+    ));
+    handle(
+        &mut d,
+        MS,
+        Event::Started {
+            request_id: 1,
+            attempt_index: 0,
+        },
+    );
     d.tally((age + 1) * MS);
     (d.workers[0].seen_pace().0 * 100.0).round() as i64
 }
@@ -741,7 +1143,11 @@
 /// Whom a dispatcher tells of so many halves of a seat.
 fn told(acts: &[Action]) -> Vec<(u16, u8)> {
     let told = |act: &Action| {
-        if let Action::Tell { to, share } = act { Some((*to, share.halves)) } else { None }
+        if let Action::Tell { to, share } = act {
+            Some((*to, share.halves))
+        } else {
+            None
+        }
     };
     acts.iter().filter_map(told).collect()
 }
@@ -772,8 +1178,12 @@
     let mut d = numbered(7, 40, 30);
     let acts = handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0)));
     let at = d.requests[0].attempts[0].worker;
-    let keep = (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).classes[0].lanes.contains(&at));
-    assert_eq!(told(&acts), keep.map(|me| (me as u16, 2)).collect::<Vec<_>>());
+    let keep =
+        (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).classes[0].lanes.contains(&at));
+    assert_eq!(
+        told(&acts),
+        keep.map(|me| (me as u16, 2)).collect::<Vec<_>>()
+    );
 }
 
 /// Guards against a budget counted for twelve that all keep to who tell each other, however many share.
@@ -787,8 +1197,14 @@
             d.survey(at);
             d.budget(&d.workers[9], at).max(0.0)
         };
-        let (sum, warmth) = (keepers.iter_mut().map(budget).sum::<f64>(), 0.2 + 0.8 * at as f64 / 10e9);
-        assert!(warmth >= 1.0 || sum <= 3.0 * 2.0 * warmth * SECOND, "{sum} at {at}");
+        let (sum, warmth) = (
+            keepers.iter_mut().map(budget).sum::<f64>(),
+            0.2 + 0.8 * at as f64 / 10e9,
+        );
+        assert!(
+            warmth >= 1.0 || sum <= 3.0 * 2.0 * warmth * SECOND,
+            "{sum} at {at}"
+        );
     }
 }
 
@@ -809,7 +1225,14 @@
     for id in 1..=4 {
         let now = u64::from(id) * 500 * MS;
         handle(&mut d, now, Event::Arrived(request(id, 0, 100 * MS, now)));
-        handle(&mut d, now, Event::Started { request_id: id, attempt_index: 0 });
+        handle(
+            &mut d,
+            now,
+            Event::Started {
+                request_id: id,
+                attempt_index: 0,
+            },
+        );
         handle(&mut d, now + 200 * MS, ended(id, 0, Outcome::Settled));
     }
     handle(&mut d, 3_000 * MS, Event::Due { token: BEAT });
@@ -830,7 +1253,14 @@
         let now = u64::from(id) * 1_000 * MS;
         let acts = handle(&mut d, now, Event::Arrived(request(id, 0, 300 * MS, now)));
         assert!(matches!(acts[..], [Action::Post { .. }]), "{acts:?}");
-        handle(&mut d, now + MS, Event::Started { request_id: id, attempt_index: 0 });
+        handle(
+            &mut d,
+            now + MS,
+            Event::Started {
+                request_id: id,
+                attempt_index: 0,
+            },
+        );
         handle(&mut d, now + 900 * MS, ended(id, 0, Outcome::Settled));
     }
     assert_eq!(d.start_delays.congestion(21_000 * MS, 1.0).late, 0.0);
@@ -845,8 +1275,14 @@
     d.workers[0].of[0].add(0, 3.0 * Worker::HALF, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
-        let acts = handle(&mut d, now, Event::Arrived(request(id, class, 50 * MS, now)));
-        let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
+        let acts = handle(
+            &mut d,
+            now,
+            Event::Arrived(request(id, class, 50 * MS, now)),
+        );
+        let [Action::Post { worker, .. }] = acts[..] else {
+            panic!("{acts:?}")
+        };
         handle(&mut d, now, ended(id, 0, Outcome::Settled));
         worker == super::tests::id(0)
     })
@@ -859,12 +1295,21 @@
 #[test_case([1e30, 1e30])]
 fn absurd_reports_count_as_none(values: [f32; 2]) {
     let mut d = dispatcher(2);
-    let report = Report { count: 9, values: [values[0], values[1], 0.0, 0.0] };
+    let report = Report {
+        count: 9,
+        values: [values[0], values[1], 0.0, 0.0],
+    };
     d.read_report(MS, 0, report);
     let worker = &d.workers[0];
-    assert_eq!((worker.seats, worker.others, worker.others_at), (2.0, 0.0, 0));
+    assert_eq!(
+        (worker.seats, worker.others, worker.others_at),
+        (2.0, 0.0, 0)
+    );
     let acts = handle(&mut d, MS, Event::Due { token: BEAT });
-    assert!(acts.contains(&Action::Say("2 absurd figures in reports".into())), "{acts:?}");
+    assert!(
+        acts.contains(&Action::Say("2 absurd figures in reports".into())),
+        "{acts:?}"
+    );
 }
 
 /// Guards against a jam kept up: where starts are late, what a slow worker leaves of a request's room is what counts.
@@ -888,13 +1333,28 @@
 fn a_cold_worker_tells_its_own_pace_a_little() {
     let mut d = dispatcher(1);
     d.workers[0].started = 1;
-    let attempt = Attempt { started: Some(MS), out: true, ..Attempt::default() };
-    let mut active = ActiveRequest::new(request(1, 0, 100 * MS, 0), Idempotent, 1e8, 1e8, 1.0, 500 * MS);
+    let attempt = Attempt {
+        started: Some(MS),
+        out: true,
+        ..Attempt::default()
+    };
+    let mut active = ActiveRequest::new(
+        request(1, 0, 100 * MS, 0),
+        Idempotent,
+        1e8,
+        1e8,
+        1.0,
+        500 * MS,
+    );
     (active.stage, active.attempts_sent, active.attempts[0]) = (Out, 1, attempt);
     let key = d.requests.insert(active);
     d.held.insert(1, key);
     handle(&mut d, 400 * MS, ended(1, 0, Outcome::Settled));
-    assert!((1.1..1.4).contains(&d.workers[0].pace) && d.paces.is_empty(), "{}", d.workers[0].pace);
+    assert!(
+        (1.1..1.4).contains(&d.workers[0].pace) && d.paces.is_empty(),
+        "{}",
+        d.workers[0].pace
+    );
 }
 
 /// Guards against a fresh budget on top of what went to a new process before its start was told, answered by then or not.
@@ -907,11 +1367,28 @@
     settled: Option<Nanos>,
 ) -> usize {
     let mut d = dispatcher(1);
-    handle(&mut d, attempts_sent * MS, Event::Arrived(request(1, 2, 100 * MS, attempts_sent * MS)));
-    settled.into_iter().for_each(|at| drop(handle(&mut d, at * MS, ended(1, 0, Outcome::Settled))));
+    handle(
+        &mut d,
+        attempts_sent * MS,
+        Event::Arrived(request(1, 2, 100 * MS, attempts_sent * MS)),
+    );
+    settled
+        .into_iter()
+        .for_each(|at| drop(handle(&mut d, at * MS, ended(1, 0, Outcome::Settled))));
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
-    handle(&mut d, 900 * MS, Event::List { scope: Scope::Changes, entries });
-    d.workers[0].spent.iter().filter(|(at, work)| *at == attempts_sent * MS && *work == 1e8).count()
+    handle(
+        &mut d,
+        900 * MS,
+        Event::List {
+            scope: Scope::Changes,
+            entries,
+        },
+    );
+    d.workers[0]
+        .spent
+        .iter()
+        .filter(|(at, work)| *at == attempts_sent * MS && *work == 1e8)
+        .count()
 }
 
 /// Guards against a fresh budget at a second birth: what was sent while the first was known may have gone to the second.
@@ -921,7 +1398,14 @@
     d.workers[0].started = 90 * MS;
     d.workers[0].spent = [(95 * MS, 1e8), (500 * MS, 2e8)].into();
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
-    handle(&mut d, 900 * MS, Event::List { scope: Scope::Changes, entries });
+    handle(
+        &mut d,
+        900 * MS,
+        Event::List {
+            scope: Scope::Changes,
+            entries,
+        },
+    );
     assert_eq!(d.workers[0].spent, [(500 * MS, 2e8)]);
 }
 
@@ -953,7 +1437,14 @@
     let mut d = dispatcher(1);
     (0..5).for_each(|_| d.classes[2].add(100e6));
     d.turned = turned;
-    let key = d.requests.insert(ActiveRequest::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0));
+    let key = d.requests.insert(ActiveRequest::new(
+        request(1, class, MS, 0),
+        Idempotent,
+        1.0,
+        1.0,
+        1.0,
+        0,
+    ));
     // A second's wait: half of its own room, two and a half times theirs.
     d.kept(0, key, SECOND, 0.5)
 }
@@ -970,13 +1461,28 @@
     let mut d = dispatcher(4);
     let mut run = |id: RequestId, class: u8, hint: Option<Nanos>, took: Nanos| {
         let now = Nanos::from(id) * 2_000 * MS;
-        let request = Request { hint: hint.map(|hint| hint * MS), ..request(id, class, 0, now) };
+        let request = Request {
+            hint: hint.map(|hint| hint * MS),
+            ..request(id, class, 0, now)
+        };
         drop(handle(&mut d, now, Event::Arrived(request)));
         let run = d.requests[d.held[&id]].run / MS as f64;
-        drop(handle(&mut d, now, Event::Started { request_id: id, attempt_index: 0 }));
+        drop(handle(
+            &mut d,
+            now,
+            Event::Started {
+                request_id: id,
+                attempt_index: 0,
+            },
+        ));
         let report = Report::default();
-        let end =
-            Ended { request_id: id, attempt_index: 0, outcome: Outcome::Settled, complete: true, report };
+        let end = Ended {
+            request_id: id,
+            attempt_index: 0,
+            outcome: Outcome::Settled,
+            complete: true,
+            report,
+        };
         drop(handle(&mut d, now + took * MS, Event::Ended(end)));
         run.round() as u64
     };
@@ -994,10 +1500,24 @@
     let mut d = among(12, 0, Vec::new());
     (d.classes[0].sla, d.classes[0].ran) = (90.0 * SECOND, (1e8, 1.0));
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
-    handle(&mut d, 100 * MS, Event::List { scope: Scope::Changes, entries });
-    let one = |n| Request { hint, deadline: 99_000 * MS, ..request(n, 0, 0, 2_000 * MS) };
+    handle(
+        &mut d,
+        100 * MS,
+        Event::List {
+            scope: Scope::Changes,
+            entries,
+        },
+    );
+    let one = |n| Request {
+        hint,
+        deadline: 99_000 * MS,
+        ..request(n, 0, 0, 2_000 * MS)
+    };
     let posts = (0..20).map(|n| handle(&mut d, 2_000 * MS, Event::Arrived(one(n))));
-    posts.flatten().filter(|act| matches!(act, Action::Post { .. })).count()
+    posts
+        .flatten()
+        .filter(|act| matches!(act, Action::Post { .. }))
+        .count()
 }
 
 /// One of 300 dispatchers with 200 workers. Class 0 is wanted within 60 ms, class 2 within 3 s.
@@ -1012,13 +1532,26 @@
         map.insert(name.into(), value.into());
     }
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
-    let entries = warm(200).into_iter().map(|listed| Listed { zone: 1, ..listed }).collect();
-    d.handle(0, Event::List { scope: Scope::Kept, entries }, &mut Vec::new());
+    let entries = warm(200)
+        .into_iter()
+        .map(|listed| Listed { zone: 1, ..listed })
+        .collect();
+    d.handle(
+        0,
+        Event::List {
+            scope: Scope::Kept,
+            entries,
+        },
+        &mut Vec::new(),
+    );
     d
 }
 
 fn without_hint(id: RequestId, class: u8, now: Nanos) -> Request {
-    Request { hint: None, ..request(id, class, 0, now) }
+    Request {
+        hint: None,
+        ..request(id, class, 0, now)
+    }
 }
 
 /// Guards against classes that all look alike until one of each has settled, which took a third of a day where a
@@ -1028,15 +1561,27 @@
     let mut d = one_of_a_large_fleet();
     let mut lanes = [Vec::new(), Vec::new()];
     for id in 0..60 {
-        let (class, now) = (if id % 3 == 0 { 2 } else { 0 }, Nanos::from(id) * 10_000 * MS);
+        let (class, now) = (
+            if id % 3 == 0 { 2 } else { 0 },
+            Nanos::from(id) * 10_000 * MS,
+        );
         let acts = handle(&mut d, now, Event::Arrived(without_hint(id, class, now)));
-        let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
+        let [Action::Post { worker, .. }] = acts[..] else {
+            panic!("{acts:?}")
+        };
         lanes[usize::from(class == 2)].push(worker.addr[3]);
         let report = Report::default();
-        let end = Ended { request_id: id, attempt_index: 0, outcome: Outcome::Full, complete: true, report };
+        let end = Ended {
+            request_id: id,
+            attempt_index: 0,
+            outcome: Outcome::Full,
+            complete: true,
+            report,
+        };
         handle(&mut d, now + MS, Event::Ended(end));
     }
-    let mean = |lanes: &[u8]| lanes.iter().map(|lane| f64::from(*lane)).sum::<f64>() / lanes.len() as f64;
+    let mean =
+        |lanes: &[u8]| lanes.iter().map(|lane| f64::from(*lane)).sum::<f64>() / lanes.len() as f64;
     assert!(mean(&lanes[0]) + 60.0 < mean(&lanes[1]), "{lanes:?}");
 }
 
@@ -1053,8 +1598,14 @@
     let room = d.classes[0].sla + 10e6;
     (d.workers[last].lag, d.workers[last].lag_at) = (part * 0.3 * d.unseen * room, now);
     let acts = handle(&mut d, now, Event::Arrived(request(1, 0, 10 * MS, now)));
-    let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
-    d.classes[0].lanes.iter().position(|at| d.workers[*at].id == worker).unwrap()
+    let [Action::Post { worker, .. }] = acts[..] else {
+        panic!("{acts:?}")
+    };
+    d.classes[0]
+        .lanes
+        .iter()
+        .position(|at| d.workers[*at].id == worker)
+        .unwrap()
 }
 
 /// Guards against short requests that stand behind long ones: where the whole fleet has queues, who looks least busy is
@@ -1083,8 +1634,14 @@
     lanes[..7].iter().for_each(|at| d.workers[*at].zone = 2);
     d.zones.observe(1, 2e6);
     d.zones.observe(2, 80e6);
-    let acts = handle(&mut d, now, Event::Arrived(request(1, class, hint * MS, now)));
-    let [Action::Post { worker, .. }] = acts[..] else { panic!("{acts:?}") };
+    let acts = handle(
+        &mut d,
+        now,
+        Event::Arrived(request(1, class, hint * MS, now)),
+    );
+    let [Action::Post { worker, .. }] = acts[..] else {
+        panic!("{acts:?}")
+    };
     d.workers[d.known[&worker]].zone == 1
 }
 
@@ -1096,7 +1653,14 @@
     d.classes[0].lanes.truncate(1);
     d.workers[at].zone = 2;
     handle(&mut d, 0, Event::Arrived(request(1, 0, 10 * MS, 0)));
-    handle(&mut d, 80 * MS, Event::Started { request_id: 1, attempt_index: 0 });
+    handle(
+        &mut d,
+        80 * MS,
+        Event::Started {
+            request_id: 1,
+            attempt_index: 0,
+        },
+    );
     assert_eq!((d.zones.extra(2), d.zones.extra(1)), (80e6, 0.0));
 }
 
@@ -1107,7 +1671,10 @@
     let mut d = one_of_a_large_fleet();
     let now = 100_000 * MS;
     starts_of_late(&mut d, now, 0.5, 0);
-    let request = Request { deadline: now + 3_000 * MS, ..without_hint(1, 2, now) };
+    let request = Request {
+        deadline: now + 3_000 * MS,
+        ..without_hint(1, 2, now)
+    };
     let acts = handle(&mut d, now, Event::Arrived(request));
     assert!(matches!(acts[..], [Action::Post { .. }]), "{acts:?}");
     let active = &d.requests[d.held[&1]];
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -77,7 +77,9 @@
 
 impl Default for StartDelays {
     fn default() -> Self {
-        StartDelays { attempts: VecDeque::with_capacity(KEPT) }
+        StartDelays {
+            attempts: VecDeque::with_capacity(KEPT),
+        }
     }
 }
 
@@ -94,7 +96,11 @@
     pub fn started(&mut self, id: AttemptId, now: Nanos) {
         if let Some(at) = self.waiting(id) {
             let (sent, waited) = &mut self.attempts[at];
-            *waited = Some(Waited { until: now, delay: sent.delay(now), late: sent.is_late(now) });
+            *waited = Some(Waited {
+                until: now,
+                delay: sent.delay(now),
+                late: sent.is_late(now),
+            });
         }
     }
 
@@ -118,7 +124,11 @@
                     (left * delay, left * f64::from(*late))
                 }
                 None => {
-                    let late = if sent.is_late(now) { 1.0 } else { estimate.late };
+                    let late = if sent.is_late(now) {
+                        1.0
+                    } else {
+                        estimate.late
+                    };
                     (sent.delay(now).max(estimate.delay), late)
                 }
             };
@@ -130,7 +140,9 @@
 
     /// The place of an attempt that neither started nor ended.
     fn waiting(&self, id: AttemptId) -> Option<usize> {
-        self.attempts.iter().rposition(|(sent, waited)| sent.id == id && waited.is_none())
+        self.attempts
+            .iter()
+            .rposition(|(sent, waited)| sent.id == id && waited.is_none())
     }
 }
 
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -7,7 +7,13 @@
 /// Sends attempt `request` at `at` ms: it has 100 ms to spare, of which nothing is expected to be spent.
 fn send(delays: &mut StartDelays, request: RequestId, at: Nanos) -> AttemptId {
     let id = AttemptId { request, number: 0 };
-    delays.sent(Sent { id, at: at * MS, expected: 0.0, time_to_spare: 1e8, run: 1e7 });
+    delays.sent(Sent {
+        id,
+        at: at * MS,
+        expected: 0.0,
+        time_to_spare: 1e8,
+        run: 1e7,
+    });
     id
 }
 
@@ -24,9 +30,15 @@
     send_all(&mut delays, 0..5, 0);
     assert_eq!(delays.congestion(0, RARITY), Congestion::default());
     let soon = delays.congestion(50 * MS, RARITY);
-    assert!((0.3..0.4).contains(&soon.delay) && soon.late == 0.0, "{soon:?}");
+    assert!(
+        (0.3..0.4).contains(&soon.delay) && soon.late == 0.0,
+        "{soon:?}"
+    );
     let later = delays.congestion(200 * MS, RARITY);
-    assert!(later.delay > 0.9 && (0.2..0.3).contains(&later.late), "{later:?}");
+    assert!(
+        later.delay > 0.9 && (0.2..0.3).contains(&later.late),
+        "{later:?}"
+    );
 }
 
 /// Guards against an estimate that falls the more is sent: an attempt that was just sent has shown no short wait.
@@ -79,8 +91,17 @@
 #[test]
 fn what_an_idle_worker_makes_late_counts_as_in_time() {
     let mut delays = StartDelays::default();
-    let id = AttemptId { request: 1, number: 0 };
-    delays.sent(Sent { id, at: 0, expected: 0.0, time_to_spare: -1.0, run: 1e8 });
+    let id = AttemptId {
+        request: 1,
+        number: 0,
+    };
+    delays.sent(Sent {
+        id,
+        at: 0,
+        expected: 0.0,
+        time_to_spare: -1.0,
+        run: 1e8,
+    });
     delays.started(id, 10 * MS);
     assert_eq!(delays.congestion(10 * MS, RARITY).late, 0.0);
 }
@@ -91,7 +112,10 @@
     let mut delays = StartDelays::default();
     send_all(&mut delays, 0..1_000, 0);
     assert_eq!(delays.attempts.len(), KEPT);
-    let id = AttemptId { request: 999, number: 0 };
+    let id = AttemptId {
+        request: 999,
+        number: 0,
+    };
     delays.started(id, MS);
     let before = delays.congestion(MS, RARITY);
     delays.ended(id);
--- a/src/state.rs
+++ b/src/state.rs
@@ -25,13 +25,21 @@
 
 /// Reads one setting.
 pub fn pick<T: FromStr>(map: &Map, name: &str) -> Result<T, String> {
-    let value = map.get(name).ok_or_else(|| format!("setting {name} is missing"))?;
-    value.parse().map_err(|_| format!("setting {name} cannot be read: {value:?}"))
+    let value = map
+        .get(name)
+        .ok_or_else(|| format!("setting {name} is missing"))?;
+    value
+        .parse()
+        .map_err(|_| format!("setting {name} cannot be read: {value:?}"))
 }
 
 /// Reads one setting that may be left out.
 fn pick_or<T: FromStr>(map: &Map, name: &str, other: T) -> Result<T, String> {
-    if map.contains_key(name) { pick(map, name) } else { Ok(other) }
+    if map.contains_key(name) {
+        pick(map, name)
+    } else {
+        Ok(other)
+    }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -57,7 +65,9 @@
         match pick_or(map, "priority_weight.basis", "work".to_string())?.as_str() {
             "work" => Ok(WorthBasis::Work),
             "request" => Ok(WorthBasis::Request),
-            other => Err(format!("setting priority_weight.basis cannot be read: {other:?}")),
+            other => Err(format!(
+                "setting priority_weight.basis cannot be read: {other:?}"
+            )),
         }
     }
 }
@@ -129,7 +139,14 @@
 }
 
 impl ActiveRequest {
-    pub fn new(request: Request, effect: Effect, work: f64, run: f64, need: f64, due: Nanos) -> Self {
+    pub fn new(
+        request: Request,
+        effect: Effect,
+        work: f64,
+        run: f64,
+        need: f64,
+        due: Nanos,
+    ) -> Self {
         let attempts = [Attempt::default(); MOST_ATTEMPTS];
         let most = work * if request.hint.is_some() { 1.0 } else { 2.0 };
         ActiveRequest {
@@ -165,7 +182,11 @@
     /// What is left of it now, if it halves in `half`.
     pub fn now(&self, now: Nanos, half: f64) -> f64 {
         // Mostly there is none; then nothing need be worked out.
-        if self.distrust > 0.0 { fade(self.distrust, self.at, now, half) } else { 0.0 }
+        if self.distrust > 0.0 {
+            fade(self.distrust, self.at, now, half)
+        } else {
+            0.0
+        }
     }
 
     /// Moves it so far of the way to the most, or to none where `by` is below 0.
@@ -190,7 +211,11 @@
     /// The seats and work that are still there by now, at a worker with so many seats.
     pub fn left(&self, now: Nanos, seats: f64) -> (f64, f64) {
         let done = now.saturating_sub(self.at) as f64 * self.seats.min(seats);
-        if self.work > done { (self.seats, self.work - done) } else { (0.0, 0.0) }
+        if self.work > done {
+            (self.seats, self.work - done)
+        } else {
+            (0.0, 0.0)
+        }
     }
 }
 
@@ -250,7 +275,15 @@
     /// One just heard of: two seats, and the pace of the hints.
     pub fn new(id: WorkerId, started: Nanos, classes: usize) -> Self {
         let of = vec![Trust::default(); classes];
-        Worker { id, started, of, seats: 2.0, pace: 1.0, own_pace: 1.0, ..Worker::default() }
+        Worker {
+            id,
+            started,
+            of,
+            seats: 2.0,
+            pace: 1.0,
+            own_pace: 1.0,
+            ..Worker::default()
+        }
     }
 
     /// Whether it took no connection of late.
@@ -276,7 +309,11 @@
     pub fn queue(&self, need: f64, (others, work): (f64, f64)) -> f64 {
         let count = self.out + others;
         let enders = (count + need.min(self.seats) - self.seats).max(0.0);
-        if enders > 0.0 { enders * (self.ahead + work) / count / self.seats } else { 0.0 }
+        if enders > 0.0 {
+            enders * (self.ahead + work) / count / self.seats
+        } else {
+            0.0
+        }
     }
 
     /// How long a new job would wait for its start, by what this dispatcher knows.
@@ -293,8 +330,18 @@
     /// Keeps what another dispatcher told; only the newest of each counts.
     pub fn hear(&mut self, now: Nanos, from: u16, share: Share) {
         let Share { halves, work, .. } = share;
-        let (seats, work, pace) = (f64::from(halves) / 2.0, f64::from(work) * 16e6, share.pace());
-        let told = Told { from, seats, work, pace, at: now };
+        let (seats, work, pace) = (
+            f64::from(halves) / 2.0,
+            f64::from(work) * 16e6,
+            share.pace(),
+        );
+        let told = Told {
+            from,
+            seats,
+            work,
+            pace,
+            at: now,
+        };
         let before = match self.theirs.iter_mut().find(|told| told.from == from) {
             Some(known) => std::mem::replace(known, told).pace,
             None => {
@@ -325,12 +372,17 @@
             return (self.own_pace, self.paced);
         }
         let ended = self.paced.max(2.0);
-        ((ended * self.own_pace + sum) / (ended + count), ended + count)
+        (
+            (ended * self.own_pace + sum) / (ended + count),
+            ended + count,
+        )
     }
 
     /// What others have told, as long as it is told again.
     fn fresh(&self, now: Nanos) -> impl Iterator<Item = &Told> {
-        self.theirs.iter().filter(move |told| now < told.at + 10_000_000_000)
+        self.theirs
+            .iter()
+            .filter(move |told| now < told.at + 10_000_000_000)
     }
 
     /// Seats and work that others have told of.
@@ -360,7 +412,11 @@
 /// The work in `bins` that lies below the size `x`.
 pub fn below(bins: &Bins, x: f64) -> f64 {
     let bin = bin_of(x.min(1e18)).min(BINS);
-    let part = if bin < BINS { ((x - edge(bin)) / (edge(bin + 1) - edge(bin))).clamp(0.0, 1.0) } else { 0.0 };
+    let part = if bin < BINS {
+        ((x - edge(bin)) / (edge(bin + 1) - edge(bin))).clamp(0.0, 1.0)
+    } else {
+        0.0
+    };
     bins[..bin].iter().sum::<f64>() + bins.get(bin).map_or(0.0, |work| work * part)
 }
 
@@ -401,7 +457,10 @@
                 "idempotent-with-key" => Effect::Keyed,
                 "non-idempotent" => Effect::NonIdempotent,
                 other => {
-                    return Err(format!("setting {} cannot be read: {other:?}", name("idempotency")));
+                    return Err(format!(
+                        "setting {} cannot be read: {other:?}",
+                        name("idempotency")
+                    ));
                 }
             },
             group: pick(map, &name("retry_scope"))?,
@@ -437,8 +496,16 @@
         self.hinted |= hint.is_some();
         let (ran, count) = self.ran;
         // Guards against requests declined until one has run, where the SLA time is near the time that clients wait.
-        let ran = if count > 0.0 { ran } else { ran.min(FIRST_RUN_MOST * waits as f64) };
-        let mean = if self.hinted { self.mean() / slots } else { ran };
+        let ran = if count > 0.0 {
+            ran
+        } else {
+            ran.min(FIRST_RUN_MOST * waits as f64)
+        };
+        let mean = if self.hinted {
+            self.mean() / slots
+        } else {
+            ran
+        };
         hint.map_or(mean, |hint| hint as f64)
     }
 
@@ -468,7 +535,11 @@
 
     /// The mean work of late.
     pub fn mean(&self) -> f64 {
-        if self.seen > 0.0 { self.bins.iter().sum::<f64>() / self.seen } else { self.ran.0 }
+        if self.seen > 0.0 {
+            self.bins.iter().sum::<f64>() / self.seen
+        } else {
+            self.ran.0
+        }
     }
 }
 
@@ -503,7 +574,12 @@
         if now - self.from < 5_000_000_000 || self.count < 100.0 {
             return;
         }
-        *self = Gaps { from: now, last: self.last, estimate: self.autocorrelation(), ..Gaps::default() };
+        *self = Gaps {
+            from: now,
+            last: self.last,
+            estimate: self.autocorrelation(),
+            ..Gaps::default()
+        };
     }
 
     /// The lag-one autocorrelation of the gaps counted.
@@ -511,7 +587,11 @@
         let mean = self.sum / self.count;
         let variance = self.squares / self.count - mean * mean;
         let covariance = self.products / (self.count - 1.0) - mean * mean;
-        if variance > 0.0 { covariance / variance } else { 0.0 }
+        if variance > 0.0 {
+            covariance / variance
+        } else {
+            0.0
+        }
     }
 }
 
@@ -592,13 +672,22 @@
 impl Dispatcher {
     pub(crate) fn read(now: Nanos, seed: u64, map: &Map) -> Result<Self, String> {
         let count: usize = pick(map, "class.count")?;
-        let classes = (0..count).map(|at| RequestClass::read(map, at)).collect::<Result<Vec<_>, _>>()?;
+        let classes = (0..count)
+            .map(|at| RequestClass::read(map, at))
+            .collect::<Result<Vec<_>, _>>()?;
         let mut figures = BTreeMap::new();
         for name in FIGURES.split_whitespace() {
             let number = || pick::<f64>(map, name);
-            figures.insert(name, pick::<bool>(map, name).map(f64::from).or_else(|_| number())?);
+            figures.insert(
+                name,
+                pick::<bool>(map, name)
+                    .map(f64::from)
+                    .or_else(|_| number())?,
+            );
         }
-        let absurd = figures.iter().find(|(_, value)| !(0.0..1e18).contains(*value));
+        let absurd = figures
+            .iter()
+            .find(|(_, value)| !(0.0..1e18).contains(*value));
         if let Some((name, value)) = absurd {
             return Err(format!("setting {name} is out of range: {value}"));
         }
@@ -606,7 +695,9 @@
         let dispatchers = pick::<f64>(map, "dispatchers")?.max(1.0);
         let (shares, me) = (pick_or(map, "peer_load.allowed", false)?, figures["me"]);
         if shares && !(dispatchers <= 65_535.0 && me < dispatchers) {
-            return Err(format!("setting me is out of range: {me} of {dispatchers} dispatchers"));
+            return Err(format!(
+                "setting me is out of range: {me} of {dispatchers} dispatchers"
+            ));
         }
         Ok(Dispatcher {
             chance: Pcg::new(seed),
@@ -618,7 +709,8 @@
             begun: now,
             unseen: 1.0 - 1.0 / dispatchers,
             most_attempts: pick::<usize>(map, "attempts.max")?.min(MOST_ATTEMPTS),
-            report_at: ["free-slots", "inflight"].map(|name| fields.split(',').position(|f| f == name)),
+            report_at: ["free-slots", "inflight"]
+                .map(|name| fields.split(',').position(|f| f == name)),
             figures,
             list_asked: pick::<String>(map, "endpoints.mode")? == "polled",
             shares,
@@ -637,8 +729,10 @@
 
     /// Workers of one kind have as many seats as any of them was seen to fill.
     pub(crate) fn seats(&mut self, worker_type: u8, seen: f64) {
-        for worker in
-            self.workers.iter_mut().filter(|worker| worker.worker_type == worker_type && worker.seats < seen)
+        for worker in self
+            .workers
+            .iter_mut()
+            .filter(|worker| worker.worker_type == worker_type && worker.seats < seen)
         {
             worker.seats = seen;
         }
@@ -650,8 +744,9 @@
     pub(crate) fn learn_seats(&mut self, now: Nanos, settled: usize, at: usize) {
         let worker = &self.workers[at];
         let sure = |key: usize, active: &ActiveRequest, attempt: &Attempt| {
-            let Some(from) =
-                attempt.started.filter(|from| attempt.worker == at && attempt.out && *from >= worker.started)
+            let Some(from) = attempt
+                .started
+                .filter(|from| attempt.worker == at && attempt.out && *from >= worker.started)
             else {
                 return false;
             };
@@ -659,9 +754,13 @@
             key == settled || (0.25 * run..=2.0 * run).contains(&age)
         };
         let running = self.requests.iter().filter(|(key, active)| {
-            active.attempts[..active.attempts_sent].iter().any(|attempt| sure(*key, active, attempt))
+            active.attempts[..active.attempts_sent]
+                .iter()
+                .any(|attempt| sure(*key, active, attempt))
         });
-        let running = running.map(|(_, active)| f64::from(active.request.slots)).sum();
+        let running = running
+            .map(|(_, active)| f64::from(active.request.slots))
+            .sum();
         self.seats(worker.worker_type, running);
     }
 
@@ -672,7 +771,10 @@
             (worker.out, worker.running, worker.ahead, worker.over) = (0.0, 0.0, 0.0, (0.0, 0.0));
         }
         for (_, active) in &self.requests {
-            for attempt in active.attempts[..active.attempts_sent].iter().filter(|attempt| attempt.out) {
+            for attempt in active.attempts[..active.attempts_sent]
+                .iter()
+                .filter(|attempt| attempt.out)
+            {
                 self.touched.push(attempt.worker);
                 let worker = &mut self.workers[attempt.worker];
                 // Guards against a worker that lost one job and is then taken for full until that expires.
@@ -691,7 +793,11 @@
                     }
                     // What an earlier process ran is lost. Guards against taking its jobs for more seats.
                     let lives = started >= worker.started;
-                    worker.running += if lives { f64::from(active.request.slots) } else { 0.0 };
+                    worker.running += if lives {
+                        f64::from(active.request.slots)
+                    } else {
+                        0.0
+                    };
                 } else {
                     let delay = attempt.delay(now);
                     if delay > fade(worker.lag, worker.lag_at, now, SECOND) {
@@ -703,7 +809,11 @@
     }
 
     /// An attempt that is still out, and the place of its request.
-    pub(crate) fn attempt(&self, request_id: RequestId, attempt_index: u8) -> Option<(usize, Attempt)> {
+    pub(crate) fn attempt(
+        &self,
+        request_id: RequestId,
+        attempt_index: u8,
+    ) -> Option<(usize, Attempt)> {
         let key = *self.held.get(&request_id)?;
         let active = &self.requests[key];
         let attempt = active.attempts[..active.attempts_sent].get(usize::from(attempt_index))?;
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -26,12 +26,19 @@
 impl ZoneDelays {
     /// Nothing is known yet of either.
     pub fn new(own_zone: u16) -> Self {
-        ZoneDelays { own_zone, ..ZoneDelays::default() }
+        ZoneDelays {
+            own_zone,
+            ..ZoneDelays::default()
+        }
     }
 
     /// A request started so much later at a worker of `zone` than this dispatcher's own work there explains.
     pub fn observe(&mut self, zone: u16, delay: f64) {
-        let least = if zone == self.own_zone { &mut self.same } else { &mut self.other };
+        let least = if zone == self.own_zone {
+            &mut self.same
+        } else {
+            &mut self.other
+        };
         let risen = least.map_or(LONGEST, |known| known * RISE);
         *least = Some(delay.min(risen));
     }
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -6,8 +6,8 @@
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
-    Action, Ended, Event, Listed, Nanos, Outcome, Report, Request, RequestId, Scope, Share, Standing,
-    WorkerId,
+    Action, Ended, Event, Listed, Nanos, Outcome, Report, Request, RequestId, Scope, Share,
+    Standing, WorkerId,
 };
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -28,8 +28,12 @@
 /// The base settings with some of them replaced.
 fn settings(overrides: &str) -> Map {
     let text = format!("{BASE_SETTINGS} {overrides}");
-    let pairs = text.split_whitespace().filter_map(|word| word.split_once('='));
-    pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
+    let pairs = text
+        .split_whitespace()
+        .filter_map(|word| word.split_once('='));
+    pairs
+        .map(|(name, value)| (name.to_string(), value.to_string()))
+        .collect()
 }
 
 /// What the model of the outside world does next.
@@ -39,11 +43,21 @@
     PeerReport,
     PeerView,
     Timer(u64),
-    Start { request: RequestId, attempt: u8 },
-    End { request: RequestId, attempt: u8, worker: WorkerId },
+    Start {
+        request: RequestId,
+        attempt: u8,
+    },
+    End {
+        request: RequestId,
+        attempt: u8,
+        worker: WorkerId,
+    },
     Disconnect(RequestId),
     ListAnswer,
-    Grant { worker: WorkerId, work: Nanos },
+    Grant {
+        worker: WorkerId,
+        work: Nanos,
+    },
     Restart,
     Stop,
 }
@@ -80,7 +94,9 @@
             actions: 0,
         };
         let count = 6 + model.below(30);
-        model.workers = (0..count).map(|number| model.worker(number as u8, 0)).collect();
+        model.workers = (0..count)
+            .map(|number| model.worker(number as u8, 0))
+            .collect();
         for (delay, next) in [
             (10, Next::Arrival),
             (700, Next::ListChange),
@@ -106,7 +122,10 @@
 
     fn worker(&mut self, number: u8, started: Nanos) -> Listed {
         Listed {
-            worker: WorkerId { addr: [10, 0, number / 8, number], port: 80 },
+            worker: WorkerId {
+                addr: [10, 0, number / 8, number],
+                port: 80,
+            },
             standing: Standing::Ready,
             zone: u16::from(number % 3),
             worker_type: number % 2,
@@ -117,7 +136,11 @@
     }
 
     fn send_list(&mut self, scope: Scope) {
-        let entries = if scope == Scope::Failed { Vec::new() } else { self.workers.clone() };
+        let entries = if scope == Scope::Failed {
+            Vec::new()
+        } else {
+            self.workers.clone()
+        };
         self.feed(Event::List { scope, entries });
     }
 
@@ -131,23 +154,34 @@
     }
 
     fn numbers(&mut self, numbers: &[u64]) {
-        numbers.iter().for_each(|number| self.digest.update(number.to_le_bytes()));
+        numbers
+            .iter()
+            .for_each(|number| self.digest.update(number.to_le_bytes()));
     }
 
     fn record(&mut self, action: &Action) {
         self.actions += 1;
-        let worker = |id: &WorkerId| u64::from(u32::from_be_bytes(id.addr)) << 16 | u64::from(id.port);
-        let share =
-            |s: &Share| [worker(&s.worker), u64::from(s.halves), u64::from(s.work), u64::from(s.sign)];
+        let worker =
+            |id: &WorkerId| u64::from(u32::from_be_bytes(id.addr)) << 16 | u64::from(id.port);
+        let share = |s: &Share| {
+            [
+                worker(&s.worker),
+                u64::from(s.halves),
+                u64::from(s.work),
+                u64::from(s.sign),
+            ]
+        };
         let now = self.now;
         match action {
-            Action::Post { request_id, worker: id } => {
-                self.numbers(&[now, 1, u64::from(*request_id), worker(id)])
-            }
+            Action::Post {
+                request_id,
+                worker: id,
+            } => self.numbers(&[now, 1, u64::from(*request_id), worker(id)]),
             Action::Probe { worker: id } => self.numbers(&[now, 2, worker(id)]),
-            Action::Decline { request_id, come_back } => {
-                self.numbers(&[now, 3, u64::from(*request_id), *come_back])
-            }
+            Action::Decline {
+                request_id,
+                come_back,
+            } => self.numbers(&[now, 3, u64::from(*request_id), *come_back]),
             Action::Reverse { request_id } => self.numbers(&[now, 4, u64::from(*request_id)]),
             Action::Follow => self.numbers(&[now, 5]),
             Action::Tell { to, share: s } => {
@@ -155,7 +189,11 @@
                 self.numbers(&share(s));
             }
             Action::Want { worker: id, work } => self.numbers(&[now, 7, worker(id), *work]),
-            Action::Joint { worker: id, work, window } => {
+            Action::Joint {
+                worker: id,
+                work,
+                window,
+            } => {
                 self.numbers(&[now, 8, worker(id), *work, *window]);
             }
             Action::Timer { at, token } => self.numbers(&[now, 9, *at, *token]),
@@ -166,7 +204,9 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Post { request_id, worker } => self.send_attempt(request_id, worker),
-            Action::Timer { at, token } => self.push(at.saturating_sub(self.now), Next::Timer(token)),
+            Action::Timer { at, token } => {
+                self.push(at.saturating_sub(self.now), Next::Timer(token))
+            }
             Action::Follow => self.push(80 * MILLISECOND, Next::ListAnswer),
             Action::Want { worker, work } => {
                 let delay = 1 + self.below(8);
@@ -184,10 +224,23 @@
         let start = (1 + self.below(60)) * MILLISECOND;
         let run = (2 + self.below(300)) * MILLISECOND;
         if !hung && self.below(12) != 0 {
-            self.push(start, Next::Start { request, attempt: number });
+            self.push(
+                start,
+                Next::Start {
+                    request,
+                    attempt: number,
+                },
+            );
         }
         let end = if hung { 2 * SECOND } else { start + run };
-        self.push(end, Next::End { request, attempt: number, worker });
+        self.push(
+            end,
+            Next::End {
+                request,
+                attempt: number,
+                worker,
+            },
+        );
     }
 
     fn arrive(&mut self) {
@@ -252,7 +305,11 @@
             worker: self.workers[at].worker,
             halves: self.below(12) as u8,
             work: self.below(200) as u16,
-            sign: if self.below(10) == 0 { self.below(3) as u8 } else { 100 + self.below(60) as u8 },
+            sign: if self.below(10) == 0 {
+                self.below(3) as u8
+            } else {
+                100 + self.below(60) as u8
+            },
         };
         let from = self.below(12) as u16;
         self.feed(Event::Shared { from, share });
@@ -277,7 +334,10 @@
                 number => number as f32 / 5.0,
             };
         }
-        Report { count: self.below(4) as usize, values }
+        Report {
+            count: self.below(4) as usize,
+            values,
+        }
     }
 
     fn outcome(&mut self, worker: WorkerId) -> Outcome {
@@ -314,9 +374,13 @@
     /// A new process of the same dispatcher, which knows the list that the one before had.
     fn restart(&mut self) {
         let seed = self.below(1 << 40);
-        self.dispatcher = Dispatcher::start(self.now, seed, &self.settings).expect("valid settings");
+        self.dispatcher =
+            Dispatcher::start(self.now, seed, &self.settings).expect("valid settings");
         self.queue.retain(|_, next| {
-            !matches!(next, Next::Timer(_) | Next::Start { .. } | Next::End { .. } | Next::Disconnect(_))
+            !matches!(
+                next,
+                Next::Timer(_) | Next::Start { .. } | Next::End { .. } | Next::Disconnect(_)
+            )
         });
         self.attempts.clear();
         self.send_list(Scope::Kept);
@@ -329,21 +393,38 @@
             Next::PeerReport => self.peer_report(),
             Next::PeerView => self.peer_view(),
             Next::Timer(token) => self.feed(Event::Due { token }),
-            Next::Start { request, attempt } => {
-                self.feed(Event::Started { request_id: request, attempt_index: attempt })
-            }
-            Next::End { request, attempt, worker } => self.end(request, attempt, worker),
+            Next::Start { request, attempt } => self.feed(Event::Started {
+                request_id: request,
+                attempt_index: attempt,
+            }),
+            Next::End {
+                request,
+                attempt,
+                worker,
+            } => self.end(request, attempt, worker),
             Next::Disconnect(request) if request % 2 == 0 => {
-                self.feed(Event::Lapsed { request_id: request });
+                self.feed(Event::Lapsed {
+                    request_id: request,
+                });
             }
-            Next::Disconnect(request) => self.feed(Event::StreamBegun { request_id: request }),
+            Next::Disconnect(request) => self.feed(Event::StreamBegun {
+                request_id: request,
+            }),
             Next::ListAnswer => {
-                let scope = if self.below(3) == 0 { Scope::Failed } else { Scope::Whole };
+                let scope = if self.below(3) == 0 {
+                    Scope::Failed
+                } else {
+                    Scope::Whole
+                };
                 self.send_list(scope);
             }
             Next::Grant { worker, work } => {
                 let until = self.now + 500 * MILLISECOND;
-                self.feed(Event::Right { worker, work, until });
+                self.feed(Event::Right {
+                    worker,
+                    work,
+                    until,
+                });
             }
             Next::Restart => self.restart(),
             Next::Stop => {
@@ -363,7 +444,13 @@
             self.step(next);
         }
         let digest = self.digest.finalize();
-        (self.actions, digest[..8].iter().map(|byte| format!("{byte:02x}")).collect())
+        (
+            self.actions,
+            digest[..8]
+                .iter()
+                .map(|byte| format!("{byte:02x}"))
+                .collect(),
+        )
     }
 }
 
@@ -384,5 +471,9 @@
 fn decisions_are_the_same(overrides: &str) -> String {
     let plays = (0..6).map(|seed| Model::new(settings(overrides), seed).play(31 * SECOND));
     let (actions, digests): (Vec<u64>, Vec<String>) = plays.unzip();
-    format!("{} actions, {}", actions.iter().sum::<u64>(), digests.join(" "))
+    format!(
+        "{} actions, {}",
+        actions.iter().sum::<u64>(),
+        digests.join(" ")
+    )
 }
