--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -6,8 +6,8 @@
 use rosewall::policy::Dispatcher;
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::{
-    Action, Ended, Event, Nanos, Outcome, Probed, Report, Request, RequestId, Scope, Share,
-    Standing, WorkerId,
+    Action, AttemptEnded, Event, HealthChecked, Nanos, Outcome, Report, Request, RequestId, Scope,
+    Share, Standing, WorkerId,
 };
 use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::Listing;
@@ -44,7 +44,7 @@
         attempt_index: u8,
         told: Told,
     },
-    Probed(Probed),
+    HealthChecked(HealthChecked),
     /// Another dispatcher, by its number, tells this.
     Shared {
         from: u16,
@@ -100,7 +100,7 @@
         request_id: RequestId,
         attempt_index: u8,
     },
-    Probe {
+    CheckHealth {
         worker: WorkerId,
         dial: SocketAddr,
         host: String,
@@ -128,7 +128,7 @@
         window: Nanos,
     },
     /// Leave is given to follow the list.
-    Follow,
+    WatchEndpoints,
 }
 
 struct ActiveRequest {
@@ -252,7 +252,7 @@
                     // Guards against work that is begun for someone who has left while a connection was coming up.
                     active.cancel_unsent(|_| true, out);
                     self.counters.clients_left.add();
-                    self.decide(now, Event::Lapsed { request_id }, out);
+                    self.decide(now, Event::ClientGone { request_id }, out);
                     self.settle_up(request_id);
                 }
             }
@@ -261,7 +261,7 @@
                 attempt_index,
                 told,
             } => self.told(now, request_id, attempt_index, told, out),
-            Input::Probed(probed) => self.decide(now, Event::Probed(probed), out),
+            Input::HealthChecked(probed) => self.decide(now, Event::HealthChecked(probed), out),
             Input::Shared { from, share } => self.decide(now, Event::Shared { from, share }, out),
             Input::View(place) => self.decide(now, Event::View(place), out),
             Input::Right {
@@ -343,7 +343,7 @@
     ) {
         // Guards against the id of another client's request: posted again it would run twice.
         if !self.ids.insert(request.id.as_str().into()) && !is(Fault::IdTakenTwice) {
-            return self.give(request_id, Answer::Known, out);
+            return self.give(request_id, Answer::DuplicateId, out);
         }
         self.counters.requests.add();
         let margin = if is(Fault::LateAnswer) { 0 } else { MARGIN };
@@ -359,7 +359,7 @@
             ..
         } = request;
         log::debug!(
-            "at={now} txn={request_id} arrived scheme={class} hint={}",
+            "at={now} request={request_id} arrived class={class} hint={}",
             hint.unwrap_or(0)
         );
         let place = self.requests.insert(ActiveRequest {
@@ -373,7 +373,7 @@
         self.arm(deadline, Due::Deadline(request_id));
         self.decide(
             now,
-            Event::Arrived(Request {
+            Event::RequestArrived(Request {
                 id: request_id,
                 class,
                 tenant,
@@ -409,22 +409,22 @@
         }
         match told {
             Told::Started => {
-                log::debug!("at={now} txn={request_id} leg={attempt_index} started");
+                log::debug!("at={now} request={request_id} attempt={attempt_index} started");
                 self.counters.started.add();
                 self.decide(
                     now,
-                    Event::Started {
+                    Event::AttemptStarted {
                         request_id,
                         attempt_index,
                     },
                     out,
                 );
             }
-            Told::Settled(result) => {
-                if !self.answer(request_id, Answer::Settled(result), out) {
+            Told::Succeeded(result) => {
+                if !self.answer(request_id, Answer::Succeeded(result), out) {
                     self.counters.settled_late.add();
                 }
-                self.end(now, request_id, attempt_index, Outcome::Settled, out);
+                self.end(now, request_id, attempt_index, Outcome::Succeeded, out);
             }
             Told::Ended(outcome) => self.end(now, request_id, attempt_index, outcome, out),
         }
@@ -439,23 +439,23 @@
         outcome: Outcome,
         out: &mut Vec<Effect>,
     ) {
-        log::debug!("at={now} txn={request_id} leg={attempt_index} ended {outcome:?}");
-        let unrun = is(Fault::BrokenIsUnrun) && outcome == Outcome::Broken;
+        log::debug!("at={now} request={request_id} attempt={attempt_index} ended {outcome:?}");
+        let unrun = is(Fault::BrokenIsUnrun) && outcome == Outcome::ConnectionLost;
         let outcome = if unrun {
-            Outcome::NoConnection
+            Outcome::ConnectFailed
         } else {
             outcome
         };
         let counters = &self.counters;
         match outcome {
-            Outcome::Settled => counters.ended_settled.add(),
-            Outcome::Error => counters.ended_error.add(),
-            Outcome::Unfit => counters.ended_unfit.add(),
-            Outcome::Full => counters.ended_full.add(),
-            Outcome::TimeOut => counters.ended_timeout.add(),
-            Outcome::NoConnection => counters.ended_unconnected.add(),
-            Outcome::Broken | Outcome::Withdrawn => counters.ended_broken.add(),
-            Outcome::Moot => counters.ended_moot.add(),
+            Outcome::Succeeded => counters.ended_settled.add(),
+            Outcome::WorkerError => counters.ended_error.add(),
+            Outcome::InvalidRequest => counters.ended_unfit.add(),
+            Outcome::AtCapacity => counters.ended_full.add(),
+            Outcome::TimedOut => counters.ended_timeout.add(),
+            Outcome::ConnectFailed => counters.ended_unconnected.add(),
+            Outcome::ConnectionLost | Outcome::Cancelled => counters.ended_broken.add(),
+            Outcome::NotSent => counters.ended_moot.add(),
         }
         let Some(active) = self.active(request_id) else {
             return;
@@ -468,7 +468,7 @@
         {
             // At its end the connection is still read until it is free; at the deadline it goes with the attempt.
             out.push(match outcome {
-                Outcome::TimeOut => Effect::Abort {
+                Outcome::TimedOut => Effect::Abort {
                     request_id,
                     attempt_index,
                 },
@@ -481,7 +481,7 @@
         let report = Report::default();
         self.decide(
             now,
-            Event::Ended(Ended {
+            Event::AttemptEnded(AttemptEnded {
                 request_id,
                 attempt_index,
                 outcome,
@@ -540,10 +540,10 @@
     fn give(&self, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
         let counters = &self.counters;
         match answer {
-            Answer::Settled(_) => counters.settled.add(),
-            Answer::Declined { .. } => counters.declined.add(),
-            Answer::Reversed => counters.reversed.add(),
-            Answer::Known => counters.requests_known.add(),
+            Answer::Succeeded(_) => counters.settled.add(),
+            Answer::Rejected { .. } => counters.declined.add(),
+            Answer::Failed => counters.reversed.add(),
+            Answer::DuplicateId => counters.requests_known.add(),
         }
         out.push(Effect::Answer { request_id, answer });
     }
@@ -557,7 +557,7 @@
             return false;
         };
         match due {
-            Due::Decisions(token) => self.decide(now, Event::Due { token }, out),
+            Due::Decisions(token) => self.decide(now, Event::TimerFired { token }, out),
             Due::Deadline(request_id) => self.deadline_reached(now, request_id, out),
             Due::Owed(request_id) => {
                 let owed = self.active(request_id).is_some_and(|active| active.owed);
@@ -567,8 +567,8 @@
                     "every request is answered at its deadline"
                 );
                 if owed {
-                    self.answer(request_id, Answer::Reversed, out);
-                    self.decide(now, Event::Lapsed { request_id }, out);
+                    self.answer(request_id, Answer::Failed, out);
+                    self.decide(now, Event::ClientGone { request_id }, out);
                     self.settle_up(request_id);
                 }
             }
@@ -585,7 +585,7 @@
         }
         for attempt_index in 0..active.attempts.len() as u8 {
             if self.is_out(request_id, attempt_index) {
-                self.end(now, request_id, attempt_index, Outcome::TimeOut, out);
+                self.end(now, request_id, attempt_index, Outcome::TimedOut, out);
             }
         }
         self.arm(now + OWED_FOR, Due::Owed(request_id));
@@ -603,7 +603,7 @@
         brought
             .into_iter()
             .for_each(|request_id| self.arm(by, Due::Deadline(request_id)));
-        self.decide(now, Event::Closing { by }, out);
+        self.decide(now, Event::ShuttingDown { by }, out);
     }
 
     /// Lets the decisions handle an event and all that follows from it at once.
@@ -621,14 +621,14 @@
 
     fn act(&mut self, now: Nanos, action: Action, out: &mut Vec<Effect>) {
         match action {
-            Action::Post { request_id, worker } => self.post(now, request_id, worker, out),
-            Action::Probe { worker } => self.probe(worker, out),
-            Action::Decline {
+            Action::SendAttempt { request_id, worker } => self.post(now, request_id, worker, out),
+            Action::CheckHealth { worker } => self.probe(worker, out),
+            Action::Reject {
                 request_id,
-                come_back,
-            } => self.refuse(now, request_id, Answer::Declined { come_back }, out),
-            Action::Reverse { request_id } => self.refuse(now, request_id, Answer::Reversed, out),
-            Action::Follow => out.push(Effect::Follow),
+                retry_after,
+            } => self.refuse(now, request_id, Answer::Rejected { retry_after }, out),
+            Action::Fail { request_id } => self.refuse(now, request_id, Answer::Failed, out),
+            Action::WatchEndpoints => out.push(Effect::WatchEndpoints),
             Action::Tell { to, share } => out.push(Effect::Tell { to, share }),
             Action::Want { worker, work } => out.push(Effect::Want { worker, work }),
             Action::Joint {
@@ -640,13 +640,13 @@
                 work,
                 window,
             }),
-            Action::Timer { at, token } => self.arm(at, Due::Decisions(token)),
-            Action::Say(text) => log::info!("{text}"),
+            Action::SetTimer { at, token } => self.arm(at, Due::Decisions(token)),
+            Action::Log(text) => log::info!("{text}"),
         }
     }
 
     fn refuse(&mut self, now: Nanos, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
-        log::debug!("at={now} txn={request_id} answered {answer:?}");
+        log::debug!("at={now} request={request_id} answered {answer:?}");
         let owed = self.answer(request_id, answer, out);
         must!(
             self.counters,
@@ -679,18 +679,18 @@
         let Some((host, dial)) = known.filter(|_| owed) else {
             active.attempts.push(None);
             counters.ended_moot.add();
-            let (outcome, report) = (Outcome::Moot, Report::default());
-            let ended = Ended {
+            let (outcome, report) = (Outcome::NotSent, Report::default());
+            let ended = AttemptEnded {
                 request_id,
                 attempt_index,
                 outcome,
                 complete: !owed,
                 report,
             };
-            return self.events.push_back(Event::Ended(ended));
+            return self.events.push_back(Event::AttemptEnded(ended));
         };
         counters.postings.add();
-        log::debug!("at={now} txn={request_id} leg={attempt_index} posted host={host}");
+        log::debug!("at={now} request={request_id} attempt={attempt_index} sent host={host}");
         let message = worker::posting(&host, &active.request, left);
         let id = active.request.id.clone();
         // Half of what is left at most, so that another worker can still be tried after a vanished one.
@@ -710,16 +710,16 @@
     fn probe(&mut self, worker: WorkerId, out: &mut Vec<Effect>) {
         self.counters.probes.add();
         let Some((host, dial)) = self.workers.reach(worker) else {
-            let probed = Probed {
+            let probed = HealthChecked {
                 worker,
-                outcome: Outcome::NoConnection,
+                outcome: Outcome::ConnectFailed,
                 report: Report::default(),
             };
-            return self.events.push_back(Event::Probed(probed));
+            return self.events.push_back(Event::HealthChecked(probed));
         };
         // A worker that has not answered in twice the time that a connection may take is as good as silent.
         let limit = 2 * self.connect_within;
-        out.push(Effect::Probe {
+        out.push(Effect::CheckHealth {
             worker,
             dial,
             host: host.to_string(),
--- a/crates/engine/src/hub_tests.rs
+++ b/crates/engine/src/hub_tests.rs
@@ -84,10 +84,10 @@
 fn words(effects: &mut Vec<Effect>) -> Vec<String> {
     let word = |effect| match effect {
         Effect::Answer { request_id, answer } => match answer {
-            Answer::Settled(_) => format!("settled {request_id}"),
-            Answer::Declined { .. } => format!("declined {request_id}"),
-            Answer::Reversed => format!("reversed {request_id}"),
-            Answer::Known => format!("known {request_id}"),
+            Answer::Succeeded(_) => format!("settled {request_id}"),
+            Answer::Rejected { .. } => format!("declined {request_id}"),
+            Answer::Failed => format!("reversed {request_id}"),
+            Answer::DuplicateId => format!("known {request_id}"),
         },
         Effect::SendAttempt(attempt) => {
             format!("post {} {}", attempt.request_id, attempt.attempt_index)
@@ -136,7 +136,7 @@
         Input::Told {
             request_id: 1,
             attempt_index: 0,
-            told: Told::Settled(Vec::new()),
+            told: Told::Succeeded(Vec::new()),
         },
         &mut out,
     );
@@ -148,9 +148,9 @@
 }
 
 /// What breaks after it may have run is not sent again where that could do harm.
-#[test_case("non-idempotent", Outcome::Broken => vec!["done 1 0", "reversed 1"]; "once-only, may have run")]
-#[test_case("non-idempotent", Outcome::Full => vec!["done 1 0", "post 1 1"]; "once-only, proven unrun")]
-#[test_case("idempotent", Outcome::Broken => vec!["done 1 0", "post 1 1"]; "repeatable, may have run")]
+#[test_case("non-idempotent", Outcome::ConnectionLost => vec!["done 1 0", "reversed 1"]; "once-only, may have run")]
+#[test_case("non-idempotent", Outcome::AtCapacity => vec!["done 1 0", "post 1 1"]; "once-only, proven unrun")]
+#[test_case("idempotent", Outcome::ConnectionLost => vec!["done 1 0", "post 1 1"]; "repeatable, may have run")]
 fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
     let (mut hub, mut out) = (hub(effect, Some(Standing::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
@@ -186,7 +186,7 @@
         Input::Told {
             request_id: 1,
             attempt_index: 0,
-            told: Told::Settled(Vec::new()),
+            told: Told::Succeeded(Vec::new()),
         },
         &mut out,
     );
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -76,15 +76,15 @@
 
 fn outcome_number(outcome: Outcome) -> u64 {
     match outcome {
-        Outcome::Settled => 1,
-        Outcome::Error => 2,
-        Outcome::Unfit => 3,
-        Outcome::Full => 4,
-        Outcome::TimeOut => 5,
-        Outcome::NoConnection => 6,
-        Outcome::Broken => 7,
-        Outcome::Withdrawn => 8,
-        Outcome::Moot => 9,
+        Outcome::Succeeded => 1,
+        Outcome::WorkerError => 2,
+        Outcome::InvalidRequest => 3,
+        Outcome::AtCapacity => 4,
+        Outcome::TimedOut => 5,
+        Outcome::ConnectFailed => 6,
+        Outcome::ConnectionLost => 7,
+        Outcome::Cancelled => 8,
+        Outcome::NotSent => 9,
     }
 }
 
@@ -242,7 +242,7 @@
                 digest,
                 &[5, u64::from(*request_id), u64::from(*attempt_index)],
             ),
-            Effect::Probe { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
+            Effect::CheckHealth { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
             Effect::EvictIdle { worker, dial } => {
                 let port = dial.map_or(0, |dial| u64::from(dial.port()));
                 add_numbers(digest, &[7, worker_number(worker), port]);
@@ -266,7 +266,7 @@
             } => {
                 add_numbers(digest, &[10, worker_number(worker), *work, *window]);
             }
-            Effect::Follow => {
+            Effect::WatchEndpoints => {
                 add_numbers(digest, &[11]);
                 add_bytes(digest, &call("10.2.0.1:8500", None));
                 add_bytes(digest, &call("10.2.0.1:8500", Some((self.list_number, 5))));
@@ -371,7 +371,7 @@
         for told in told {
             match &told {
                 Told::Started => add_numbers(&mut self.digest, &[21]),
-                Told::Settled(result) => add_bytes(&mut self.digest, result),
+                Told::Succeeded(result) => add_bytes(&mut self.digest, result),
                 Told::Ended(outcome) => {
                     add_numbers(&mut self.digest, &[22, outcome_number(*outcome)])
                 }
--- a/crates/log-stats/src/lib.rs
+++ b/crates/log-stats/src/lib.rs
@@ -9,6 +9,10 @@
     "broken", "timeout", "error", "other",
 ];
 
+/// Names of the field that holds a request's number: today's, and that of logs written by versions up to 0.1.
+const REQUEST: &str = "request";
+const OLD_REQUEST: &str = "txn";
+
 /// Sums of one worker: postings, and the dispatchers that sent them, by their places among the logs.
 #[derive(Default)]
 struct Host {
@@ -61,7 +65,7 @@
 
     /// Takes in one dispatcher's log; lines of other kinds are passed over, also half ones at its end.
     pub fn read(&mut self, log: &str) {
-        let mut posted: FxHashMap<&str, u32> = FxHashMap::default();
+        let mut sent: FxHashMap<&str, u32> = FxHashMap::default();
         for Line { at, of, rest } in log.lines().filter_map(line) {
             match (of.split_once('='), rest.as_slice()) {
                 (Some(("host", host)), ["listed", _, born]) => {
@@ -71,20 +75,20 @@
                         .unwrap_or(0);
                     self.hosts.entry(host.to_string()).or_default().born = born;
                 }
-                (Some(("txn", txn)), ["arrived", ..]) => {
+                (Some((REQUEST | OLD_REQUEST, request)), ["arrived", ..]) => {
                     // A restart begins the numbers anew.
-                    posted.insert(txn, 0);
+                    sent.insert(request, 0);
                     self.count(at, "arrived");
                 }
-                (Some(("txn", txn)), ["answered", answer, ..]) => {
-                    let declined = answer.starts_with("Declined");
+                (Some((REQUEST | OLD_REQUEST, request)), ["answered", answer, ..]) => {
+                    let declined = answer.starts_with("Rejected") || answer.starts_with("Declined");
                     self.count(at, if declined { "declined" } else { "reversed" });
-                    if declined && posted.get(txn) == Some(&0) {
+                    if declined && sent.get(request) == Some(&0) {
                         self.count(at, "unposted");
                     }
                 }
-                (Some(("txn", txn)), [_, "posted", host]) => {
-                    *posted.entry(txn).or_default() += 1;
+                (Some((REQUEST | OLD_REQUEST, request)), [_, "sent" | "posted", host]) => {
+                    *sent.entry(request).or_default() += 1;
                     let host = self
                         .hosts
                         .entry(host.trim_start_matches("host=").to_string())
@@ -94,14 +98,14 @@
                     let cold = host.born > 0 && at < host.born + self.cold;
                     self.count(at, if cold { "cold" } else { "warm" });
                 }
-                (Some(("txn", _)), [_, "ended", outcome]) => {
+                (Some((REQUEST | OLD_REQUEST, _)), [_, "ended", outcome]) => {
                     let column = match *outcome {
-                        "Settled" => "settled",
-                        "Full" => "full",
-                        "NoConnection" => "unconn",
-                        "Broken" => "broken",
-                        "TimeOut" => "timeout",
-                        "Error" => "error",
+                        "Succeeded" | "Settled" => "settled",
+                        "AtCapacity" | "Full" => "full",
+                        "ConnectFailed" | "NoConnection" => "unconn",
+                        "ConnectionLost" | "Broken" => "broken",
+                        "TimedOut" | "TimeOut" => "timeout",
+                        "WorkerError" | "Error" => "error",
                         // Unfit, moot, withdrawn: no fault of the worker's.
                         _ => "other",
                     };
@@ -150,7 +154,7 @@
 mod tests {
     use super::*;
 
-    const LOG: &str = "0.0 DEBUG at=5000000000 host=a listed Ready born=0\n\
+    const OLD_LOG: &str = "0.0 DEBUG at=5000000000 host=a listed Ready born=0\n\
         0.0 DEBUG at=5000000000 host=b listed Ready born=4000000000\n\
         0.0 INFO listening on 127.0.0.1:1\n\
         0.1 DEBUG at=5100000000 txn=1 arrived scheme=0 hint=5\n\
@@ -162,11 +166,32 @@
         1.2 DEBUG at=6300000000 txn=2 answered Declined { come_back: 5 }\n\
         1.3 DEBUG at=64000";
 
+    const LOG: &str = "0.0 DEBUG at=5000000000 host=a listed Ready born=0\n\
+        0.0 DEBUG at=5000000000 host=b listed Ready born=4000000000\n\
+        0.0 INFO listening on 127.0.0.1:1\n\
+        0.1 DEBUG at=5100000000 request=1 arrived class=0 hint=5\n\
+        0.1 DEBUG at=5100000000 request=1 attempt=0 sent host=b\n\
+        0.1 DEBUG at=5200000000 request=1 attempt=0 ended ConnectFailed\n\
+        0.1 DEBUG at=5200000000 request=1 attempt=1 sent host=a\n\
+        1.1 DEBUG at=6200000000 request=1 attempt=1 ended Succeeded\n\
+        1.2 DEBUG at=6300000000 request=2 arrived class=0 hint=5\n\
+        1.2 DEBUG at=6300000000 request=2 answered Rejected { retry_after: 5 }\n\
+        1.3 DEBUG at=64000";
+
     /// Guards against a sum that takes the parts of one dispatcher for the fleet's.
     #[test]
     fn logs_of_several_are_summed_by_second_and_by_worker() {
+        assert_sums(LOG);
+    }
+
+    #[test]
+    fn logs_of_earlier_versions_are_read_as_before() {
+        assert_sums(OLD_LOG);
+    }
+
+    fn assert_sums(log: &str) {
         let mut tally = Tally::new(3.0);
-        (0..2).for_each(|_| tally.read(LOG));
+        (0..2).for_each(|_| tally.read(log));
         //                              arr set dec unp rev warm cold full unc bro tim err oth
         assert_eq!(tally.seconds[&5], [2, 0, 0, 0, 0, 2, 2, 0, 2, 0, 0, 0, 0]);
         assert_eq!(tally.seconds[&6], [2, 2, 2, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -41,16 +41,16 @@
     Bad(u16, &'static str),
 }
 
-/// What a client is told; `come_back` in nanoseconds, 0 for none.
+/// What a client is told; `retry_after` in nanoseconds, 0 for none.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    Settled(Vec<u8>),
-    Declined {
-        come_back: Nanos,
+    Succeeded(Vec<u8>),
+    Rejected {
+        retry_after: Nanos,
     },
-    Reversed,
+    Failed,
     /// Not taken: a request with this id is in hand or was.
-    Known,
+    DuplicateId,
 }
 
 #[derive(Default)]
@@ -296,13 +296,13 @@
 
 pub fn answer(answer: &Answer, keeps: bool) -> Vec<u8> {
     match answer {
-        Answer::Settled(result) => message(200, "", result, keeps),
-        Answer::Declined { come_back: 0 } => message(503, "", b"declined\n", keeps),
-        Answer::Declined { come_back } => {
-            let after = format!("Retry-After: {:.3}\r\n", *come_back as f64 / 1e9);
+        Answer::Succeeded(result) => message(200, "", result, keeps),
+        Answer::Rejected { retry_after: 0 } => message(503, "", b"declined\n", keeps),
+        Answer::Rejected { retry_after } => {
+            let after = format!("Retry-After: {:.3}\r\n", *retry_after as f64 / 1e9);
             message(503, &after, b"declined\n", keeps)
         }
-        Answer::Reversed => message(502, "", b"reversed\n", keeps),
-        Answer::Known => message(409, "", b"the Request-Id is not new\n", keeps),
+        Answer::Failed => message(502, "", b"reversed\n", keeps),
+        Answer::DuplicateId => message(409, "", b"the Request-Id is not new\n", keeps),
     }
 }
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -123,13 +123,13 @@
     assert!(matches!(heard[..], [Heard::Bad(400, _)]), "{heard:?}");
 }
 
-#[test_case(&Answer::Settled(b"ok".to_vec()), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"; "settled")]
-#[test_case(&Answer::Declined { come_back: 1_500_000_000 },
+#[test_case(&Answer::Succeeded(b"ok".to_vec()), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"; "settled")]
+#[test_case(&Answer::Rejected { retry_after: 1_500_000_000 },
             "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1.500\r\nContent-Length: 9\r\n\r\ndeclined\n"; "declined")]
-#[test_case(&Answer::Declined { come_back: 0 },
+#[test_case(&Answer::Rejected { retry_after: 0 },
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\ndeclined\n"; "no time to come back")]
-#[test_case(&Answer::Reversed, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 9\r\n\r\nreversed\n"; "reversed")]
-#[test_case(&Answer::Known, "HTTP/1.1 409 Conflict\r\nContent-Length: 26\r\n\r\nthe Request-Id is not new\n"; "known")]
+#[test_case(&Answer::Failed, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 9\r\n\r\nreversed\n"; "reversed")]
+#[test_case(&Answer::DuplicateId, "HTTP/1.1 409 Conflict\r\nContent-Length: 26\r\n\r\nthe Request-Id is not new\n"; "known")]
 fn answers_are_encoded(given: &Answer, text: &str) {
     assert_eq!(String::from_utf8(answer(given, true)).unwrap(), text);
 }
@@ -164,16 +164,16 @@
 }
 
 fn done() -> Told {
-    Told::Settled(b"a \"b\"".to_vec())
+    Told::Succeeded(b"a \"b\"".to_vec())
 }
 
 #[test_case(&[STARTED, DONE] => vec![Told::Started, done()]; "started and done")]
 #[test_case(&[DONE, FAILED, STARTED] => vec![done()]; "only the first end counts")]
 #[test_case(&["\n", "{\"id\":\"id\",\"state\":\"new\"}\n", DONE] => vec![done()]; "what is not known is passed over")]
-#[test_case(&[STARTED, FAILED] => vec![Told::Started, Told::Ended(Outcome::Error)]; "failed")]
+#[test_case(&[STARTED, FAILED] => vec![Told::Started, Told::Ended(Outcome::WorkerError)]; "failed")]
 #[test_case(&[DONE.trim_ascii_end()] => vec![done()]; "a last line without its end")]
-#[test_case(&[STARTED] => vec![Told::Started, Told::Ended(Outcome::Broken)]; "no last line")]
-#[test_case(&["{\"id\":\"id\",\"state\":\"returned\"}\n"] => vec![Told::Ended(Outcome::Full)]; "returned")]
+#[test_case(&[STARTED] => vec![Told::Started, Told::Ended(Outcome::ConnectionLost)]; "no last line")]
+#[test_case(&["{\"id\":\"id\",\"state\":\"returned\"}\n"] => vec![Told::Ended(Outcome::AtCapacity)]; "returned")]
 fn an_answer_tells_the_same_however_it_is_cut(lines: &[&str]) -> Vec<Told> {
     let (whole, reply) = told(&streamed(lines), 10_000);
     assert!(reply.reusable());
@@ -183,13 +183,13 @@
     whole
 }
 
-#[test_case("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", Outcome::Full, true; "not started")]
-#[test_case("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", Outcome::Error, true; "may have started")]
-#[test_case("HTTP/1.1 500 x\r\nContent-Length: 2\r\n\r\nno", Outcome::Error, true; "with a body")]
-#[test_case("HTTP/1.1 100 x\r\n\r\nHTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Outcome::Error,
+#[test_case("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", Outcome::AtCapacity, true; "not started")]
+#[test_case("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", Outcome::WorkerError, true; "may have started")]
+#[test_case("HTTP/1.1 500 x\r\nContent-Length: 2\r\n\r\nno", Outcome::WorkerError, true; "with a body")]
+#[test_case("HTTP/1.1 100 x\r\n\r\nHTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Outcome::WorkerError,
             false; "after an interim answer, to be closed")]
-#[test_case("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\nmore", Outcome::Error, false; "with more after it")]
-#[test_case("nothing of the kind\r\n\r\n", Outcome::Broken, false; "no head")]
+#[test_case("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\nmore", Outcome::WorkerError, false; "with more after it")]
+#[test_case("nothing of the kind\r\n\r\n", Outcome::ConnectionLost, false; "no head")]
 fn a_status_is_an_outcome(text: &str, outcome: Outcome, reusable: bool) {
     let (told, reply) = told(text.as_bytes(), 10_000);
     assert_eq!(
@@ -198,7 +198,7 @@
     );
 }
 
-#[test_case(&streamed(&[STARTED])[..60], Some(Told::Ended(Outcome::Broken)); "before the end")]
+#[test_case(&streamed(&[STARTED])[..60], Some(Told::Ended(Outcome::ConnectionLost)); "before the end")]
 #[test_case(&streamed(&[DONE]), None; "after it")]
 fn a_closed_connection_ends_what_has_not_ended(bytes: &[u8], expected: Option<Told>) {
     assert_eq!(told(bytes, 10_000).1.closed(), expected);
@@ -243,7 +243,7 @@
     let piece = vec![b'x'; 4096];
     let fed = (0..100).find(|_| {
         reply.feed(&piece);
-        reply.told() == Some(Told::Ended(Outcome::Broken))
+        reply.told() == Some(Told::Ended(Outcome::ConnectionLost))
     });
     assert!(fed.is_some_and(|count| count * piece.len() <= BODY_LIMIT));
 }
@@ -258,7 +258,7 @@
         body.len()
     );
     let told = Sounding::new(&fields).feed(answer.as_bytes());
-    let Some((Outcome::Settled, Report { count, values }, true)) = told else {
+    let Some((Outcome::Succeeded, Report { count, values }, true)) = told else {
         panic!("{told:?}")
     };
     (count, values)
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Told {
     Started,
-    Settled(Vec<u8>),
+    Succeeded(Vec<u8>),
     /// It has ended otherwise.
     Ended(Outcome),
 }
@@ -113,7 +113,7 @@
             // What cannot be read was begun by a worker that had all of the posting: it may have run.
             let step = self.step().unwrap_or_else(|| {
                 self.broken = true;
-                Step::Tell(Told::Ended(Outcome::Broken))
+                Step::Tell(Told::Ended(Outcome::ConnectionLost))
             });
             match step {
                 Step::Wait => return None,
@@ -135,7 +135,7 @@
     pub fn closed(&mut self) -> Option<Told> {
         let ended = std::mem::replace(&mut self.ended, true);
         self.broken = true;
-        (!ended).then_some(Told::Ended(Outcome::Broken))
+        (!ended).then_some(Told::Ended(Outcome::ConnectionLost))
     }
 
     /// One step through the bytes; none where they cannot be read.
@@ -160,7 +160,7 @@
         else {
             let over = done && !self.ended;
             return Some(if over {
-                Step::Tell(Told::Ended(Outcome::Broken))
+                Step::Tell(Told::Ended(Outcome::ConnectionLost))
             } else {
                 Step::Wait
             });
@@ -175,10 +175,10 @@
         }
         Some(match line.state.as_str() {
             "started" => Step::Tell(Told::Started),
-            "done" => Step::Tell(Told::Settled(line.result?.into_bytes())),
-            "failed" => Step::Tell(Told::Ended(Outcome::Error)),
-            "returned" => Step::Tell(Told::Ended(Outcome::Full)),
-            "lost" => Step::Tell(Told::Ended(Outcome::Broken)),
+            "done" => Step::Tell(Told::Succeeded(line.result?.into_bytes())),
+            "failed" => Step::Tell(Told::Ended(Outcome::WorkerError)),
+            "returned" => Step::Tell(Told::Ended(Outcome::AtCapacity)),
+            "lost" => Step::Tell(Told::Ended(Outcome::ConnectionLost)),
             _ => Step::On,
         })
     }
@@ -204,9 +204,9 @@
         (self.keeps, self.body, self.streams) = (keeps, body, status == 200);
         Some(match status {
             100..=200 => Step::On, // what follows an interim answer, or the first line
-            400..=499 => Step::Tell(Told::Ended(Outcome::Unfit)),
-            503 | 504 if not_run => Step::Tell(Told::Ended(Outcome::Full)),
-            _ => Step::Tell(Told::Ended(Outcome::Error)),
+            400..=499 => Step::Tell(Told::Ended(Outcome::InvalidRequest)),
+            503 | 504 if not_run => Step::Tell(Told::Ended(Outcome::AtCapacity)),
+            _ => Step::Tell(Told::Ended(Outcome::WorkerError)),
         })
     }
 }
@@ -229,13 +229,13 @@
     /// The outcome, the report and whether the connection may be used again.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<(Outcome, Report, bool)> {
         let Ok(fed) = self.answer.feed(bytes, BODY_LIMIT) else {
-            return Some((Outcome::Broken, Report::default(), false));
+            return Some((Outcome::ConnectionLost, Report::default(), false));
         };
         let (text, reusable) = fed?;
         let outcome = match self.answer.status() {
-            Some(200) => Outcome::Settled,
-            Some(503) => Outcome::Full,
-            _ => Outcome::Error,
+            Some(200) => Outcome::Succeeded,
+            Some(503) => Outcome::AtCapacity,
+            _ => Outcome::WorkerError,
         };
         Some((outcome, report(&text, self.fields), reusable))
     }
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -225,7 +225,7 @@
                     let at = self.now().saturating_sub(if sent { waited } else { 0 });
                     if self.away && !self.room().await {
                         self.shared.counters.turned_away.add();
-                        self.write(&client::answer(&Answer::Declined { come_back: 0 }, false))
+                        self.write(&client::answer(&Answer::Rejected { retry_after: 0 }, false))
                             .await?;
                         return self.part().await;
                     }
--- a/crates/runtime/src/hub.rs
+++ b/crates/runtime/src/hub.rs
@@ -129,7 +129,7 @@
                 }
                 return;
             }
-            News::Probed(probed) => Input::Probed(probed),
+            News::HealthChecked(probed) => Input::HealthChecked(probed),
             News::Shared { from, share } => Input::Shared { from, share },
             News::View(place) => Input::View(place),
             News::Right {
@@ -200,7 +200,7 @@
                     out.task.detach();
                 }
             }
-            Effect::Probe {
+            Effect::CheckHealth {
                 worker,
                 dial,
                 host,
@@ -236,7 +236,7 @@
                     members.joint(worker, work, window);
                 }
             }
-            Effect::Follow => {
+            Effect::WatchEndpoints => {
                 if let Some(leave) = &self.leave {
                     let _ = leave.try_send(());
                 }
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -3,7 +3,7 @@
 use crate::members::Members;
 use crate::talk::Talk;
 use async_channel::Sender;
-use rosewall::types::{Nanos, Probed, RequestId, Share, WorkerId};
+use rosewall::types::{HealthChecked, Nanos, RequestId, Share, WorkerId};
 use rosewall_engine::budget::{Budget, Slot};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::pool::{Idle, Pool};
@@ -46,7 +46,7 @@
         worker: WorkerId,
         conn: Conn<G::Stream>,
     },
-    Probed(Probed),
+    HealthChecked(HealthChecked),
     View(Option<(u16, u16)>),
     Right {
         worker: WorkerId,
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -3,7 +3,7 @@
 use crate::shared::{Conn, News, Shared};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::sabotage::{Fault, is};
-use rosewall::types::{Nanos, Outcome, Probed, Report, WorkerId};
+use rosewall::types::{HealthChecked, Nanos, Outcome, Report, WorkerId};
 use rosewall_engine::budget::Slot;
 use rosewall_engine::hub::OutboundAttempt;
 use rosewall_engine::pool::REST;
@@ -52,7 +52,7 @@
     let ground = &shared.ground;
     let slot = within(ground, limit, async { Ok(descriptor(shared).await) })
         .await
-        .map_err(|_| Outcome::Moot)?;
+        .map_err(|_| Outcome::NotSent)?;
     shared.counters.connects.add();
     let connect = async {
         Ok(Conn {
@@ -64,7 +64,7 @@
     within(ground, limit, connect).await.map_err(|error| {
         shared.counters.connects_failed.add();
         log::debug!("no connection to {dial}: {error}");
-        Outcome::NoConnection
+        Outcome::ConnectFailed
     })
 }
 
@@ -119,14 +119,14 @@
             Ok(false) => {}
             Err(_) => {
                 return Err(if off.get() {
-                    Outcome::Moot
+                    Outcome::NotSent
                 } else {
-                    Outcome::NoConnection
+                    Outcome::ConnectFailed
                 });
             }
         }
         if off.get() {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         // It tells of its age, not of the worker: nothing was posted yet.
         if conn.stream.look() == Look::Ended {
@@ -140,9 +140,9 @@
         return Ok((conn, None));
     }
     Err(if off.get() {
-        Outcome::Moot
+        Outcome::NotSent
     } else {
-        Outcome::NoConnection
+        Outcome::ConnectFailed
     })
 }
 
@@ -229,10 +229,10 @@
     let limit = Duration::from_nanos(limit);
     let late = async {
         pause(&shared.ground, limit).await;
-        (Outcome::TimeOut, Report::default())
+        (Outcome::TimedOut, Report::default())
     };
     let (outcome, report) = ask(&shared, worker, dial, &host, limit).or(late).await;
-    shared.tell(News::Probed(Probed {
+    shared.tell(News::HealthChecked(HealthChecked {
         worker,
         outcome,
         report,
@@ -258,14 +258,14 @@
         .await
         .is_err()
     {
-        return (Outcome::NoConnection, none);
+        return (Outcome::ConnectFailed, none);
     }
     let mut sounding = Sounding::new(&shared.report);
     let mut buffer = [0; 1024];
     loop {
         let count = conn.stream.read(&mut buffer).await.unwrap_or(0);
         if count == 0 {
-            return (Outcome::Broken, none);
+            return (Outcome::ConnectionLost, none);
         }
         if let Some((outcome, report, reusable)) = sounding.feed(&buffer[..count]) {
             if reusable {
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,8 +1,8 @@
 //! The wire's words to ours and back. No name of the wire is known outside this file, but the settings'.
 use crate::codec::{Fault, Fields, Reply};
 use rosewall::types::{
-    Action, Ended, Event, Listed, Outcome, Probed, Report, Request, Scope, Share, Standing,
-    WorkerId,
+    Action, AttemptEnded, Event, HealthChecked, Listed, Outcome, Report, Request, Scope, Share,
+    Standing, WorkerId,
 };
 use rosewall_settings::{Map, ours};
 
@@ -30,15 +30,15 @@
         }
         10 => return Ok(Incoming::Stop),
         2 => list(&mut f)?,
-        3 => Event::Arrived(request(&mut f)?),
-        4 => Event::StreamBegun {
+        3 => Event::RequestArrived(request(&mut f)?),
+        4 => Event::StreamStarted {
             request_id: f.u32()?,
         },
         5 => ended(&mut f)?,
-        6 => Event::Lapsed {
+        6 => Event::ClientGone {
             request_id: f.u32()?,
         },
-        7 => Event::Due { token: f.u64()? },
+        7 => Event::TimerFired { token: f.u64()? },
         8 => probed(&mut f)?,
         9 => match shared(&mut f)? {
             Some(event) => event,
@@ -121,14 +121,14 @@
 
 fn outcome(code: u16) -> Result<Outcome, Fault> {
     Ok(match code {
-        0 => Outcome::Settled,
-        13 => Outcome::Error,
-        8 => Outcome::Full,
-        4 => Outcome::TimeOut,
-        14 => Outcome::NoConnection,
-        10 => Outcome::Broken,
-        1 => Outcome::Withdrawn,
-        9 => Outcome::Moot,
+        0 => Outcome::Succeeded,
+        13 => Outcome::WorkerError,
+        8 => Outcome::AtCapacity,
+        4 => Outcome::TimedOut,
+        14 => Outcome::ConnectFailed,
+        10 => Outcome::ConnectionLost,
+        1 => Outcome::Cancelled,
+        9 => Outcome::NotSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
@@ -153,7 +153,7 @@
     if !f.is_empty() {
         let _note = f.u8()?;
     }
-    Ok(Event::Ended(Ended {
+    Ok(Event::AttemptEnded(AttemptEnded {
         request_id,
         attempt_index,
         outcome,
@@ -164,7 +164,7 @@
 
 fn probed(f: &mut Fields<'_>) -> Result<Event, Fault> {
     let (worker, _took, outcome) = (worker(f)?, f.u64()?, outcome(f.u16()?)?);
-    Ok(Event::Probed(Probed {
+    Ok(Event::HealthChecked(HealthChecked {
         worker,
         outcome,
         report: report(f)?,
@@ -192,7 +192,7 @@
 /// News of a posting; that it has started is all that is used.
 fn note(f: &mut Fields<'_>) -> Result<Option<Event>, Fault> {
     let (request_id, _worker, attempt_index, _share) = (f.u32()?, f.address()?, f.u8()?, f.f32()?);
-    Ok((f.u8()? == 1).then_some(Event::Started {
+    Ok((f.u8()? == 1).then_some(Event::AttemptStarted {
         request_id,
         attempt_index,
     }))
@@ -204,7 +204,7 @@
 
 pub fn outgoing(action: &Action, reply: &mut Reply) {
     match action {
-        Action::Post { request_id, worker } => {
+        Action::SendAttempt { request_id, worker } => {
             // No time-out of its own: until the client gives up.
             let (port, within) = (worker.port.to_le_bytes(), 0_u64.to_le_bytes());
             reply.record(
@@ -212,15 +212,17 @@
                 &[&request_id.to_le_bytes(), &worker.addr, &port, &within],
             );
         }
-        Action::Probe { worker } => reply.record(75, &[&worker.addr, &worker.port.to_le_bytes()]),
-        Action::Decline {
+        Action::CheckHealth { worker } => {
+            reply.record(75, &[&worker.addr, &worker.port.to_le_bytes()])
+        }
+        Action::Reject {
             request_id,
-            come_back,
+            retry_after,
         } => {
-            reply.record(65, &[&request_id.to_le_bytes(), &come_back.to_le_bytes()]);
+            reply.record(65, &[&request_id.to_le_bytes(), &retry_after.to_le_bytes()]);
         }
-        Action::Reverse { request_id } => reply.record(73, &[&request_id.to_le_bytes()]),
-        Action::Follow => reply.record(66, &[&[1]]),
+        Action::Fail { request_id } => reply.record(73, &[&request_id.to_le_bytes()]),
+        Action::WatchEndpoints => reply.record(66, &[&[1]]),
         Action::Tell {
             to,
             share:
@@ -248,8 +250,10 @@
         }
         // The simulator's dispatchers are no members of anything: nothing is asked for or given.
         Action::Want { .. } | Action::Joint { .. } => {}
-        Action::Timer { at, token } => reply.record(74, &[&at.to_le_bytes(), &token.to_le_bytes()]),
-        Action::Say(text) => {
+        Action::SetTimer { at, token } => {
+            reply.record(74, &[&at.to_le_bytes(), &token.to_le_bytes()])
+        }
+        Action::Log(text) => {
             let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
             reply.record(67, &[&(bytes.len() as u16).to_le_bytes(), bytes]);
         }
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -147,7 +147,7 @@
             worker: self.workers[at].id,
             work: active.most as Nanos,
         });
-        acts.push(Action::Timer {
+        acts.push(Action::SetTimer {
             at: now + ANSWER,
             token: token(active.request.id, 0),
         });
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -192,7 +192,7 @@
         deadline: now + 900 * MS,
     };
     let mut acts = Vec::new();
-    d.handle(now, Event::Arrived(request), &mut acts);
+    d.handle(now, Event::RequestArrived(request), &mut acts);
     acts
 }
 
@@ -209,7 +209,7 @@
     let acts = arrive(&mut d, now);
     let [
         Action::Want { worker: of, work },
-        Action::Timer { at, token },
+        Action::SetTimer { at, token },
     ] = acts[..]
     else {
         panic!("{acts:?}")
@@ -227,12 +227,13 @@
         );
     }
     let mut acts = Vec::new();
-    d.handle(at, Event::Due { token }, &mut acts);
+    d.handle(at, Event::TimerFired { token }, &mut acts);
     assert!(
         !acts.iter().any(|act| matches!(act, Action::Want { .. })),
         "asked twice: {acts:?}"
     );
-    acts.iter().any(|act| matches!(act, Action::Post { .. }))
+    acts.iter()
+        .any(|act| matches!(act, Action::SendAttempt { .. }))
 }
 
 #[test]
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -9,12 +9,16 @@
 use crate::sabotage::{Fault, is};
 use crate::start_delays::{AttemptId, Congestion, Sent};
 pub use crate::state::Dispatcher;
-use crate::state::Effect::{Idempotent, Keyed, NonIdempotent};
-use crate::state::Stage::{Again, Answered, Doubted, Held, Out};
-use crate::state::{ActiveRequest, Attempt, Effect, Input, Map, RequestClass, Stage, Step};
+use crate::state::Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
+use crate::state::RequestState::{Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight};
+use crate::state::{
+    ActiveRequest, Attempt, Idempotency, Map, RequestClass, RequestInput, RequestState, RequestStep,
+};
 use crate::state::{BINS, Bins, SECOND, below, fade};
 use crate::state::{Told, Trust, Worker, token};
-use crate::types::{Action, Ended, Event, Listed, Nanos, Outcome, Report, Scope, Share, Standing};
+use crate::types::{
+    Action, AttemptEnded, Event, Listed, Nanos, Outcome, Report, Scope, Share, Standing,
+};
 use crate::types::{Request, RequestId};
 
 #[cfg(test)]
@@ -32,65 +36,117 @@
 /// No request is kept that would wait for so many times its time to spare: a class in this state loses no more by longer waits.
 const HOPELESS: f64 = 1.5;
 
-const ALL: &[Effect] = &[Idempotent, Keyed, NonIdempotent];
+const ALL: &[Idempotency] = &[Idempotent, IdempotentWithKey, NonIdempotent];
 
 /// States, input, for which effects, next state, effect. What is not listed changes nothing.
-type Row = (&'static [Stage], Input, &'static [Effect], Stage, Step);
+type Row = (
+    &'static [RequestState],
+    RequestInput,
+    &'static [Idempotency],
+    RequestState,
+    RequestStep,
+);
 
 const TABLE: &[Row] = &[
-    (&[Held], Input::Posted, ALL, Out, Step::Nothing),
-    (&[Doubted], Input::Posted, ALL, Again, Step::Nothing),
-    (&[Out, Again], Input::Settled, ALL, Answered, Step::Nothing),
-    (&[Out], Input::NotRun, ALL, Held, Step::Place),
-    (&[Again], Input::NotRun, ALL, Doubted, Step::Place),
-    (&[Out], Input::MayHaveRun, &[Idempotent], Held, Step::Place),
     (
-        &[Out, Again],
-        Input::MayHaveRun,
-        &[Keyed],
-        Doubted,
-        Step::Place,
+        &[Pending],
+        RequestInput::AttemptSent,
+        ALL,
+        InFlight,
+        RequestStep::Nothing,
+    ),
+    (
+        &[PendingMayHaveRun],
+        RequestInput::AttemptSent,
+        ALL,
+        RetryInFlight,
+        RequestStep::Nothing,
+    ),
+    (
+        &[InFlight, RetryInFlight],
+        RequestInput::Succeeded,
+        ALL,
+        Completed,
+        RequestStep::Nothing,
     ),
     (
-        &[Out],
-        Input::MayHaveRun,
+        &[InFlight],
+        RequestInput::NotRun,
+        ALL,
+        Pending,
+        RequestStep::Forward,
+    ),
+    (
+        &[RetryInFlight],
+        RequestInput::NotRun,
+        ALL,
+        PendingMayHaveRun,
+        RequestStep::Forward,
+    ),
+    (
+        &[InFlight],
+        RequestInput::MayHaveRun,
+        &[Idempotent],
+        Pending,
+        RequestStep::Forward,
+    ),
+    (
+        &[InFlight, RetryInFlight],
+        RequestInput::MayHaveRun,
+        &[IdempotentWithKey],
+        PendingMayHaveRun,
+        RequestStep::Forward,
+    ),
+    (
+        &[InFlight],
+        RequestInput::MayHaveRun,
         &[NonIdempotent],
-        Answered,
-        Step::Reverse,
+        Completed,
+        RequestStep::Fail,
     ),
-    (&[Held], Input::GivenUp, ALL, Answered, Step::Decline),
     (
-        &[Out, Doubted, Again],
-        Input::GivenUp,
+        &[Pending],
+        RequestInput::GivenUp,
         ALL,
-        Answered,
-        Step::Reverse,
+        Completed,
+        RequestStep::Reject,
     ),
     (
-        &[Held, Out, Doubted, Again],
-        Input::Left,
+        &[InFlight, PendingMayHaveRun, RetryInFlight],
+        RequestInput::GivenUp,
         ALL,
-        Answered,
-        Step::Nothing,
+        Completed,
+        RequestStep::Fail,
+    ),
+    (
+        &[Pending, InFlight, PendingMayHaveRun, RetryInFlight],
+        RequestInput::ClientGone,
+        ALL,
+        Completed,
+        RequestStep::Nothing,
     ),
 ];
 
-fn next(stage: Stage, input: Input, effect: Effect) -> (Stage, Step) {
+fn next(
+    state: RequestState,
+    input: RequestInput,
+    idempotency: Idempotency,
+) -> (RequestState, RequestStep) {
     let row = TABLE
         .iter()
-        .find(|row| row.0.contains(&stage) && row.1 == input && row.2.contains(&effect));
-    row.map_or((stage, Step::Nothing), |row| (row.3, row.4))
+        .find(|row| row.0.contains(&state) && row.1 == input && row.2.contains(&idempotency));
+    row.map_or((state, RequestStep::Nothing), |row| (row.3, row.4))
 }
 
 /// An outcome counts as "not run" only where it proves it.
-fn sorted(outcome: Outcome) -> Input {
+fn sorted(outcome: Outcome) -> RequestInput {
     match outcome {
-        Outcome::Settled => Input::Settled,
-        Outcome::Full | Outcome::NoConnection | Outcome::Moot => Input::NotRun,
+        Outcome::Succeeded => RequestInput::Succeeded,
+        Outcome::AtCapacity | Outcome::ConnectFailed | Outcome::NotSent => RequestInput::NotRun,
         // Nothing is proven, and no worker is to blame. Guards against clients that spoil trust.
-        Outcome::Unfit => Input::GivenUp,
-        Outcome::Error | Outcome::TimeOut | Outcome::Broken | Outcome::Withdrawn => {
-            Input::MayHaveRun
+        Outcome::InvalidRequest => RequestInput::GivenUp,
+        Outcome::WorkerError | Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
+            RequestInput::MayHaveRun
         }
     }
 }
@@ -157,13 +213,13 @@
     /// Distrust above the fleet's mean: when all look bad at once, no one is worse than another. Or what
     /// errors of the class left, for which starts do not make up; of any, for what cannot be posted again.
     /// Guards against a worker that starts all and fails most, or one class.
-    fn doubt(&self, now: Nanos, mean: f64, class: usize, effect: Effect) -> f64 {
+    fn doubt(&self, now: Nanos, mean: f64, class: usize, idempotency: Idempotency) -> f64 {
         let all = (self.trust.now(now, Worker::HALF) - mean).clamp(0.0, 0.95);
         let of = self
             .of
             .iter()
             .enumerate()
-            .filter(|(at, _)| *at == class || effect == NonIdempotent);
+            .filter(|(at, _)| *at == class || idempotency == NonIdempotent);
         of.map(|(_, trust)| trust.now(now, 3.0 * Worker::HALF))
             .fold(all, f64::max)
     }
@@ -207,16 +263,16 @@
     pub fn handle(&mut self, now: Nanos, event: Event, acts: &mut Vec<Action>) {
         match event {
             Event::List { scope, entries } => self.list(now, scope, &entries, acts),
-            Event::Arrived(request) => self.arrived(now, request, acts),
-            Event::Started {
+            Event::RequestArrived(request) => self.arrived(now, request, acts),
+            Event::AttemptStarted {
                 request_id,
                 attempt_index,
             } => self.started(now, request_id, attempt_index, acts),
-            Event::StreamBegun { request_id } | Event::Lapsed { request_id } => {
-                self.input(now, request_id, Input::Left, acts)
+            Event::StreamStarted { request_id } | Event::ClientGone { request_id } => {
+                self.input(now, request_id, RequestInput::ClientGone, acts)
             }
-            Event::Ended(end) => self.ended(now, end, acts),
-            Event::Probed(_) => {} // none is asked for
+            Event::AttemptEnded(end) => self.ended(now, end, acts),
+            Event::HealthChecked(_) => {} // none is asked for
             Event::Shared { from, share } => {
                 if let Some(&at) = self.known.get(&share.worker) {
                     let worker = &mut self.workers[at];
@@ -234,18 +290,18 @@
                 until,
             } => self.right(worker, work, until),
             // This dispatcher ends: all in hand is answered by then, as at its deadline.
-            Event::Closing { by } => self.requests.iter_mut().for_each(|(_, active)| {
+            Event::ShuttingDown { by } => self.requests.iter_mut().for_each(|(_, active)| {
                 (active.request.deadline, active.due) =
                     (active.request.deadline.min(by), active.due.min(by));
             }),
-            Event::Due { token: BEAT } => self.beat(now, acts),
-            Event::Due { token: ASK } => self.follow(now, acts),
-            Event::Due { token } => self.watch(now, token, acts),
+            Event::TimerFired { token: BEAT } => self.beat(now, acts),
+            Event::TimerFired { token: ASK } => self.follow(now, acts),
+            Event::TimerFired { token } => self.watch(now, token, acts),
         }
     }
 
     fn beat(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        acts.push(Action::Timer {
+        acts.push(Action::SetTimer {
             at: now + BEAT_EVERY,
             token: BEAT,
         });
@@ -256,7 +312,7 @@
             self.keep_to(now);
         }
         if self.absurd > 0 {
-            acts.push(Action::Say(format!(
+            acts.push(Action::Log(format!(
                 "{} absurd figures in reports",
                 std::mem::take(&mut self.absurd)
             )));
@@ -284,7 +340,7 @@
                 } else {
                     "trusted again"
                 };
-                acts.push(Action::Say(format!("worker {}: {what}", w.id)));
+                acts.push(Action::Log(format!("worker {}: {what}", w.id)));
             }
         }
     }
@@ -379,7 +435,7 @@
     fn follow(&mut self, now: Nanos, acts: &mut Vec<Action>) {
         if self.list_asked && !self.following && now >= self.ask_at {
             self.ask_at = Nanos::MAX; // until this call has failed
-            acts.push(Action::Follow);
+            acts.push(Action::WatchEndpoints);
         }
     }
 
@@ -392,13 +448,13 @@
                 self.ask_failures += 1;
                 self.following = false;
                 self.ask_at = now + (wait * (0.5 + self.chance.unit())) as Nanos;
-                acts.push(Action::Timer {
+                acts.push(Action::SetTimer {
                     at: self.ask_at,
                     token: ASK,
                 });
                 return;
             }
-            Scope::Kept => acts.push(Action::Timer {
+            Scope::Kept => acts.push(Action::SetTimer {
                 at: now + BEAT_EVERY,
                 token: BEAT,
             }), // the first event
@@ -584,7 +640,7 @@
                 .zip(&class.bins)
                 .for_each(|(sum, work)| *sum += work);
         }
-        let effect = self.classes[at].effect;
+        let idempotency = self.classes[at].idempotency;
         let mut targets = std::mem::take(&mut self.targets);
         targets.clear();
         targets.extend(
@@ -605,7 +661,7 @@
                     };
                     (1.0 + p)
                         * worker.size
-                        * (1.0 - worker.doubt(now, self.distrust, at, effect))
+                        * (1.0 - worker.doubt(now, self.distrust, at, idempotency))
                         * part
                 }),
         );
@@ -645,7 +701,7 @@
         let active = &self.requests[key];
         let ActiveRequest {
             request,
-            effect,
+            idempotency,
             most,
             need,
             doubt,
@@ -653,7 +709,7 @@
         } = *active;
         let class = &self.classes[usize::from(request.class)];
         // Where a repeat is bound to a group, its workers may be any in the list.
-        let bound = doubt.filter(|_| effect == Keyed && !is(Fault::WindowIgnored));
+        let bound = doubt.filter(|_| idempotency == IdempotentWithKey && !is(Fault::WindowIgnored));
         let (lanes, mean) = (
             if bound.is_some() {
                 &class.all
@@ -698,7 +754,7 @@
             );
             let (part, told) = ((all / sharing).max(1.0), worker.told(now).0);
             let seat = worker.out + told + need.min(part) <= part;
-            let doubt = worker.doubt(now, self.distrust, usize::from(request.class), effect);
+            let doubt = worker.doubt(now, self.distrust, usize::from(request.class), idempotency);
             let cold = self.warmth(worker, now) < 1.0;
             if cold && self.budget(worker, now) < most && !is(Fault::ColdIgnored) {
                 self.lacking = self.lacking.or(seat.then_some(at));
@@ -746,9 +802,9 @@
     fn arrived(&mut self, now: Nanos, request: Request, acts: &mut Vec<Action>) {
         let Some(class) = self.classes.get_mut(usize::from(request.class)) else {
             // A class that the settings do not name: nothing is known that would make sending it safe.
-            acts.push(Action::Decline {
+            acts.push(Action::Reject {
                 request_id: request.id,
-                come_back: 0,
+                retry_after: 0,
             });
             return;
         };
@@ -774,7 +830,7 @@
         let due = (now + (class.sla + class.stretch * run) as Nanos).min(request.deadline);
         let key = self.requests.insert(ActiveRequest::new(
             request,
-            class.effect,
+            class.idempotency,
             work,
             run,
             need,
@@ -793,7 +849,7 @@
             ..
         } = self.requests[key];
         if attempts_sent >= self.most_attempts || now >= deadline {
-            return self.input(now, id, Input::GivenUp, acts);
+            return self.input(now, id, RequestInput::GivenUp, acts);
         }
         let lane = self.lane(now, key);
         let chosen = self.choose(now, key, lane);
@@ -804,12 +860,12 @@
             }
             // Cold workers may soon take more: ask again shortly, as long as it can still be in time.
             None if now + (run as Nanos) < due => {
-                acts.push(Action::Timer {
+                acts.push(Action::SetTimer {
                     at: now + 25_000_000,
                     token: token(id, attempts_sent),
                 });
             }
-            _ => self.input(now, id, Input::GivenUp, acts),
+            _ => self.input(now, id, RequestInput::GivenUp, acts),
         }
     }
 
@@ -886,8 +942,8 @@
             run: active.run,
         });
         active.attempts_sent += 1;
-        active.stage = next(active.stage, Input::Posted, active.effect).0;
-        acts.push(Action::Post {
+        active.state = next(active.state, RequestInput::AttemptSent, active.idempotency).0;
+        acts.push(Action::SendAttempt {
             request_id: active.request.id,
             worker: worker.id,
         });
@@ -897,7 +953,7 @@
         let ahead = self.unseen * (1.0 - fade(1.0, worker.alive, now, SECOND));
         let run = if start_notes { ahead } else { 2.0 } * active.run * worker.pace;
         let overdue = now + (cost.min(2.0 * SECOND) * 1.5 + run + 0.3 * SECOND) as Nanos;
-        acts.push(Action::Timer { at: overdue, token });
+        acts.push(Action::SetTimer { at: overdue, token });
         self.tell(now, at, false, false, acts);
     }
 
@@ -932,7 +988,7 @@
         );
         let active = &self.requests[key];
         let run = 2.0 * active.run * worker.pace + 0.5 * SECOND;
-        acts.push(Action::Timer {
+        acts.push(Action::SetTimer {
             at: now + run as Nanos,
             token: token(request_id, usize::from(attempt_index)),
         });
@@ -945,7 +1001,9 @@
             return;
         };
         let active = &self.requests[key];
-        if matches!(active.stage, Held | Doubted) && attempt_index == active.attempts_sent {
+        if matches!(active.state, Pending | PendingMayHaveRun)
+            && attempt_index == active.attempts_sent
+        {
             return self.place(now, key, acts);
         }
         let Some((_, attempt)) = self.attempt(request_id, attempt_index as u8) else {
@@ -965,14 +1023,14 @@
             self.tell(now, attempt.worker, true, true, acts);
         }
         let age = now - attempt.started.unwrap_or(attempt.at);
-        acts.push(Action::Timer {
+        acts.push(Action::SetTimer {
             at: now + age.max(300_000_000),
             token,
         });
     }
 
-    fn ended(&mut self, now: Nanos, end: Ended, acts: &mut Vec<Action>) {
-        let Ended {
+    fn ended(&mut self, now: Nanos, end: AttemptEnded, acts: &mut Vec<Action>) {
+        let AttemptEnded {
             request_id,
             attempt_index,
             outcome,
@@ -982,7 +1040,7 @@
         let Some((key, attempt)) = self.attempt(request_id, attempt_index) else {
             return;
         };
-        if outcome == Outcome::Settled {
+        if outcome == Outcome::Succeeded {
             self.learn_seats(now, key, attempt.worker);
         }
         self.requests[key].attempts[usize::from(attempt_index)].out = false;
@@ -1001,16 +1059,16 @@
         let warm = self.warmth(&self.workers[attempt.worker], now) >= 1.0;
         let mut slow = false;
         let worker = &mut self.workers[attempt.worker];
-        if outcome == Outcome::NoConnection {
+        if outcome == Outcome::ConnectFailed {
             worker.refused(now);
         }
-        if sorted(outcome) == Input::NotRun {
+        if sorted(outcome) == RequestInput::NotRun {
             // Its wait is this request's whole room. Guards against a worker that is full, dead or drains
             // unannounced: answering at once, it would look idle and draw all that waits.
             (worker.lag, worker.lag_at) = (worker.lag.max(due.saturating_sub(now) as f64), now);
         }
         match outcome {
-            Outcome::Settled => {
+            Outcome::Succeeded => {
                 if let Some(from) = attempt.started {
                     self.classes[class].learn(hint, (now - from) as f64);
                     // One job tells little of a worker's pace (its hint may be off): a tenth at a time, the
@@ -1037,25 +1095,30 @@
                 worker.heard(now, 0.2);
                 worker.of[class].add(now, 3.0 * Worker::HALF, -0.2);
             }
-            Outcome::Error => {
+            Outcome::WorkerError => {
                 worker.trust.add(now, Worker::HALF, 0.5);
                 worker.of[class].add(now, 3.0 * Worker::HALF, 0.3);
             }
-            Outcome::TimeOut => worker.trust.add(now, Worker::HALF, 0.5),
-            Outcome::NoConnection | Outcome::Broken => worker.trust.add(now, Worker::HALF, 0.6),
-            Outcome::Full | Outcome::Unfit | Outcome::Withdrawn | Outcome::Moot => {}
+            Outcome::TimedOut => worker.trust.add(now, Worker::HALF, 0.5),
+            Outcome::ConnectFailed | Outcome::ConnectionLost => {
+                worker.trust.add(now, Worker::HALF, 0.6)
+            }
+            Outcome::AtCapacity
+            | Outcome::InvalidRequest
+            | Outcome::Cancelled
+            | Outcome::NotSent => {}
         }
         self.tell(now, attempt.worker, slow, false, acts);
-        if outcome == Outcome::NoConnection {
+        if outcome == Outcome::ConnectFailed {
             self.keep_to(now);
         }
         let input = if complete {
-            Input::Settled
+            RequestInput::Succeeded
         } else {
             sorted(outcome)
         };
         let active = &mut self.requests[key];
-        if input == Input::MayHaveRun {
+        if input == RequestInput::MayHaveRun {
             active.doubt.get_or_insert((attempt.worker, attempt.at));
         }
         self.input(now, request_id, input, acts);
@@ -1096,34 +1159,40 @@
     }
 
     /// Runs one input for a request through the table and carries out what follows.
-    fn input(&mut self, now: Nanos, request_id: RequestId, input: Input, acts: &mut Vec<Action>) {
+    fn input(
+        &mut self,
+        now: Nanos,
+        request_id: RequestId,
+        input: RequestInput,
+        acts: &mut Vec<Action>,
+    ) {
         let Some(&key) = self.held.get(&request_id) else {
             return;
         };
         let active = &mut self.requests[key];
-        let effect = if is(Fault::OnceOnlyAgain) {
+        let idempotency = if is(Fault::OnceOnlyAgain) {
             Idempotent
         } else {
-            active.effect
+            active.idempotency
         };
-        let (stage, step) = next(active.stage, input, effect);
-        active.stage = stage;
+        let (state, step) = next(active.state, input, idempotency);
+        active.state = state;
         match step {
-            Step::Nothing => {}
-            Step::Place => return self.place(now, key, acts),
-            Step::Decline => {
+            RequestStep::Nothing => {}
+            RequestStep::Forward => return self.place(now, key, acts),
+            RequestStep::Reject => {
                 // Come back when a usual job has had time to end.
                 let most = self.says("retry_after.allowed") * self.says("retry_after.max");
-                let come_back = most.min(0.5 * SECOND) as Nanos;
-                acts.push(Action::Decline {
+                let retry_after = most.min(0.5 * SECOND) as Nanos;
+                acts.push(Action::Reject {
                     request_id,
-                    come_back,
+                    retry_after,
                 });
             }
-            Step::Reverse => acts.push(Action::Reverse { request_id }),
+            RequestStep::Fail => acts.push(Action::Fail { request_id }),
         }
         let active = &self.requests[key];
-        if active.stage == Answered
+        if active.state == Completed
             && active.attempts[..active.attempts_sent]
                 .iter()
                 .all(|attempt| !attempt.out)
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -83,7 +83,7 @@
 fn handle(d: &mut Dispatcher, now: Nanos, event: Event) -> Vec<Action> {
     let mut acts = Vec::new();
     d.handle(now, event, &mut acts);
-    acts.retain(|act| !matches!(act, Action::Timer { .. }));
+    acts.retain(|act| !matches!(act, Action::SetTimer { .. }));
     acts
 }
 
@@ -155,8 +155,12 @@
     let lane = |hint: Nanos| {
         let mut d = dispatcher(10);
         d.classes[0].bins[bin_of(1e6)] = 1e6;
-        let acts = handle(&mut d, MS, Event::Arrived(request(1, 0, hint * MS, 0)));
-        let [Action::Post { worker, .. }] = acts[..] else {
+        let acts = handle(
+            &mut d,
+            MS,
+            Event::RequestArrived(request(1, 0, hint * MS, 0)),
+        );
+        let [Action::SendAttempt { worker, .. }] = acts[..] else {
             panic!("{acts:?}")
         };
         worker.addr[3]
@@ -182,19 +186,23 @@
     gaps.estimate > 0.1
 }
 
-#[test_case(Out, Input::NotRun, NonIdempotent => (Held, Step::Place); "once only proven not run")]
-#[test_case(Out, Input::MayHaveRun, NonIdempotent => (Answered, Step::Reverse); "once only may have run")]
-#[test_case(Out, Input::MayHaveRun, Idempotent => (Held, Step::Place); "repeatable runs again")]
-#[test_case(Out, Input::MayHaveRun, Keyed => (Doubted, Step::Place); "referenced in its group")]
-#[test_case(Again, Input::NotRun, Keyed => (Doubted, Step::Place); "doubt stays")]
-#[test_case(Held, Input::GivenUp, NonIdempotent => (Answered, Step::Decline); "nothing out may be declined")]
-#[test_case(Doubted, Input::GivenUp, Keyed => (Answered, Step::Reverse); "doubted is reversed")]
-#[test_case(Out, Input::GivenUp, Idempotent => (Answered, Step::Reverse); "deadline with an attempt out")]
-#[test_case(Answered, Input::Settled, Idempotent => (Answered, Step::Nothing); "second outcome")]
-#[test_case(Answered, Input::MayHaveRun, NonIdempotent => (Answered, Step::Nothing); "late outcome")]
-#[test_case(Answered, Input::Left, Keyed => (Answered, Step::Nothing); "lapsed after its end")]
-fn table(stage: Stage, input: Input, effect: Effect) -> (Stage, Step) {
-    next(stage, input, effect)
+#[test_case(InFlight, RequestInput::NotRun, NonIdempotent => (Pending, RequestStep::Forward); "once only proven not run")]
+#[test_case(InFlight, RequestInput::MayHaveRun, NonIdempotent => (Completed, RequestStep::Fail); "once only may have run")]
+#[test_case(InFlight, RequestInput::MayHaveRun, Idempotent => (Pending, RequestStep::Forward); "repeatable runs again")]
+#[test_case(InFlight, RequestInput::MayHaveRun, IdempotentWithKey => (PendingMayHaveRun, RequestStep::Forward); "referenced in its group")]
+#[test_case(RetryInFlight, RequestInput::NotRun, IdempotentWithKey => (PendingMayHaveRun, RequestStep::Forward); "doubt stays")]
+#[test_case(Pending, RequestInput::GivenUp, NonIdempotent => (Completed, RequestStep::Reject); "nothing out may be declined")]
+#[test_case(PendingMayHaveRun, RequestInput::GivenUp, IdempotentWithKey => (Completed, RequestStep::Fail); "doubted is reversed")]
+#[test_case(InFlight, RequestInput::GivenUp, Idempotent => (Completed, RequestStep::Fail); "deadline with an attempt out")]
+#[test_case(Completed, RequestInput::Succeeded, Idempotent => (Completed, RequestStep::Nothing); "second outcome")]
+#[test_case(Completed, RequestInput::MayHaveRun, NonIdempotent => (Completed, RequestStep::Nothing); "late outcome")]
+#[test_case(Completed, RequestInput::ClientGone, IdempotentWithKey => (Completed, RequestStep::Nothing); "lapsed after its end")]
+fn table(
+    state: RequestState,
+    input: RequestInput,
+    idempotency: Idempotency,
+) -> (RequestState, RequestStep) {
+    next(state, input, idempotency)
 }
 
 #[test_case(Standing::Draining; "draining")]
@@ -210,10 +218,14 @@
         },
     );
     for n in 0..20 {
-        let acts = handle(&mut d, 2 * MS, Event::Arrived(request(n, 0, 10 * MS, 0)));
+        let acts = handle(
+            &mut d,
+            2 * MS,
+            Event::RequestArrived(request(n, 0, 10 * MS, 0)),
+        );
         assert!(
             acts.iter()
-                .all(|act| !matches!(act, Action::Post { worker, .. } if *worker == id(0)))
+                .all(|act| !matches!(act, Action::SendAttempt { worker, .. } if *worker == id(0)))
         );
     }
 }
@@ -247,7 +259,7 @@
             },
             &mut acts,
         );
-        assert!(acts.contains(&Action::Follow));
+        assert!(acts.contains(&Action::WatchEndpoints));
         acts.clear();
         d.handle(
             MS,
@@ -258,7 +270,7 @@
             &mut acts,
         );
         let [
-            Action::Timer {
+            Action::SetTimer {
                 at: again,
                 token: ASK,
             },
@@ -266,10 +278,10 @@
         else {
             panic!("{acts:?}")
         };
-        assert!(handle(&mut d, again, Event::Due { token: BEAT }).is_empty());
+        assert!(handle(&mut d, again, Event::TimerFired { token: BEAT }).is_empty());
         assert_eq!(
-            handle(&mut d, again, Event::Due { token: ASK }),
-            vec![Action::Follow]
+            handle(&mut d, again, Event::TimerFired { token: ASK }),
+            vec![Action::WatchEndpoints]
         );
         at.push(again);
     }
@@ -306,10 +318,10 @@
         deadline: 99_000 * MS,
         ..request(n, 0, 300 * MS, at * MS)
     };
-    let posts = (0..20).map(|n| handle(&mut d, at * MS, Event::Arrived(one(n))));
+    let posts = (0..20).map(|n| handle(&mut d, at * MS, Event::RequestArrived(one(n))));
     posts
         .flatten()
-        .filter(|act| matches!(act, Action::Post { .. }))
+        .filter(|act| matches!(act, Action::SendAttempt { .. }))
         .count()
 }
 
@@ -332,7 +344,7 @@
     !handle(
         &mut d,
         at * MS,
-        Event::Arrived(request(1, 0, 20 * MS, at * MS)),
+        Event::RequestArrived(request(1, 0, 20 * MS, at * MS)),
     )
     .is_empty()
         && d.requests
@@ -402,16 +414,16 @@
                 started + u64::from(n - 100) * 200 * MS + u64::from(me) * MS,
                 hint(),
             );
-            for act in handle(&mut d, now, Event::Arrived(request(n, 0, hint, now))) {
-                let Action::Post { worker, request_id } = act else {
+            for act in handle(&mut d, now, Event::RequestArrived(request(n, 0, hint, now))) {
+                let Action::SendAttempt { worker, request_id } = act else {
                     continue;
                 };
                 sent.push((worker.addr[3], now, hint as f64 / SECOND));
-                let (outcome, report) = (Outcome::Settled, Report::default());
+                let (outcome, report) = (Outcome::Succeeded, Report::default());
                 handle(
                     &mut d,
                     now,
-                    Event::Ended(Ended {
+                    Event::AttemptEnded(AttemptEnded {
                         request_id,
                         attempt_index: 0,
                         outcome,
@@ -454,9 +466,9 @@
 #[test]
 fn no_worker_declines_only_when_it_can_no_longer_be_in_time() {
     let mut d = dispatcher(0);
-    assert!(handle(&mut d, 0, Event::Arrived(request(1, 2, 100 * MS, 0))).is_empty());
-    let acts = handle(&mut d, 450 * MS, Event::Due { token: token(1, 0) });
-    assert!(matches!(acts[..], [Action::Decline { request_id: 1, .. }]));
+    assert!(handle(&mut d, 0, Event::RequestArrived(request(1, 2, 100 * MS, 0))).is_empty());
+    let acts = handle(&mut d, 450 * MS, Event::TimerFired { token: token(1, 0) });
+    assert!(matches!(acts[..], [Action::Reject { request_id: 1, .. }]));
 }
 
 #[test]
@@ -495,9 +507,13 @@
     (d.unseen, d.workers[0].alive) = (1.0, alive * MS);
     let now = now.max(1) * MS + 60_000 * MS * u64::from(alive == 0);
     let mut acts = Vec::new();
-    d.handle(now, Event::Arrived(request(1, 0, 800 * MS, now)), &mut acts);
+    d.handle(
+        now,
+        Event::RequestArrived(request(1, 0, 800 * MS, now)),
+        &mut acts,
+    );
     acts.iter()
-        .any(|act| matches!(act, Action::Timer { at, .. } if *at > now + 1_000 * MS))
+        .any(|act| matches!(act, Action::SetTimer { at, .. } if *at > now + 1_000 * MS))
 }
 
 /// Guards against small requests turned away for the waits that large ones can bear.
@@ -508,7 +524,7 @@
     drop(handle(
         &mut d,
         MS,
-        Event::Arrived(Request {
+        Event::RequestArrived(Request {
             deadline: 60_000 * MS,
             ..request(1, 0, hint * MS, 0)
         }),
@@ -516,7 +532,7 @@
     handle(
         &mut d,
         wait * MS,
-        Event::Started {
+        Event::AttemptStarted {
             request_id: 1,
             attempt_index: 0,
         },
@@ -562,20 +578,20 @@
 }
 
 /// Guards against a worker that is full or dead: answering at once, it looked idle and drew all that waited.
-#[test_case(Outcome::Full; "full")]
-#[test_case(Outcome::NoConnection; "dead")]
+#[test_case(Outcome::AtCapacity; "full")]
+#[test_case(Outcome::ConnectFailed; "dead")]
 fn a_worker_that_takes_nothing_is_passed_over(outcome: Outcome) {
     let mut d = dispatcher(3);
     let posted_to = |acts: &[Action]| match acts[..] {
-        [Action::Post { worker, .. }] => worker,
+        [Action::SendAttempt { worker, .. }] => worker,
         _ => panic!("{acts:?}"),
     };
     let first = posted_to(&handle(
         &mut d,
         MS,
-        Event::Arrived(request(1, 0, 100 * MS, MS)),
+        Event::RequestArrived(request(1, 0, 100 * MS, MS)),
     ));
-    let ended = Ended {
+    let ended = AttemptEnded {
         request_id: 1,
         attempt_index: 0,
         outcome,
@@ -583,26 +599,27 @@
         report: Report::default(),
     };
     assert_ne!(
-        posted_to(&handle(&mut d, 2 * MS, Event::Ended(ended))),
+        posted_to(&handle(&mut d, 2 * MS, Event::AttemptEnded(ended))),
         first
     );
     assert!(d.workers[d.known[&first]].lag > 0.2 * SECOND);
 }
 
 /// Guards against bad clients that spoil trust in workers and have their jobs posted again and again.
-#[test_case(Outcome::Unfit => (true, 0.0); "the job itself is at fault")]
-#[test_case(Outcome::Error => (false, 0.5); "the worker may be")]
+#[test_case(Outcome::InvalidRequest => (true, 0.0); "the job itself is at fault")]
+#[test_case(Outcome::WorkerError => (false, 0.5); "the worker may be")]
 fn who_is_blamed(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
-    handle(&mut d, 0, Event::Arrived(request(1, 0, 100 * MS, 0)));
-    let ended = Ended {
+    handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
+    let ended = AttemptEnded {
         request_id: 1,
         attempt_index: 0,
         outcome,
         complete: false,
         report: Report::default(),
     };
-    let reversed = handle(&mut d, 0, Event::Ended(ended)) == [Action::Reverse { request_id: 1 }];
+    let reversed =
+        handle(&mut d, 0, Event::AttemptEnded(ended)) == [Action::Fail { request_id: 1 }];
     (reversed, d.workers[0].trust.distrust)
 }
 
@@ -611,23 +628,27 @@
 #[test_case(false => (true, 2.0); "nothing starts")]
 fn silence_where_others_start(starts: bool) -> (bool, f64) {
     let mut d = dispatcher(1);
-    handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, MS)));
+    handle(
+        &mut d,
+        MS,
+        Event::RequestArrived(request(1, 2, 100 * MS, MS)),
+    );
     handle(
         &mut d,
         50 * MS,
-        Event::Arrived(request(2, 0, 100 * MS, 50 * MS)),
+        Event::RequestArrived(request(2, 0, 100 * MS, 50 * MS)),
     );
     if starts {
         handle(
             &mut d,
             60 * MS,
-            Event::Started {
+            Event::AttemptStarted {
                 request_id: 2,
                 attempt_index: 0,
             },
         );
     }
-    handle(&mut d, 600 * MS, Event::Due { token: token(1, 0) });
+    handle(&mut d, 600 * MS, Event::TimerFired { token: token(1, 0) });
     d.tally(600 * MS);
     (
         d.workers[0].doubt(600 * MS, 0.0, 0, Idempotent) > 0.25,
@@ -644,27 +665,31 @@
     for n in 0..12 {
         let class = failing.get(n as usize % 2).copied().unwrap_or(2);
         let outcome = if failing.contains(&class) {
-            Outcome::Error
+            Outcome::WorkerError
         } else {
-            Outcome::Settled
+            Outcome::Succeeded
         };
-        handle(&mut d, 0, Event::Arrived(request(n, class, 100 * MS, 0)));
         handle(
             &mut d,
             0,
-            Event::Started {
+            Event::RequestArrived(request(n, class, 100 * MS, 0)),
+        );
+        handle(
+            &mut d,
+            0,
+            Event::AttemptStarted {
                 request_id: n,
                 attempt_index: 0,
             },
         );
-        let ended = Ended {
+        let ended = AttemptEnded {
             request_id: n,
             attempt_index: 0,
             outcome,
             complete: false,
             report: Report::default(),
         };
-        handle(&mut d, 0, Event::Ended(ended));
+        handle(&mut d, 0, Event::AttemptEnded(ended));
     }
     let late = 20 * SECOND as Nanos;
     [0, 1, 2].map(|class| d.workers[0].doubt(late, 0.0, class, Idempotent) > 0.25)
@@ -674,24 +699,24 @@
 #[test]
 fn a_request_goes_elsewhere_after_an_error() {
     let mut d = dispatcher(2);
-    let mut acts = handle(&mut d, 0, Event::Arrived(request(1, 0, 100 * MS, 0)));
-    let ended = Ended {
+    let mut acts = handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
+    let ended = AttemptEnded {
         request_id: 1,
         attempt_index: 0,
-        outcome: Outcome::Error,
+        outcome: Outcome::WorkerError,
         complete: false,
         report: Report::default(),
     };
-    let [Action::Post { worker: first, .. }] = acts[..] else {
+    let [Action::SendAttempt { worker: first, .. }] = acts[..] else {
         panic!("{acts:?}")
     };
     d.workers
         .iter_mut()
         .for_each(|worker| (worker.lag, worker.lag_at) = (0.1 * SECOND, 0));
     d.distrust = 0.9;
-    acts = handle(&mut d, 0, Event::Ended(ended));
+    acts = handle(&mut d, 0, Event::AttemptEnded(ended));
     assert!(
-        matches!(acts[..], [Action::Post { worker, .. }] if worker != first),
+        matches!(acts[..], [Action::SendAttempt { worker, .. }] if worker != first),
         "{acts:?}"
     );
 }
@@ -703,7 +728,7 @@
         drop(handle(
             &mut d,
             0,
-            Event::Arrived(request(n, 0, 100 * MS, 0)),
+            Event::RequestArrived(request(n, 0, 100 * MS, 0)),
         ))
     });
     let report = Report {
@@ -728,14 +753,14 @@
         drop(handle(
             &mut d,
             0,
-            Event::Arrived(request(n, 0, 100 * MS, 0)),
+            Event::RequestArrived(request(n, 0, 100 * MS, 0)),
         ))
     });
     (0..2).for_each(|request_id| {
         drop(handle(
             &mut d,
             MS,
-            Event::Started {
+            Event::AttemptStarted {
                 request_id,
                 attempt_index: 0,
             },
@@ -745,12 +770,12 @@
     handle(
         &mut d,
         third * MS,
-        Event::Started {
+        Event::AttemptStarted {
             request_id: 2,
             attempt_index: 0,
         },
     );
-    handle(&mut d, settled * MS, ended(0, 0, Outcome::Settled));
+    handle(&mut d, settled * MS, ended(0, 0, Outcome::Succeeded));
     d.workers[0].seats
 }
 
@@ -793,10 +818,11 @@
         (0..workers).map(listed).collect(),
     );
     let acts: Vec<Action> = (1..40)
-        .flat_map(|n| handle(&mut d, 0, Event::Arrived(request(n, 2, 100 * MS, 0))))
+        .flat_map(|n| handle(&mut d, 0, Event::RequestArrived(request(n, 2, 100 * MS, 0))))
         .collect();
     let (attempts_sent, wanted) = (
-        acts.iter().any(|act| matches!(act, Action::Post { .. })),
+        acts.iter()
+            .any(|act| matches!(act, Action::SendAttempt { .. })),
         workers > 0,
     );
     assert!(attempts_sent == wanted && d.classes[2].lanes.len() <= usize::from(workers));
@@ -882,17 +908,17 @@
             );
             if odds < 0.01 && record.answers == 0 && now < record.deadline {
                 record.answers += 1;
-                events.push(Event::Lapsed { request_id: *id });
+                events.push(Event::ClientGone { request_id: *id });
             } else if let Some(&(attempt_index, worker, at)) = record.out.first() {
                 let outcome = match odds {
-                    _ if record.answers == 0 && now >= record.deadline => Outcome::TimeOut,
-                    0.01..0.03 => Outcome::Settled,
-                    0.03..0.04 => Outcome::Full,
-                    0.04..0.05 => Outcome::NoConnection,
-                    0.05..0.06 => Outcome::Error,
-                    0.06..0.07 => Outcome::Broken,
+                    _ if record.answers == 0 && now >= record.deadline => Outcome::TimedOut,
+                    0.01..0.03 => Outcome::Succeeded,
+                    0.03..0.04 => Outcome::AtCapacity,
+                    0.04..0.05 => Outcome::ConnectFailed,
+                    0.05..0.06 => Outcome::WorkerError,
+                    0.06..0.07 => Outcome::ConnectionLost,
                     0.07..0.2 => {
-                        events.push(Event::Started {
+                        events.push(Event::AttemptStarted {
                             request_id: *id,
                             attempt_index,
                         });
@@ -901,13 +927,13 @@
                     _ => continue,
                 };
                 record.out.remove(0);
-                let complete = record.answers > 0 || outcome == Outcome::Settled;
+                let complete = record.answers > 0 || outcome == Outcome::Succeeded;
                 record.answers += usize::from(complete && record.answers == 0);
-                if sorted(outcome) == Input::MayHaveRun {
+                if sorted(outcome) == RequestInput::MayHaveRun {
                     record.first_doubt.get_or_insert((worker, at));
                 }
                 let report = Report::default();
-                events.push(Event::Ended(Ended {
+                events.push(Event::AttemptEnded(AttemptEnded {
                     request_id: *id,
                     attempt_index,
                     outcome,
@@ -927,16 +953,16 @@
                     ..Record::default()
                 },
             );
-            events.push(Event::Arrived(one));
+            events.push(Event::RequestArrived(one));
         }
         let due = timers.extract_if(.., |(at, _)| *at <= now);
-        events.extend(due.map(|(_, token)| Event::Due { token }));
+        events.extend(due.map(|(_, token)| Event::TimerFired { token }));
         for event in events {
             d.handle(now, event, &mut acts);
             for act in acts.drain(..) {
                 match act {
-                    Action::Timer { at, token } => timers.push((at.max(now + 1), token)),
-                    Action::Post {
+                    Action::SetTimer { at, token } => timers.push((at.max(now + 1), token)),
+                    Action::SendAttempt {
                         request_id, worker, ..
                     } => {
                         let n = usize::from(worker.addr[3]);
@@ -975,12 +1001,12 @@
                         record.out.push((record.sent, n, now));
                         record.sent += 1;
                     }
-                    Action::Decline { request_id, .. } | Action::Reverse { request_id } => {
+                    Action::Reject { request_id, .. } | Action::Fail { request_id } => {
                         let record = requests.get_mut(&request_id).unwrap();
                         record.answers += 1;
                         assert!(now <= record.deadline + 10 * MS, "answered late");
                         let doubted = record.class > 0 && record.first_doubt.is_some();
-                        let declined = matches!(act, Action::Decline { .. });
+                        let declined = matches!(act, Action::Reject { .. });
                         assert!(
                             !(declined && (doubted || !record.out.is_empty())),
                             "declined in doubt"
@@ -1011,23 +1037,27 @@
 #[test_case(2, false => vec!["decline"]; "a once-only one that is held")]
 fn closing_brings_expiries_forward(class: u8, out: bool) -> Vec<&'static str> {
     let mut d = dispatcher(if out { 2 } else { 0 });
-    let attempts_sent = handle(&mut d, 0, Event::Arrived(request(1, class, 100 * MS, 0)));
+    let attempts_sent = handle(
+        &mut d,
+        0,
+        Event::RequestArrived(request(1, class, 100 * MS, 0)),
+    );
     assert_eq!(attempts_sent.len(), usize::from(out));
-    handle(&mut d, MS, Event::Closing { by: 50 * MS });
-    let outcome = Outcome::TimeOut;
+    handle(&mut d, MS, Event::ShuttingDown { by: 50 * MS });
+    let outcome = Outcome::TimedOut;
     let event = match out {
-        true => Event::Ended(Ended {
+        true => Event::AttemptEnded(AttemptEnded {
             request_id: 1,
             attempt_index: 0,
             outcome,
             complete: false,
             report: Report::default(),
         }),
-        false => Event::Due { token: token(1, 0) },
+        false => Event::TimerFired { token: token(1, 0) },
     };
     let word = |act: &Action| match act {
-        Action::Decline { .. } => "decline",
-        Action::Reverse { .. } => "reverse",
+        Action::Reject { .. } => "decline",
+        Action::Fail { .. } => "reverse",
         _ => "other",
     };
     handle(&mut d, 50 * MS, event).iter().map(word).collect()
@@ -1060,9 +1090,9 @@
 fn a_worker_is_free_by_what_others_told(told: Option<(u8, u16)>, at: Nanos) -> bool {
     let mut d = sharing(3, 2);
     let post = |d: &mut Dispatcher, id, now| {
-        let acts = handle(d, now, Event::Arrived(request(id, 2, 100 * MS, now)));
+        let acts = handle(d, now, Event::RequestArrived(request(id, 2, 100 * MS, now)));
         acts.into_iter().find_map(|act| {
-            if let Action::Post { worker, .. } = act {
+            if let Action::SendAttempt { worker, .. } = act {
                 Some(worker)
             } else {
                 None
@@ -1088,8 +1118,8 @@
 }
 
 fn settled(request_id: RequestId) -> Event {
-    let (outcome, report) = (Outcome::Settled, Report::default());
-    Event::Ended(Ended {
+    let (outcome, report) = (Outcome::Succeeded, Report::default());
+    Event::AttemptEnded(AttemptEnded {
         request_id,
         attempt_index: 0,
         outcome,
@@ -1126,12 +1156,12 @@
     drop(handle(
         &mut d,
         MS,
-        Event::Arrived(request(1, 2, 100 * MS, 0)),
+        Event::RequestArrived(request(1, 2, 100 * MS, 0)),
     ));
     handle(
         &mut d,
         MS,
-        Event::Started {
+        Event::AttemptStarted {
             request_id: 1,
             attempt_index: 0,
         },
@@ -1158,7 +1188,11 @@
 #[test_case(1, 20 => Vec::<(u16, u8)>::new(); "no one to tell")]
 fn what_is_out_is_told(dispatchers: u32, end: Nanos) -> Vec<(u16, u8)> {
     let mut d = sharing(dispatchers, 2);
-    let mut acts = handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0)));
+    let mut acts = handle(
+        &mut d,
+        MS,
+        Event::RequestArrived(request(1, 2, 100 * MS, 0)),
+    );
     acts.extend(handle(&mut d, end * MS, settled(1)));
     told(&acts)
 }
@@ -1176,7 +1210,11 @@
 #[test]
 fn those_are_told_who_keep_to_the_worker() {
     let mut d = numbered(7, 40, 30);
-    let acts = handle(&mut d, MS, Event::Arrived(request(1, 2, 100 * MS, 0)));
+    let acts = handle(
+        &mut d,
+        MS,
+        Event::RequestArrived(request(1, 2, 100 * MS, 0)),
+    );
     let at = d.requests[0].attempts[0].worker;
     let keep =
         (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).classes[0].lanes.contains(&at));
@@ -1209,11 +1247,11 @@
 }
 
 fn ended(request_id: RequestId, attempt_index: u8, outcome: Outcome) -> Event {
-    Event::Ended(Ended {
+    Event::AttemptEnded(AttemptEnded {
         request_id,
         attempt_index,
         outcome,
-        complete: outcome == Outcome::Settled,
+        complete: outcome == Outcome::Succeeded,
         report: Report::default(),
     })
 }
@@ -1224,18 +1262,22 @@
     let mut d = dispatcher(2);
     for id in 1..=4 {
         let now = u64::from(id) * 500 * MS;
-        handle(&mut d, now, Event::Arrived(request(id, 0, 100 * MS, now)));
         handle(
             &mut d,
             now,
-            Event::Started {
+            Event::RequestArrived(request(id, 0, 100 * MS, now)),
+        );
+        handle(
+            &mut d,
+            now,
+            Event::AttemptStarted {
                 request_id: id,
                 attempt_index: 0,
             },
         );
-        handle(&mut d, now + 200 * MS, ended(id, 0, Outcome::Settled));
+        handle(&mut d, now + 200 * MS, ended(id, 0, Outcome::Succeeded));
     }
-    handle(&mut d, 3_000 * MS, Event::Due { token: BEAT });
+    handle(&mut d, 3_000 * MS, Event::TimerFired { token: BEAT });
     assert!(
         d.workers.iter().all(|worker| worker.pace > 1.4),
         "{:?}",
@@ -1251,17 +1293,21 @@
     d.workers[0].pace = 4.0;
     for id in 1..=20 {
         let now = u64::from(id) * 1_000 * MS;
-        let acts = handle(&mut d, now, Event::Arrived(request(id, 0, 300 * MS, now)));
-        assert!(matches!(acts[..], [Action::Post { .. }]), "{acts:?}");
+        let acts = handle(
+            &mut d,
+            now,
+            Event::RequestArrived(request(id, 0, 300 * MS, now)),
+        );
+        assert!(matches!(acts[..], [Action::SendAttempt { .. }]), "{acts:?}");
         handle(
             &mut d,
             now + MS,
-            Event::Started {
+            Event::AttemptStarted {
                 request_id: id,
                 attempt_index: 0,
             },
         );
-        handle(&mut d, now + 900 * MS, ended(id, 0, Outcome::Settled));
+        handle(&mut d, now + 900 * MS, ended(id, 0, Outcome::Succeeded));
     }
     assert_eq!(d.start_delays.congestion(21_000 * MS, 1.0).late, 0.0);
 }
@@ -1278,12 +1324,12 @@
         let acts = handle(
             &mut d,
             now,
-            Event::Arrived(request(id, class, 50 * MS, now)),
+            Event::RequestArrived(request(id, class, 50 * MS, now)),
         );
-        let [Action::Post { worker, .. }] = acts[..] else {
+        let [Action::SendAttempt { worker, .. }] = acts[..] else {
             panic!("{acts:?}")
         };
-        handle(&mut d, now, ended(id, 0, Outcome::Settled));
+        handle(&mut d, now, ended(id, 0, Outcome::Succeeded));
         worker == super::tests::id(0)
     })
 }
@@ -1305,9 +1351,9 @@
         (worker.seats, worker.others, worker.others_at),
         (2.0, 0.0, 0)
     );
-    let acts = handle(&mut d, MS, Event::Due { token: BEAT });
+    let acts = handle(&mut d, MS, Event::TimerFired { token: BEAT });
     assert!(
-        acts.contains(&Action::Say("2 absurd figures in reports".into())),
+        acts.contains(&Action::Log("2 absurd figures in reports".into())),
         "{acts:?}"
     );
 }
@@ -1323,8 +1369,12 @@
     (worker.pace, worker.paced, worker.lag, worker.lag_at) = (2.6, 9.0, 200.0 * 1e6, now);
     d.unseen = 0.0;
     starts_of_late(&mut d, now, 0.0, late);
-    let acts = handle(&mut d, now, Event::Arrived(request(1, 0, 300 * MS, now)));
-    matches!(acts[..], [Action::Post { .. }])
+    let acts = handle(
+        &mut d,
+        now,
+        Event::RequestArrived(request(1, 0, 300 * MS, now)),
+    );
+    matches!(acts[..], [Action::SendAttempt { .. }])
 }
 
 /// Guards against taking a kind for slow whose first jobs ran on cold workers, and a cold one for as fast as hints say:
@@ -1346,10 +1396,10 @@
         1.0,
         500 * MS,
     );
-    (active.stage, active.attempts_sent, active.attempts[0]) = (Out, 1, attempt);
+    (active.state, active.attempts_sent, active.attempts[0]) = (InFlight, 1, attempt);
     let key = d.requests.insert(active);
     d.held.insert(1, key);
-    handle(&mut d, 400 * MS, ended(1, 0, Outcome::Settled));
+    handle(&mut d, 400 * MS, ended(1, 0, Outcome::Succeeded));
     assert!(
         (1.1..1.4).contains(&d.workers[0].pace) && d.paces.is_empty(),
         "{}",
@@ -1370,11 +1420,11 @@
     handle(
         &mut d,
         attempts_sent * MS,
-        Event::Arrived(request(1, 2, 100 * MS, attempts_sent * MS)),
+        Event::RequestArrived(request(1, 2, 100 * MS, attempts_sent * MS)),
     );
     settled
         .into_iter()
-        .for_each(|at| drop(handle(&mut d, at * MS, ended(1, 0, Outcome::Settled))));
+        .for_each(|at| drop(handle(&mut d, at * MS, ended(1, 0, Outcome::Succeeded))));
     let entries = vec![entry(0, Standing::Ready, 100 * MS)];
     handle(
         &mut d,
@@ -1465,25 +1515,25 @@
             hint: hint.map(|hint| hint * MS),
             ..request(id, class, 0, now)
         };
-        drop(handle(&mut d, now, Event::Arrived(request)));
+        drop(handle(&mut d, now, Event::RequestArrived(request)));
         let run = d.requests[d.held[&id]].run / MS as f64;
         drop(handle(
             &mut d,
             now,
-            Event::Started {
+            Event::AttemptStarted {
                 request_id: id,
                 attempt_index: 0,
             },
         ));
         let report = Report::default();
-        let end = Ended {
+        let end = AttemptEnded {
             request_id: id,
             attempt_index: 0,
-            outcome: Outcome::Settled,
+            outcome: Outcome::Succeeded,
             complete: true,
             report,
         };
-        drop(handle(&mut d, now + took * MS, Event::Ended(end)));
+        drop(handle(&mut d, now + took * MS, Event::AttemptEnded(end)));
         run.round() as u64
     };
     for (at, took) in [(1, 400), (2, 600)] {
@@ -1513,10 +1563,10 @@
         deadline: 99_000 * MS,
         ..request(n, 0, 0, 2_000 * MS)
     };
-    let posts = (0..20).map(|n| handle(&mut d, 2_000 * MS, Event::Arrived(one(n))));
+    let posts = (0..20).map(|n| handle(&mut d, 2_000 * MS, Event::RequestArrived(one(n))));
     posts
         .flatten()
-        .filter(|act| matches!(act, Action::Post { .. }))
+        .filter(|act| matches!(act, Action::SendAttempt { .. }))
         .count()
 }
 
@@ -1565,20 +1615,24 @@
             if id % 3 == 0 { 2 } else { 0 },
             Nanos::from(id) * 10_000 * MS,
         );
-        let acts = handle(&mut d, now, Event::Arrived(without_hint(id, class, now)));
-        let [Action::Post { worker, .. }] = acts[..] else {
+        let acts = handle(
+            &mut d,
+            now,
+            Event::RequestArrived(without_hint(id, class, now)),
+        );
+        let [Action::SendAttempt { worker, .. }] = acts[..] else {
             panic!("{acts:?}")
         };
         lanes[usize::from(class == 2)].push(worker.addr[3]);
         let report = Report::default();
-        let end = Ended {
+        let end = AttemptEnded {
             request_id: id,
             attempt_index: 0,
-            outcome: Outcome::Full,
+            outcome: Outcome::AtCapacity,
             complete: true,
             report,
         };
-        handle(&mut d, now + MS, Event::Ended(end));
+        handle(&mut d, now + MS, Event::AttemptEnded(end));
     }
     let mean =
         |lanes: &[u8]| lanes.iter().map(|lane| f64::from(*lane)).sum::<f64>() / lanes.len() as f64;
@@ -1597,8 +1651,12 @@
     // Wanted within its SLA time and twice its run.
     let room = d.classes[0].sla + 10e6;
     (d.workers[last].lag, d.workers[last].lag_at) = (part * 0.3 * d.unseen * room, now);
-    let acts = handle(&mut d, now, Event::Arrived(request(1, 0, 10 * MS, now)));
-    let [Action::Post { worker, .. }] = acts[..] else {
+    let acts = handle(
+        &mut d,
+        now,
+        Event::RequestArrived(request(1, 0, 10 * MS, now)),
+    );
+    let [Action::SendAttempt { worker, .. }] = acts[..] else {
         panic!("{acts:?}")
     };
     d.classes[0]
@@ -1637,9 +1695,9 @@
     let acts = handle(
         &mut d,
         now,
-        Event::Arrived(request(1, class, hint * MS, now)),
+        Event::RequestArrived(request(1, class, hint * MS, now)),
     );
-    let [Action::Post { worker, .. }] = acts[..] else {
+    let [Action::SendAttempt { worker, .. }] = acts[..] else {
         panic!("{acts:?}")
     };
     d.workers[d.known[&worker]].zone == 1
@@ -1652,11 +1710,11 @@
     let at = d.classes[0].lanes[0];
     d.classes[0].lanes.truncate(1);
     d.workers[at].zone = 2;
-    handle(&mut d, 0, Event::Arrived(request(1, 0, 10 * MS, 0)));
+    handle(&mut d, 0, Event::RequestArrived(request(1, 0, 10 * MS, 0)));
     handle(
         &mut d,
         80 * MS,
-        Event::Started {
+        Event::AttemptStarted {
             request_id: 1,
             attempt_index: 0,
         },
@@ -1675,8 +1733,8 @@
         deadline: now + 3_000 * MS,
         ..without_hint(1, 2, now)
     };
-    let acts = handle(&mut d, now, Event::Arrived(request));
-    assert!(matches!(acts[..], [Action::Post { .. }]), "{acts:?}");
+    let acts = handle(&mut d, now, Event::RequestArrived(request));
+    assert!(matches!(acts[..], [Action::SendAttempt { .. }]), "{acts:?}");
     let active = &d.requests[d.held[&1]];
     assert_eq!((active.run, active.room(now, 1.0)), (750e6, 2_250e6));
 }
@@ -1689,8 +1747,12 @@
     let mut d = among(300, 0, warm(200));
     let sent = |id: &RequestId| {
         let now = (10_000 + Nanos::from(*id) * gap) * MS;
-        let acts = handle(&mut d, now, Event::Arrived(request(*id, 2, 100 * MS, now)));
-        matches!(acts[..], [Action::Post { .. }])
+        let acts = handle(
+            &mut d,
+            now,
+            Event::RequestArrived(request(*id, 2, 100 * MS, now)),
+        );
+        matches!(acts[..], [Action::SendAttempt { .. }])
     };
     let sent = (0..16).filter(sent).count();
     (2..=5).contains(&sent)
--- a/src/state.rs
+++ b/src/state.rs
@@ -43,9 +43,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     Idempotent,
-    Keyed,
+    IdempotentWithKey,
     NonIdempotent,
 }
 
@@ -73,35 +73,35 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stage {
+pub enum RequestState {
     /// Nothing out, and nothing that forbids a decline.
-    Held,
+    Pending,
     /// One attempt out; all before it are harmless.
-    Out,
+    InFlight,
     /// Nothing out; an earlier attempt may have run.
-    Doubted,
+    PendingMayHaveRun,
     /// One attempt out; an earlier one may have run.
-    Again,
+    RetryInFlight,
     /// The final answer is given; attempts may still be out.
-    Answered,
+    Completed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Input {
-    Posted,
-    Settled,
+pub enum RequestInput {
+    AttemptSent,
+    Succeeded,
     NotRun,
     MayHaveRun,
     GivenUp,
-    Left,
+    ClientGone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
+pub enum RequestStep {
     Nothing,
-    Place,
-    Decline,
-    Reverse,
+    Forward,
+    Reject,
+    Fail,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -120,8 +120,8 @@
 #[derive(Debug)]
 pub struct ActiveRequest {
     pub request: Request,
-    pub effect: Effect,
-    pub stage: Stage,
+    pub idempotency: Idempotency,
+    pub state: RequestState,
     /// Hint times slots, and what counts for a cold worker: of one without a hint twice as much. Guards against a cold
     /// worker pushed over by those that run longer than most; half as many go there meanwhile.
     pub work: f64,
@@ -141,7 +141,7 @@
 impl ActiveRequest {
     pub fn new(
         request: Request,
-        effect: Effect,
+        idempotency: Idempotency,
         work: f64,
         run: f64,
         need: f64,
@@ -151,8 +151,8 @@
         let most = work * if request.hint.is_some() { 1.0 } else { 2.0 };
         ActiveRequest {
             request,
-            effect,
-            stage: Stage::Held,
+            idempotency,
+            state: RequestState::Pending,
             work,
             most,
             run,
@@ -425,7 +425,7 @@
 const FIRST_RUN_MOST: f64 = 0.25;
 
 pub struct RequestClass {
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub group: String,
     pub window: Nanos,
     pub sla: f64,
@@ -452,10 +452,10 @@
         let name = |part: &str| format!("class.{at}.{part}");
         let sla = pick::<f64>(map, &name("latency_objective"))?;
         Ok(RequestClass {
-            effect: match pick::<String>(map, &name("idempotency"))?.as_str() {
-                "idempotent" => Effect::Idempotent,
-                "idempotent-with-key" => Effect::Keyed,
-                "non-idempotent" => Effect::NonIdempotent,
+            idempotency: match pick::<String>(map, &name("idempotency"))?.as_str() {
+                "idempotent" => Idempotency::Idempotent,
+                "idempotent-with-key" => Idempotency::IdempotentWithKey,
+                "non-idempotent" => Idempotency::NonIdempotent,
                 other => {
                     return Err(format!(
                         "setting {} cannot be read: {other:?}",
--- a/src/types.rs
+++ b/src/types.rs
@@ -48,16 +48,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Settled,
-    Error,
+    Succeeded,
+    WorkerError,
     /// The worker finds fault with the job itself, as any other would.
-    Unfit,
-    Full,
-    TimeOut,
-    NoConnection,
-    Broken,
-    Withdrawn,
-    Moot,
+    InvalidRequest,
+    AtCapacity,
+    TimedOut,
+    ConnectFailed,
+    ConnectionLost,
+    Cancelled,
+    NotSent,
 }
 
 /// A worker's load report: the values of the setting `report.fields`, in its order.
@@ -81,7 +81,7 @@
 
 /// How an attempt ended; `complete` when the request has its final answer with it or had it before.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptEnded {
     pub request_id: RequestId,
     pub attempt_index: u8,
     pub outcome: Outcome,
@@ -117,7 +117,7 @@
 
 /// The answer to a probe.
 #[derive(Clone, Copy, Debug)]
-pub struct Probed {
+pub struct HealthChecked {
     pub worker: WorkerId,
     pub outcome: Outcome,
     pub report: Report,
@@ -129,16 +129,16 @@
         scope: Scope,
         entries: Vec<Listed>,
     },
-    Arrived(Request),
-    Started {
+    RequestArrived(Request),
+    AttemptStarted {
         request_id: RequestId,
         attempt_index: u8,
     },
-    StreamBegun {
+    StreamStarted {
         request_id: RequestId,
     },
-    Ended(Ended),
-    Probed(Probed),
+    AttemptEnded(AttemptEnded),
+    HealthChecked(HealthChecked),
     /// Another dispatcher, by its number, tells what it has out.
     Shared {
         from: u16,
@@ -152,35 +152,35 @@
         work: Nanos,
         until: Nanos,
     },
-    Lapsed {
+    ClientGone {
         request_id: RequestId,
     },
-    Due {
+    TimerFired {
         token: u64,
     },
     /// The dispatcher is to end: deadlines later than `by` are brought forward to it.
-    Closing {
+    ShuttingDown {
         by: Nanos,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Post {
+    SendAttempt {
         request_id: RequestId,
         worker: WorkerId,
     },
-    Probe {
+    CheckHealth {
         worker: WorkerId,
     },
-    Decline {
+    Reject {
         request_id: RequestId,
-        come_back: Nanos,
+        retry_after: Nanos,
     },
-    Reverse {
+    Fail {
         request_id: RequestId,
     },
-    Follow,
+    WatchEndpoints,
     /// To another dispatcher, by its number; only where the settings allow it.
     Tell {
         to: u16,
@@ -197,9 +197,9 @@
         work: Nanos,
         window: Nanos,
     },
-    Timer {
+    SetTimer {
         at: Nanos,
         token: u64,
     },
-    Say(String),
+    Log(String),
 }
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -6,7 +6,7 @@
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
-    Action, Ended, Event, Listed, Nanos, Outcome, Report, Request, RequestId, Scope, Share,
+    Action, AttemptEnded, Event, Listed, Nanos, Outcome, Report, Request, RequestId, Scope, Share,
     Standing, WorkerId,
 };
 use sha2::{Digest, Sha256};
@@ -173,17 +173,17 @@
         };
         let now = self.now;
         match action {
-            Action::Post {
+            Action::SendAttempt {
                 request_id,
                 worker: id,
             } => self.numbers(&[now, 1, u64::from(*request_id), worker(id)]),
-            Action::Probe { worker: id } => self.numbers(&[now, 2, worker(id)]),
-            Action::Decline {
+            Action::CheckHealth { worker: id } => self.numbers(&[now, 2, worker(id)]),
+            Action::Reject {
                 request_id,
-                come_back,
-            } => self.numbers(&[now, 3, u64::from(*request_id), *come_back]),
-            Action::Reverse { request_id } => self.numbers(&[now, 4, u64::from(*request_id)]),
-            Action::Follow => self.numbers(&[now, 5]),
+                retry_after,
+            } => self.numbers(&[now, 3, u64::from(*request_id), *retry_after]),
+            Action::Fail { request_id } => self.numbers(&[now, 4, u64::from(*request_id)]),
+            Action::WatchEndpoints => self.numbers(&[now, 5]),
             Action::Tell { to, share: s } => {
                 self.numbers(&[now, 6, u64::from(*to)]);
                 self.numbers(&share(s));
@@ -196,18 +196,18 @@
             } => {
                 self.numbers(&[now, 8, worker(id), *work, *window]);
             }
-            Action::Timer { at, token } => self.numbers(&[now, 9, *at, *token]),
-            Action::Say(_) => self.numbers(&[now, 10]),
+            Action::SetTimer { at, token } => self.numbers(&[now, 9, *at, *token]),
+            Action::Log(_) => self.numbers(&[now, 10]),
         }
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Post { request_id, worker } => self.send_attempt(request_id, worker),
-            Action::Timer { at, token } => {
+            Action::SendAttempt { request_id, worker } => self.send_attempt(request_id, worker),
+            Action::SetTimer { at, token } => {
                 self.push(at.saturating_sub(self.now), Next::Timer(token))
             }
-            Action::Follow => self.push(80 * MILLISECOND, Next::ListAnswer),
+            Action::WatchEndpoints => self.push(80 * MILLISECOND, Next::ListAnswer),
             Action::Want { worker, work } => {
                 let delay = 1 + self.below(8);
                 self.push(delay * MILLISECOND, Next::Grant { worker, work });
@@ -260,7 +260,7 @@
             let delay = (1 + self.below(400)) * MILLISECOND;
             self.push(delay, Next::Disconnect(id));
         }
-        self.feed(Event::Arrived(Request {
+        self.feed(Event::RequestArrived(Request {
             id,
             class: class,
             tenant: 0,
@@ -343,26 +343,26 @@
     fn outcome(&mut self, worker: WorkerId) -> Outcome {
         let faulty = worker.addr[3] % 9 == 4;
         if worker.addr[3] % 11 == 7 {
-            return Outcome::TimeOut;
+            return Outcome::TimedOut;
         }
         match self.below(if faulty { 16 } else { 90 }) {
-            0 => Outcome::Error,
-            1 => Outcome::Unfit,
-            2 => Outcome::Full,
-            3 => Outcome::TimeOut,
-            4 => Outcome::NoConnection,
-            5 => Outcome::Broken,
-            6 => Outcome::Withdrawn,
-            7 => Outcome::Moot,
-            _ => Outcome::Settled,
+            0 => Outcome::WorkerError,
+            1 => Outcome::InvalidRequest,
+            2 => Outcome::AtCapacity,
+            3 => Outcome::TimedOut,
+            4 => Outcome::ConnectFailed,
+            5 => Outcome::ConnectionLost,
+            6 => Outcome::Cancelled,
+            7 => Outcome::NotSent,
+            _ => Outcome::Succeeded,
         }
     }
 
     fn end(&mut self, request: RequestId, attempt: u8, worker: WorkerId) {
         let outcome = self.outcome(worker);
-        let complete = outcome == Outcome::Settled;
+        let complete = outcome == Outcome::Succeeded;
         let report = self.report();
-        self.feed(Event::Ended(Ended {
+        self.feed(Event::AttemptEnded(AttemptEnded {
             request_id: request,
             attempt_index: attempt,
             outcome,
@@ -392,8 +392,8 @@
             Next::ListChange => self.change_list(),
             Next::PeerReport => self.peer_report(),
             Next::PeerView => self.peer_view(),
-            Next::Timer(token) => self.feed(Event::Due { token }),
-            Next::Start { request, attempt } => self.feed(Event::Started {
+            Next::Timer(token) => self.feed(Event::TimerFired { token }),
+            Next::Start { request, attempt } => self.feed(Event::AttemptStarted {
                 request_id: request,
                 attempt_index: attempt,
             }),
@@ -403,11 +403,11 @@
                 worker,
             } => self.end(request, attempt, worker),
             Next::Disconnect(request) if request % 2 == 0 => {
-                self.feed(Event::Lapsed {
+                self.feed(Event::ClientGone {
                     request_id: request,
                 });
             }
-            Next::Disconnect(request) => self.feed(Event::StreamBegun {
+            Next::Disconnect(request) => self.feed(Event::StreamStarted {
                 request_id: request,
             }),
             Next::ListAnswer => {
@@ -429,7 +429,7 @@
             Next::Restart => self.restart(),
             Next::Stop => {
                 let by = self.now + 2 * SECOND;
-                self.feed(Event::Closing { by });
+                self.feed(Event::ShuttingDown { by });
             }
         }
     }
