--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -6,11 +6,11 @@
 use rosewall::policy::Dispatcher;
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::{
-    Action, AttemptEnded, Event, HealthChecked, Nanos, Outcome, Report, Request, RequestId, Scope,
-    Share, Standing, WorkerId,
+    Action, AttemptEnded, EndpointState, Event, HealthChecked, ListScope, Nanos, Outcome, Report,
+    Request, RequestId, Share, WorkerId,
 };
 use rosewall_protocol::client::{Answer, ClientRequest};
-use rosewall_protocol::discovery::Listing;
+use rosewall_protocol::discovery::EndpointList;
 use rosewall_protocol::worker::{self, Told};
 use rustc_hash::{FxHashMap, FxHashSet};
 use slab::Slab;
@@ -58,7 +58,7 @@
         work: Nanos,
         until: Nanos,
     },
-    List(Listing),
+    List(EndpointList),
     ListFailed,
     /// The program ends: all is to be answered by this moment.
     Stop(Nanos),
@@ -70,7 +70,7 @@
     pub request_id: RequestId,
     pub attempt_index: u8,
     pub worker: WorkerId,
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     pub id: String,
     pub message: Vec<u8>,
     pub connect_within: Nanos,
@@ -102,14 +102,14 @@
     },
     CheckHealth {
         worker: WorkerId,
-        dial: SocketAddr,
+        address: SocketAddr,
         host: String,
         limit: Nanos,
     },
     /// Idle connections to the worker that do not lead here are not used again.
     EvictIdle {
         worker: WorkerId,
-        dial: Option<SocketAddr>,
+        address: Option<SocketAddr>,
     },
     /// To another dispatcher, by its number.
     Tell {
@@ -224,8 +224,8 @@
     }
 
     /// Where a worker is dialled now.
-    pub fn dial(&self, worker: WorkerId) -> Option<SocketAddr> {
-        self.workers.reach(worker).map(|(_, dial)| dial)
+    pub fn address_of(&self, worker: WorkerId) -> Option<SocketAddr> {
+        self.workers.reach(worker).map(|(_, address)| address)
     }
 
     fn arm(&mut self, at: Nanos, due: Due) {
@@ -279,19 +279,19 @@
                     out,
                 );
             }
-            Input::List(listing) => {
-                let scope = if listing.whole {
-                    Scope::Whole
+            Input::List(list) => {
+                let scope = if list.is_snapshot {
+                    ListScope::Snapshot
                 } else {
-                    Scope::Changes
+                    ListScope::Delta
                 };
-                self.list(now, scope, listing, out);
+                self.list(now, scope, list, out);
             }
             Input::ListFailed => self.decide(
                 now,
-                Event::List {
-                    scope: Scope::Failed,
-                    entries: Vec::new(),
+                Event::EndpointList {
+                    scope: ListScope::Failed,
+                    endpoints: Vec::new(),
                 },
                 out,
             ),
@@ -300,32 +300,32 @@
     }
 
     /// The list as it was kept, before anything else.
-    pub fn kept(&mut self, now: Nanos, listing: Listing, out: &mut Vec<Effect>) {
-        self.list(now, Scope::Kept, listing, out);
+    pub fn load_cached(&mut self, now: Nanos, list: EndpointList, out: &mut Vec<Effect>) {
+        self.list(now, ListScope::Cached, list, out);
     }
 
-    fn list(&mut self, now: Nanos, scope: Scope, listing: Listing, out: &mut Vec<Effect>) {
-        self.ready |= scope != Scope::Kept || !listing.hosts.is_empty();
-        let (entries, void, clashing) = self.workers.take(now, listing);
+    fn list(&mut self, now: Nanos, scope: ListScope, list: EndpointList, out: &mut Vec<Effect>) {
+        self.ready |= scope != ListScope::Cached || !list.endpoints.is_empty();
+        let (endpoints, void, clashing) = self.workers.take(now, list);
         // Guards against an attempt that waits for its connection, and goes out over it after its worker was told to
         // drain: it has not run, and is placed anew. One whose last bytes are on their way loses 2 ms of its time.
         let mut closed: FxHashSet<WorkerId> = void.iter().copied().collect();
         closed.extend(
-            entries
+            endpoints
                 .iter()
-                .filter(|e| e.standing != Standing::Ready)
+                .filter(|e| e.state != EndpointState::Ready)
                 .map(|e| e.worker),
         );
         self.requests
             .iter()
             .for_each(|(_, active)| active.cancel_unsent(|worker| closed.contains(worker), out));
         // Connections to a process that is no more are not used again.
-        out.extend(
-            void.into_iter()
-                .map(|worker| Effect::EvictIdle { worker, dial: None }),
-        );
+        out.extend(void.into_iter().map(|worker| Effect::EvictIdle {
+            worker,
+            address: None,
+        }));
         self.counters.hosts_clashing.more(clashing);
-        self.decide(now, Event::List { scope, entries }, out);
+        self.decide(now, Event::EndpointList { scope, endpoints }, out);
     }
 
     fn active(&mut self, request_id: RequestId) -> Option<&mut ActiveRequest> {
@@ -660,7 +660,7 @@
         let known = self
             .workers
             .reach(worker)
-            .map(|(host, dial)| (host.to_string(), dial));
+            .map(|(host, address)| (host.to_string(), address));
         let connect_within = self.connect_within;
         let counters = self.counters.clone();
         let Some(active) = self.active(request_id) else {
@@ -676,7 +676,7 @@
             active.owed,
             "nothing is posted for a request that was answered"
         );
-        let Some((host, dial)) = known.filter(|_| owed) else {
+        let Some((host, address)) = known.filter(|_| owed) else {
             active.attempts.push(None);
             counters.ended_moot.add();
             let (outcome, report) = (Outcome::NotSent, Report::default());
@@ -700,7 +700,7 @@
             request_id,
             attempt_index,
             worker,
-            dial,
+            address,
             id,
             message,
             connect_within,
@@ -709,7 +709,7 @@
 
     fn probe(&mut self, worker: WorkerId, out: &mut Vec<Effect>) {
         self.counters.probes.add();
-        let Some((host, dial)) = self.workers.reach(worker) else {
+        let Some((host, address)) = self.workers.reach(worker) else {
             let probed = HealthChecked {
                 worker,
                 outcome: Outcome::ConnectFailed,
@@ -721,7 +721,7 @@
         let limit = 2 * self.connect_within;
         out.push(Effect::CheckHealth {
             worker,
-            dial,
+            address,
             host: host.to_string(),
             limit,
         });
--- a/crates/engine/src/hub_tests.rs
+++ b/crates/engine/src/hub_tests.rs
@@ -4,9 +4,9 @@
 use super::workers::Workers;
 use rosewall::Map;
 use rosewall::policy::Dispatcher;
-use rosewall::types::{Nanos, Outcome, Standing};
+use rosewall::types::{EndpointState, Nanos, Outcome};
 use rosewall_protocol::client::{Answer, ClientRequest};
-use rosewall_protocol::discovery::{Host, Listing};
+use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
 use rosewall_protocol::worker::Told;
 use std::rc::Rc;
 use test_case::test_case;
@@ -14,7 +14,7 @@
 const MS: Nanos = 1_000_000;
 
 /// One class with this effect, and one worker that is listed so, or none.
-fn hub(effect: &str, standing: Option<Standing>) -> Hub {
+fn hub(effect: &str, state: Option<EndpointState>) -> Hub {
     let settings = [
         ("class.count", "1"),
         ("class.0.idempotency", effect),
@@ -47,23 +47,23 @@
         250 * MS,
         Workers::default(),
     );
-    let entry = |standing| Host {
+    let entry = |state| DiscoveredEndpoint {
         host: "a".into(),
-        dial: Some(([127, 0, 0, 1], 9).into()),
-        standing,
+        address: Some(([127, 0, 0, 1], 9).into()),
+        state,
         zone: 0,
         worker_type: 0,
         group: 0,
         size: 1.0,
         born: 0,
     };
-    let hosts = standing.into_iter().map(entry).collect();
-    hub.kept(
+    let endpoints = state.into_iter().map(entry).collect();
+    hub.load_cached(
         0,
-        Listing {
-            seq: 1,
-            whole: true,
-            hosts,
+        EndpointList {
+            version: 1,
+            is_snapshot: true,
+            endpoints,
         },
         &mut Vec::new(),
     );
@@ -125,7 +125,7 @@
 
 #[test]
 fn an_id_in_hand_or_posted_is_known_and_one_never_posted_is_not() {
-    let mut one = hub("non-idempotent", Some(Standing::Ready));
+    let mut one = hub("non-idempotent", Some(EndpointState::Ready));
     assert_eq!(
         (arrive(&mut one, 1, "a"), arrive(&mut one, 2, "a")),
         (vec!["post 1 0".into()], vec!["known 2".into()])
@@ -152,7 +152,7 @@
 #[test_case("non-idempotent", Outcome::AtCapacity => vec!["done 1 0", "post 1 1"]; "once-only, proven unrun")]
 #[test_case("idempotent", Outcome::ConnectionLost => vec!["done 1 0", "post 1 1"]; "repeatable, may have run")]
 fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
-    let (mut hub, mut out) = (hub(effect, Some(Standing::Ready)), Vec::new());
+    let (mut hub, mut out) = (hub(effect, Some(EndpointState::Ready)), Vec::new());
     arrive(&mut hub, 1, "a");
     hub.take(
         5 * MS,
@@ -177,7 +177,10 @@
 
 #[test]
 fn a_client_that_leaves_has_its_posting_called_off_and_gets_no_answer() {
-    let (mut hub, mut out) = (hub("non-idempotent", Some(Standing::Ready)), Vec::new());
+    let (mut hub, mut out) = (
+        hub("non-idempotent", Some(EndpointState::Ready)),
+        Vec::new(),
+    );
     arrive(&mut hub, 1, "a");
     hub.take(5 * MS, Input::Left(1), &mut out);
     assert_eq!(words(&mut out), ["off 1 0"]);
@@ -198,7 +201,10 @@
 
 #[test]
 fn at_its_deadline_an_attempt_is_cut_and_the_request_answered_before_its_client_gives_up() {
-    let (mut hub, mut out) = (hub("non-idempotent", Some(Standing::Ready)), Vec::new());
+    let (mut hub, mut out) = (
+        hub("non-idempotent", Some(EndpointState::Ready)),
+        Vec::new(),
+    );
     arrive(&mut hub, 1, "a");
     let mut at = 0;
     while let Some(due) = hub.next_due().filter(|due| *due < 2_000 * MS) {
@@ -216,7 +222,10 @@
 
 #[test]
 fn a_stop_brings_all_forward_to_its_moment() {
-    let (mut hub, mut out) = (hub("non-idempotent", Some(Standing::Ready)), Vec::new());
+    let (mut hub, mut out) = (
+        hub("non-idempotent", Some(EndpointState::Ready)),
+        Vec::new(),
+    );
     arrive(&mut hub, 1, "a");
     hub.take(10 * MS, Input::Stop(100 * MS), &mut out);
     while hub.next_due().is_some_and(|due| due <= 100 * MS) {
@@ -229,8 +238,8 @@
 }
 
 #[test_case(None; "no worker is known")]
-#[test_case(Some(Standing::Draining); "the only one drains")]
-fn nothing_is_posted_without_a_worker_that_is_ready(standing: Option<Standing>) {
-    let mut hub = hub("non-idempotent", standing);
+#[test_case(Some(EndpointState::Draining); "the only one drains")]
+fn nothing_is_posted_without_a_worker_that_is_ready(state: Option<EndpointState>) {
+    let mut hub = hub("non-idempotent", state);
     assert_eq!(arrive(&mut hub, 1, "a"), Vec::<String>::new());
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -12,7 +12,7 @@
 
 struct Kept<C> {
     conn: C,
-    dial: SocketAddr,
+    address: SocketAddr,
     since: Nanos,
 }
 
@@ -113,15 +113,15 @@
         (found, stale)
     }
 
-    /// Puts one in that leads to `dial`.
-    pub fn put(&mut self, now: Nanos, worker: WorkerId, dial: SocketAddr, conn: C) {
+    /// Puts one in that leads to `address`.
+    pub fn put(&mut self, now: Nanos, worker: WorkerId, address: SocketAddr, conn: C) {
         let line = self.idle.entry(worker).or_insert_with(|| Line {
             kept: Vec::new(),
             waits: (0, now),
         });
         line.kept.push(Kept {
             conn,
-            dial,
+            address,
             since: now,
         });
         let at = (now + self.keep).next_multiple_of(REAP);
@@ -130,10 +130,10 @@
         }
     }
 
-    /// Drops those to a worker that do not lead to `dial`: all of them where it is none.
-    pub fn drop_worker(&mut self, worker: WorkerId, dial: Option<SocketAddr>) {
+    /// Drops those to a worker that do not lead to `address`: all of them where it is none.
+    pub fn drop_worker(&mut self, worker: WorkerId, address: Option<SocketAddr>) {
         if let Some(line) = self.idle.get_mut(&worker) {
-            line.kept.retain(|kept| Some(kept.dial) == dial);
+            line.kept.retain(|kept| Some(kept.address) == address);
         }
     }
 
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -2,17 +2,17 @@
 use super::budget::{Budget, Waiter};
 use super::pool::{Idle, Pool, REST};
 use super::workers::{Workers, id};
-use rosewall::types::{Nanos, Standing};
-use rosewall_protocol::discovery::{Host, Listing};
+use rosewall::types::{EndpointState, Nanos};
+use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
 use std::rc::Rc;
 use test_case::test_case;
 
-fn host(name: &str, port: u16, standing: Standing, born: u64) -> Host {
-    let dial = Some(([127, 0, 0, 1], port).into());
-    Host {
+fn host(name: &str, port: u16, state: EndpointState, born: u64) -> DiscoveredEndpoint {
+    let address = Some(([127, 0, 0, 1], port).into());
+    DiscoveredEndpoint {
         host: name.into(),
-        dial,
-        standing,
+        address,
+        state,
         zone: 0,
         worker_type: 0,
         group: 0,
@@ -21,11 +21,11 @@
     }
 }
 
-fn list(whole: bool, hosts: Vec<Host>) -> Listing {
-    Listing {
-        seq: 1,
-        whole,
-        hosts,
+fn list(is_snapshot: bool, endpoints: Vec<DiscoveredEndpoint>) -> EndpointList {
+    EndpointList {
+        version: 1,
+        is_snapshot,
+        endpoints,
     }
 }
 
@@ -33,12 +33,15 @@
 fn an_id_follows_from_the_host_alone() {
     let (mut one, mut other) = (Workers::default(), Workers::default());
     let (a, b) = (
-        host("a", 1, Standing::Ready, 0),
-        host("b", 2, Standing::Ready, 0),
+        host("a", 1, EndpointState::Ready, 0),
+        host("b", 2, EndpointState::Ready, 0),
     );
     let first = one.take(0, list(true, vec![a.clone(), b.clone()])).0;
     let second = other
-        .take(0, list(true, vec![b, host("a", 9, Standing::Ready, 7)]))
+        .take(
+            0,
+            list(true, vec![b, host("a", 9, EndpointState::Ready, 7)]),
+        )
         .0;
     assert_eq!(
         (first[0].worker, first[1].worker),
@@ -48,25 +51,28 @@
 }
 
 /// Connections that may lead to a process that is no more are named.
-#[test_case(true, &[host("a", 1, Standing::Ready, 0)] => vec!["b"]; "missing from a whole list")]
-#[test_case(false, &[host("a", 1, Standing::Ready, 0)] => Vec::<&str>::new(); "not among the changes")]
-#[test_case(false, &[host("a", 1, Standing::Gone, 0)] => vec!["a"]; "gone")]
-#[test_case(false, &[host("a", 1, Standing::Ready, 5)] => vec!["a"]; "reborn")]
-#[test_case(false, &[host("a", 3, Standing::Ready, 0)] => vec!["a"]; "dialled elsewhere")]
-#[test_case(false, &[host("a", 1, Standing::Draining, 0)] => Vec::<&str>::new(); "draining")]
-fn a_list_voids_connections(whole: bool, hosts: &[Host]) -> Vec<&'static str> {
+#[test_case(true, &[host("a", 1, EndpointState::Ready, 0)] => vec!["b"]; "missing from a whole list")]
+#[test_case(false, &[host("a", 1, EndpointState::Ready, 0)] => Vec::<&str>::new(); "not among the changes")]
+#[test_case(false, &[host("a", 1, EndpointState::Removed, 0)] => vec!["a"]; "gone")]
+#[test_case(false, &[host("a", 1, EndpointState::Ready, 5)] => vec!["a"]; "reborn")]
+#[test_case(false, &[host("a", 3, EndpointState::Ready, 0)] => vec!["a"]; "dialled elsewhere")]
+#[test_case(false, &[host("a", 1, EndpointState::Draining, 0)] => Vec::<&str>::new(); "draining")]
+fn a_list_voids_connections(
+    is_snapshot: bool,
+    endpoints: &[DiscoveredEndpoint],
+) -> Vec<&'static str> {
     let mut workers = Workers::default();
     workers.take(
         0,
         list(
             true,
             vec![
-                host("a", 1, Standing::Ready, 0),
-                host("b", 2, Standing::Ready, 0),
+                host("a", 1, EndpointState::Ready, 0),
+                host("b", 2, EndpointState::Ready, 0),
             ],
         ),
     );
-    let void = workers.take(0, list(whole, hosts.to_vec())).1;
+    let void = workers.take(0, list(is_snapshot, endpoints.to_vec())).1;
     ["a", "b"]
         .into_iter()
         .filter(|name| void.contains(&id(name)))
@@ -183,9 +189,9 @@
 #[test_case(Some((10, 20)), 7 => false; "nearly as old as what broke")]
 #[test_case(Some((10, 60)), 7 => true; "forgotten")]
 fn how_long_a_connection_is_used_again(broke: Option<(Nanos, Nanos)>, idle: Nanos) -> bool {
-    let (now, dial) = (100 * SECOND, ([127, 0, 0, 1], 9).into());
+    let (now, address) = (100 * SECOND, ([127, 0, 0, 1], 9).into());
     let mut pool = Pool::new(30 * SECOND);
-    pool.put(now - idle * SECOND, id("a"), dial, Sound(true));
+    pool.put(now - idle * SECOND, id("a"), address, Sound(true));
     if let Some((age, ago)) = broke {
         pool.broke(now - ago * SECOND, now - (ago + age) * SECOND);
     }
@@ -194,10 +200,10 @@
 
 #[test]
 fn a_connection_that_looks_closed_is_passed_over() {
-    let (dial, mut pool) = (([127, 0, 0, 1], 9).into(), Pool::new(30 * SECOND));
+    let (address, mut pool) = (([127, 0, 0, 1], 9).into(), Pool::new(30 * SECOND));
     [true, false]
         .into_iter()
-        .for_each(|sound| pool.put(SECOND, id("a"), dial, Sound(sound)));
+        .for_each(|sound| pool.put(SECOND, id("a"), address, Sound(sound)));
     let (taken, stale) = pool.take(SECOND + REST, id("a"));
     assert!(taken.is_some_and(|(conn, since)| conn.0 && since == SECOND) && stale == 1);
 }
@@ -208,10 +214,10 @@
 #[test_case(&[10] => Some(10); "ten ms are a rest")]
 #[test_case(&[] => None; "there is none")]
 fn which_connection_is_used_again(ages: &[Nanos]) -> Option<Nanos> {
-    let (now, dial) = (SECOND, ([127, 0, 0, 1], 9).into());
+    let (now, address) = (SECOND, ([127, 0, 0, 1], 9).into());
     let mut pool = Pool::new(30 * SECOND);
     ages.iter()
-        .for_each(|age| pool.put(now - age * MS, id("a"), dial, Sound(true)));
+        .for_each(|age| pool.put(now - age * MS, id("a"), address, Sound(true)));
     pool.take(now, id("a"))
         .0
         .map(|(_, since)| (now - since) / MS)
@@ -223,11 +229,11 @@
 #[test_case(1, 26 => false; "with one more another connection is opened")]
 #[test_case(45, 60 => true; "one now and then waits")]
 fn who_waits_often_opens_one_connection_more(apart: Nanos, postings: usize) -> bool {
-    let dial = ([127, 0, 0, 1], 9).into();
+    let address = ([127, 0, 0, 1], 9).into();
     let mut pool = Pool::new(30 * SECOND);
     (0..postings as Nanos).all(|n| {
         let now = SECOND + n * apart * MS;
-        pool.put(now, id("a"), dial, Sound(true));
+        pool.put(now, id("a"), address, Sound(true));
         pool.take(now + MS, id("a")).0.is_some()
     })
 }
@@ -238,31 +244,35 @@
     let dials = [9, 10].map(|port| ([127, 0, 0, 1], port).into());
     dials
         .into_iter()
-        .for_each(|dial| pool.put(SECOND, id("a"), dial, Sound(true)));
+        .for_each(|address| pool.put(SECOND, id("a"), address, Sound(true)));
     pool.drop_worker(id("a"), Some(dials[0]));
     assert!(pool.take(SECOND, id("a")).0.is_some() && pool.take(SECOND, id("a")).0.is_none());
 }
 
 /// A list with a lower number says nothing new of a process that is known to drain or to be gone.
-#[test_case(Standing::Draining, 0, 1 => Standing::Draining; "an old list")]
-#[test_case(Standing::Gone, 0, 1 => Standing::Gone; "an old list of one gone")]
-#[test_case(Standing::Draining, 5, 1 => Standing::Ready; "born since")]
-#[test_case(Standing::Ready, 0, 1 => Standing::Ready; "nothing was held against it")]
-#[test_case(Standing::Draining, 0, 61 => Standing::Ready; "a count begun anew is believed in the end")]
-fn what_an_old_list_says_of_a_worker(known: Standing, born: u64, after: Nanos) -> Standing {
+#[test_case(EndpointState::Draining, 0, 1 => EndpointState::Draining; "an old list")]
+#[test_case(EndpointState::Removed, 0, 1 => EndpointState::Removed; "an old list of one gone")]
+#[test_case(EndpointState::Draining, 5, 1 => EndpointState::Ready; "born since")]
+#[test_case(EndpointState::Ready, 0, 1 => EndpointState::Ready; "nothing was held against it")]
+#[test_case(EndpointState::Draining, 0, 61 => EndpointState::Ready; "a count begun anew is believed in the end")]
+fn what_an_old_list_says_of_a_worker(
+    known: EndpointState,
+    born: u64,
+    after: Nanos,
+) -> EndpointState {
     let mut workers = Workers::default();
-    let list = |seq, hosts| Listing {
-        seq,
-        whole: false,
-        hosts,
+    let list = |seq, endpoints| EndpointList {
+        version: seq,
+        is_snapshot: false,
+        endpoints,
     };
     workers.take(0, list(9, vec![host("a", 1, known, 0)]));
     workers.take(SECOND, list(3, Vec::new()));
-    let (entries, ..) = workers.take(
+    let (endpoints, ..) = workers.take(
         after * SECOND,
-        list(4, vec![host("a", 1, Standing::Ready, born)]),
+        list(4, vec![host("a", 1, EndpointState::Ready, born)]),
     );
-    entries[0].standing
+    endpoints[0].state
 }
 
 #[test]
@@ -279,12 +289,15 @@
 #[test]
 fn an_old_list_takes_no_worker_back_to_its_old_address() {
     let mut workers = Workers::default();
-    let list = |seq, port, born| Listing {
-        seq,
-        whole: false,
-        hosts: vec![host("a", port, Standing::Ready, born)],
+    let list = |seq, port, born| EndpointList {
+        version: seq,
+        is_snapshot: false,
+        endpoints: vec![host("a", port, EndpointState::Ready, born)],
     };
     workers.take(0, list(9, 2, 5));
     workers.take(0, list(3, 1, 0));
-    assert_eq!(workers.reach(id("a")).map(|(_, dial)| dial.port()), Some(2));
+    assert_eq!(
+        workers.reach(id("a")).map(|(_, address)| address.port()),
+        Some(2)
+    );
 }
--- a/crates/engine/src/workers.rs
+++ b/crates/engine/src/workers.rs
@@ -1,17 +1,17 @@
 //! The table of workers: host, id, where to dial, when born.
 use rosewall::sabotage::{Fault, is};
-use rosewall::types::{Listed, Nanos, Standing, WorkerId};
-use rosewall_protocol::discovery::{Host, Listing};
+use rosewall::types::{Endpoint, EndpointState, Nanos, WorkerId};
+use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 struct Site {
     host: String,
-    dial: Option<SocketAddr>,
+    address: Option<SocketAddr>,
     born: Nanos,
     /// When it started, by this process's clock.
     started: Nanos,
-    standing: Standing,
+    state: EndpointState,
 }
 
 /// How long a list whose number went back is doubted: longer than a copy that lags takes to catch up, so that a source
@@ -22,17 +22,17 @@
 pub struct Workers {
     by_id: BTreeMap<WorkerId, Site>,
     /// The highest number of a list, and since when only lower ones have come.
-    seq: u64,
+    version: u64,
     back_since: Option<Nanos>,
     /// Where clocks are not taken for one: a worker born longer ago than this is warm, however far they lie apart.
     own_clock: Option<Nanos>,
 }
 
 /// The stricter of two: gone before draining before ready.
-fn stricter(one: Standing, other: Standing) -> Standing {
-    use Standing::{Draining, Gone, Ready};
+fn stricter(one: EndpointState, other: EndpointState) -> EndpointState {
+    use EndpointState::{Draining, Ready, Removed};
     match (one, other) {
-        (Gone, _) | (_, Gone) => Gone,
+        (Removed, _) | (_, Removed) => Removed,
         (Draining, _) | (_, Draining) => Draining,
         _ => Ready,
     }
@@ -74,19 +74,19 @@
     pub fn reach(&self, id: WorkerId) -> Option<(&str, SocketAddr)> {
         self.by_id
             .get(&id)
-            .and_then(|site| Some((site.host.as_str(), site.dial?)))
+            .and_then(|site| Some((site.host.as_str(), site.address?)))
     }
 
     /// Whether a list is older than what is known. Guards against a copy of discovery that lags behind the one asked
     /// before, and shows workers as ready that are known to drain or to be gone.
-    fn is_old(&mut self, now: Nanos, seq: u64) -> bool {
+    fn is_old(&mut self, now: Nanos, version: u64) -> bool {
         if is(Fault::OldListWins)
-            || seq >= self.seq
+            || version >= self.version
             || self
                 .back_since
                 .is_some_and(|since| now >= since + DOUBTED_FOR)
         {
-            (self.seq, self.back_since) = (seq, None);
+            (self.version, self.back_since) = (version, None);
             return false;
         }
         self.back_since.get_or_insert(now);
@@ -95,32 +95,36 @@
 
     /// Takes in a list. Gives the entries for the decisions, the workers whose connections are not to be used
     /// again, and how many hosts were passed over because another has their id.
-    pub fn take(&mut self, now: Nanos, listing: Listing) -> (Vec<Listed>, Vec<WorkerId>, usize) {
-        let old = self.is_old(now, listing.seq);
-        let (mut entries, mut void, mut clashing) = (Vec::new(), Vec::new(), 0);
-        let mut left: BTreeSet<WorkerId> = match listing.whole {
+    pub fn take(
+        &mut self,
+        now: Nanos,
+        list: EndpointList,
+    ) -> (Vec<Endpoint>, Vec<WorkerId>, usize) {
+        let old = self.is_old(now, list.version);
+        let (mut endpoints, mut void, mut clashing) = (Vec::new(), Vec::new(), 0);
+        let mut left: BTreeSet<WorkerId> = match list.is_snapshot {
             true => self.by_id.keys().copied().collect(),
             false => BTreeSet::new(),
         };
-        for Host {
+        for DiscoveredEndpoint {
             host,
-            dial,
-            standing,
+            address,
+            state,
             zone,
             worker_type,
             group,
             size,
             born,
-        } in listing.hosts
+        } in list.endpoints
         {
             let worker = id(&host);
             let started = self.started(now, born);
             let new = || Site {
                 host: host.clone(),
-                dial,
+                address,
                 born,
                 started,
-                standing,
+                state,
             };
             let site = self.by_id.entry(worker).or_insert_with(new);
             if site.host != host {
@@ -129,26 +133,26 @@
             }
             left.remove(&worker);
             // An older list tells nothing new of the process that a newer one spoke of, but that it is worse.
-            let (standing, born, dial) = match old && born <= site.born {
+            let (state, born, address) = match old && born <= site.born {
                 true => (
-                    stricter(standing, site.standing),
+                    stricter(state, site.state),
                     site.born,
-                    site.dial.or(dial),
+                    site.address.or(address),
                 ),
-                false => (standing, born, dial.or(site.dial)),
+                false => (state, born, address.or(site.address)),
             };
-            if site.born != born || site.dial != dial || standing == Standing::Gone {
+            if site.born != born || site.address != address || state == EndpointState::Removed {
                 void.push(worker);
             }
             if site.born != born {
                 site.started = started;
             }
-            (site.dial, site.born, site.standing) = (dial, born, standing);
+            (site.address, site.born, site.state) = (address, born, state);
             let started = site.started;
-            log::debug!("at={now} host={host} listed {standing:?} born={born}");
-            entries.push(Listed {
+            log::debug!("at={now} host={host} listed {state:?} born={born}");
+            endpoints.push(Endpoint {
                 worker,
-                standing,
+                state,
                 zone,
                 worker_type,
                 size,
@@ -159,10 +163,10 @@
         // Whoever a whole list leaves out is gone.
         for worker in &left {
             if let Some(site) = self.by_id.get_mut(worker) {
-                site.standing = Standing::Gone;
+                site.state = EndpointState::Removed;
             }
         }
         void.extend(left);
-        (entries, void, clashing)
+        (endpoints, void, clashing)
     }
 }
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -11,7 +11,7 @@
 use rosewall_engine::hub::{Effect, Hub, Input};
 use rosewall_engine::workers::Workers;
 use rosewall_protocol::client::{Heard, Intake, Names, answer, message};
-use rosewall_protocol::discovery::{Bulletin, call, listing};
+use rosewall_protocol::discovery::{EndpointListReader, call, decode_endpoint_list};
 use rosewall_protocol::worker::{Reply, Told};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -139,9 +139,10 @@
             digest: Sha256::new(),
             effects: 0,
         };
-        let list = listing(model.list_text(true).as_bytes(), &model.names).expect("a valid list");
+        let list = decode_endpoint_list(model.list_text(true).as_bytes(), &model.names)
+            .expect("a valid list");
         let mut effects = Vec::new();
-        model.hub.kept(SECOND, list, &mut effects);
+        model.hub.load_cached(SECOND, list, &mut effects);
         model.carry_out(effects);
         model.push(0, Next::Timers);
         for (delay, next) in [
@@ -205,7 +206,7 @@
             Effect::SendAttempt(attempt) => {
                 let (index, port) = (
                     u64::from(attempt.attempt_index),
-                    u64::from(attempt.dial.port()),
+                    u64::from(attempt.address.port()),
                 );
                 add_numbers(
                     digest,
@@ -243,8 +244,8 @@
                 &[5, u64::from(*request_id), u64::from(*attempt_index)],
             ),
             Effect::CheckHealth { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
-            Effect::EvictIdle { worker, dial } => {
-                let port = dial.map_or(0, |dial| u64::from(dial.port()));
+            Effect::EvictIdle { worker, address } => {
+                let port = address.map_or(0, |address| u64::from(address.port()));
                 add_numbers(digest, &[7, worker_number(worker), port]);
             }
             Effect::Tell { to, share } => {
@@ -499,11 +500,11 @@
         )
         .into_bytes();
         let piece = 1 + self.below(200) as usize;
-        let mut bulletin = Bulletin::default();
+        let mut reader = EndpointListReader::default();
         for piece in bytes.chunks(piece) {
-            if let Ok(Some((text, reusable))) = bulletin.feed(piece) {
+            if let Ok(Some((text, reusable))) = reader.feed(piece) {
                 add_numbers(&mut self.digest, &[41, u64::from(reusable)]);
-                match listing(&text, &self.names) {
+                match decode_endpoint_list(&text, &self.names) {
                     Ok(list) => self.take(Input::List(list)),
                     Err(_) => self.take(Input::ListFailed),
                 }
--- a/crates/protocol/src/cuts_tests.rs
+++ b/crates/protocol/src/cuts_tests.rs
@@ -1,6 +1,6 @@
 //! Properties of every machine: however its bytes are cut it tells the same, and garbage neither fails it nor is hoarded.
 use crate::client::{Heard, Intake, Names};
-use crate::discovery::{Bulletin, listing};
+use crate::discovery::{EndpointListReader, decode_endpoint_list};
 use crate::http::{BODY_LIMIT, HEAD_LIMIT, Inlet, Whole};
 use crate::worker::{Reply, Sounding};
 use proptest::collection::vec;
@@ -58,15 +58,15 @@
 }
 
 fn listed(parts: &[&[u8]]) -> String {
-    let mut bulletin = Bulletin::default();
+    let mut reader = EndpointListReader::default();
     for part in parts {
-        match bulletin.feed(part) {
+        match reader.feed(part) {
             Ok(None) => {}
-            Ok(Some((text, _))) => return format!("{:?}", listing(&text, &names())),
+            Ok(Some((text, _))) => return format!("{:?}", decode_endpoint_list(&text, &names())),
             Err(_) => return "unreadable".to_string(),
         }
     }
-    format!("{:?}", bulletin.closed())
+    format!("{:?}", reader.closed())
 }
 
 fn request() -> impl Strategy<Value = Vec<u8>> {
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The discovery side: calls out, lists of workers in.
 use crate::client::{Names, place};
 use crate::http::Whole;
-use rosewall::types::{Nanos, Standing};
+use rosewall::types::{EndpointState, Nanos};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 const LIST_LIMIT: usize = 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
+pub struct DiscoveredEndpoint {
     pub host: String,
-    pub dial: Option<SocketAddr>,
-    pub standing: Standing,
+    pub address: Option<SocketAddr>,
+    pub state: EndpointState,
     pub zone: u16,
     pub worker_type: u8,
     pub group: u16,
@@ -21,10 +21,10 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
-    pub seq: u64,
-    pub whole: bool,
-    pub hosts: Vec<Host>,
+pub struct EndpointList {
+    pub version: u64,
+    pub is_snapshot: bool,
+    pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
 #[derive(Deserialize)]
@@ -65,17 +65,17 @@
 }
 
 /// Decodes a list; any entry that makes no sense makes the list malformed.
-pub fn listing(bytes: &[u8], names: &Names) -> Result<Listing, String> {
+pub fn decode_endpoint_list(bytes: &[u8], names: &Names) -> Result<EndpointList, String> {
     let raw: RawList = serde_json::from_slice(bytes).map_err(|error| error.to_string())?;
     let host = |raw: RawHost| {
-        let standing = match raw.health.as_str() {
-            "ready" => Standing::Ready,
-            "draining" => Standing::Draining,
-            "gone" => Standing::Gone,
+        let state = match raw.health.as_str() {
+            "ready" => EndpointState::Ready,
+            "draining" => EndpointState::Draining,
+            "gone" => EndpointState::Removed,
             other => return Err(format!("unknown health {other:?} of {:?}", raw.host)),
         };
-        let dial = raw.dial.parse().ok();
-        if dial.is_none() && standing != Standing::Gone {
+        let address = raw.dial.parse().ok();
+        if address.is_none() && state != EndpointState::Removed {
             return Err(format!("no address to dial for {:?}", raw.host));
         }
         // A zone or kind that the settings do not name matches none of them.
@@ -89,10 +89,10 @@
         if raw.host.is_empty() || !size.is_finite() {
             return Err(format!("an entry without sense for {:?}", raw.host));
         }
-        Ok(Host {
+        Ok(DiscoveredEndpoint {
             host: raw.host,
-            dial,
-            standing,
+            address,
+            state,
             zone,
             worker_type,
             group,
@@ -100,21 +100,21 @@
             born,
         })
     };
-    let hosts = raw.hosts.into_iter().map(host).collect::<Result<_, _>>()?;
-    Ok(Listing {
-        seq: raw.seq,
-        whole: raw.whole,
-        hosts,
+    let endpoints = raw.hosts.into_iter().map(host).collect::<Result<_, _>>()?;
+    Ok(EndpointList {
+        version: raw.seq,
+        is_snapshot: raw.whole,
+        endpoints,
     })
 }
 
 /// Reads one answer of discovery, however its bytes are cut.
 #[derive(Default)]
-pub struct Bulletin {
+pub struct EndpointListReader {
     answer: Whole,
 }
 
-impl Bulletin {
+impl EndpointListReader {
     /// The list's text, once it is whole, and whether the connection may be used for the next call.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<(Vec<u8>, bool)>, String> {
         let fed = self.answer.feed(bytes, LIST_LIMIT);
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -1,11 +1,11 @@
 //! The state machines, fed whole messages, single bytes and garbage.
 use super::client::{Answer, ClientRequest, Heard, Intake, Names, answer, place};
-use super::discovery::{Bulletin, listing};
+use super::discovery::{EndpointListReader, decode_endpoint_list};
 use super::http::{BODY_LIMIT, Fault, HEAD_LIMIT, Inlet};
 use super::talk;
 use super::worker::{Reply, Sounding, Told, posting};
 use rosewall::pcg::Pcg;
-use rosewall::types::{Outcome, Report, Share, Standing, WorkerId};
+use rosewall::types::{EndpointState, Outcome, Report, Share, WorkerId};
 use std::net::SocketAddr;
 use test_case::test_case;
 
@@ -231,8 +231,8 @@
             .count();
         assert!(ends <= 1);
         let _ = Sounding::new(&["x0".to_string()]).feed(&bytes);
-        let _ = Bulletin::default().feed(&bytes);
-        let _ = listing(&bytes, &names());
+        let _ = EndpointListReader::default().feed(&bytes);
+        let _ = decode_endpoint_list(&bytes, &names());
     }
 }
 
@@ -269,15 +269,18 @@
 #[test]
 fn a_list_is_read_in_our_terms() {
     let text = format!(r#"{{"seq":41,"whole":true,"hosts":[{ENTRY}]}}"#);
-    let list = listing(text.as_bytes(), &names()).unwrap();
-    let host = &list.hosts[0];
-    assert_eq!((list.seq, list.whole, host.host.as_str()), (41, true, "w"));
+    let list = decode_endpoint_list(text.as_bytes(), &names()).unwrap();
+    let host = &list.endpoints[0];
     assert_eq!(
-        (host.standing, host.zone, host.worker_type, host.group),
-        (Standing::Ready, 1, 0, 3)
+        (list.version, list.is_snapshot, host.host.as_str()),
+        (41, true, "w")
     );
     assert_eq!(
-        (host.size, host.born, host.dial.unwrap().port()),
+        (host.state, host.zone, host.worker_type, host.group),
+        (EndpointState::Ready, 1, 0, 3)
+    );
+    assert_eq!(
+        (host.size, host.born, host.address.unwrap().port()),
         (1.5, 2_000_000, 3000)
     );
 }
@@ -291,7 +294,7 @@
         r#"{{"seq":41,"whole":true,"hosts":[{}]}}"#,
         ENTRY.replace(from, to)
     );
-    assert!(listing(text.as_bytes(), &names()).is_err());
+    assert!(decode_endpoint_list(text.as_bytes(), &names()).is_err());
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", Some(true); "by length")]
@@ -301,10 +304,10 @@
 fn a_bulletin_is_read_however_it_is_cut(text: &str, keeps: Option<bool>) {
     for size in [1, 5, 10_000] {
         let said = in_pieces(
-            &mut Bulletin::default(),
+            &mut EndpointListReader::default(),
             text.as_bytes(),
             size,
-            |bulletin, piece| vec![bulletin.feed(piece)],
+            |reader, piece| vec![reader.feed(piece)],
         );
         let whole = said.into_iter().rfind(|said| *said != Ok(None));
         match keeps {
@@ -367,13 +370,13 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
         text.len()
     );
-    let (body, _) = Bulletin::default()
+    let (body, _) = EndpointListReader::default()
         .feed(answer.as_bytes())
         .unwrap()
         .unwrap();
-    let list = listing(&body, &names()).unwrap();
+    let list = decode_endpoint_list(&body, &names()).unwrap();
     assert_eq!(
-        (list.hosts.len(), list.hosts[1_023].host.len()),
+        (list.endpoints.len(), list.endpoints[1_023].host.len()),
         (1_024, 200)
     );
 }
--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -5,7 +5,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::Nanos;
-use rosewall_protocol::discovery::{self, Bulletin};
+use rosewall_protocol::discovery::{self, EndpointListReader};
 use std::convert::Infallible;
 use std::future::poll_fn;
 use std::io;
@@ -24,7 +24,7 @@
     /// How much later than that its answer may begin.
     past: Duration,
     /// How soon an answer to a call for the whole list must begin, its connection included.
-    whole: Duration,
+    is_snapshot: Duration,
     /// While none has come, how soon another call for the whole list goes out beside it.
     again: Duration,
 }
@@ -36,7 +36,7 @@
 const PUSHED: Spans = Spans {
     wait_ms: 2_000,
     past: Duration::from_millis(200),
-    whole: Duration::from_secs(1),
+    is_snapshot: Duration::from_secs(1),
     again: Duration::from_millis(200),
 };
 
@@ -46,7 +46,7 @@
 const ASKED: Spans = Spans {
     wait_ms: 20_000,
     past: Duration::from_millis(500),
-    whole: Duration::from_secs(6),
+    is_snapshot: Duration::from_secs(6),
     again: Duration::MAX,
 };
 
@@ -174,7 +174,7 @@
     loop {
         let wait = from.map(|seq| (seq, spans.wait_ms));
         let text = discovery::call(&address.to_string(), wait);
-        let begin = wait.map_or(spans.whole, |(_, ms)| {
+        let begin = wait.map_or(spans.is_snapshot, |(_, ms)| {
             Duration::from_millis(ms) + spans.past
         });
         let call = |kept: Option<G::Stream>| exchange(ground, address, kept, &text, begin);
@@ -186,7 +186,7 @@
             fault: format!("no answer: {error}"),
             silent: error.kind() == io::ErrorKind::TimedOut,
         })?;
-        let listing = discovery::listing(&text, &shared.names).map_err(|fault| {
+        let list = discovery::decode_endpoint_list(&text, &shared.names).map_err(|fault| {
             // Passed over, and the whole list is fetched by a new watch.
             shared.counters.lists_malformed.add();
             *from = None;
@@ -196,10 +196,10 @@
             }
         })?;
         // A service that has lost its count is asked for the whole.
-        let lost = from.is_some_and(|from| listing.seq < from) && !listing.whole;
-        (*seen, *from) = (true, (!lost).then_some(listing.seq));
+        let lost = from.is_some_and(|from| list.version < from) && !list.is_snapshot;
+        (*seen, *from) = (true, (!lost).then_some(list.version));
         shared.counters.lists.add();
-        shared.tell(News::List(listing));
+        shared.tell(News::List(list));
         let _ = told.try_send(());
         kept = keeps.then_some(stream);
     }
@@ -257,17 +257,15 @@
         Ok((stream, count))
     };
     let (mut stream, mut count) = within(ground, begin, first).await?;
-    let mut bulletin = Bulletin::default();
+    let mut reader = EndpointListReader::default();
     let rest = async {
         while count > 0 {
-            if let Some((text, keeps)) =
-                bulletin.feed(&buffer[..count]).map_err(io::Error::other)?
-            {
+            if let Some((text, keeps)) = reader.feed(&buffer[..count]).map_err(io::Error::other)? {
                 return Ok((stream, text, keeps));
             }
             count = stream.read(&mut buffer).await?;
         }
-        let text = bulletin.closed().ok_or(io::ErrorKind::UnexpectedEof)?;
+        let text = reader.closed().ok_or(io::ErrorKind::UnexpectedEof)?;
         Ok((stream, text, false))
     };
     within(ground, REST, rest).await
--- a/crates/runtime/src/hub.rs
+++ b/crates/runtime/src/hub.rs
@@ -8,7 +8,7 @@
 use rosewall::types::RequestId;
 use rosewall_engine::hub::{Effect, Hub, Input};
 use rosewall_protocol::client::Answer;
-use rosewall_protocol::discovery::Listing;
+use rosewall_protocol::discovery::EndpointList;
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -52,9 +52,9 @@
     }
 
     /// The list as it was kept, before anything else.
-    pub fn kept(&mut self, listing: Listing) {
+    pub fn load_cached(&mut self, list: EndpointList) {
         let now = self.shared.ground.now();
-        self.hub.kept(now, listing, &mut self.effects);
+        self.hub.load_cached(now, list, &mut self.effects);
         self.carry_out();
     }
 
@@ -121,11 +121,11 @@
             },
             News::Spare { worker, conn } => {
                 // One that leads elsewhere by now is of no use.
-                if self.hub.dial(worker) == Some(conn.dial) {
+                if self.hub.address_of(worker) == Some(conn.address) {
                     self.shared
                         .pool
                         .borrow_mut()
-                        .put(now, worker, conn.dial, conn);
+                        .put(now, worker, conn.address, conn);
                 }
                 return;
             }
@@ -141,7 +141,7 @@
                 work,
                 until,
             },
-            News::List(listing) => Input::List(listing),
+            News::List(list) => Input::List(list),
             News::ListFailed => Input::ListFailed,
             News::Stop(by) => Input::Stop(by),
         };
@@ -202,17 +202,17 @@
             }
             Effect::CheckHealth {
                 worker,
-                dial,
+                address,
                 host,
                 limit,
             } => {
                 shared
                     .ground
-                    .spawn(worker::sound(shared.clone(), worker, dial, host, limit))
+                    .spawn(worker::sound(shared.clone(), worker, address, host, limit))
                     .detach();
             }
-            Effect::EvictIdle { worker, dial } => {
-                shared.pool.borrow_mut().drop_worker(worker, dial)
+            Effect::EvictIdle { worker, address } => {
+                shared.pool.borrow_mut().drop_worker(worker, address)
             }
             Effect::Tell { to, share } => {
                 let now = shared.ground.now();
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -20,7 +20,7 @@
 use rosewall_engine::hub::Hub;
 use rosewall_engine::pool::Pool;
 use rosewall_engine::workers::Workers;
-use rosewall_protocol::discovery::{Listing, listing};
+use rosewall_protocol::discovery::{EndpointList, decode_endpoint_list};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -47,12 +47,12 @@
     pub fn start(ground: G, given: Given, door: G::Door) -> Result<Self, String> {
         let (map, now) = (&given.map, ground.now());
         let names = given::names(map);
-        let kept = listing(&given.known, &names).unwrap_or_else(|fault| {
+        let kept = decode_endpoint_list(&given.known, &names).unwrap_or_else(|fault| {
             log::warn!("no kept list of workers: {fault}");
-            Listing {
-                seq: 0,
-                whole: true,
-                hosts: Vec::new(),
+            EndpointList {
+                version: 0,
+                is_snapshot: true,
+                endpoints: Vec::new(),
             }
         });
         let dispatcher = Dispatcher::start(now, given.seed, map)?;
@@ -134,8 +134,8 @@
         let (leave, left) = async_channel::unbounded();
         let hub = Hub::new(dispatcher, counters, connect_within, workers);
         let mut hub = HubDriver::new(shared.clone(), news, hub, asked.then_some(leave));
-        let from = (asked && !kept.hosts.is_empty()).then_some(kept.seq);
-        hub.kept(kept);
+        let from = (asked && !kept.endpoints.is_empty()).then_some(kept.version);
+        hub.load_cached(kept);
         let hub = shared.ground.spawn(hub.run());
         let (mover, moves) = async_channel::unbounded();
         let leave = asked.then_some(left);
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -8,7 +8,7 @@
 use rosewall_engine::counters::Counters;
 use rosewall_engine::pool::{Idle, Pool};
 use rosewall_protocol::client::{Answer, ClientRequest, Names};
-use rosewall_protocol::discovery::Listing;
+use rosewall_protocol::discovery::EndpointList;
 use rosewall_protocol::worker::Told;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 /// A connection to a worker.
 pub struct Conn<S> {
     pub stream: S,
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     /// Its place in the budget, for as long as it is open.
     pub _slot: Slot,
 }
@@ -57,7 +57,7 @@
         from: u16,
         share: Share,
     },
-    List(Listing),
+    List(EndpointList),
     ListFailed,
     /// The program ends: all is to be answered by this moment.
     Stop(Nanos),
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -43,7 +43,7 @@
 async fn connection<G: Ground>(
     shared: &Shared<G>,
     ready: Option<Conn<G::Stream>>,
-    dial: SocketAddr,
+    address: SocketAddr,
     limit: Duration,
 ) -> Result<Conn<G::Stream>, Outcome> {
     if let Some(conn) = ready {
@@ -56,14 +56,14 @@
     shared.counters.connects.add();
     let connect = async {
         Ok(Conn {
-            stream: ground.connect(dial).await?,
-            dial,
+            stream: ground.connect(address).await?,
+            address,
             _slot: slot,
         })
     };
     within(ground, limit, connect).await.map_err(|error| {
         shared.counters.connects_failed.add();
-        log::debug!("no connection to {dial}: {error}");
+        log::debug!("no connection to {address}: {error}");
         Outcome::ConnectFailed
     })
 }
@@ -104,7 +104,7 @@
 async fn sent<G: Ground>(
     shared: &Shared<G>,
     ready: Option<(Conn<G::Stream>, Nanos)>,
-    dial: SocketAddr,
+    address: SocketAddr,
     limit: Duration,
     message: &[u8],
     off: &Cell<bool>,
@@ -133,7 +133,7 @@
             shared.broke(since);
         }
     }
-    let mut conn = connection(shared, None, dial, limit).await?;
+    let mut conn = connection(shared, None, address, limit).await?;
     // Not a byte goes out for a client who has left, or to a worker that was told to drain, while it came up.
     let writing = async { Ok(!off.get() && written(ground, &mut conn, message, off, None).await) };
     if within(ground, limit, writing).await.unwrap_or(false) {
@@ -157,7 +157,7 @@
         request_id,
         attempt_index,
         worker,
-        dial,
+        address,
         id,
         message,
         connect_within,
@@ -170,7 +170,8 @@
             told,
         })
     };
-    let (mut conn, kept) = match sent(&shared, ready, dial, connect_within, &message, &off).await {
+    let (mut conn, kept) = match sent(&shared, ready, address, connect_within, &message, &off).await
+    {
         Ok(sent) => sent,
         Err(outcome) => return tell(Told::Ended(outcome)),
     };
@@ -222,7 +223,7 @@
 pub async fn sound<G: Ground>(
     shared: Rc<Shared<G>>,
     worker: WorkerId,
-    dial: SocketAddr,
+    address: SocketAddr,
     host: String,
     limit: Nanos,
 ) {
@@ -231,7 +232,7 @@
         pause(&shared.ground, limit).await;
         (Outcome::TimedOut, Report::default())
     };
-    let (outcome, report) = ask(&shared, worker, dial, &host, limit).or(late).await;
+    let (outcome, report) = ask(&shared, worker, address, &host, limit).or(late).await;
     shared.tell(News::HealthChecked(HealthChecked {
         worker,
         outcome,
@@ -242,13 +243,13 @@
 async fn ask<G: Ground>(
     shared: &Shared<G>,
     worker: WorkerId,
-    dial: SocketAddr,
+    address: SocketAddr,
     host: &str,
     limit: Duration,
 ) -> (Outcome, Report) {
     let none = Report::default();
     let ready = shared.pooled(worker).map(|(conn, _)| conn);
-    let mut conn = match connection(shared, ready, dial, limit).await {
+    let mut conn = match connection(shared, ready, address, limit).await {
         Ok(conn) => conn,
         Err(outcome) => return (outcome, none),
     };
--- a/crates/simulation/src/agent.rs
+++ b/crates/simulation/src/agent.rs
@@ -5,7 +5,7 @@
 use crate::net::{Net, VDoor, VStream};
 use async_channel::Sender;
 use futures_lite::{AsyncWriteExt, FutureExt};
-use rosewall::types::{Nanos, Standing};
+use rosewall::types::{EndpointState, Nanos};
 use rosewall_runtime::ground::Door;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -15,7 +15,7 @@
 /// What a list says of one worker.
 #[derive(Clone, Debug)]
 pub struct Line {
-    pub standing: Standing,
+    pub standing: EndpointState,
     pub dial: SocketAddr,
     pub born: Nanos,
     pub zone: usize,
@@ -189,14 +189,14 @@
             }
             let gone = line
                 .as_ref()
-                .is_none_or(|line| line.standing == Standing::Gone);
+                .is_none_or(|line| line.standing == EndpointState::Removed);
             // A whole list does not name who is gone: that tells only those who knew of it.
             if since.is_none() && gone && !judge.named(machine).contains(&host) {
                 continue;
             }
-            let (standing, born) = line
-                .as_ref()
-                .map_or((Standing::Gone, 0), |line| (line.standing, line.born));
+            let (standing, born) = line.as_ref().map_or((EndpointState::Removed, 0), |line| {
+                (line.standing, line.born)
+            });
             judge.told(now, machine, host, standing, born, known.seq);
         }
         self.core.note("told", machine as u64, known.seq, || {
@@ -284,12 +284,12 @@
     let entry = |host: usize| {
         let line = known.lines[host].as_ref()?;
         let health = match line.standing {
-            Standing::Ready => "ready",
-            Standing::Draining => "draining",
-            Standing::Gone => "gone",
+            EndpointState::Ready => "ready",
+            EndpointState::Draining => "draining",
+            EndpointState::Removed => "gone",
         };
         // A whole list names none that is gone.
-        if since.is_none() && line.standing == Standing::Gone {
+        if since.is_none() && line.standing == EndpointState::Removed {
             return None;
         }
         Some(
--- a/crates/simulation/src/judge.rs
+++ b/crates/simulation/src/judge.rs
@@ -3,7 +3,7 @@
 use crate::core::MS;
 use crate::net::Half;
 use crate::scenario::{Effect, Group, Rules};
-use rosewall::types::{Nanos, Standing};
+use rosewall::types::{EndpointState, Nanos};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -92,7 +92,7 @@
 
 #[derive(Clone, Copy)]
 struct Told {
-    standing: Standing,
+    standing: EndpointState,
     /// Since when it is not ready.
     since: Nanos,
     born: Nanos,
@@ -446,7 +446,7 @@
                 Rule::Drain,
                 format!("worker {} is on no list of who posted txn {txn}", at.host),
             )),
-            Some(told) if told.standing != Standing::Ready => {
+            Some(told) if told.standing != EndpointState::Ready => {
                 let limit = told.since + self.rules.grace_ms * MS + SLACK;
                 if first > limit {
                     let (standing, by) = (told.standing, (first - limit) as f64 / 1e6);
@@ -501,21 +501,23 @@
         now: Nanos,
         machine: usize,
         host: usize,
-        standing: Standing,
+        standing: EndpointState,
         born: Nanos,
         seq: u64,
     ) {
         let known = self.told.get(&(machine, host)).copied();
         let old = known.filter(|known| known.seq > seq && born <= known.born);
         // An older list says nothing new of the process that a newer one spoke of.
-        if old.is_some_and(|old| old.standing != Standing::Ready) {
+        if old.is_some_and(|old| old.standing != EndpointState::Ready) {
             return;
         }
         let since = match known {
-            Some(known) if known.standing != Standing::Ready && known.born == born => known.since,
+            Some(known) if known.standing != EndpointState::Ready && known.born == born => {
+                known.since
+            }
             _ => now,
         };
-        let born = if standing == Standing::Gone {
+        let born = if standing == EndpointState::Removed {
             known.map_or(born, |known| known.born)
         } else {
             born
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -9,7 +9,7 @@
 use crate::worker::{Process, Spell};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
-use rosewall::types::{Nanos, Standing};
+use rosewall::types::{EndpointState, Nanos};
 use rosewall_cluster::file::Joining;
 use rosewall_engine::given::{self, Given};
 use rosewall_runtime::ground::Ground;
@@ -339,7 +339,7 @@
         self.take_down(place);
     }
 
-    fn line(&self, host: usize, standing: Standing) -> Line {
+    fn line(&self, host: usize, standing: EndpointState) -> Line {
         let workers = self.workers.borrow();
         let process = &workers[host];
         Line {
@@ -352,7 +352,7 @@
     }
 
     /// What discovery has noticed reaches the agents, each in its time.
-    fn announce(self: &Rc<Self>, host: usize, standing: Standing, notice: (Nanos, Nanos)) {
+    fn announce(self: &Rc<Self>, host: usize, standing: EndpointState, notice: (Nanos, Nanos)) {
         self.orders.set(self.orders.get() + 1);
         let (order, line) = (self.orders.get(), self.line(host, standing));
         for agent in &self.agents {
@@ -386,7 +386,7 @@
         self.core
             .note("born", host as u64, born, || format!("worker {host}"));
         self.workers.borrow_mut()[host] = process;
-        self.announce(host, Standing::Ready, (5 * MS, 400 * MS));
+        self.announce(host, EndpointState::Ready, (5 * MS, 400 * MS));
     }
 
     /// One fault, from its moment to its end.
@@ -422,7 +422,7 @@
                 Trouble::Die => self.die(host, &process, span).await,
                 Trouble::Vanish => {
                     Net::silence(&core, process.machine, true);
-                    self.announce(host, Standing::Gone, (500 * MS, 1500 * MS));
+                    self.announce(host, EndpointState::Removed, (500 * MS, 1500 * MS));
                     core.sleep(span).await;
                     // Back: what was open is reset now.
                     Net::silence(&core, process.machine, false);
@@ -431,7 +431,7 @@
                 }
                 Trouble::Drain | Trouble::DrainReturn => {
                     process.draining.set(true);
-                    self.announce(host, Standing::Draining, (0, 300 * MS));
+                    self.announce(host, EndpointState::Draining, (0, 300 * MS));
                     if fault.kind == Trouble::DrainReturn {
                         process.hand_back();
                     }
@@ -533,7 +533,7 @@
         process.die();
         self.core
             .note("dies", host as u64, 0, || format!("worker {host}"));
-        self.announce(host, Standing::Gone, (5 * MS, 800 * MS));
+        self.announce(host, EndpointState::Removed, (5 * MS, 800 * MS));
         if span > 0 {
             self.core.sleep(span).await;
             self.rebirth(host);
@@ -584,7 +584,7 @@
             })
             .collect();
         let line = |process: &Rc<Process>| Line {
-            standing: Standing::Ready,
+            standing: EndpointState::Ready,
             dial: process.dial,
             born: 0,
             zone: process.spec.zone,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -13,12 +13,12 @@
 use translate::Incoming;
 
 #[derive(Default)]
-struct Host {
+struct DiscoveredEndpoint {
     instances: FxHashMap<u32, Dispatcher>,
     actions: Vec<Action>,
 }
 
-impl Host {
+impl DiscoveredEndpoint {
     fn batch(&mut self, bytes: &[u8], reply: &mut Reply) -> Result<(), Fault> {
         let mut fields = Fields::new(bytes);
         let now = fields.u64()?;
@@ -63,7 +63,8 @@
 
 fn run() -> Result<(), Fault> {
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
-    let (mut host, mut buffer, mut reply) = (Host::default(), Vec::new(), Reply::new());
+    let (mut host, mut buffer, mut reply) =
+        (DiscoveredEndpoint::default(), Vec::new(), Reply::new());
     while codec::read_batch(&mut input, &mut buffer)? {
         reply.clear();
         host.batch(&buffer, &mut reply)?;
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -24,7 +24,7 @@
     let count = (records.len() as u32).to_le_bytes();
     let bytes = [&5_u64.to_le_bytes()[..], &count, &records.concat()].concat();
     let (mut reply, mut out) = (Reply::new(), Vec::new());
-    Host::default().batch(&bytes, &mut reply)?;
+    DiscoveredEndpoint::default().batch(&bytes, &mut reply)?;
     reply.write(&mut out)?;
     Ok(out)
 }
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,8 +1,8 @@
 //! The wire's words to ours and back. No name of the wire is known outside this file, but the settings'.
 use crate::codec::{Fault, Fields, Reply};
 use rosewall::types::{
-    Action, AttemptEnded, Event, HealthChecked, Listed, Outcome, Report, Request, Scope, Share,
-    Standing, WorkerId,
+    Action, AttemptEnded, Endpoint, EndpointState, Event, HealthChecked, ListScope, Outcome,
+    Report, Request, Share, WorkerId,
 };
 use rosewall_settings::{Map, ours};
 
@@ -71,26 +71,26 @@
 fn list(f: &mut Fields<'_>) -> Result<Event, Fault> {
     let _version = f.u64()?;
     let scope = match f.u8()? {
-        0 => Scope::Changes,
-        1 => Scope::Whole,
-        2 => Scope::Kept,
-        3 => Scope::Failed,
+        0 => ListScope::Delta,
+        1 => ListScope::Snapshot,
+        2 => ListScope::Cached,
+        3 => ListScope::Failed,
         other => return Err(format!("unknown scope {other} of a list")),
     };
     let count = f.u32()?;
-    let mut entries = Vec::new();
+    let mut endpoints = Vec::new();
     for _ in 0..count {
-        let standing = match f.u8()? {
-            1 => Standing::Ready,
-            2 => Standing::Draining,
-            0 => Standing::Gone,
+        let state = match f.u8()? {
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
+            0 => EndpointState::Removed,
             other => return Err(format!("unknown availability {other} of a worker")),
         };
         let (zone, worker_type, size, started, group) =
             (f.u16()?, f.u8()?, f.f32()?, f.u64()?, f.u16()?);
-        entries.push(Listed {
+        endpoints.push(Endpoint {
             worker: worker(f)?,
-            standing,
+            state,
             zone,
             worker_type,
             size,
@@ -98,7 +98,7 @@
             group,
         });
     }
-    Ok(Event::List { scope, entries })
+    Ok(Event::EndpointList { scope, endpoints })
 }
 
 const VALID_HINT: u16 = 1;
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -4,7 +4,7 @@
 //! numbers of the settings, for good: it is what is left to those whom no message reaches.
 use crate::policy::Dispatcher;
 use crate::state::{Worker, token};
-use crate::types::{Action, Nanos, Standing, WorkerId};
+use crate::types::{Action, EndpointState, Nanos, WorkerId};
 
 #[cfg(test)]
 mod tests;
@@ -158,7 +158,7 @@
     pub(crate) fn tell_joint(&self, now: Nanos, acts: &mut Vec<Action>) {
         let window = self.says("overload.window") as Nanos;
         for worker in self.workers.iter().filter(|_| self.rights) {
-            let cold = worker.standing == Standing::Ready && self.warmth(worker, now) < 1.0;
+            let cold = worker.state == EndpointState::Ready && self.warmth(worker, now) < 1.0;
             let lately =
                 worker.started + self.says("slow_start.duration") as Nanos + 5_000_000_000 > now;
             if cold || (worker.started > 0 && lately) {
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::state::Map;
-use crate::types::{Event, Listed, Request, Scope};
+use crate::types::{Endpoint, Event, ListScope, Request};
 use test_case::test_case;
 
 const MS: Nanos = 1_000_000;
@@ -27,10 +27,10 @@
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
     let entry = |n: u8| {
         let started = if n + cold >= workers { MS } else { 0 };
-        let standing = Standing::Ready;
-        Listed {
+        let state = EndpointState::Ready;
+        Endpoint {
             worker: worker(n),
-            standing,
+            state,
             zone: 0,
             worker_type: 0,
             size: 1.0,
@@ -38,12 +38,12 @@
             group: 0,
         }
     };
-    let entries = (0..workers).map(entry).collect();
+    let endpoints = (0..workers).map(entry).collect();
     d.handle(
         MS,
-        Event::List {
-            scope: Scope::Whole,
-            entries,
+        Event::EndpointList {
+            scope: ListScope::Snapshot,
+            endpoints,
         },
         &mut Vec::new(),
     );
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -17,7 +17,7 @@
 use crate::state::{BINS, Bins, SECOND, below, fade};
 use crate::state::{Told, Trust, Worker, token};
 use crate::types::{
-    Action, AttemptEnded, Event, Listed, Nanos, Outcome, Report, Scope, Share, Standing,
+    Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, Report, Share,
 };
 use crate::types::{Request, RequestId};
 
@@ -262,7 +262,7 @@
 
     pub fn handle(&mut self, now: Nanos, event: Event, acts: &mut Vec<Action>) {
         match event {
-            Event::List { scope, entries } => self.list(now, scope, &entries, acts),
+            Event::EndpointList { scope, endpoints } => self.list(now, scope, &endpoints, acts),
             Event::RequestArrived(request) => self.arrived(now, request, acts),
             Event::AttemptStarted {
                 request_id,
@@ -412,7 +412,7 @@
         let ready = || {
             self.workers
                 .iter()
-                .filter(|worker| worker.standing == Standing::Ready)
+                .filter(|worker| worker.state == EndpointState::Ready)
         };
         self.distrust = ready().map(|w| w.trust.now(now, Worker::HALF)).sum::<f64>()
             / ready().count().max(1) as f64;
@@ -439,9 +439,15 @@
         }
     }
 
-    fn list(&mut self, now: Nanos, scope: Scope, entries: &[Listed], acts: &mut Vec<Action>) {
+    fn list(
+        &mut self,
+        now: Nanos,
+        scope: ListScope,
+        endpoints: &[Endpoint],
+        acts: &mut Vec<Action>,
+    ) {
         match scope {
-            Scope::Failed => {
+            ListScope::Failed => {
                 // Twice as long after each failure up to 4 s, spread so that dispatchers do not call as one,
                 // and by a timer of its own, not on the beat, which all who started together share.
                 let wait = 0.5 * SECOND * f64::from(1 << self.ask_failures.min(3));
@@ -454,19 +460,21 @@
                 });
                 return;
             }
-            Scope::Kept => acts.push(Action::SetTimer {
+            ListScope::Cached => acts.push(Action::SetTimer {
                 at: now + BEAT_EVERY,
                 token: BEAT,
             }), // the first event
-            Scope::Changes | Scope::Whole => (self.following, self.ask_failures) = (true, 0),
+            ListScope::Delta | ListScope::Snapshot => {
+                (self.following, self.ask_failures) = (true, 0)
+            }
         }
-        if scope != Scope::Changes {
+        if scope != ListScope::Delta {
             // Whoever a whole list leaves out is gone.
             self.workers
                 .iter_mut()
-                .for_each(|worker| worker.standing = Standing::Gone);
+                .for_each(|worker| worker.state = EndpointState::Removed);
         }
-        for entry in entries {
+        for entry in endpoints {
             let at = *self.known.entry(entry.worker).or_insert(self.workers.len());
             if at == self.workers.len() {
                 self.workers
@@ -482,19 +490,19 @@
                 (worker.refusals, worker.refused_till) = (0, 0);
                 worker.started = entry.started;
             }
-            (worker.standing, worker.zone, worker.worker_type) =
-                (entry.standing, entry.zone, entry.worker_type);
-            if entry.standing == Standing::Draining && is(Fault::GraceIgnored) {
-                worker.standing = Standing::Ready;
+            (worker.state, worker.zone, worker.worker_type) =
+                (entry.state, entry.zone, entry.worker_type);
+            if entry.state == EndpointState::Draining && is(Fault::GraceIgnored) {
+                worker.state = EndpointState::Ready;
             }
-            if scope == Scope::Kept {
+            if scope == ListScope::Cached {
                 // What this turn's budget held may have been sent before a restart.
                 worker.spent.push_back((now, f64::INFINITY));
             }
             (worker.group, worker.size) = (entry.group, f64::from(entry.size).max(0.01));
         }
         let mut order: Vec<usize> = (0..self.workers.len()).collect();
-        order.retain(|at| self.workers[*at].standing == Standing::Ready);
+        order.retain(|at| self.workers[*at].state == EndpointState::Ready);
         order.sort_unstable_by_key(|at| self.workers[*at].id);
         for class in &mut self.classes {
             let fits = |w: &usize| {
@@ -855,7 +863,9 @@
         let chosen = self.choose(now, key, lane);
         match chosen {
             _ if self.awaits_right(now, key, acts) => {}
-            Some((at, cost, strain)) if attempts_sent > 0 || self.kept(now, key, cost, strain) => {
+            Some((at, cost, strain))
+                if attempts_sent > 0 || self.load_cached(now, key, cost, strain) =>
+            {
                 self.post(now, key, at, cost, acts);
             }
             // Cold workers may soon take more: ask again shortly, as long as it can still be in time.
@@ -872,7 +882,7 @@
     /// Overload: a request with too little of its room left after waiting is turned away by chance, the cheaper
     /// ones more often, and sooner the more of the last seven to twenty started too late. Guards against a
     /// jam that keeps itself up, and, waits being guesses, against declines while all goes well.
-    fn kept(&mut self, now: Nanos, key: usize, wait: f64, strain: f64) -> bool {
+    fn load_cached(&mut self, now: Nanos, key: usize, wait: f64, strain: f64) -> bool {
         let class = usize::from(self.requests[key].request.class);
         let worth = self.classes[class].worth(self.worth_basis);
         let most = self
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -29,10 +29,10 @@
     }
 }
 
-fn entry(n: u8, standing: Standing, started: Nanos) -> Listed {
-    Listed {
+fn entry(n: u8, state: EndpointState, started: Nanos) -> Endpoint {
+    Endpoint {
         worker: id(n),
-        standing,
+        state,
         zone: 0,
         worker_type: 0,
         size: 2.0,
@@ -42,16 +42,16 @@
 }
 
 /// One of so many dispatchers, with the list it kept.
-fn among(dispatchers: u32, me: u32, entries: Vec<Listed>) -> Dispatcher {
+fn among(dispatchers: u32, me: u32, endpoints: Vec<Endpoint>) -> Dispatcher {
     let mut map = settings();
     map.insert("dispatchers".into(), dispatchers.to_string());
     map.insert("me".into(), me.to_string());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
     d.handle(
         0,
-        Event::List {
-            scope: Scope::Kept,
-            entries,
+        Event::EndpointList {
+            scope: ListScope::Cached,
+            endpoints,
         },
         &mut Vec::new(),
     );
@@ -59,8 +59,10 @@
 }
 
 /// So many workers, all warm.
-fn warm(workers: u8) -> Vec<Listed> {
-    (0..workers).map(|n| entry(n, Standing::Ready, 0)).collect()
+fn warm(workers: u8) -> Vec<Endpoint> {
+    (0..workers)
+        .map(|n| entry(n, EndpointState::Ready, 0))
+        .collect()
 }
 
 /// One of two dispatchers that has heard of so many workers, all warm.
@@ -205,16 +207,16 @@
     next(state, input, idempotency)
 }
 
-#[test_case(Standing::Draining; "draining")]
-#[test_case(Standing::Gone; "gone")]
-fn nothing_new_to_a_worker_that_leaves(standing: Standing) {
+#[test_case(EndpointState::Draining; "draining")]
+#[test_case(EndpointState::Removed; "gone")]
+fn nothing_new_to_a_worker_that_leaves(state: EndpointState) {
     let mut d = dispatcher(2);
     handle(
         &mut d,
         MS,
-        Event::List {
-            scope: Scope::Changes,
-            entries: vec![entry(0, standing, 0)],
+        Event::EndpointList {
+            scope: ListScope::Delta,
+            endpoints: vec![entry(0, state, 0)],
         },
     );
     for n in 0..20 {
@@ -236,12 +238,12 @@
     handle(
         &mut d,
         MS,
-        Event::List {
-            scope: Scope::Whole,
-            entries: vec![entry(1, Standing::Ready, 0)],
+        Event::EndpointList {
+            scope: ListScope::Snapshot,
+            endpoints: vec![entry(1, EndpointState::Ready, 0)],
         },
     );
-    assert_eq!(d.workers[0].standing, Standing::Gone);
+    assert_eq!(d.workers[0].state, EndpointState::Removed);
 }
 
 /// Guards against dispatchers that started together and call for the list as one for ever after.
@@ -253,9 +255,9 @@
         let mut acts = Vec::new();
         d.handle(
             0,
-            Event::List {
-                scope: Scope::Kept,
-                entries: Vec::new(),
+            Event::EndpointList {
+                scope: ListScope::Cached,
+                endpoints: Vec::new(),
             },
             &mut acts,
         );
@@ -263,9 +265,9 @@
         acts.clear();
         d.handle(
             MS,
-            Event::List {
-                scope: Scope::Failed,
-                entries: Vec::new(),
+            Event::EndpointList {
+                scope: ListScope::Failed,
+                endpoints: Vec::new(),
             },
             &mut acts,
         );
@@ -305,13 +307,13 @@
 fn budget_of_a_cold_worker(started: Nanos, me: u32, at: Nanos) -> usize {
     let mut d = among(12, me, Vec::new());
     d.classes[0].sla = 90.0 * SECOND;
-    let entries = vec![entry(0, Standing::Ready, started * MS)];
+    let endpoints = vec![entry(0, EndpointState::Ready, started * MS)];
     handle(
         &mut d,
         started * MS,
-        Event::List {
-            scope: Scope::Changes,
-            entries,
+        Event::EndpointList {
+            scope: ListScope::Delta,
+            endpoints,
         },
     );
     let one = |n| Request {
@@ -331,13 +333,13 @@
 #[test_case(3_100, 1.5 => true; "also while the fleet is jammed")]
 fn a_cold_worker_after_a_restart(at: Nanos, lag: f64) -> bool {
     let mut d = Dispatcher::start(0, 7, &settings()).unwrap();
-    let entries = vec![entry(0, Standing::Ready, 100 * MS)];
+    let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
         &mut d,
         2_000 * MS,
-        Event::List {
-            scope: Scope::Kept,
-            entries,
+        Event::EndpointList {
+            scope: ListScope::Cached,
+            endpoints,
         },
     );
     starts_of_late(&mut d, at * MS, lag, 32);
@@ -390,8 +392,14 @@
     least: f64,
 ) {
     let started = 50_000 * MS;
-    let list: Vec<Listed> = (0..workers)
-        .map(|n| entry(n, Standing::Ready, if n < replaced { started } else { 0 }))
+    let list: Vec<Endpoint> = (0..workers)
+        .map(|n| {
+            entry(
+                n,
+                EndpointState::Ready,
+                if n < replaced { started } else { 0 },
+            )
+        })
         .collect();
     let mut sent: Vec<(u8, Nanos, f64)> = Vec::new();
     for me in 0..dispatchers {
@@ -404,9 +412,9 @@
         handle(
             &mut d,
             started,
-            Event::List {
-                scope: Scope::Whole,
-                entries: list.clone(),
+            Event::EndpointList {
+                scope: ListScope::Snapshot,
+                endpoints: list.clone(),
             },
         );
         for n in 100..120 {
@@ -497,7 +505,7 @@
         1.0,
         0,
     ));
-    d.kept(0, key, 0.0, strain)
+    d.load_cached(0, key, 0.0, strain)
 }
 
 #[test_case(0, 0 => true; "no word for long: others' jobs may be ahead")]
@@ -555,7 +563,7 @@
         1.0,
         0,
     ));
-    (0..20).all(|_| d.kept(13_000 * MS, key, 0.0, 0.6))
+    (0..20).all(|_| d.load_cached(13_000 * MS, key, 0.0, 0.6))
 }
 
 #[test_case(4, 40 => (40, 4, 4); "few dispatchers use all workers")]
@@ -805,12 +813,12 @@
 #[test_case(1_000, 1_000; "a thousand of each")]
 #[test_case(4_096, 4_096; "four thousand of each")]
 fn any_size_of_fleet(workers: u16, dispatchers: u32) {
-    let listed = |n: u16| Listed {
+    let listed = |n: u16| Endpoint {
         worker: WorkerId {
             addr: [10; 4],
             port: n,
         },
-        ..entry(0, Standing::Ready, 0)
+        ..entry(0, EndpointState::Ready, 0)
     };
     let mut d = among(
         dispatchers,
@@ -854,7 +862,7 @@
     d.shares = seed > 6;
     d.keep_to(0);
     let fleet = usize::from(workers);
-    let (mut standing, mut started) = (vec![Standing::Ready; fleet], vec![0; fleet]);
+    let (mut state, mut started) = (vec![EndpointState::Ready; fleet], vec![0; fleet]);
     let mut timers: Vec<(Nanos, u64)> = Vec::new();
     let mut requests: BTreeMap<RequestId, Record> = BTreeMap::new();
     let (mut cold, mut unit): (Vec<(usize, Nanos, f64)>, f64) = (Vec::new(), 0.0);
@@ -869,17 +877,20 @@
             } else {
                 any
             };
-            standing[n] =
-                [Standing::Ready, Standing::Draining, Standing::Gone][(dice.unit() * 3.0) as usize];
-            started[n] = if standing[n] == Standing::Ready {
+            state[n] = [
+                EndpointState::Ready,
+                EndpointState::Draining,
+                EndpointState::Removed,
+            ][(dice.unit() * 3.0) as usize];
+            started[n] = if state[n] == EndpointState::Ready {
                 now
             } else {
                 started[n]
             };
-            let entries = vec![entry(n as u8, standing[n], started[n])];
-            events.push(Event::List {
-                scope: Scope::Changes,
-                entries,
+            let endpoints = vec![entry(n as u8, state[n], started[n])];
+            events.push(Event::EndpointList {
+                scope: ListScope::Delta,
+                endpoints,
             });
         }
         // Untrue, repeated, of workers that are not there, out of order: no rule rests on them.
@@ -973,7 +984,7 @@
                         );
                         assert!(record.out.is_empty(), "two attempts out");
                         assert!(
-                            standing[n] == Standing::Ready,
+                            state[n] == EndpointState::Ready,
                             "posted to a worker that leaves"
                         );
                         if let (1.., Some((first, since))) = (record.class, record.first_doubt) {
@@ -1071,9 +1082,9 @@
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
     d.handle(
         0,
-        Event::List {
-            scope: Scope::Kept,
-            entries: warm(workers),
+        Event::EndpointList {
+            scope: ListScope::Cached,
+            endpoints: warm(workers),
         },
         &mut Vec::new(),
     );
@@ -1425,13 +1436,13 @@
     settled
         .into_iter()
         .for_each(|at| drop(handle(&mut d, at * MS, ended(1, 0, Outcome::Succeeded))));
-    let entries = vec![entry(0, Standing::Ready, 100 * MS)];
+    let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
         &mut d,
         900 * MS,
-        Event::List {
-            scope: Scope::Changes,
-            entries,
+        Event::EndpointList {
+            scope: ListScope::Delta,
+            endpoints,
         },
     );
     d.workers[0]
@@ -1447,13 +1458,13 @@
     let mut d = dispatcher(1);
     d.workers[0].started = 90 * MS;
     d.workers[0].spent = [(95 * MS, 1e8), (500 * MS, 2e8)].into();
-    let entries = vec![entry(0, Standing::Ready, 100 * MS)];
+    let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
         &mut d,
         900 * MS,
-        Event::List {
-            scope: Scope::Changes,
-            entries,
+        Event::EndpointList {
+            scope: ListScope::Delta,
+            endpoints,
         },
     );
     assert_eq!(d.workers[0].spent, [(500 * MS, 2e8)]);
@@ -1496,7 +1507,7 @@
         0,
     ));
     // A second's wait: half of its own room, two and a half times theirs.
-    d.kept(0, key, SECOND, 0.5)
+    d.load_cached(0, key, SECOND, 0.5)
 }
 
 /// Guards against users who give no hints: a figure out of the air had each worker look slow by what it happened to run, and
@@ -1549,13 +1560,13 @@
 fn a_cold_worker_gets_fewer_of_unknown_size(hint: Option<Nanos>) -> usize {
     let mut d = among(12, 0, Vec::new());
     (d.classes[0].sla, d.classes[0].ran) = (90.0 * SECOND, (1e8, 1.0));
-    let entries = vec![entry(0, Standing::Ready, 100 * MS)];
+    let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
         &mut d,
         100 * MS,
-        Event::List {
-            scope: Scope::Changes,
-            entries,
+        Event::EndpointList {
+            scope: ListScope::Delta,
+            endpoints,
         },
     );
     let one = |n| Request {
@@ -1582,15 +1593,15 @@
         map.insert(name.into(), value.into());
     }
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
-    let entries = warm(200)
+    let endpoints = warm(200)
         .into_iter()
-        .map(|listed| Listed { zone: 1, ..listed })
+        .map(|listed| Endpoint { zone: 1, ..listed })
         .collect();
     d.handle(
         0,
-        Event::List {
-            scope: Scope::Kept,
-            entries,
+        Event::EndpointList {
+            scope: ListScope::Cached,
+            endpoints,
         },
         &mut Vec::new(),
     );
@@ -1782,7 +1793,7 @@
     let key = d.requests.insert(active);
     let kept = |_: &usize| {
         d.turned = 1.0;
-        d.kept(0, key, 0.8e9, 0.8e9 / room)
+        d.load_cached(0, key, 0.8e9, 0.8e9 / room)
     };
     (0..100).filter(kept).count()
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decisions remember, as plain data. None of it crosses the interface and nothing is decided here.
 use crate::pcg::Pcg;
 use crate::start_delays::StartDelays;
-use crate::types::{Nanos, Request, RequestId, Share, Standing, WorkerId};
+use crate::types::{EndpointState, Nanos, Request, RequestId, Share, WorkerId};
 use crate::zones::ZoneDelays;
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -222,7 +222,7 @@
 #[derive(Default)]
 pub struct Worker {
     pub id: WorkerId,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub zone: u16,
     pub worker_type: u8,
     pub group: u16,
--- a/src/types.rs
+++ b/src/types.rs
@@ -18,18 +18,18 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One line of the list of workers. `started` is 0 for a worker that has been up for long.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct Endpoint {
     pub worker: WorkerId,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub zone: u16,
     pub worker_type: u8,
     pub size: f32,
@@ -39,10 +39,10 @@
 
 /// What a list event covers. `Kept` is the whole list as last known before a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
-    Changes,
-    Whole,
-    Kept,
+pub enum ListScope {
+    Delta,
+    Snapshot,
+    Cached,
     Failed,
 }
 
@@ -125,9 +125,9 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    List {
-        scope: Scope,
-        entries: Vec<Listed>,
+    EndpointList {
+        scope: ListScope,
+        endpoints: Vec<Endpoint>,
     },
     RequestArrived(Request),
     AttemptStarted {
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -6,8 +6,8 @@
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
-    Action, AttemptEnded, Event, Listed, Nanos, Outcome, Report, Request, RequestId, Scope, Share,
-    Standing, WorkerId,
+    Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, Report,
+    Request, RequestId, Share, WorkerId,
 };
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
     now: Nanos,
     queue: BTreeMap<(Nanos, u64), Next>,
     serial: u64,
-    workers: Vec<Listed>,
+    workers: Vec<Endpoint>,
     attempts: BTreeMap<RequestId, u8>,
     next_request: RequestId,
     digest: Sha256,
@@ -107,7 +107,7 @@
         ] {
             model.push(delay * MILLISECOND, next);
         }
-        model.send_list(Scope::Kept);
+        model.send_list(ListScope::Cached);
         model
     }
 
@@ -120,13 +120,13 @@
         self.queue.insert((self.now + delay, self.serial), next);
     }
 
-    fn worker(&mut self, number: u8, started: Nanos) -> Listed {
-        Listed {
+    fn worker(&mut self, number: u8, started: Nanos) -> Endpoint {
+        Endpoint {
             worker: WorkerId {
                 addr: [10, 0, number / 8, number],
                 port: 80,
             },
-            standing: Standing::Ready,
+            state: EndpointState::Ready,
             zone: u16::from(number % 3),
             worker_type: number % 2,
             size: 1.0 + f32::from(number % 4) / 2.0,
@@ -135,13 +135,13 @@
         }
     }
 
-    fn send_list(&mut self, scope: Scope) {
-        let entries = if scope == Scope::Failed {
+    fn send_list(&mut self, scope: ListScope) {
+        let endpoints = if scope == ListScope::Failed {
             Vec::new()
         } else {
             self.workers.clone()
         };
-        self.feed(Event::List { scope, entries });
+        self.feed(Event::EndpointList { scope, endpoints });
     }
 
     fn feed(&mut self, event: Event) {
@@ -276,23 +276,23 @@
         self.push(delay, Next::ListChange);
         let at = self.below(self.workers.len() as u64) as usize;
         match self.below(6) {
-            0 => self.workers[at].standing = Standing::Draining,
-            1 => self.workers[at].standing = Standing::Gone,
+            0 => self.workers[at].state = EndpointState::Draining,
+            1 => self.workers[at].state = EndpointState::Removed,
             2 | 3 => {
                 let started = self.now - self.below(SECOND);
                 self.workers[at].started = started;
-                self.workers[at].standing = Standing::Ready;
+                self.workers[at].state = EndpointState::Ready;
             }
             4 if self.workers.len() < 60 => {
                 let added = self.worker(100 + self.workers.len() as u8, self.now);
                 self.workers.push(added);
             }
-            _ => self.workers[at].standing = Standing::Ready,
+            _ => self.workers[at].state = EndpointState::Ready,
         }
         let scope = match self.below(5) {
-            0 => Scope::Whole,
-            1 => Scope::Failed,
-            _ => Scope::Changes,
+            0 => ListScope::Snapshot,
+            1 => ListScope::Failed,
+            _ => ListScope::Delta,
         };
         self.send_list(scope);
     }
@@ -383,7 +383,7 @@
             )
         });
         self.attempts.clear();
-        self.send_list(Scope::Kept);
+        self.send_list(ListScope::Cached);
     }
 
     fn step(&mut self, next: Next) {
@@ -412,9 +412,9 @@
             }),
             Next::ListAnswer => {
                 let scope = if self.below(3) == 0 {
-                    Scope::Failed
+                    ListScope::Failed
                 } else {
-                    Scope::Whole
+                    ListScope::Snapshot
                 };
                 self.send_list(scope);
             }
