--- a/crates/cluster/src/field.rs
+++ b/crates/cluster/src/field.rs
@@ -1,7 +1,7 @@
 //! Many processes' machines on one virtual clock, with datagrams lost, late, doubled and cut between them, clocks of
 //! their own, pauses, ends and starts: all from one seed. For tests and for the command that measures by size.
 use crate::file::Joining;
-use crate::node::{Cluster, Effect, Line};
+use crate::node::{Cluster, Effect, LogLine};
 use rosewall::pcg::Pcg;
 use rosewall::types::{Nanos, WorkerId};
 use std::cmp::Reverse;
@@ -23,8 +23,8 @@
 /// What the decisions of a process were told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
-    View(Option<(u16, u16)>),
-    Right {
+    FleetView(Option<(u16, u16)>),
+    WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
         until: Nanos,
@@ -237,23 +237,23 @@
                         );
                     }
                 }
-                Effect::View(view) => node.heard.push((now, Heard::View(view))),
-                Effect::Right {
+                Effect::FleetView(view) => node.heard.push((now, Heard::FleetView(view))),
+                Effect::WarmUpGranted {
                     worker,
                     work,
                     until,
                 } => {
                     node.heard.push((
                         now,
-                        Heard::Right {
+                        Heard::WarmUpGranted {
                             worker,
                             work,
                             until,
                         },
                     ));
                 }
-                Effect::Say(Line::Error(text)) => node.heard.push((now, Heard::Error(text))),
-                Effect::Say(Line::Info(_)) | Effect::Heard { .. } => {}
+                Effect::Log(LogLine::Error(text)) => node.heard.push((now, Heard::Error(text))),
+                Effect::Log(LogLine::Info(_)) | Effect::PeerLoad { .. } => {}
             }
         }
         if let Some(node) = &self.nodes[at] {
--- a/crates/cluster/src/field_tests.rs
+++ b/crates/cluster/src/field_tests.rs
@@ -393,13 +393,13 @@
         let now = field.now;
         for at in 0..8 {
             field.act(at, |cluster, now, effects| {
-                cluster.joint(W, JOINT, WINDOW);
+                cluster.set_warm_up_budget(W, JOINT, WINDOW);
                 // Now and then the decisions find that it is cold no more, and then another.
-                cluster.want(now, W, (30 + now % 170) * MS, effects);
+                cluster.request_grant(now, W, (30 + now % 170) * MS, effects);
             });
             if let Some(node) = &field.nodes[at] {
                 for (_, heard) in &node.heard[seen[at]..] {
-                    if let Heard::Right { work, until, .. } = heard {
+                    if let Heard::WarmUpGranted { work, until, .. } = heard {
                         held.push((at, starts[at], *work, *until));
                     }
                 }
@@ -510,8 +510,8 @@
     for _ in 0..500 {
         for at in 0..8 {
             field.act(at, |cluster, now, effects| {
-                cluster.joint(W, JOINT, WINDOW);
-                cluster.want(now, W, 60 * MS, effects);
+                cluster.set_warm_up_budget(W, JOINT, WINDOW);
+                cluster.request_grant(now, W, 60 * MS, effects);
             });
         }
         field.run(field.now + 20 * MS);
@@ -520,7 +520,7 @@
         got += node
             .heard
             .iter()
-            .filter(|(_, heard)| matches!(heard, Heard::Right { .. }))
+            .filter(|(_, heard)| matches!(heard, Heard::WarmUpGranted { .. }))
             .count() as u64
             * 60
             * MS;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,6 +1,6 @@
 //! What dispatchers are to each other, as machines: nothing here opens anything, reads a clock or chooses a worker.
 //! `members` says who is there, `ranks` which place each has, `lease` who may give rights, `rights` what is given and
-//! held, `signals` what is told of workers, `register` how keepers agree on the fleet's settings (not used by `node` yet); `node` puts them together for one process, `file` is what operators write.
+//! held, `peer_load` what is told of workers, `register` how keepers agree on the fleet's settings (not used by `node` yet); `node` puts them together for one process, `file` is what operators write.
 //! `field` plays many of them on a clock of its own.
 pub mod error;
 pub mod field;
@@ -8,10 +8,10 @@
 pub mod lease;
 pub mod members;
 pub mod node;
+pub mod peer_load;
 pub mod ranks;
 pub mod register;
 pub mod rights;
-pub mod signals;
 pub mod wire;
 
 #[cfg(test)]
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -4,12 +4,12 @@
 use crate::file::Joining;
 use crate::lease::{Candidate, Keeper};
 use crate::members::{Change, Members, Out};
+use crate::peer_load::{LoadReceiver, LoadSender};
 use crate::ranks::ranks;
-use crate::rights::{Giver, Holder, UNIT};
-use crate::signals::{Hearing, Signals};
+use crate::rights::{GrantHolder, GrantIssuer, UNIT};
 use crate::wire::{self, Name, Part, Record, hash};
 use rosewall::sabotage::{Fault as Planted, is};
-use rosewall::types::{Nanos, Share, WorkerId};
+use rosewall::types::{Nanos, PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
 const MS: Nanos = 1_000_000;
@@ -25,24 +25,24 @@
         bytes: Vec<u8>,
     },
     /// The place among so many members, for the decisions; none where it is no member.
-    View(Option<(u16, u16)>),
+    FleetView(Option<(u16, u16)>),
     /// So much work may be sent to a cold worker, until then.
-    Right {
+    WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
         until: Nanos,
     },
     /// A member, by its rank, tells.
-    Heard {
+    PeerLoad {
         from: u16,
-        share: Share,
+        load: PeerLoad,
     },
-    Say(Line),
+    Log(LogLine),
 }
 
 /// A line for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
+pub enum LogLine {
     Info(String),
     /// With code and remedy.
     Error(String),
@@ -65,10 +65,10 @@
     keepers: Vec<Name>,
     keeper: Option<Keeper>,
     candidate: Candidate,
-    pub giver: Giver,
-    pub holder: Holder,
-    pub signals: Signals,
-    pub hearing: Hearing,
+    pub grant_issuer: GrantIssuer,
+    pub grant_holder: GrantHolder,
+    pub load_sender: LoadSender,
+    pub load_receiver: LoadReceiver,
     /// The members by rank, as the decisions were told.
     by_rank: Vec<Name>,
     told: Option<(u16, u16)>,
@@ -104,10 +104,10 @@
             keepers,
             keeper,
             candidate: Candidate::default(),
-            giver: Giver::default(),
-            holder: Holder::default(),
-            signals: Signals::default(),
-            hearing: Hearing::default(),
+            grant_issuer: GrantIssuer::default(),
+            grant_holder: GrantHolder::default(),
+            load_sender: LoadSender::default(),
+            load_receiver: LoadReceiver::default(),
             by_rank: Vec::new(),
             told: None,
             view_at: now,
@@ -141,7 +141,10 @@
         let lease =
             (self.keeper.is_some() && !self.members.aside()).then(|| self.candidate.next_due());
         let view = self.stale.then_some(self.view_at);
-        let some = lease.into_iter().chain(view).chain(self.signals.next_due());
+        let some = lease
+            .into_iter()
+            .chain(view)
+            .chain(self.load_sender.next_due());
         some.fold(self.members.next_due(), Nanos::min)
     }
 
@@ -160,8 +163,8 @@
         for change in std::mem::take(&mut self.members.changes) {
             self.stale = true;
             let info =
-                |what: &str, name: &Name| Line::Info(format!("cluster member={name} {what}"));
-            effects.push(Effect::Say(match change {
+                |what: &str, name: &Name| LogLine::Info(format!("cluster member={name} {what}"));
+            effects.push(Effect::Log(match change {
                 Change::Came(name) => info("came", &name),
                 Change::Suspected(name) => info("suspected", &name),
                 Change::Refuted(name) => info("refuted", &name),
@@ -169,7 +172,7 @@
                 Change::Left(name) => info("left", &name),
                 Change::Twice(other) => {
                     self.stand_aside();
-                    Line::Error(
+                    LogLine::Error(
                         ClusterError::Twice {
                             name: me.to_string(),
                             other,
@@ -189,7 +192,7 @@
 
     fn stand_aside(&mut self) {
         self.candidate.end();
-        self.giver.end();
+        self.grant_issuer.end();
         self.members.give(false);
     }
 
@@ -225,7 +228,7 @@
             if self.stale {
                 self.view_at = now + 5 * VIEW;
             }
-            self.hearing
+            self.load_receiver
                 .keep(|name| all.iter().any(|(known, _)| known == name));
             Some((
                 if is(Planted::RankOff) { rank + 1 } else { rank },
@@ -234,12 +237,12 @@
         };
         if view != self.told {
             self.told = view;
-            effects.push(Effect::View(view));
+            effects.push(Effect::FleetView(view));
             if let Some((rank, members)) = view {
                 let digest = self.members.digest();
                 let text =
                     format!("cluster view rank={rank} members={members} digest={digest:08x}");
-                effects.push(Effect::Say(Line::Info(text)));
+                effects.push(Effect::Log(LogLine::Info(text)));
             }
         }
     }
@@ -250,15 +253,15 @@
         self.ask_lease(now);
         let held = self.candidate.holds(now);
         if self.members.me.gives && !held {
-            self.giver.end();
+            self.grant_issuer.end();
         }
         if !self.members.aside() {
             self.members.give(held);
         }
-        for (name, parts) in self.signals.due(now) {
+        for (name, parts) in self.load_sender.due(now) {
             match self.members.get(&name) {
                 Some(member) => self.out.push((member.record.addr, parts)),
-                None => self.signals.lost += parts.len() as u64,
+                None => self.load_sender.lost += parts.len() as u64,
             }
         }
         if self.counts.other_version > 0 && self.version > 0 && now >= self.tell_at {
@@ -268,7 +271,7 @@
                 count: self.counts.other_version,
             };
             self.version = 0;
-            effects.push(Effect::Say(Line::Error(fault.line())));
+            effects.push(Effect::Log(LogLine::Error(fault.line())));
         }
         self.after(now, effects);
     }
@@ -384,13 +387,13 @@
                 let (work, lasts) = (Nanos::from(*work) * UNIT, Nanos::from(*lasts) * MS);
                 self.granted(now, *seq, *worker, work, lasts, effects);
             }
-            Part::Line { share, age } => {
+            Part::PeerLoad { load, age } => {
                 let rank = self.by_rank.iter().position(|name| *name == sender.name);
                 if let Some(rank) = rank {
-                    let share = self.hearing.line(now, &sender.name, *share, *age);
-                    effects.push(Effect::Heard {
+                    let load = self.load_receiver.line(now, &sender.name, *load, *age);
+                    effects.push(Effect::PeerLoad {
                         from: rank as u16,
-                        share,
+                        load,
                     });
                 }
             }
@@ -407,7 +410,7 @@
         work: Nanos,
     ) -> (Nanos, Nanos) {
         match self.candidate.since(now) {
-            Some(since) => self.giver.give(now, since, by, seq, worker, work),
+            Some(since) => self.grant_issuer.give(now, since, by, seq, worker, work),
             None => (0, 0),
         }
     }
@@ -421,8 +424,8 @@
         lasts: Nanos,
         effects: &mut Vec<Effect>,
     ) {
-        if let Some((until, work)) = self.holder.granted(now, seq, worker, work, lasts) {
-            effects.push(Effect::Right {
+        if let Some((until, work)) = self.grant_holder.granted(now, seq, worker, work, lasts) {
+            effects.push(Effect::WarmUpGranted {
                 worker,
                 work,
                 until,
@@ -431,18 +434,24 @@
     }
 
     /// The decisions want a right to send so much work to a cold worker.
-    pub fn want(&mut self, now: Nanos, worker: WorkerId, work: Nanos, effects: &mut Vec<Effect>) {
+    pub fn request_grant(
+        &mut self,
+        now: Nanos,
+        worker: WorkerId,
+        work: Nanos,
+        effects: &mut Vec<Effect>,
+    ) {
         // Whole ms, so that what is given covers what was asked for.
         let work = work.div_ceil(UNIT);
         if self.members.aside() || self.keepers.is_empty() || work > Nanos::from(u32::MAX) {
             return;
         }
         let own = self.candidate.holds(now);
-        let giver = self
+        let grant_issuer = self
             .keepers
             .iter()
             .filter_map(|name| self.members.get(name));
-        let giver = giver.map(|member| &member.record).find(|record| {
+        let grant_issuer = grant_issuer.map(|member| &member.record).find(|record| {
             record.gives
                 && matches!(
                     record.standing,
@@ -452,11 +461,11 @@
         let Some(to) = (if own {
             Some(self.members.me.addr)
         } else {
-            giver.map(|record| record.addr)
+            grant_issuer.map(|record| record.addr)
         }) else {
             return;
         };
-        let Some(seq) = self.holder.want(now, worker, work * UNIT) else {
+        let Some(seq) = self.grant_holder.request_grant(now, worker, work * UNIT) else {
             return;
         };
         if own {
@@ -477,18 +486,18 @@
     }
 
     /// What the fleet together may be given for a cold worker in a window, by what the decisions know of it.
-    pub fn joint(&mut self, worker: WorkerId, work: Nanos, window: Nanos) {
-        self.giver.joint(worker, work, window);
+    pub fn set_warm_up_budget(&mut self, worker: WorkerId, work: Nanos, window: Nanos) {
+        self.grant_issuer.set_warm_up_budget(worker, work, window);
     }
 
     /// One line of what this process has out, to a member by its rank.
-    pub fn tell(&mut self, now: Nanos, to: u16, share: Share) {
+    pub fn send_load(&mut self, now: Nanos, to: u16, load: PeerLoad) {
         match self.by_rank.get(usize::from(to)) {
             Some(name) if *name != self.members.me.name => {
                 let name = name.clone();
-                self.signals.tell(now, &name, share);
+                self.load_sender.send_load(now, &name, load);
             }
-            _ => self.signals.lost += 1,
+            _ => self.load_sender.lost += 1,
         }
     }
 
--- a/crates/cluster/src/signals.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -2,7 +2,7 @@
 //! Of what is heard, one member's word counts for only so many silent workers.
 use crate::wire::{Name, Part};
 use rosewall::sabotage::{Fault, is};
-use rosewall::types::{Nanos, Share, WorkerId};
+use rosewall::types::{Nanos, PeerLoad, WorkerId};
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
@@ -20,26 +20,26 @@
 const MEMORY: Nanos = 10_000 * MS;
 
 #[derive(Default)]
-pub struct Signals {
-    lines: BTreeMap<Name, Vec<(Share, Nanos)>>,
+pub struct LoadSender {
+    lines: BTreeMap<Name, Vec<(PeerLoad, Nanos)>>,
     flush_at: Option<Nanos>,
     second: (Nanos, u64),
     pub told: u64,
     pub lost: u64,
 }
 
-impl Signals {
+impl LoadSender {
     /// One line to a member; a newer one of the same worker takes the place of an older that still waits.
-    pub fn tell(&mut self, now: Nanos, to: &Name, share: Share) {
+    pub fn send_load(&mut self, now: Nanos, to: &Name, load: PeerLoad) {
         if now >= self.second.0 + 1_000 * MS {
             self.second = (now, 0);
         }
         let lines = self.lines.entry(to.clone()).or_default();
         if let Some(line) = lines
             .iter_mut()
-            .find(|(line, _)| line.worker == share.worker)
+            .find(|(line, _)| line.worker == load.worker)
         {
-            *line = (share, now);
+            *line = (load, now);
             return;
         }
         if self.second.1 >= A_SECOND {
@@ -47,7 +47,7 @@
             return;
         }
         self.second.1 += 1;
-        lines.push((share, now));
+        lines.push((load, now));
         self.flush_at.get_or_insert(now + HOLD);
     }
 
@@ -63,9 +63,9 @@
         let mut out = Vec::new();
         for (name, lines) in &mut self.lines {
             for some in lines.chunks(LINES) {
-                let part = |(share, at): &(Share, Nanos)| {
+                let part = |(load, at): &(PeerLoad, Nanos)| {
                     let age = (now.saturating_sub(*at) / AGE).min(255) as u8;
-                    Part::Line { share: *share, age }
+                    Part::PeerLoad { load: *load, age }
                 };
                 self.told += some.len() as u64;
                 out.push((name.clone(), some.iter().map(part).collect()));
@@ -85,23 +85,23 @@
 }
 
 #[derive(Default)]
-pub struct Hearing {
+pub struct LoadReceiver {
     words: BTreeMap<Name, Word>,
     pub heard: u64,
     pub bounded: u64,
 }
 
-impl Hearing {
+impl LoadReceiver {
     /// A line as it counts now: what ended since it was told is taken off, and silence is believed of a few only.
     /// Guards against a member whose own link is dead, which finds all workers silent and would empty the fleet for all.
-    pub fn line(&mut self, now: Nanos, from: &Name, mut share: Share, age: u8) -> Share {
+    pub fn line(&mut self, now: Nanos, from: &Name, mut load: PeerLoad, age: u8) -> PeerLoad {
         self.heard += 1;
-        let gone = Nanos::from(age) * AGE * Nanos::from(share.halves) / 2 / (16 * MS);
-        share.work = share.work.saturating_sub(gone.min(65_535) as u16);
+        let gone = Nanos::from(age) * AGE * Nanos::from(load.half_slots) / 2 / (16 * MS);
+        load.work = load.work.saturating_sub(gone.min(65_535) as u16);
         let word = self.words.entry(from.clone()).or_default();
         word.workers.retain(|_, (at, _)| now < *at + MEMORY);
-        let silent = share.sign == Share::SILENT;
-        let known = word.workers.entry(share.worker).or_insert((now, None));
+        let silent = load.speed_code == PeerLoad::SPEED_SILENT;
+        let known = word.workers.entry(load.worker).or_insert((now, None));
         *known = (now, if silent { Some(now) } else { None });
         let count = word
             .workers
@@ -110,9 +110,9 @@
             .count();
         if silent && count > SILENT.max(word.workers.len() / 4) && !is(Fault::WordUnbounded) {
             self.bounded += 1;
-            share.sign = Share::UNKNOWN;
+            load.speed_code = PeerLoad::SPEED_UNKNOWN;
         }
-        share
+        load
     }
 
     /// Forgets who is no member any more.
--- a/crates/cluster/src/rights.rs
+++ b/crates/cluster/src/rights.rs
@@ -28,7 +28,7 @@
 
 /// The side that gives.
 #[derive(Default)]
-pub struct Giver {
+pub struct GrantIssuer {
     purses: FxHashMap<WorkerId, Purse>,
     /// What the same process was given, by name and number: one request that comes twice counts once.
     answered: FxHashMap<(u32, u64), VecDeque<u32>>,
@@ -36,9 +36,9 @@
     pub short: u64,
 }
 
-impl Giver {
+impl GrantIssuer {
     /// What the fleet may send this worker in a window, by rights; 0 where it is cold no more.
-    pub fn joint(&mut self, worker: WorkerId, joint: Nanos, window: Nanos) {
+    pub fn set_warm_up_budget(&mut self, worker: WorkerId, joint: Nanos, window: Nanos) {
         if joint == 0 {
             self.purses.remove(&worker);
             return;
@@ -65,7 +65,7 @@
         let Some(purse) = self.purses.get_mut(&worker) else {
             return (0, 0);
         };
-        let lasts = Giver::lasts(purse.window);
+        let lasts = GrantIssuer::lasts(purse.window);
         // A window, and as long as a right lasts: a right may be spent at its very end.
         let span = long(purse.window + if is(Fault::RightsLinger) { 0 } else { lasts });
         if now < held + span && !is(Fault::NewGiverHasty) {
@@ -121,7 +121,7 @@
 
 /// The side that asks and holds. What is held is with the decisions, who spend it: each right once, by its end.
 #[derive(Default)]
-pub struct Holder {
+pub struct GrantHolder {
     asked: Vec<Asked>,
     serial: u32,
     second: (Nanos, u64),
@@ -129,9 +129,9 @@
     pub late: u64,
 }
 
-impl Holder {
+impl GrantHolder {
     /// The number to ask under, if it is time to ask for this.
-    pub fn want(&mut self, now: Nanos, worker: WorkerId, work: Nanos) -> Option<u32> {
+    pub fn request_grant(&mut self, now: Nanos, worker: WorkerId, work: Nanos) -> Option<u32> {
         self.asked.retain(|asked| now < asked.at + 1_000 * MS);
         if now >= self.second.0 + 1_000 * MS {
             self.second = (now, 0);
--- a/crates/cluster/src/tests.rs
+++ b/crates/cluster/src/tests.rs
@@ -3,12 +3,12 @@
 use crate::file::{nearest, read};
 use crate::lease::{Candidate, Keeper, SPAN};
 use crate::members::Members;
+use crate::peer_load::{LoadReceiver, LoadSender};
 use crate::ranks::ranks;
-use crate::rights::Giver;
-use crate::signals::{Hearing, Signals};
+use crate::rights::GrantIssuer;
 use crate::wire::{self, Datagram, Draft, Fault, NONE, Name, Part, Record, Standing};
 use proptest::prelude::*;
-use rosewall::types::{Share, WorkerId};
+use rosewall::types::{PeerLoad, WorkerId};
 use std::path::Path;
 use test_case::test_case;
 
@@ -37,11 +37,11 @@
 #[test]
 fn what_is_written_is_read() {
     let (name, addr): (Name, _) = ("n1".into(), ([10, 0, 0, 9], 1).into());
-    let share = Share {
+    let load = PeerLoad {
         worker: worker(1),
-        halves: 3,
+        half_slots: 3,
         work: 500,
-        sign: 140,
+        speed_code: 140,
     };
     let parts = vec![
         Part::Ping {
@@ -74,7 +74,7 @@
             work: 13,
             lasts: 14,
         },
-        Part::Line { share, age: 15 },
+        Part::PeerLoad { load, age: 15 },
     ];
     let mut draft = Draft::new(77, &record("a"));
     assert!(parts.iter().all(|part| draft.add(part)));
@@ -172,9 +172,13 @@
 
 #[test]
 pub fn a_request_that_comes_twice_is_given_to_once() {
-    let mut giver = Giver::default();
-    giver.joint(worker(1), 1_000 * MS, 1_000 * MS);
-    let mut give = |now, seq, work| giver.give(now * MS, 0, (1, 1), seq, worker(1), work * MS).0;
+    let mut grant_issuer = GrantIssuer::default();
+    grant_issuer.set_warm_up_budget(worker(1), 1_000 * MS, 1_000 * MS);
+    let mut give = |now, seq, work| {
+        grant_issuer
+            .give(now * MS, 0, (1, 1), seq, worker(1), work * MS)
+            .0
+    };
     assert_eq!((give(1_000, 1, 300), give(5_000, 2, 300)), (0, 300 * MS));
     assert_eq!(
         (give(5_010, 2, 300), give(5_020, 3, 700), give(5_020, 4, 1)),
@@ -185,55 +189,57 @@
 /// A quarter of those that it speaks of, or two, may be silent by one member's word.
 #[test]
 pub fn one_members_word_empties_no_fleet() {
-    let (mut hearing, name) = (Hearing::default(), Name::from("n1"));
-    let share = |at: u8| Share {
+    let (mut load_receiver, name) = (LoadReceiver::default(), Name::from("n1"));
+    let load = |at: u8| PeerLoad {
         worker: worker(at),
-        halves: 2,
+        half_slots: 2,
         work: 10,
-        sign: Share::SILENT,
+        speed_code: PeerLoad::SPEED_SILENT,
     };
     let believed = (0..40)
-        .filter(|at| hearing.line(1, &name, share(*at), 0).sign == Share::SILENT)
+        .filter(|at| {
+            load_receiver.line(1, &name, load(*at), 0).speed_code == PeerLoad::SPEED_SILENT
+        })
         .count();
     assert!((2..=10).contains(&believed), "{believed} of 40");
-    assert!(hearing.bounded > 0);
+    assert!(load_receiver.bounded > 0);
 }
 
 #[test]
 fn what_ended_on_the_way_is_taken_off() {
-    let share = Share {
+    let load = PeerLoad {
         worker: worker(1),
-        halves: 4,
+        half_slots: 4,
         work: 100,
-        sign: 140,
+        speed_code: 140,
     };
-    let line = Hearing::default().line(1, &"n1".into(), share, 100);
+    let line = LoadReceiver::default().line(1, &"n1".into(), load, 100);
     // 400 ms at two seats are 800 ms, in units of 16 ms.
     assert_eq!(line.work, 50);
 }
 
 #[test]
 fn lines_to_one_member_go_together_and_the_newest_of_a_worker_counts() {
-    let mut signals = Signals::default();
-    let (name, share) = (Name::from("n1"), |at, work| Share {
+    let mut load_sender = LoadSender::default();
+    let (name, load) = (Name::from("n1"), |at, work| PeerLoad {
         worker: worker(at),
-        halves: 2,
+        half_slots: 2,
         work,
-        sign: 140,
+        speed_code: 140,
     });
-    signals.tell(0, &name, share(1, 5));
-    signals.tell(MS, &name, share(2, 6));
-    signals.tell(2 * MS, &name, share(1, 7));
-    assert_eq!(signals.due(20 * MS), []);
-    let line = |at, work, age| Part::Line {
-        share: share(at, work),
+    load_sender.send_load(0, &name, load(1, 5));
+    load_sender.send_load(MS, &name, load(2, 6));
+    load_sender.send_load(2 * MS, &name, load(1, 7));
+    assert_eq!(load_sender.due(20 * MS), []);
+    let line = |at, work, age| Part::PeerLoad {
+        load: load(at, work),
         age,
     };
     assert_eq!(
-        signals.due(26 * MS),
+        load_sender.due(26 * MS),
         [(name, vec![line(1, 7, 6), line(2, 6, 6)])]
     );
-    assert_eq!(signals.due(100 * MS), []);
+    assert_eq!(load_sender.due(100 * MS), []);
 }
 
 const GOOD: &str = "version = 1\ncluster = \"shop\"\nname = \"n1\"\nlisten = \"10.0.0.1:7946\"\nseeds = [\"10.0.0.2:7946\"]\n";
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -1,6 +1,6 @@
 //! What is in a datagram between dispatchers: a head with the sender's own record, then parts, each with its length, so
 //! that a part that is not known is passed over. Numbers are big-endian.
-use rosewall::types::{Share, WorkerId};
+use rosewall::types::{PeerLoad, WorkerId};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The most bytes of a datagram: what passes every network unbroken, less room for tunnels.
@@ -93,8 +93,8 @@
         lasts: u16,
     },
     /// What the sender has out at a worker and how that runs, told so many units of 4 ms ago.
-    Line {
-        share: Share,
+    PeerLoad {
+        load: PeerLoad,
         age: u8,
     },
 }
@@ -176,7 +176,7 @@
             Part::Promise { .. } => 9,
             Part::Want { .. } => 10,
             Part::Grant { .. } => 11,
-            Part::Line { .. } => 12,
+            Part::PeerLoad { .. } => 12,
         };
         self.bytes(&[tag, 0]);
         match part {
@@ -218,11 +218,11 @@
                 self.bytes(&work.to_be_bytes());
                 self.bytes(&lasts.to_be_bytes());
             }
-            Part::Line { share, age } => {
-                self.worker(share.worker);
-                self.0.push(share.halves);
-                self.bytes(&share.work.to_be_bytes());
-                self.bytes(&[share.sign, *age]);
+            Part::PeerLoad { load, age } => {
+                self.worker(load.worker);
+                self.0.push(load.half_slots);
+                self.bytes(&load.work.to_be_bytes());
+                self.bytes(&[load.speed_code, *age]);
             }
         }
         let length = self.0.len() - at - 2;
@@ -346,15 +346,15 @@
                 }
             }
             12 => {
-                let (worker, halves) = (body.worker()?, body.u8()?);
-                let share = Share {
+                let (worker, half_slots) = (body.worker()?, body.u8()?);
+                let load = PeerLoad {
                     worker,
-                    halves,
+                    half_slots,
                     work: body.u16()?,
-                    sign: body.u8()?,
+                    speed_code: body.u8()?,
                 };
-                Part::Line {
-                    share,
+                Part::PeerLoad {
+                    load,
                     age: body.u8()?,
                 }
             }
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -4,9 +4,9 @@
 //! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line cannot change it. A digest may
 //! only change together with an intended change of behaviour, which the commit then states.
 use rosewall::pcg::Pcg;
-use rosewall::types::{Nanos, Share, WorkerId};
+use rosewall::types::{Nanos, PeerLoad, WorkerId};
 use rosewall_cluster::file::Joining;
-use rosewall_cluster::node::{Cluster, Effect, Line};
+use rosewall_cluster::node::{Cluster, Effect, LogLine};
 use rosewall_cluster::register::{self, Document, Message, Register, Stored};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -138,31 +138,31 @@
                 add_bytes(digest, to.ip().to_string().as_bytes());
                 add_bytes(digest, bytes);
             }
-            Effect::View(None) => add_numbers(digest, &[now, at, 2]),
-            Effect::View(Some((rank, count))) => {
+            Effect::FleetView(None) => add_numbers(digest, &[now, at, 2]),
+            Effect::FleetView(Some((rank, count))) => {
                 add_numbers(digest, &[now, at, 3, u64::from(*rank), u64::from(*count)]);
             }
-            Effect::Right {
+            Effect::WarmUpGranted {
                 worker,
                 work,
                 until,
             } => {
                 add_numbers(digest, &[now, at, 4, worker_number(worker), *work, *until]);
             }
-            Effect::Heard { from, share } => {
+            Effect::PeerLoad { from, load } => {
                 let numbers = [
-                    u64::from(share.halves),
-                    u64::from(share.work),
-                    u64::from(share.sign),
+                    u64::from(load.half_slots),
+                    u64::from(load.work),
+                    u64::from(load.speed_code),
                 ];
                 add_numbers(
                     digest,
-                    &[now, at, 5, u64::from(*from), worker_number(&share.worker)],
+                    &[now, at, 5, u64::from(*from), worker_number(&load.worker)],
                 );
                 add_numbers(digest, &numbers);
             }
-            Effect::Say(Line::Info(_)) => add_numbers(digest, &[now, at, 6]),
-            Effect::Say(Line::Error(_)) => add_numbers(digest, &[now, at, 7]),
+            Effect::Log(LogLine::Info(_)) => add_numbers(digest, &[now, at, 6]),
+            Effect::Log(LogLine::Error(_)) => add_numbers(digest, &[now, at, 7]),
         }
     }
 
@@ -206,18 +206,20 @@
             }
             2..=4 if self.clusters[at].is_none() => self.start(at),
             5..=14 => self.act(at, |cluster, now, effects| {
-                cluster.want(now, id, work, effects)
+                cluster.request_grant(now, id, work, effects)
+            }),
+            15..=24 => self.act(at, |cluster, _, _| {
+                cluster.set_warm_up_budget(id, 4 * SECOND, SECOND)
             }),
-            15..=24 => self.act(at, |cluster, _, _| cluster.joint(id, 4 * SECOND, SECOND)),
             _ => {
                 let to = below(&mut self.chance, 10) as u16;
-                let share = Share {
+                let load = PeerLoad {
                     worker: id,
-                    halves: 3,
+                    half_slots: 3,
                     work: (work / (16 * MILLISECOND)) as u16,
-                    sign: 130,
+                    speed_code: 130,
                 };
-                self.act(at, |cluster, now, _| cluster.tell(now, to, share));
+                self.act(at, |cluster, now, _| cluster.send_load(now, to, load));
             }
         }
     }
--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -6,8 +6,8 @@
 use rosewall::policy::Dispatcher;
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::{
-    Action, AttemptEnded, EndpointState, Event, HealthChecked, ListScope, Nanos, Outcome, Report,
-    Request, RequestId, Share, WorkerId,
+    Action, AttemptEnded, EndpointState, Event, HealthChecked, ListScope, Nanos, Outcome, PeerLoad,
+    Report, Request, RequestId, WorkerId,
 };
 use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::EndpointList;
@@ -46,14 +46,14 @@
     },
     HealthChecked(HealthChecked),
     /// Another dispatcher, by its number, tells this.
-    Shared {
+    PeerLoad {
         from: u16,
-        share: Share,
+        load: PeerLoad,
     },
     /// Its place among those that run, if that is known.
-    View(Option<(u16, u16)>),
+    FleetView(Option<(u16, u16)>),
     /// A right to send work to a cold worker has come.
-    Right {
+    WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
         until: Nanos,
@@ -112,17 +112,17 @@
         address: Option<SocketAddr>,
     },
     /// To another dispatcher, by its number.
-    Tell {
+    SendPeerLoad {
         to: u16,
-        share: Share,
+        load: PeerLoad,
     },
     /// A right to send so much work to a cold worker is wanted.
-    Want {
+    RequestWarmUpGrant {
         worker: WorkerId,
         work: Nanos,
     },
     /// What all together may be given for a cold worker in a window.
-    Joint {
+    SetWarmUpBudget {
         worker: WorkerId,
         work: Nanos,
         window: Nanos,
@@ -262,16 +262,16 @@
                 told,
             } => self.told(now, request_id, attempt_index, told, out),
             Input::HealthChecked(probed) => self.decide(now, Event::HealthChecked(probed), out),
-            Input::Shared { from, share } => self.decide(now, Event::Shared { from, share }, out),
-            Input::View(place) => self.decide(now, Event::View(place), out),
-            Input::Right {
+            Input::PeerLoad { from, load } => self.decide(now, Event::PeerLoad { from, load }, out),
+            Input::FleetView(place) => self.decide(now, Event::FleetView(place), out),
+            Input::WarmUpGranted {
                 worker,
                 work,
                 until,
             } => {
                 self.decide(
                     now,
-                    Event::Right {
+                    Event::WarmUpGranted {
                         worker,
                         work,
                         until,
@@ -629,13 +629,15 @@
             } => self.refuse(now, request_id, Answer::Rejected { retry_after }, out),
             Action::Fail { request_id } => self.refuse(now, request_id, Answer::Failed, out),
             Action::WatchEndpoints => out.push(Effect::WatchEndpoints),
-            Action::Tell { to, share } => out.push(Effect::Tell { to, share }),
-            Action::Want { worker, work } => out.push(Effect::Want { worker, work }),
-            Action::Joint {
+            Action::SendPeerLoad { to, load } => out.push(Effect::SendPeerLoad { to, load }),
+            Action::RequestWarmUpGrant { worker, work } => {
+                out.push(Effect::RequestWarmUpGrant { worker, work })
+            }
+            Action::SetWarmUpBudget {
                 worker,
                 work,
                 window,
-            } => out.push(Effect::Joint {
+            } => out.push(Effect::SetWarmUpBudget {
                 worker,
                 work,
                 window,
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -6,7 +6,7 @@
 use rosewall::Map;
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
-use rosewall::types::{Nanos, Outcome, RequestId, Share, WorkerId};
+use rosewall::types::{Nanos, Outcome, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::hub::{Effect, Hub, Input};
 use rosewall_engine::workers::Workers;
@@ -248,19 +248,19 @@
                 let port = address.map_or(0, |address| u64::from(address.port()));
                 add_numbers(digest, &[7, worker_number(worker), port]);
             }
-            Effect::Tell { to, share } => {
+            Effect::SendPeerLoad { to, load } => {
                 let numbers = [
-                    u64::from(share.halves),
-                    u64::from(share.work),
-                    u64::from(share.sign),
+                    u64::from(load.half_slots),
+                    u64::from(load.work),
+                    u64::from(load.speed_code),
                 ];
-                add_numbers(digest, &[8, u64::from(*to), worker_number(&share.worker)]);
+                add_numbers(digest, &[8, u64::from(*to), worker_number(&load.worker)]);
                 add_numbers(digest, &numbers);
             }
-            Effect::Want { worker, work } => {
+            Effect::RequestWarmUpGrant { worker, work } => {
                 add_numbers(digest, &[9, worker_number(worker), *work])
             }
-            Effect::Joint {
+            Effect::SetWarmUpBudget {
                 worker,
                 work,
                 window,
@@ -516,14 +516,14 @@
         let delay = (5 + self.below(60)) * MILLISECOND;
         self.push(delay, Next::PeerReport);
         let worker = rosewall_engine::workers::id(&format!("w{}", self.below(14)));
-        let share = Share {
+        let load = PeerLoad {
             worker,
-            halves: self.below(9) as u8,
+            half_slots: self.below(9) as u8,
             work: self.below(100) as u16,
-            sign: 100 + self.below(50) as u8,
+            speed_code: 100 + self.below(50) as u8,
         };
         let from = self.below(12) as u16;
-        self.take(Input::Shared { from, share });
+        self.take(Input::PeerLoad { from, load });
     }
 
     fn peer_view(&mut self) {
@@ -531,11 +531,11 @@
         self.push(delay, Next::PeerView);
         let count = 8 + self.below(8) as u16;
         let view = (self.below(5) != 0).then_some((3, count));
-        self.take(Input::View(view));
+        self.take(Input::FleetView(view));
         if self.below(2) == 0 {
             let worker = rosewall_engine::workers::id(&format!("w{}", self.below(14)));
             let until = self.now + SECOND;
-            self.take(Input::Right {
+            self.take(Input::WarmUpGranted {
                 worker,
                 work: 90 * MILLISECOND,
                 until,
--- a/crates/protocol/src/talk.rs
+++ b/crates/protocol/src/talk.rs
@@ -1,6 +1,6 @@
 //! What dispatchers tell each other: datagrams of one length, each with one share. A lost, repeated or late one breaks
 //! nothing, as only the newest of each teller counts and none rests a rule on it.
-use rosewall::types::{Share, WorkerId};
+use rosewall::types::{PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
 /// Mark, version, the teller's number, the share.
@@ -18,14 +18,14 @@
     Sender,
 }
 
-pub fn datagram(from: u16, share: &Share) -> [u8; LENGTH] {
+pub fn datagram(from: u16, load: &PeerLoad) -> [u8; LENGTH] {
     let ([a, b], [c, d], [e, f]) = (
         from.to_be_bytes(),
-        share.worker.port.to_be_bytes(),
-        share.work.to_be_bytes(),
+        load.worker.port.to_be_bytes(),
+        load.work.to_be_bytes(),
     );
     let [x, y] = MARK;
-    let [i, j, k, l] = share.worker.addr;
+    let [i, j, k, l] = load.worker.addr;
     [
         x,
         y,
@@ -38,16 +38,37 @@
         l,
         c,
         d,
-        share.halves,
+        load.half_slots,
         e,
         f,
-        share.sign,
+        load.speed_code,
     ]
 }
 
 /// The teller and what it tells. `peers` has the address of each dispatcher, in the order of their numbers.
-pub fn read(bytes: &[u8], sender: SocketAddr, peers: &[SocketAddr]) -> Result<(u16, Share), Fault> {
-    let &[x, y, version, a, b, i, j, k, l, c, d, halves, e, f, sign] = bytes else {
+pub fn read(
+    bytes: &[u8],
+    sender: SocketAddr,
+    peers: &[SocketAddr],
+) -> Result<(u16, PeerLoad), Fault> {
+    let &[
+        x,
+        y,
+        version,
+        a,
+        b,
+        i,
+        j,
+        k,
+        l,
+        c,
+        d,
+        half_slots,
+        e,
+        f,
+        speed_code,
+    ] = bytes
+    else {
         return Err(Fault::Length);
     };
     if [x, y] != MARK {
@@ -66,11 +87,11 @@
     };
     Ok((
         from,
-        Share {
+        PeerLoad {
             worker,
-            halves,
+            half_slots,
             work: u16::from_be_bytes([e, f]),
-            sign,
+            speed_code,
         },
     ))
 }
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -5,7 +5,7 @@
 use super::talk;
 use super::worker::{Reply, Sounding, Told, posting};
 use rosewall::pcg::Pcg;
-use rosewall::types::{EndpointState, Outcome, Report, Share, WorkerId};
+use rosewall::types::{EndpointState, Outcome, PeerLoad, Report, WorkerId};
 use std::net::SocketAddr;
 use test_case::test_case;
 
@@ -340,16 +340,16 @@
         addr: [10, 1, 2, 3],
         port: 4,
     };
-    let share = Share {
+    let load = PeerLoad {
         worker,
-        halves: 5,
+        half_slots: 5,
         work: 600,
-        sign: 7,
+        speed_code: 7,
     };
-    let mut bytes = super::talk::datagram(0, &share).to_vec();
+    let mut bytes = super::talk::datagram(0, &load).to_vec();
     spoil(&mut bytes);
     let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    super::talk::read(&bytes, at(port), &[at(7000), at(7001)]) == Ok((0, share))
+    super::talk::read(&bytes, at(port), &[at(7000), at(7001)]) == Ok((0, load))
 }
 
 /// Guards against a cap on the number of workers: 1,024 with long names, indented, come whole.
@@ -390,14 +390,14 @@
         addr: [10, 0, 0, 1],
         port: 9,
     };
-    let share = Share {
+    let load = PeerLoad {
         worker,
-        halves: 3,
+        half_slots: 3,
         work: 40,
-        sign: Share::UNKNOWN,
+        speed_code: PeerLoad::SPEED_UNKNOWN,
     };
     assert_eq!(
-        talk::read(&talk::datagram(1_023, &share), peers[1_023], &peers),
-        Ok((1_023, share))
+        talk::read(&talk::datagram(1_023, &load), peers[1_023], &peers),
+        Ok((1_023, load))
     );
 }
--- a/crates/runtime/src/hub.rs
+++ b/crates/runtime/src/hub.rs
@@ -130,13 +130,13 @@
                 return;
             }
             News::HealthChecked(probed) => Input::HealthChecked(probed),
-            News::Shared { from, share } => Input::Shared { from, share },
-            News::View(place) => Input::View(place),
-            News::Right {
+            News::PeerLoad { from, load } => Input::PeerLoad { from, load },
+            News::FleetView(place) => Input::FleetView(place),
+            News::WarmUpGranted {
                 worker,
                 work,
                 until,
-            } => Input::Right {
+            } => Input::WarmUpGranted {
                 worker,
                 work,
                 until,
@@ -214,26 +214,26 @@
             Effect::EvictIdle { worker, address } => {
                 shared.pool.borrow_mut().drop_worker(worker, address)
             }
-            Effect::Tell { to, share } => {
+            Effect::SendPeerLoad { to, load } => {
                 let now = shared.ground.now();
                 match (&shared.members, &shared.talk) {
-                    (Some(members), _) => members.tell(now, to, share),
-                    (None, Some(talk)) => talk.tell(now, &shared.counters, to, &share),
+                    (Some(members), _) => members.send_load(now, to, load),
+                    (None, Some(talk)) => talk.tell(now, &shared.counters, to, &load),
                     (None, None) => shared.counters.told_lost.add(),
                 }
             }
-            Effect::Want { worker, work } => {
+            Effect::RequestWarmUpGrant { worker, work } => {
                 if let Some(members) = &shared.members {
-                    members.want(shared.ground.now(), worker, work);
+                    members.request_grant(shared.ground.now(), worker, work);
                 }
             }
-            Effect::Joint {
+            Effect::SetWarmUpBudget {
                 worker,
                 work,
                 window,
             } => {
                 if let Some(members) = &shared.members {
-                    members.joint(worker, work, window);
+                    members.set_warm_up_budget(worker, work, window);
                 }
             }
             Effect::WatchEndpoints => {
--- a/crates/runtime/src/members.rs
+++ b/crates/runtime/src/members.rs
@@ -3,8 +3,8 @@
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
-use rosewall::types::{Nanos, Share, WorkerId};
-use rosewall_cluster::node::{Cluster, Effect, Line};
+use rosewall::types::{Nanos, PeerLoad, WorkerId};
+use rosewall_cluster::node::{Cluster, Effect, LogLine};
 use rosewall_cluster::wire::MOST;
 use rosewall_engine::counters::Counters;
 use rosewall_engine::pace::Pace;
@@ -16,15 +16,15 @@
 
 /// What the decisions are to hear.
 pub enum Heard {
-    View(Option<(u16, u16)>),
-    Right {
+    FleetView(Option<(u16, u16)>),
+    WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
         until: Nanos,
     },
-    Shared {
+    PeerLoad {
         from: u16,
-        share: Share,
+        load: PeerLoad,
     },
 }
 
@@ -67,25 +67,25 @@
                     Ok(()) => self.counters.members_sent.add(),
                     Err(_) => self.counters.members_lost.add(),
                 },
-                Effect::View(place) => (self.heard)(Heard::View(place)),
-                Effect::Right {
+                Effect::FleetView(place) => (self.heard)(Heard::FleetView(place)),
+                Effect::WarmUpGranted {
                     worker,
                     work,
                     until,
                 } => {
                     self.counters.rights_got.add();
-                    (self.heard)(Heard::Right {
+                    (self.heard)(Heard::WarmUpGranted {
                         worker,
                         work,
                         until,
                     });
                 }
-                Effect::Heard { from, share } => {
+                Effect::PeerLoad { from, load } => {
                     self.counters.heard.add();
-                    (self.heard)(Heard::Shared { from, share });
+                    (self.heard)(Heard::PeerLoad { from, load });
                 }
-                Effect::Say(Line::Info(text)) => log::info!("{text}"),
-                Effect::Say(Line::Error(text)) => log::error!("{text}"),
+                Effect::Log(LogLine::Info(text)) => log::info!("{text}"),
+                Effect::Log(LogLine::Error(text)) => log::error!("{text}"),
             }
         }
         if self.cluster.borrow().next_due() < self.waits.get() {
@@ -93,19 +93,19 @@
         }
     }
 
-    pub fn tell(&self, now: Nanos, to: u16, share: Share) {
+    pub fn send_load(&self, now: Nanos, to: u16, load: PeerLoad) {
         self.counters.told.add();
-        self.act(|cluster, _| cluster.tell(now, to, share));
+        self.act(|cluster, _| cluster.send_load(now, to, load));
     }
 
-    pub fn want(&self, now: Nanos, worker: WorkerId, work: Nanos) {
+    pub fn request_grant(&self, now: Nanos, worker: WorkerId, work: Nanos) {
         self.counters.rights_wanted.add();
-        self.act(|cluster, effects| cluster.want(now, worker, work, effects));
+        self.act(|cluster, effects| cluster.request_grant(now, worker, work, effects));
     }
 
-    pub fn joint(&self, worker: WorkerId, work: Nanos, window: Nanos) {
+    pub fn set_warm_up_budget(&self, worker: WorkerId, work: Nanos, window: Nanos) {
         log::debug!("joint worker={worker} work={work} window={window}");
-        self.act(|cluster, _| cluster.joint(worker, work, window));
+        self.act(|cluster, _| cluster.set_warm_up_budget(worker, work, window));
     }
 
     pub fn leave(&self) {
@@ -177,12 +177,12 @@
         write!(
             f,
             " rights_given={} rights_short={}",
-            cluster.giver.given, cluster.giver.short
+            cluster.grant_issuer.given, cluster.grant_issuer.short
         )?;
         write!(
             f,
             " rights_late={} words_bounded={}",
-            cluster.holder.late, cluster.hearing.bounded
+            cluster.grant_holder.late, cluster.load_receiver.bounded
         )
     }
 }
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -84,17 +84,17 @@
                 let heard = move |heard| {
                     // The hub outlives the members' driver but for the very end.
                     let _ = tell.try_send(match heard {
-                        Heard::View(place) => News::View(place),
-                        Heard::Right {
+                        Heard::FleetView(place) => News::FleetView(place),
+                        Heard::WarmUpGranted {
                             worker,
                             work,
                             until,
-                        } => News::Right {
+                        } => News::WarmUpGranted {
                             worker,
                             work,
                             until,
                         },
-                        Heard::Shared { from, share } => News::Shared { from, share },
+                        Heard::PeerLoad { from, load } => News::PeerLoad { from, load },
                     });
                 };
                 Some(Members::new(mail, cluster, counters.clone(), heard))
@@ -146,7 +146,7 @@
             if let Some(members) = &hears.members {
                 members.run(&hears.ground).await;
             } else if let Some(talk) = &hears.talk {
-                let tell = |from, share| hears.tell(News::Shared { from, share });
+                let tell = |from, load| hears.tell(News::PeerLoad { from, load });
                 talk.hear(&hears.ground, &hears.counters, tell).await;
             }
         });
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -3,7 +3,7 @@
 use crate::members::Members;
 use crate::talk::Talk;
 use async_channel::Sender;
-use rosewall::types::{HealthChecked, Nanos, RequestId, Share, WorkerId};
+use rosewall::types::{HealthChecked, Nanos, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::budget::{Budget, Slot};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::pool::{Idle, Pool};
@@ -47,15 +47,15 @@
         conn: Conn<G::Stream>,
     },
     HealthChecked(HealthChecked),
-    View(Option<(u16, u16)>),
-    Right {
+    FleetView(Option<(u16, u16)>),
+    WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
         until: Nanos,
     },
-    Shared {
+    PeerLoad {
         from: u16,
-        share: Share,
+        load: PeerLoad,
     },
     List(EndpointList),
     ListFailed,
--- a/crates/runtime/src/talk.rs
+++ b/crates/runtime/src/talk.rs
@@ -1,7 +1,7 @@
 //! Carries what dispatchers tell each other, where the configuration gives addresses for it.
 use crate::ground::{Ground, Mail};
 use futures_lite::future::yield_now;
-use rosewall::types::{Nanos, Share};
+use rosewall::types::{Nanos, PeerLoad};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::pace::Pace;
 use rosewall_protocol::talk::{LENGTH, datagram, read};
@@ -30,12 +30,12 @@
     }
 
     /// To one peer. What cannot be sent is lost, as any datagram may be.
-    pub fn tell(&self, now: Nanos, counters: &Counters, to: u16, share: &Share) {
+    pub fn tell(&self, now: Nanos, counters: &Counters, to: u16, load: &PeerLoad) {
         let Some(peer) = self.peers.get(usize::from(to)) else {
             return counters.told_lost.add();
         };
         let allowed = self.out.borrow_mut().allows(now);
-        if allowed && self.mail.send(&datagram(self.me, share), *peer).is_ok() {
+        if allowed && self.mail.send(&datagram(self.me, load), *peer).is_ok() {
             counters.told.add();
         } else {
             counters.told_lost.add();
@@ -47,7 +47,7 @@
         &self,
         ground: &G,
         counters: &Counters,
-        heard: impl Fn(u16, Share),
+        heard: impl Fn(u16, PeerLoad),
     ) {
         let (mut pace, mut bytes) = (Pace::new(A_SECOND), [0; LENGTH + 1]);
         loop {
@@ -55,9 +55,9 @@
             let line = came.ok().filter(|_| pace.allows(ground.now()));
             match line.and_then(|(length, sender)| read(&bytes[..length], sender, &self.peers).ok())
             {
-                Some((from, share)) => {
+                Some((from, load)) => {
                     counters.heard.add();
-                    heard(from, share);
+                    heard(from, load);
                 }
                 None => counters.heard_dropped.add(),
             }
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -89,8 +89,8 @@
     let incoming = translate::incoming(9, codec::Fields::new(bytes))
         .ok()
         .unwrap();
-    matches!(incoming, translate::Incoming::For(rosewall::types::Event::Shared { from: 3, share })
-        if share.halves == 4 && share.work == 8)
+    matches!(incoming, translate::Incoming::For(rosewall::types::Event::PeerLoad { from: 3, load })
+        if load.half_slots == 4 && load.work == 8)
 }
 
 #[test_case("Bounds.Peers", "true", "peer_load.allowed"; "messages between dispatchers")]
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -2,7 +2,7 @@
 use crate::codec::{Fault, Fields, Reply};
 use rosewall::types::{
     Action, AttemptEnded, Endpoint, EndpointState, Event, HealthChecked, ListScope, Outcome,
-    Report, Request, Share, WorkerId,
+    PeerLoad, Report, Request, WorkerId,
 };
 use rosewall_settings::{Map, ours};
 
@@ -180,13 +180,13 @@
     if usize::from(length) != SHARE {
         return Ok(None);
     }
-    let share = Share {
+    let load = PeerLoad {
         worker: worker(f)?,
-        halves: f.u8()?,
+        half_slots: f.u8()?,
         work: f.u16()?,
-        sign: f.u8()?,
+        speed_code: f.u8()?,
     };
-    Ok(Some(Event::Shared { from, share }))
+    Ok(Some(Event::PeerLoad { from, load }))
 }
 
 /// News of a posting; that it has started is all that is used.
@@ -223,14 +223,14 @@
         }
         Action::Fail { request_id } => reply.record(73, &[&request_id.to_le_bytes()]),
         Action::WatchEndpoints => reply.record(66, &[&[1]]),
-        Action::Tell {
+        Action::SendPeerLoad {
             to,
-            share:
-                Share {
+            load:
+                PeerLoad {
                     worker,
-                    halves,
+                    half_slots,
                     work,
-                    sign,
+                    speed_code,
                 },
         } => {
             let (to, length) = (to.to_le_bytes(), (SHARE as u16).to_le_bytes());
@@ -242,14 +242,14 @@
                     &length,
                     &worker.addr,
                     &port,
-                    &[*halves],
+                    &[*half_slots],
                     &work.to_le_bytes(),
-                    &[*sign],
+                    &[*speed_code],
                 ],
             );
         }
         // The simulator's dispatchers are no members of anything: nothing is asked for or given.
-        Action::Want { .. } | Action::Joint { .. } => {}
+        Action::RequestWarmUpGrant { .. } | Action::SetWarmUpBudget { .. } => {}
         Action::SetTimer { at, token } => {
             reply.record(74, &[&at.to_le_bytes(), &token.to_le_bytes()])
         }
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -143,7 +143,7 @@
             return false;
         };
         active.asked = true;
-        acts.push(Action::Want {
+        acts.push(Action::RequestWarmUpGrant {
             worker: self.workers[at].id,
             work: active.most as Nanos,
         });
@@ -167,7 +167,7 @@
                 } else {
                     0.0
                 };
-                acts.push(Action::Joint {
+                acts.push(Action::SetWarmUpBudget {
                     worker: worker.id,
                     work: work as Nanos,
                     window,
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -51,7 +51,7 @@
 }
 
 fn seen(d: &mut Dispatcher, place: Option<(u16, u16)>) {
-    d.handle(2 * MS, Event::View(place), &mut Vec::new());
+    d.handle(2 * MS, Event::FleetView(place), &mut Vec::new());
 }
 
 /// The workers that each of so many keeps to.
@@ -145,7 +145,7 @@
     for (work, until) in [(50, 200), (30, 100)] {
         d.handle(
             2 * MS,
-            Event::Right {
+            Event::WarmUpGranted {
                 worker: worker(1),
                 work: work * MS,
                 until: until * MS,
@@ -171,7 +171,7 @@
     );
     d.handle(
         60 * MS,
-        Event::Right {
+        Event::WarmUpGranted {
             worker: worker(1),
             work: MS,
             until: 100 * MS,
@@ -208,7 +208,7 @@
     let now = 2_000 * MS;
     let acts = arrive(&mut d, now);
     let [
-        Action::Want { worker: of, work },
+        Action::RequestWarmUpGrant { worker: of, work },
         Action::SetTimer { at, token },
     ] = acts[..]
     else {
@@ -218,7 +218,7 @@
     if comes {
         d.handle(
             now + MS,
-            Event::Right {
+            Event::WarmUpGranted {
                 worker: of,
                 work,
                 until: now + 90 * MS,
@@ -229,7 +229,9 @@
     let mut acts = Vec::new();
     d.handle(at, Event::TimerFired { token }, &mut acts);
     assert!(
-        !acts.iter().any(|act| matches!(act, Action::Want { .. })),
+        !acts
+            .iter()
+            .any(|act| matches!(act, Action::RequestWarmUpGrant { .. })),
         "asked twice: {acts:?}"
     );
     acts.iter()
@@ -251,7 +253,7 @@
         let mut acts = Vec::new();
         d.tell_joint(now, &mut acts);
         acts.iter().find_map(|act| match act {
-            Action::Joint {
+            Action::SetWarmUpBudget {
                 worker: of, work, ..
             } if *of == worker(1) => Some(work / MS),
             _ => None,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -17,7 +17,8 @@
 use crate::state::{BINS, Bins, SECOND, below, fade};
 use crate::state::{Told, Trust, Worker, token};
 use crate::types::{
-    Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, Report, Share,
+    Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, PeerLoad,
+    Report,
 };
 use crate::types::{Request, RequestId};
 
@@ -256,7 +257,7 @@
         new.classes
             .iter_mut()
             .for_each(|class| class.high = class.value > median);
-        new.shares &= new.dispatchers > 1.0;
+        new.exchanges_load &= new.dispatchers > 1.0;
         Ok(new)
     }
 
@@ -273,18 +274,19 @@
             }
             Event::AttemptEnded(end) => self.ended(now, end, acts),
             Event::HealthChecked(_) => {} // none is asked for
-            Event::Shared { from, share } => {
-                if let Some(&at) = self.known.get(&share.worker) {
+            Event::PeerLoad { from, load } => {
+                if let Some(&at) = self.known.get(&load.worker) {
                     let worker = &mut self.workers[at];
-                    worker.hear(now, from, share);
+                    worker.hear(now, from, load);
                     // Guards against a hung worker that each dispatcher finds out with a request of its own.
-                    if share.sign == Share::SILENT && worker.alive + 300_000_000 < now {
+                    if load.speed_code == PeerLoad::SPEED_SILENT && worker.alive + 300_000_000 < now
+                    {
                         worker.trust.add(now, Worker::HALF, 0.8);
                     }
                 }
             }
-            Event::View(place) => self.view(now, place),
-            Event::Right {
+            Event::FleetView(place) => self.view(now, place),
+            Event::WarmUpGranted {
                 worker,
                 work,
                 until,
@@ -317,7 +319,11 @@
                 std::mem::take(&mut self.absurd)
             )));
         }
-        for at in 0..if self.shares { self.workers.len() } else { 0 } {
+        for at in 0..if self.exchanges_load {
+            self.workers.len()
+        } else {
+            0
+        } {
             if self.workers[at].out > 0.0 {
                 self.tell(now, at, false, false, acts);
             }
@@ -349,7 +355,7 @@
     /// would be wrong: they let go on by themselves what they were told. Guards against what a partial view
     /// costs: each takes for free what another has just filled, and finds out by itself who is slow.
     fn tell(&mut self, now: Nanos, at: usize, due: bool, silent: bool, acts: &mut Vec<Action>) {
-        if !self.shares {
+        if !self.exchanges_load {
             return;
         }
         self.tally(now);
@@ -373,16 +379,20 @@
         };
         let (pace, jobs) = worker.seen_pace();
         let known = if jobs > 0.0 {
-            Share::sign_of(pace)
+            PeerLoad::encode_speed(pace)
+        } else {
+            PeerLoad::SPEED_UNKNOWN
+        };
+        let speed_code = if silent {
+            PeerLoad::SPEED_SILENT
         } else {
-            Share::UNKNOWN
+            known
         };
-        let sign = if silent { Share::SILENT } else { known };
-        let share = Share {
+        let load = PeerLoad {
             worker: id,
-            halves: (2.0 * out).ceil() as u8,
+            half_slots: (2.0 * out).ceil() as u8,
             work: (ahead / 16e6) as u16,
-            sign,
+            speed_code,
         };
         let (me, all) = (self.me, self.dispatchers as usize);
         let place =
@@ -394,7 +404,7 @@
         if self.met {
             return acts.extend(
                 self.dealt_to(place, n, m)
-                    .map(|to| Action::Tell { to, share }),
+                    .map(|to| Action::SendPeerLoad { to, load }),
             );
         }
         let lane = (0..m).rfind(|lane| lane * n / m <= place).unwrap_or(0);
@@ -402,9 +412,9 @@
         let (from, len) = (lane * n / m, (lane + 1) * n / m - lane * n / m);
         let of = |row: usize| row * len + (place - from + len - lane * row % len) % len;
         let others = (0..=all / len).map(of).filter(|to| *to < all && *to != me);
-        acts.extend(others.map(|to| Action::Tell {
+        acts.extend(others.map(|to| Action::SendPeerLoad {
             to: to as u16,
-            share,
+            load,
         }));
     }
 
@@ -522,7 +532,7 @@
     /// who sends how much evens out. Those who tell each other hear from however many share.
     fn stretches(&self, n: usize) -> usize {
         let each = n as f64 / self.among();
-        let most = if self.shares {
+        let most = if self.exchanges_load {
             f64::INFINITY
         } else {
             SHARERS * each
@@ -589,7 +599,7 @@
         );
         // Half of what is allowed: a third may come from those not told of its start, the rest is for hints.
         let most = 0.5 * self.says("overload.multiple") * self.unit * worker.size * warmth * window;
-        let turns = if self.shares {
+        let turns = if self.exchanges_load {
             self.sharers.ceil()
         } else {
             SHARERS
@@ -757,7 +767,11 @@
             let worker = &self.workers[at];
             // One's part of the seats, which a job as large may have alone, less what others told of.
             let (sharing, all) = (
-                if self.shares { 1.0 } else { self.dispatchers },
+                if self.exchanges_load {
+                    1.0
+                } else {
+                    self.dispatchers
+                },
                 worker.seats.round(),
             );
             let (part, told) = ((all / sharing).max(1.0), worker.told(now).0);
@@ -1163,7 +1177,11 @@
             .unwrap_or(0.0)
             .max(0.0);
         // Reports are late: a lone dispatcher would take its own newest jobs for others'.
-        worker.others *= if self.shares { 0.0 } else { self.unseen };
+        worker.others *= if self.exchanges_load {
+            0.0
+        } else {
+            self.unseen
+        };
         worker.others_at = now;
         self.others += 0.1 * (worker.others - self.others);
     }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -859,7 +859,7 @@
 fn the_four_rules_hold(seed: u64, workers: u8, dispatchers: u32) {
     let (mut dice, mut acts) = (Pcg::new(seed), Vec::new());
     let mut d = among(dispatchers, 0, warm(workers));
-    d.shares = seed > 6;
+    d.exchanges_load = seed > 6;
     d.keep_to(0);
     let fleet = usize::from(workers);
     let (mut state, mut started) = (vec![EndpointState::Ready; fleet], vec![0; fleet]);
@@ -894,8 +894,8 @@
             });
         }
         // Untrue, repeated, of workers that are not there, out of order: no rule rests on them.
-        while d.shares && dice.unit() < 0.6 {
-            let [from, n, halves, work, sign] = [
+        while d.exchanges_load && dice.unit() < 0.6 {
+            let [from, n, half_slots, work, speed_code] = [
                 f64::from(dispatchers),
                 f64::from(workers) + 2.0,
                 6.0,
@@ -903,13 +903,13 @@
                 256.0,
             ]
             .map(|below| (dice.unit() * below) as u16);
-            let share = Share {
+            let load = PeerLoad {
                 worker: id(n as u8),
-                halves: halves as u8,
+                half_slots: half_slots as u8,
                 work,
-                sign: sign as u8,
+                speed_code: speed_code as u8,
             };
-            events.push(Event::Shared { from, share });
+            events.push(Event::PeerLoad { from, load });
         }
         for (id, record) in &mut requests {
             let odds = dice.unit();
@@ -1112,16 +1112,16 @@
     };
     let mine = post(&mut d, 1, 900 * MS).unwrap();
     handle(&mut d, 910 * MS, settled(1));
-    if let Some((halves, work)) = told {
+    if let Some((half_slots, work)) = told {
         // What is told twice by one counts once; of a worker that is not known, not at all.
         for worker in [mine, mine, id(99)] {
-            let share = Share {
+            let load = PeerLoad {
                 worker,
-                halves,
+                half_slots,
                 work,
-                sign: Share::UNKNOWN,
+                speed_code: PeerLoad::SPEED_UNKNOWN,
             };
-            handle(&mut d, 950 * MS, Event::Shared { from: 1, share });
+            handle(&mut d, 950 * MS, Event::PeerLoad { from: 1, load });
         }
     }
     assert!(d.workers.iter().all(|worker| worker.theirs.len() <= 1));
@@ -1140,18 +1140,18 @@
 }
 
 /// Guards against a slow or hung worker that each dispatcher finds out with requests of its own.
-#[test_case(Share::UNKNOWN => (100, 0); "nothing known")]
-#[test_case(Share::sign_of(4.0) => (200, 0); "a pace, as one job more")]
-#[test_case(Share::SILENT => (100, 80); "silence, as its own")]
-fn what_others_met_at_a_worker_counts(sign: u8) -> (i64, i64) {
+#[test_case(PeerLoad::SPEED_UNKNOWN => (100, 0); "nothing known")]
+#[test_case(PeerLoad::encode_speed(4.0) => (200, 0); "a pace, as one job more")]
+#[test_case(PeerLoad::SPEED_SILENT => (100, 80); "silence, as its own")]
+fn what_others_met_at_a_worker_counts(speed_code: u8) -> (i64, i64) {
     let mut d = sharing(3, 2);
-    let share = Share {
+    let load = PeerLoad {
         worker: id(0),
-        halves: 2,
+        half_slots: 2,
         work: 10,
-        sign,
+        speed_code,
     };
-    handle(&mut d, 900 * MS, Event::Shared { from: 1, share });
+    handle(&mut d, 900 * MS, Event::PeerLoad { from: 1, load });
     (
         (d.workers[0].pace * 100.0) as i64,
         (d.workers[0].trust.distrust * 100.0).round() as i64,
@@ -1162,8 +1162,12 @@
 #[test_case(true, 100 => 100; "within the usual")]
 #[test_case(true, 400 => 200; "overrunning")]
 #[test_case(false, 400 => 100; "where no one tells of others")]
-fn jobs_that_still_run_tell_the_pace(shares: bool, age: Nanos) -> i64 {
-    let mut d = if shares { sharing(3, 1) } else { dispatcher(1) };
+fn jobs_that_still_run_tell_the_pace(exchanges_load: bool, age: Nanos) -> i64 {
+    let mut d = if exchanges_load {
+        sharing(3, 1)
+    } else {
+        dispatcher(1)
+    };
     drop(handle(
         &mut d,
         MS,
@@ -1184,8 +1188,8 @@
 /// Whom a dispatcher tells of so many halves of a seat.
 fn told(acts: &[Action]) -> Vec<(u16, u8)> {
     let told = |act: &Action| {
-        if let Action::Tell { to, share } = act {
-            Some((*to, share.halves))
+        if let Action::SendPeerLoad { to, load } = act {
+            Some((*to, load.half_slots))
         } else {
             None
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decisions remember, as plain data. None of it crosses the interface and nothing is decided here.
 use crate::pcg::Pcg;
 use crate::start_delays::StartDelays;
-use crate::types::{EndpointState, Nanos, Request, RequestId, Share, WorkerId};
+use crate::types::{EndpointState, Nanos, PeerLoad, Request, RequestId, WorkerId};
 use crate::zones::ZoneDelays;
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -328,12 +328,14 @@
     }
 
     /// Keeps what another dispatcher told; only the newest of each counts.
-    pub fn hear(&mut self, now: Nanos, from: u16, share: Share) {
-        let Share { halves, work, .. } = share;
+    pub fn hear(&mut self, now: Nanos, from: u16, load: PeerLoad) {
+        let PeerLoad {
+            half_slots, work, ..
+        } = load;
         let (seats, work, pace) = (
-            f64::from(halves) / 2.0,
+            f64::from(half_slots) / 2.0,
             f64::from(work) * 16e6,
-            share.pace(),
+            load.pace(),
         );
         let told = Told {
             from,
@@ -618,7 +620,7 @@
     pub(crate) figures: BTreeMap<&'static str, f64>,
     pub(crate) list_asked: bool,
     /// Whether dispatchers tell each other what they have out.
-    pub(crate) shares: bool,
+    pub(crate) exchanges_load: bool,
     /// Whether workers start jobs in the order of their coming.
     pub(crate) first_come: bool,
     pub(crate) following: bool,
@@ -693,8 +695,8 @@
         }
         let fields: String = pick(map, "report.fields")?;
         let dispatchers = pick::<f64>(map, "dispatchers")?.max(1.0);
-        let (shares, me) = (pick_or(map, "peer_load.allowed", false)?, figures["me"]);
-        if shares && !(dispatchers <= 65_535.0 && me < dispatchers) {
+        let (exchanges_load, me) = (pick_or(map, "peer_load.allowed", false)?, figures["me"]);
+        if exchanges_load && !(dispatchers <= 65_535.0 && me < dispatchers) {
             return Err(format!(
                 "setting me is out of range: {me} of {dispatchers} dispatchers"
             ));
@@ -713,7 +715,7 @@
                 .map(|name| fields.split(',').position(|f| f == name)),
             figures,
             list_asked: pick::<String>(map, "endpoints.mode")? == "polled",
-            shares,
+            exchanges_load,
             first_come: pick_or::<String>(map, "queue.order", "fifo".to_string())? == "fifo",
             worth_basis: WorthBasis::read(map)?,
             rare: 1.0,
@@ -788,7 +790,7 @@
                 if let Some(started) = attempt.started {
                     let over = (age / active.run.max(1e6)).min(10.0);
                     // Hints are rough: one that runs long tells little alone, many do, where others tell theirs.
-                    if self.shares && over > worker.own_pace {
+                    if self.exchanges_load && over > worker.own_pace {
                         worker.over = (worker.over.0 + over, worker.over.1 + 1.0);
                     }
                     // What an earlier process ran is lost. Guards against taking its jobs for more seats.
--- a/src/types.rs
+++ b/src/types.rs
@@ -91,27 +91,28 @@
 
 /// What one dispatcher has out at one worker: the seats and the work, as told to the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Share {
+pub struct PeerLoad {
     pub worker: WorkerId,
     /// In halves of a seat.
-    pub halves: u8,
+    pub half_slots: u8,
     /// In units of 16 ms.
     pub work: u16,
     /// How it runs the teller's own jobs: `Share::UNKNOWN`, `Share::SILENT`, else its pace in 32nds of an
     /// octave around 128.
-    pub sign: u8,
+    pub speed_code: u8,
 }
 
-impl Share {
-    pub const UNKNOWN: u8 = 0;
-    pub const SILENT: u8 = 1;
+impl PeerLoad {
+    pub const SPEED_UNKNOWN: u8 = 0;
+    pub const SPEED_SILENT: u8 = 1;
 
-    pub fn sign_of(pace: f64) -> u8 {
+    pub fn encode_speed(pace: f64) -> u8 {
         (128.0 + 32.0 * pace.log2()).clamp(2.0, 255.0) as u8
     }
 
     pub fn pace(&self) -> Option<f64> {
-        (self.sign > Share::SILENT).then(|| ((f64::from(self.sign) - 128.0) / 32.0).exp2())
+        (self.speed_code > PeerLoad::SPEED_SILENT)
+            .then(|| ((f64::from(self.speed_code) - 128.0) / 32.0).exp2())
     }
 }
 
@@ -140,14 +141,14 @@
     AttemptEnded(AttemptEnded),
     HealthChecked(HealthChecked),
     /// Another dispatcher, by its number, tells what it has out.
-    Shared {
+    PeerLoad {
         from: u16,
-        share: Share,
+        load: PeerLoad,
     },
     /// This dispatcher's place among so many that run; none where that is not known: then as the settings say.
-    View(Option<(u16, u16)>),
+    FleetView(Option<(u16, u16)>),
     /// So much work may be sent to a cold worker up to then, beside what it has a part in anyway.
-    Right {
+    WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
         until: Nanos,
@@ -182,17 +183,17 @@
     },
     WatchEndpoints,
     /// To another dispatcher, by its number; only where the settings allow it.
-    Tell {
+    SendPeerLoad {
         to: u16,
-        share: Share,
+        load: PeerLoad,
     },
     /// A right to send so much work to a cold worker is wanted.
-    Want {
+    RequestWarmUpGrant {
         worker: WorkerId,
         work: Nanos,
     },
     /// What all dispatchers together may be given for a cold worker in any window; 0 once it is warm.
-    Joint {
+    SetWarmUpBudget {
         worker: WorkerId,
         work: Nanos,
         window: Nanos,
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -6,8 +6,8 @@
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
-    Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, Report,
-    Request, RequestId, Share, WorkerId,
+    Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, PeerLoad,
+    Report, Request, RequestId, WorkerId,
 };
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -163,12 +163,12 @@
         self.actions += 1;
         let worker =
             |id: &WorkerId| u64::from(u32::from_be_bytes(id.addr)) << 16 | u64::from(id.port);
-        let share = |s: &Share| {
+        let load = |s: &PeerLoad| {
             [
                 worker(&s.worker),
-                u64::from(s.halves),
+                u64::from(s.half_slots),
                 u64::from(s.work),
-                u64::from(s.sign),
+                u64::from(s.speed_code),
             ]
         };
         let now = self.now;
@@ -184,12 +184,14 @@
             } => self.numbers(&[now, 3, u64::from(*request_id), *retry_after]),
             Action::Fail { request_id } => self.numbers(&[now, 4, u64::from(*request_id)]),
             Action::WatchEndpoints => self.numbers(&[now, 5]),
-            Action::Tell { to, share: s } => {
+            Action::SendPeerLoad { to, load: s } => {
                 self.numbers(&[now, 6, u64::from(*to)]);
-                self.numbers(&share(s));
+                self.numbers(&load(s));
             }
-            Action::Want { worker: id, work } => self.numbers(&[now, 7, worker(id), *work]),
-            Action::Joint {
+            Action::RequestWarmUpGrant { worker: id, work } => {
+                self.numbers(&[now, 7, worker(id), *work])
+            }
+            Action::SetWarmUpBudget {
                 worker: id,
                 work,
                 window,
@@ -208,7 +210,7 @@
                 self.push(at.saturating_sub(self.now), Next::Timer(token))
             }
             Action::WatchEndpoints => self.push(80 * MILLISECOND, Next::ListAnswer),
-            Action::Want { worker, work } => {
+            Action::RequestWarmUpGrant { worker, work } => {
                 let delay = 1 + self.below(8);
                 self.push(delay * MILLISECOND, Next::Grant { worker, work });
             }
@@ -301,18 +303,18 @@
         let delay = (5 + self.below(60)) * MILLISECOND;
         self.push(delay, Next::PeerReport);
         let at = self.below(self.workers.len() as u64) as usize;
-        let share = Share {
+        let load = PeerLoad {
             worker: self.workers[at].worker,
-            halves: self.below(12) as u8,
+            half_slots: self.below(12) as u8,
             work: self.below(200) as u16,
-            sign: if self.below(10) == 0 {
+            speed_code: if self.below(10) == 0 {
                 self.below(3) as u8
             } else {
                 100 + self.below(60) as u8
             },
         };
         let from = self.below(12) as u16;
-        self.feed(Event::Shared { from, share });
+        self.feed(Event::PeerLoad { from, load });
     }
 
     fn peer_view(&mut self) {
@@ -321,7 +323,7 @@
         let count = 4 + self.below(30) as u16;
         let rank = self.below(u64::from(count)) as u16;
         let view = (self.below(6) != 0).then_some((rank, count));
-        self.feed(Event::View(view));
+        self.feed(Event::FleetView(view));
     }
 
     fn report(&mut self) -> Report {
@@ -420,7 +422,7 @@
             }
             Next::Grant { worker, work } => {
                 let until = self.now + 500 * MILLISECOND;
-                self.feed(Event::Right {
+                self.feed(Event::WarmUpGranted {
                     worker,
                     work,
                     until,
