--- a/crates/cluster/src/field.rs
+++ b/crates/cluster/src/field.rs
@@ -3,7 +3,7 @@
 use crate::file::Joining;
 use crate::node::{Cluster, Effect, LogLine};
 use rosewall::pcg::Pcg;
-use rosewall::types::{Nanos, WorkerId};
+use rosewall::types::{FleetPosition, Nanos, WorkerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 /// What the decisions of a process were told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
-    FleetView(Option<(u16, u16)>),
+    FleetView(Option<FleetPosition>),
     WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
@@ -318,15 +318,14 @@
     pub fn agree(&self, who: &[usize]) -> bool {
         let mut ranks: Vec<u16> = Vec::new();
         for at in who {
-            let Some(Some((rank, count))) =
-                self.nodes[*at].as_ref().map(|node| node.cluster.view())
+            let Some(Some(position)) = self.nodes[*at].as_ref().map(|node| node.cluster.view())
             else {
                 return false;
             };
-            if usize::from(count) != who.len() {
+            if usize::from(position.dispatchers) != who.len() {
                 return false;
             }
-            ranks.push(rank);
+            ranks.push(position.rank);
         }
         ranks.sort_unstable();
         let digest = |at: &usize| {
--- a/crates/cluster/src/field_tests.rs
+++ b/crates/cluster/src/field_tests.rs
@@ -215,7 +215,7 @@
     assert!(
         views
             .iter()
-            .all(|view| view.is_some_and(|(_, count)| count >= 7)),
+            .all(|view| view.is_some_and(|view| view.dispatchers >= 7)),
         "{views:?}"
     );
     field.cut.clear();
@@ -252,7 +252,7 @@
             .unwrap()
             .cluster
             .view()
-            .map(|(_, count)| count),
+            .map(|view| view.dispatchers),
         Some(4)
     );
     field.kill(4);
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -9,7 +9,7 @@
 use crate::rights::{GrantHolder, GrantIssuer, UNIT};
 use crate::wire::{self, Name, Part, Record, hash};
 use rosewall::sabotage::{Fault as Planted, is};
-use rosewall::types::{Nanos, PeerLoad, WorkerId};
+use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
 const MS: Nanos = 1_000_000;
@@ -25,7 +25,7 @@
         bytes: Vec<u8>,
     },
     /// The place among so many members, for the decisions; none where it is no member.
-    FleetView(Option<(u16, u16)>),
+    FleetView(Option<FleetPosition>),
     /// So much work may be sent to a cold worker, until then.
     WarmUpGranted {
         worker: WorkerId,
@@ -71,7 +71,7 @@
     pub load_receiver: LoadReceiver,
     /// The members by rank, as the decisions were told.
     by_rank: Vec<Name>,
-    told: Option<(u16, u16)>,
+    told: Option<FleetPosition>,
     view_at: Nanos,
     stale: bool,
     pub counts: Counts,
@@ -124,7 +124,7 @@
     }
 
     /// Rank and number of members, as last told.
-    pub fn view(&self) -> Option<(u16, u16)> {
+    pub fn view(&self) -> Option<FleetPosition> {
         self.told
     }
 
@@ -230,18 +230,18 @@
             }
             self.load_receiver
                 .keep(|name| all.iter().any(|(known, _)| known == name));
-            Some((
-                if is(Planted::RankOff) { rank + 1 } else { rank },
-                all.len() as u16,
-            ))
+            Some(FleetPosition {
+                rank: if is(Planted::RankOff) { rank + 1 } else { rank },
+                dispatchers: all.len() as u16,
+            })
         };
         if view != self.told {
             self.told = view;
             effects.push(Effect::FleetView(view));
-            if let Some((rank, members)) = view {
+            if let Some(FleetPosition { rank, dispatchers }) = view {
                 let digest = self.members.digest();
                 let text =
-                    format!("cluster view rank={rank} members={members} digest={digest:08x}");
+                    format!("cluster view rank={rank} members={dispatchers} digest={digest:08x}");
                 effects.push(Effect::Log(LogLine::Info(text)));
             }
         }
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -4,7 +4,7 @@
 //! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line cannot change it. A digest may
 //! only change together with an intended change of behaviour, which the commit then states.
 use rosewall::pcg::Pcg;
-use rosewall::types::{Nanos, PeerLoad, WorkerId};
+use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use rosewall_cluster::file::Joining;
 use rosewall_cluster::node::{Cluster, Effect, LogLine};
 use rosewall_cluster::register::{self, Document, Message, Register, Stored};
@@ -139,8 +139,11 @@
                 add_bytes(digest, bytes);
             }
             Effect::FleetView(None) => add_numbers(digest, &[now, at, 2]),
-            Effect::FleetView(Some((rank, count))) => {
-                add_numbers(digest, &[now, at, 3, u64::from(*rank), u64::from(*count)]);
+            Effect::FleetView(Some(FleetPosition { rank, dispatchers })) => {
+                add_numbers(
+                    digest,
+                    &[now, at, 3, u64::from(*rank), u64::from(*dispatchers)],
+                );
             }
             Effect::WarmUpGranted {
                 worker,
--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/hub.rs
@@ -6,8 +6,8 @@
 use rosewall::policy::Dispatcher;
 use rosewall::sabotage::{Fault, is};
 use rosewall::types::{
-    Action, AttemptEnded, EndpointState, Event, HealthChecked, ListScope, Nanos, Outcome, PeerLoad,
-    Report, Request, RequestId, WorkerId,
+    Action, AttemptEnded, EndpointState, Event, FleetPosition, HealthChecked, ListScope, Nanos,
+    Outcome, PeerLoad, Report, Request, RequestId, WorkerId,
 };
 use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::EndpointList;
@@ -51,7 +51,7 @@
         load: PeerLoad,
     },
     /// Its place among those that run, if that is known.
-    FleetView(Option<(u16, u16)>),
+    FleetView(Option<FleetPosition>),
     /// A right to send work to a cold worker has come.
     WarmUpGranted {
         worker: WorkerId,
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -6,7 +6,7 @@
 use rosewall::Map;
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
-use rosewall::types::{Nanos, Outcome, PeerLoad, RequestId, WorkerId};
+use rosewall::types::{FleetPosition, Nanos, Outcome, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::hub::{Effect, Hub, Input};
 use rosewall_engine::workers::Workers;
@@ -530,7 +530,10 @@
         let delay = (1 + self.below(4)) * SECOND;
         self.push(delay, Next::PeerView);
         let count = 8 + self.below(8) as u16;
-        let view = (self.below(5) != 0).then_some((3, count));
+        let view = (self.below(5) != 0).then_some(FleetPosition {
+            rank: 3,
+            dispatchers: count,
+        });
         self.take(Input::FleetView(view));
         if self.below(2) == 0 {
             let worker = rosewall_engine::workers::id(&format!("w{}", self.below(14)));
--- a/crates/runtime/src/members.rs
+++ b/crates/runtime/src/members.rs
@@ -3,7 +3,7 @@
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
-use rosewall::types::{Nanos, PeerLoad, WorkerId};
+use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use rosewall_cluster::node::{Cluster, Effect, LogLine};
 use rosewall_cluster::wire::MOST;
 use rosewall_engine::counters::Counters;
@@ -16,7 +16,7 @@
 
 /// What the decisions are to hear.
 pub enum Heard {
-    FleetView(Option<(u16, u16)>),
+    FleetView(Option<FleetPosition>),
     WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
@@ -152,7 +152,9 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let cluster = self.cluster.borrow();
         let (members, counts) = (cluster.members(), cluster.counts);
-        let (rank, count) = cluster.view().map_or((0, 0), |(rank, count)| (rank, count));
+        let (rank, count) = cluster
+            .view()
+            .map_or((0, 0), |view| (view.rank, view.dispatchers));
         write!(
             f,
             "members: rank={rank} count={count} digest={:08x} incarnation={}",
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -3,7 +3,7 @@
 use crate::members::Members;
 use crate::talk::Talk;
 use async_channel::Sender;
-use rosewall::types::{HealthChecked, Nanos, PeerLoad, RequestId, WorkerId};
+use rosewall::types::{FleetPosition, HealthChecked, Nanos, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::budget::{Budget, Slot};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::pool::{Idle, Pool};
@@ -47,7 +47,7 @@
         conn: Conn<G::Stream>,
     },
     HealthChecked(HealthChecked),
-    FleetView(Option<(u16, u16)>),
+    FleetView(Option<FleetPosition>),
     WarmUpGranted {
         worker: WorkerId,
         work: Nanos,
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -4,7 +4,7 @@
 //! numbers of the settings, for good: it is what is left to those whom no message reaches.
 use crate::policy::Dispatcher;
 use crate::state::{Worker, token};
-use crate::types::{Action, EndpointState, Nanos, WorkerId};
+use crate::types::{Action, EndpointState, FleetPosition, Nanos, WorkerId};
 
 #[cfg(test)]
 mod tests;
@@ -44,12 +44,16 @@
 
 impl Dispatcher {
     /// Its place among those that run, in place of the settings'.
-    pub(crate) fn view(&mut self, now: Nanos, place: Option<(u16, u16)>) {
-        let said = (self.says("me") as u16, self.slots as u16);
-        let (me, all) = place.unwrap_or(said);
-        (self.me, self.dispatchers) = (usize::from(me), f64::from(all).max(1.0));
+    pub(crate) fn view(&mut self, now: Nanos, position: Option<FleetPosition>) {
+        let configured = FleetPosition {
+            rank: self.says("me") as u16,
+            dispatchers: self.slots as u16,
+        };
+        let FleetPosition { rank, dispatchers } = position.unwrap_or(configured);
+        self.me = usize::from(rank);
+        self.dispatchers = f64::from(dispatchers).max(1.0);
         self.unseen = 1.0 - 1.0 / self.dispatchers;
-        self.met |= place.is_some();
+        self.met |= position.is_some();
         self.keep_to(now);
     }
 
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -51,7 +51,8 @@
 }
 
 fn seen(d: &mut Dispatcher, place: Option<(u16, u16)>) {
-    d.handle(2 * MS, Event::FleetView(place), &mut Vec::new());
+    let position = place.map(|(rank, dispatchers)| FleetPosition { rank, dispatchers });
+    d.handle(2 * MS, Event::FleetView(position), &mut Vec::new());
 }
 
 /// The workers that each of so many keeps to.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -285,7 +285,7 @@
                     }
                 }
             }
-            Event::FleetView(place) => self.view(now, place),
+            Event::FleetView(position) => self.view(now, position),
             Event::WarmUpGranted {
                 worker,
                 work,
--- a/src/types.rs
+++ b/src/types.rs
@@ -116,6 +116,15 @@
     }
 }
 
+/// The position of a dispatcher among those that run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FleetPosition {
+    /// From 0 up, without gaps.
+    pub rank: u16,
+    /// How many run.
+    pub dispatchers: u16,
+}
+
 /// The answer to a probe.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthChecked {
@@ -146,7 +155,7 @@
         load: PeerLoad,
     },
     /// This dispatcher's place among so many that run; none where that is not known: then as the settings say.
-    FleetView(Option<(u16, u16)>),
+    FleetView(Option<FleetPosition>),
     /// So much work may be sent to a cold worker up to then, beside what it has a part in anyway.
     WarmUpGranted {
         worker: WorkerId,
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -6,8 +6,8 @@
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
-    Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, PeerLoad,
-    Report, Request, RequestId, WorkerId,
+    Action, AttemptEnded, Endpoint, EndpointState, Event, FleetPosition, ListScope, Nanos, Outcome,
+    PeerLoad, Report, Request, RequestId, WorkerId,
 };
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -322,7 +322,10 @@
         self.push(delay, Next::PeerView);
         let count = 4 + self.below(30) as u16;
         let rank = self.below(u64::from(count)) as u16;
-        let view = (self.below(6) != 0).then_some((rank, count));
+        let view = (self.below(6) != 0).then_some(FleetPosition {
+            rank,
+            dispatchers: count,
+        });
         self.feed(Event::FleetView(view));
     }
 
