--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/cluster.rs
@@ -1,14 +1,14 @@
 //! One process among the others: members, ranks, leases, rights and signals put together. It is fed datagrams and
 //! moments and says what is to be sent and what the decisions are to hear.
+use crate::config::Joining;
+use crate::datagram::{self, Name, Part, Record, hash};
 use crate::error::ClusterError;
-use crate::file::Joining;
+use crate::grants::{GrantHolder, GrantIssuer, UNIT};
 use crate::lease::{Candidate, Keeper};
-use crate::members::{Change, Members, Out};
+use crate::membership::{Change, Members, Out};
 use crate::peer_load::{LoadReceiver, LoadSender};
 use crate::ranks::ranks;
-use crate::rights::{GrantHolder, GrantIssuer, UNIT};
-use crate::wire::{self, Name, Part, Record, hash};
-use rosewall::sabotage::{Fault as Planted, is};
+use rosewall::mutation::{Fault as Planted, is};
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
@@ -289,7 +289,7 @@
                 || self.members.get(name).is_some_and(|member| {
                     matches!(
                         member.record.standing,
-                        wire::Standing::Alive | wire::Standing::Suspect
+                        datagram::Standing::Alive | datagram::Standing::Suspect
                     )
                 })
         };
@@ -311,16 +311,16 @@
 
     /// One datagram.
     pub fn feed(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8], effects: &mut Vec<Effect>) {
-        let datagram = match wire::read(self.cluster, bytes) {
+        let datagram = match datagram::read(self.cluster, bytes) {
             Ok(datagram) => datagram,
             Err(fault) => {
                 match fault {
-                    wire::Fault::Version(version) => {
+                    datagram::Fault::Version(version) => {
                         self.counts.other_version += 1;
                         self.version = version;
                     }
-                    wire::Fault::Cluster => self.counts.other_cluster += 1,
-                    wire::Fault::Length | wire::Fault::Mark | wire::Fault::Part => {
+                    datagram::Fault::Cluster => self.counts.other_cluster += 1,
+                    datagram::Fault::Length | datagram::Fault::Mark | datagram::Fault::Part => {
                         self.counts.malformed += 1
                     }
                 }
@@ -455,7 +455,7 @@
             record.gives
                 && matches!(
                     record.standing,
-                    wire::Standing::Alive | wire::Standing::Suspect
+                    datagram::Standing::Alive | datagram::Standing::Suspect
                 )
         });
         let Some(to) = (if own {
--- a/crates/cluster/src/file.rs
+++ b/crates/cluster/src/config.rs
@@ -1,6 +1,6 @@
 //! The members' part of an operator's files: TOML, each key checked, errors with file, line and key.
+use crate::datagram::is_name;
 use crate::error::ClusterError;
-use crate::wire::is_name;
 use rosewall::types::Nanos;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/cluster/src/rights.rs
+++ b/crates/cluster/src/grants.rs
@@ -3,7 +3,7 @@
 //! time for which a right lasts. So in no window can more be spent than that, whoever spends it when; a right that is
 //! lost is lost until its window is over.
 use crate::lease::long;
-use rosewall::sabotage::{Fault, is};
+use rosewall::mutation::{Fault, is};
 use rosewall::types::{Nanos, WorkerId};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -2,8 +2,8 @@
 //! 1989). A promise counts on the keeper's clock from when it is made, the lease on its holder's from when it was asked
 //! for, each less what clocks may drift: so no two hold it at once, whatever is lost, late or paused. Nothing is written
 //! to a disk: a keeper that has just started promises nothing until all that it may have promised before is over.
-use crate::wire::Name;
-use rosewall::sabotage::{Fault, is};
+use crate::datagram::Name;
+use rosewall::mutation::{Fault, is};
 use rosewall::types::Nanos;
 
 const MS: Nanos = 1_000_000;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -2,9 +2,9 @@
 //! period one member is probed, by others too if it does not answer; one that no one reaches is suspected, may refute
 //! that by a higher incarnation, and is held for dead after a time that shrinks with those who suspect it too. What
 //! changes is passed on with the datagrams that go out anyway.
-use crate::wire::{Draft, NONE, Name, Part, Record, Standing, hash};
+use crate::datagram::{Draft, NONE, Name, Part, Record, Standing, hash};
+use rosewall::mutation::{Fault, is};
 use rosewall::pcg::Pcg;
-use rosewall::sabotage::{Fault, is};
 use rosewall::types::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -1,7 +1,7 @@
 //! What members tell each other of workers: lines are held back for some ms and go many to a datagram, each with its age.
 //! Of what is heard, one member's word counts for only so many silent workers.
-use crate::wire::{Name, Part};
-use rosewall::sabotage::{Fault, is};
+use crate::datagram::{Name, Part};
+use rosewall::mutation::{Fault, is};
 use rosewall::types::{Nanos, PeerLoad, WorkerId};
 use std::collections::BTreeMap;
 
--- a/crates/cluster/src/ranks.rs
+++ b/crates/cluster/src/ranks.rs
@@ -1,7 +1,7 @@
 //! Which place each member has, from 0 up without gaps: the decisions count lanes off by it. Each member claims a rank
 //! and keeps it; what follows is worked out from the members and their claims alone, so equal views give equal ranks.
 //! One that goes leaves a gap that the highest fills; one that comes takes the end: no one else moves.
-use crate::wire::{NONE, Name};
+use crate::datagram::{NONE, Name};
 
 /// The rank of each, in the order given; `members` are (name, claim), in the order of their names.
 pub fn ranks(members: &[(Name, u16)]) -> Vec<u16> {
--- a/crates/cluster/src/register.rs
+++ b/crates/cluster/src/register/mod.rs
@@ -4,8 +4,8 @@
 //! restart of all, and no other document ever has its version.
 //! Nothing is answered before the disk has what the answer rests on: the machine says `Store`, is told `stored`, and only
 //! then sends. It is fed messages and moments; paging documents and opening files are its caller's.
+use rosewall::mutation::{Fault, is};
 use rosewall::pcg::Pcg;
-use rosewall::sabotage::{Fault, is};
 use rosewall::types::Nanos;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
@@ -638,3 +638,6 @@
         self.store(Then::ActBy(document), effects);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/cluster/src/register_tests.rs
+++ b/crates/cluster/src/register/tests.rs
@@ -503,7 +503,7 @@
 #[cfg(feature = "sabotage")]
 mod planted {
     use super::*;
-    use rosewall::sabotage::{Fault, SETTINGS, plant};
+    use rosewall::mutation::{Fault, SETTINGS, plant};
 
     fn found(fault: Fault) -> bool {
         plant(Some(fault));
--- a/crates/cluster/src/field.rs
+++ b/crates/cluster/src/simulated.rs
@@ -1,7 +1,7 @@
 //! Many processes' machines on one virtual clock, with datagrams lost, late, doubled and cut between them, clocks of
 //! their own, pauses, ends and starts: all from one seed. For tests and for the command that measures by size.
-use crate::file::Joining;
-use crate::node::{Cluster, Effect, LogLine};
+use crate::cluster::{Cluster, Effect, LogLine};
+use crate::config::Joining;
 use rosewall::pcg::Pcg;
 use rosewall::types::{FleetPosition, Nanos, WorkerId};
 use std::cmp::Reverse;
--- a/crates/cluster/src/field_tests.rs
+++ b/crates/cluster/src/simulated_tests.rs
@@ -1,5 +1,5 @@
 //! Many processes' machines together, with faults between them.
-use crate::field::{Field, Heard, MS, Way};
+use crate::simulated::{Field, Heard, MS, Way};
 use rosewall::pcg::Pcg;
 use rosewall::types::{Nanos, WorkerId};
 use std::collections::VecDeque;
@@ -550,7 +550,7 @@
 #[cfg(feature = "sabotage")]
 mod planted {
     use super::*;
-    use rosewall::sabotage::{BETWEEN, Fault, plant};
+    use rosewall::mutation::{BETWEEN, Fault, plant};
 
     /// Whether any of these checks fails with the fault planted.
     fn found(fault: Fault) -> bool {
@@ -565,7 +565,7 @@
                 none_that_lives_is_held_dead_for_more_than_a_refutation_at_a_fifth_lost_and_pauses(
                 );
                 let believed = crate::tests::what_is_believed_of_an_old_incarnation(2);
-                assert_eq!(believed, crate::wire::Standing::Alive);
+                assert_eq!(believed, crate::datagram::Standing::Alive);
             }
             Fault::RankOff => after_a_kill_all_that_are_left_agree_within_three_seconds(5, 1),
             Fault::WordUnbounded => crate::tests::one_members_word_empties_no_fleet(),
--- a/crates/cluster/src/tests.rs
+++ b/crates/cluster/src/tests.rs
@@ -1,12 +1,12 @@
 //! The parts by themselves.
+use crate::config::{nearest, read};
+use crate::datagram::{self, Datagram, Draft, Fault, NONE, Name, Part, Record, Standing};
 use crate::error::ClusterError;
-use crate::file::{nearest, read};
+use crate::grants::GrantIssuer;
 use crate::lease::{Candidate, Keeper, SPAN};
-use crate::members::Members;
+use crate::membership::Members;
 use crate::peer_load::{LoadReceiver, LoadSender};
 use crate::ranks::ranks;
-use crate::rights::GrantIssuer;
-use crate::wire::{self, Datagram, Draft, Fault, NONE, Name, Part, Record, Standing};
 use proptest::prelude::*;
 use rosewall::types::{PeerLoad, WorkerId};
 use std::path::Path;
@@ -80,24 +80,30 @@
     assert!(parts.iter().all(|part| draft.add(part)));
     let bytes = draft.done();
     assert_eq!(
-        wire::read(77, &bytes),
+        datagram::read(77, &bytes),
         Ok(Datagram {
             sender: record("a"),
             parts
         })
     );
-    assert_eq!(wire::read(78, &bytes), Err(Fault::Cluster));
+    assert_eq!(datagram::read(78, &bytes), Err(Fault::Cluster));
     let mut other = bytes.clone();
     other[2] = 2;
-    assert_eq!(wire::read(77, &other), Err(Fault::Version(2)));
-    assert_eq!(wire::read(77, &bytes[..bytes.len() - 1]), Err(Fault::Part));
+    assert_eq!(datagram::read(77, &other), Err(Fault::Version(2)));
+    assert_eq!(
+        datagram::read(77, &bytes[..bytes.len() - 1]),
+        Err(Fault::Part)
+    );
 }
 
 #[test]
 fn a_part_that_is_not_known_is_passed_over() {
     let mut bytes = Draft::new(1, &record("a")).done();
     bytes.extend([200, 3, 1, 2, 3, 2, 4, 0, 0, 0, 9]);
-    assert_eq!(wire::read(1, &bytes).unwrap().parts, [Part::Ack { seq: 9 }]);
+    assert_eq!(
+        datagram::read(1, &bytes).unwrap().parts,
+        [Part::Ack { seq: 9 }]
+    );
 }
 
 #[test]
@@ -108,7 +114,7 @@
         .count();
     let length = draft.done().len();
     assert!(
-        (wire::MOST - 60..=wire::MOST).contains(&length) && added > 20,
+        (datagram::MOST - 60..=datagram::MOST).contains(&length) && added > 20,
         "{length} {added}"
     );
 }
@@ -121,7 +127,7 @@
             draft.append(&mut bytes);
             bytes = draft;
         }
-        let _ = wire::read(1, &bytes);
+        let _ = datagram::read(1, &bytes);
     }
 
     /// Equal views give equal ranks, each once; one that goes moves one other at most, one that comes none.
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -5,8 +5,8 @@
 //! only change together with an intended change of behaviour, which the commit then states.
 use rosewall::pcg::Pcg;
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
-use rosewall_cluster::file::Joining;
-use rosewall_cluster::node::{Cluster, Effect, LogLine};
+use rosewall_cluster::cluster::{Cluster, Effect, LogLine};
+use rosewall_cluster::config::Joining;
 use rosewall_cluster::register::{self, Document, Message, Register, Stored};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
--- a/crates/engine/src/given.rs
+++ b/crates/engine/src/config.rs
@@ -2,8 +2,8 @@
 use rosewall::pick;
 use rosewall::policy::Dispatcher;
 use rosewall::types::Nanos;
+use rosewall_cluster::config::Joining;
 use rosewall_cluster::error::ClusterError;
-use rosewall_cluster::file::Joining;
 use rosewall_protocol::client::Names;
 use rosewall_settings::{Map, ours};
 use serde::Deserialize;
--- a/crates/engine/src/given_tests.rs
+++ b/crates/engine/src/config_tests.rs
@@ -1,6 +1,6 @@
 //! What is given at the start, without a file.
-use super::given::{check, names, read, stop_within};
-use crate::pace::Pace;
+use super::config::{check, names, read, stop_within};
+use crate::rate_limit::Pace;
 use rosewall_settings::ours;
 use test_case::test_case;
 
@@ -100,7 +100,7 @@
 fn whoever_joins_others_sends_to_cold_workers_by_rights(more: &str) {
     let text = "version = 1\ncluster = \"c\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseeds = []\n";
     let joining =
-        rosewall_cluster::file::read("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
+        rosewall_cluster::config::read("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
     let mut given = read(WHOLE.replacen("talk", "talkless", 1).as_bytes()).unwrap();
     given.join(joining).unwrap();
     assert_eq!(given.map["warm_up_grants"], "true");
--- a/crates/engine/src/workers.rs
+++ b/crates/engine/src/endpoints.rs
@@ -1,5 +1,5 @@
 //! The table of workers: host, id, where to dial, when born.
-use rosewall::sabotage::{Fault, is};
+use rosewall::mutation::{Fault, is};
 use rosewall::types::{Endpoint, EndpointState, Nanos, WorkerId};
 use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/engine/src/hub.rs
+++ b/crates/engine/src/engine.rs
@@ -1,10 +1,10 @@
 //! The hub joins decisions and requests: what it is told goes in with the moment, what is to be done comes out. It alone
 //! calls `handle`; what follows from an action waits in a queue for its turn.
 use crate::counters::Counters;
+use crate::endpoints::Workers;
 use crate::must;
-use crate::workers::Workers;
+use rosewall::mutation::{Fault, is};
 use rosewall::policy::Dispatcher;
-use rosewall::sabotage::{Fault, is};
 use rosewall::types::{
     Action, AttemptEnded, EndpointState, Event, FleetPosition, HealthChecked, ListScope, Nanos,
     Outcome, PeerLoad, Report, Request, RequestId, WorkerId,
--- a/crates/engine/src/hub_tests.rs
+++ b/crates/engine/src/engine_tests.rs
@@ -1,7 +1,7 @@
 //! The hub, told things at given moments; what it says is to be done.
 use super::counters::Counters;
-use super::hub::{Effect, Hub, Input};
-use super::workers::Workers;
+use super::endpoints::Workers;
+use super::engine::{Effect, Hub, Input};
 use rosewall::Map;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{EndpointState, Nanos, Outcome};
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -4,17 +4,17 @@
 /// For `must!`.
 pub use log;
 
-pub mod budget;
+pub mod config;
 pub mod counters;
-pub mod given;
-pub mod hub;
-pub mod pace;
+pub mod endpoints;
+pub mod engine;
+pub mod limits;
 pub mod pool;
-pub mod workers;
+pub mod rate_limit;
 
 #[cfg(test)]
-mod given_tests;
+mod config_tests;
 #[cfg(test)]
-mod hub_tests;
+mod engine_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/limits.rs
@@ -1,6 +1,6 @@
 //! Descriptors and the bytes of requests, all counted here. What waits at the door makes room before anyone is kept out.
 use async_channel::{Receiver, Sender};
-use rosewall::sabotage::{Fault, is};
+use rosewall::mutation::{Fault, is};
 use rosewall::types::Nanos;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -1,7 +1,7 @@
 //! What is held, without a socket.
-use super::budget::{Budget, Waiter};
+use super::endpoints::{Workers, id};
+use super::limits::{Budget, Waiter};
 use super::pool::{Idle, Pool, REST};
-use super::workers::{Workers, id};
 use rosewall::types::{EndpointState, Nanos};
 use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
 use std::rc::Rc;
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -8,8 +8,8 @@
 use rosewall::policy::Dispatcher;
 use rosewall::types::{FleetPosition, Nanos, Outcome, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::counters::Counters;
-use rosewall_engine::hub::{Effect, Hub, Input};
-use rosewall_engine::workers::Workers;
+use rosewall_engine::endpoints::Workers;
+use rosewall_engine::engine::{Effect, Hub, Input};
 use rosewall_protocol::client::{Heard, Intake, Names, answer, message};
 use rosewall_protocol::discovery::{EndpointListReader, call, decode_endpoint_list};
 use rosewall_protocol::worker::{Reply, Told};
@@ -515,7 +515,7 @@
     fn peer_report(&mut self) {
         let delay = (5 + self.below(60)) * MILLISECOND;
         self.push(delay, Next::PeerReport);
-        let worker = rosewall_engine::workers::id(&format!("w{}", self.below(14)));
+        let worker = rosewall_engine::endpoints::id(&format!("w{}", self.below(14)));
         let load = PeerLoad {
             worker,
             half_slots: self.below(9) as u8,
@@ -536,7 +536,7 @@
         });
         self.take(Input::FleetView(view));
         if self.below(2) == 0 {
-            let worker = rosewall_engine::workers::id(&format!("w{}", self.below(14)));
+            let worker = rosewall_engine::endpoints::id(&format!("w{}", self.below(14)));
             let until = self.now + SECOND;
             self.take(Input::WarmUpGranted {
                 worker,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod client;
 pub mod discovery;
 pub mod http;
-pub mod talk;
+pub mod peer_load;
 pub mod worker;
 
 #[cfg(test)]
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -2,7 +2,7 @@
 use super::client::{Answer, ClientRequest, Heard, Intake, Names, answer, place};
 use super::discovery::{EndpointListReader, decode_endpoint_list};
 use super::http::{BODY_LIMIT, Fault, HEAD_LIMIT, Inlet};
-use super::talk;
+use super::peer_load;
 use super::worker::{Reply, Sounding, Told, posting};
 use rosewall::pcg::Pcg;
 use rosewall::types::{EndpointState, Outcome, PeerLoad, Report, WorkerId};
@@ -346,10 +346,10 @@
         work: 600,
         speed_code: 7,
     };
-    let mut bytes = super::talk::datagram(0, &load).to_vec();
+    let mut bytes = super::peer_load::datagram(0, &load).to_vec();
     spoil(&mut bytes);
     let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    super::talk::read(&bytes, at(port), &[at(7000), at(7001)]) == Ok((0, load))
+    super::peer_load::read(&bytes, at(port), &[at(7000), at(7001)]) == Ok((0, load))
 }
 
 /// Guards against a cap on the number of workers: 1,024 with long names, indented, come whole.
@@ -397,7 +397,7 @@
         speed_code: PeerLoad::SPEED_UNKNOWN,
     };
     assert_eq!(
-        talk::read(&talk::datagram(1_023, &load), peers[1_023], &peers),
+        peer_load::read(&peer_load::datagram(1_023, &load), peers[1_023], &peers),
         Ok((1_023, load))
     );
 }
--- a/crates/rosewalld/src/life/start.rs
+++ b/crates/rosewalld/src/life/start.rs
@@ -1,14 +1,14 @@
 //! Puts the parts together and runs them on one thread.
-use crate::ground::{Listener, Sockets};
+use crate::sockets::{Listener, Sockets};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
+use rosewall_cluster::config as cluster_config;
 use rosewall_cluster::error::ClusterError;
-use rosewall_cluster::file;
-use rosewall_engine::given::{self, Given};
+use rosewall_engine::config::{self, Given};
+use rosewall_runtime::context::Shared;
 use rosewall_runtime::node::Node;
-use rosewall_runtime::shared::Shared;
 use std::net::TcpListener;
 use std::path::Path;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 pub fn load(path: &str) -> Result<Given, String> {
     let text = std::fs::read(path)
         .map_err(|error| format!("cannot read the configuration {path}: {error}"))?;
-    let mut given = given::read(&text)
+    let mut given = config::read(&text)
         .map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
     if let Some(path) = given.cluster.take() {
         let joining = std::fs::read_to_string(&path)
@@ -33,11 +33,11 @@
                 path: path.clone().into(),
                 source,
             })
-            .and_then(|text| file::read(Path::new(&path), &text))
+            .and_then(|text| cluster_config::read(Path::new(&path), &text))
             .and_then(|joining| given.join(joining));
         joining.map_err(|fault| fault.line())?;
     }
-    given::check(&given)
+    config::check(&given)
         .map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
     // Guards against a system that allows fewer descriptors than are told.
     let system = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
--- a/crates/rosewalld/src/ground.rs
+++ b/crates/rosewalld/src/sockets.rs
@@ -4,7 +4,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
 use rosewall::types::Nanos;
-use rosewall_runtime::ground::{Door, Ground, Look, Mail, Stream};
+use rosewall_runtime::traits::{Door, Ground, Look, Mail, Stream};
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::pin::Pin;
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -1,11 +1,11 @@
 //! Reads and writes for the client side: one task accepts, and one serves each connection.
-use crate::ground::{Door, Ground, Stream, nanos, pause, within};
-use crate::shared::{News, Shared};
+use crate::context::{News, Shared};
+use crate::traits::{Door, Ground, Stream, nanos, pause, within};
 use async_channel::Receiver;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use rosewall::sabotage::{Fault, is};
+use rosewall::mutation::{Fault, is};
 use rosewall::types::Nanos;
-use rosewall_engine::budget::{Slot, Waiter};
+use rosewall_engine::limits::{Slot, Waiter};
 use rosewall_protocol::client::{self, Answer, ClientRequest, Heard, Intake};
 use std::io;
 use std::rc::Rc;
--- a/crates/runtime/src/members.rs
+++ b/crates/runtime/src/cluster.rs
@@ -1,13 +1,13 @@
 //! Drives what this dispatcher is to the others: datagrams in and out, and what is due.
-use crate::ground::{Ground, Mail};
+use crate::traits::{Ground, Mail};
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
-use rosewall_cluster::node::{Cluster, Effect, LogLine};
-use rosewall_cluster::wire::MOST;
+use rosewall_cluster::cluster::{Cluster, Effect, LogLine};
+use rosewall_cluster::datagram::MOST;
 use rosewall_engine::counters::Counters;
-use rosewall_engine::pace::Pace;
+use rosewall_engine::rate_limit::Pace;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/context.rs
@@ -1,11 +1,11 @@
 //! What the drivers and the hub all reach: the clock, names, counters, descriptors, and the way to the hub.
-use crate::ground::{Ground, Look, Stream};
-use crate::members::Members;
-use crate::talk::Talk;
+use crate::cluster::Members;
+use crate::peer_load::Talk;
+use crate::traits::{Ground, Look, Stream};
 use async_channel::Sender;
 use rosewall::types::{FleetPosition, HealthChecked, Nanos, PeerLoad, RequestId, WorkerId};
-use rosewall_engine::budget::{Budget, Slot};
 use rosewall_engine::counters::Counters;
+use rosewall_engine::limits::{Budget, Slot};
 use rosewall_engine::pool::{Idle, Pool};
 use rosewall_protocol::client::{Answer, ClientRequest, Names};
 use rosewall_protocol::discovery::EndpointList;
--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Reads and writes for discovery: the whole list, then one watch kept unbroken.
-use crate::ground::{Ground, nanos, pause, within};
-use crate::shared::{News, Shared};
+use crate::context::{News, Shared};
+use crate::traits::{Ground, nanos, pause, within};
 use async_channel::{Receiver, Sender};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use rosewall::sabotage::{Fault, is};
+use rosewall::mutation::{Fault, is};
 use rosewall::types::Nanos;
 use rosewall_protocol::discovery::{self, EndpointListReader};
 use std::convert::Infallible;
--- a/crates/runtime/src/hub.rs
+++ b/crates/runtime/src/engine.rs
@@ -1,12 +1,12 @@
 //! Drives the hub: hands it what came in and what is due, and carries out what it says.
-use crate::ground::Ground;
-use crate::shared::{News, Shared};
+use crate::context::{News, Shared};
+use crate::traits::Ground;
 use crate::worker;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use futures_lite::FutureExt;
 use rosewall::types::RequestId;
-use rosewall_engine::hub::{Effect, Hub, Input};
+use rosewall_engine::engine::{Effect, Hub, Input};
 use rosewall_protocol::client::Answer;
 use rosewall_protocol::discovery::EndpointList;
 use rustc_hash::FxHashMap;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,11 +2,11 @@
 //! one seam, `ground`, and so run the same over sockets and over a virtual network. `node` puts one dispatcher
 //! together; nothing here decides.
 pub mod client;
+pub mod cluster;
+pub mod context;
 pub mod discovery;
-pub mod ground;
-pub mod hub;
-pub mod members;
+pub mod engine;
 pub mod node;
-pub mod shared;
-pub mod talk;
+pub mod peer_load;
+pub mod traits;
 pub mod worker;
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -1,25 +1,25 @@
 //! One dispatcher, put together from its parts: started, given new limits, stopped in order.
 use crate::client;
+use crate::cluster::{Heard, Members};
+use crate::context::{News, Shared};
 use crate::discovery;
-use crate::ground::{Ground, nanos, pause};
-use crate::hub::HubDriver;
-use crate::members::{Heard, Members};
-use crate::shared::{News, Shared};
-use crate::talk::Talk;
+use crate::engine::HubDriver;
+use crate::peer_load::Talk;
+use crate::traits::{Ground, nanos, pause};
 use async_channel::Sender;
 use async_executor::Task;
 use futures_lite::FutureExt;
 use rosewall::pick;
 use rosewall::policy::Dispatcher;
 use rosewall::types::Nanos;
+use rosewall_cluster::cluster::Cluster;
 use rosewall_cluster::error::ClusterError;
-use rosewall_cluster::node::Cluster;
-use rosewall_engine::budget::Budget;
+use rosewall_engine::config::{self, Given, SPARE, stop_within};
 use rosewall_engine::counters::Counters;
-use rosewall_engine::given::{self, Given, SPARE, stop_within};
-use rosewall_engine::hub::Hub;
+use rosewall_engine::endpoints::Workers;
+use rosewall_engine::engine::Hub;
+use rosewall_engine::limits::Budget;
 use rosewall_engine::pool::Pool;
-use rosewall_engine::workers::Workers;
 use rosewall_protocol::discovery::{EndpointList, decode_endpoint_list};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     /// Starts to serve. An error names the setting that is missing or cannot be read.
     pub fn start(ground: G, given: Given, door: G::Door) -> Result<Self, String> {
         let (map, now) = (&given.map, ground.now());
-        let names = given::names(map);
+        let names = config::names(map);
         let kept = decode_endpoint_list(&given.known, &names).unwrap_or_else(|fault| {
             log::warn!("no kept list of workers: {fault}");
             EndpointList {
--- a/crates/runtime/src/talk.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -1,10 +1,10 @@
 //! Carries what dispatchers tell each other, where the configuration gives addresses for it.
-use crate::ground::{Ground, Mail};
+use crate::traits::{Ground, Mail};
 use futures_lite::future::yield_now;
 use rosewall::types::{Nanos, PeerLoad};
 use rosewall_engine::counters::Counters;
-use rosewall_engine::pace::Pace;
-use rosewall_protocol::talk::{LENGTH, datagram, read};
+use rosewall_engine::rate_limit::Pace;
+use rosewall_protocol::peer_load::{LENGTH, datagram, read};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -1,11 +1,11 @@
 //! Reads and writes for the worker side: one task an attempt, one a probe.
-use crate::ground::{Ground, Look, Stream, nanos, pause, within};
-use crate::shared::{Conn, News, Shared};
+use crate::context::{Conn, News, Shared};
+use crate::traits::{Ground, Look, Stream, nanos, pause, within};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use rosewall::sabotage::{Fault, is};
+use rosewall::mutation::{Fault, is};
 use rosewall::types::{HealthChecked, Nanos, Outcome, Report, WorkerId};
-use rosewall_engine::budget::Slot;
-use rosewall_engine::hub::OutboundAttempt;
+use rosewall_engine::engine::OutboundAttempt;
+use rosewall_engine::limits::Slot;
 use rosewall_engine::pool::REST;
 use rosewall_protocol::worker::{Reply, Sounding, Told, probe};
 use std::cell::Cell;
--- a/crates/simulation/src/agent.rs
+++ b/crates/simulation/src/agent.rs
@@ -6,7 +6,7 @@
 use async_channel::Sender;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rosewall::types::{EndpointState, Nanos};
-use rosewall_runtime::ground::Door;
+use rosewall_runtime::traits::Door;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/simulation/src/client.rs
+++ b/crates/simulation/src/client.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{Badness, Effect, Load, Scenario};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::types::Nanos;
-use rosewall_runtime::ground::{Look, Stream};
+use rosewall_runtime::traits::{Look, Stream};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -9,9 +9,9 @@
 mod http;
 pub mod judge;
 mod mail;
-mod net;
 #[cfg(feature = "sabotage")]
-pub mod sabotage;
+pub mod mutation;
+mod net;
 pub mod scenario;
 mod worker;
 pub mod world;
--- a/crates/simulation/src/mail.rs
+++ b/crates/simulation/src/mail.rs
@@ -1,7 +1,7 @@
 //! Datagrams on the virtual network: lost, late, doubled and cut by direction, as the scenario has it.
 use crate::core::{Core, Event};
 use rosewall::types::Nanos;
-use rosewall_runtime::ground::Mail;
+use rosewall_runtime::traits::Mail;
 use std::collections::{BTreeMap, VecDeque};
 use std::future::poll_fn;
 use std::io;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -280,8 +280,8 @@
 #[cfg(feature = "sabotage")]
 fn sabotage(seeds: u64, first: u64, jobs: usize, as_json: bool) -> Result<bool, String> {
     let mut all = true;
-    for fault in rosewall_simulation::sabotage::all() {
-        let found = rosewall_simulation::sabotage::find(*fault, first, seeds, jobs);
+    for fault in rosewall_simulation::mutation::all() {
+        let found = rosewall_simulation::mutation::find(*fault, first, seeds, jobs);
         all &= found.worlds.is_some();
         print(&match (as_json, found.worlds, found.rule) {
             (true, ..) => json(&found)?,
--- a/crates/simulation/src/sabotage.rs
+++ b/crates/simulation/src/mutation.rs
@@ -2,7 +2,7 @@
 use crate::draw::draw;
 use crate::judge::Rule;
 use crate::world::play;
-use rosewall::sabotage::{ALL, Fault, plant};
+use rosewall::mutation::{ALL, Fault, plant};
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, Event, Owner};
 use futures_lite::{AsyncRead, AsyncWrite};
 use rosewall::types::Nanos;
-use rosewall_runtime::ground::{Door, Look, Stream};
+use rosewall_runtime::traits::{Door, Look, Stream};
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::cell::Cell;
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rosewall::types::Nanos;
-use rosewall_runtime::ground::{Door, Look, Stream};
+use rosewall_runtime::traits::{Door, Look, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -10,10 +10,10 @@
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use rosewall::types::{EndpointState, Nanos};
-use rosewall_cluster::file::Joining;
-use rosewall_engine::given::{self, Given};
-use rosewall_runtime::ground::Ground;
+use rosewall_cluster::config::Joining;
+use rosewall_engine::config::{self, Given};
 use rosewall_runtime::node::Node;
+use rosewall_runtime::traits::Ground;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -200,7 +200,7 @@
                 "Parties": [{"Name": "t"}], "Report": {"Fields": [], "How": "none"}, "Schemes": schemes,
             }
         });
-        let mut given = given::read(text.to_string().as_bytes())?;
+        let mut given = config::read(text.to_string().as_bytes())?;
         if let Some(members) = &self.scenario.members {
             let count = |most: usize| 0..most.min(*dispatchers);
             let joining = Joining {
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -183,8 +183,8 @@
 #[test]
 fn every_fault_planted_on_purpose_is_found() {
     let jobs = std::thread::available_parallelism().map_or(1, |cores| cores.get());
-    for fault in rosewall_simulation::sabotage::all() {
-        let found = rosewall_simulation::sabotage::find(*fault, 0, 1000, jobs);
+    for fault in rosewall_simulation::mutation::all() {
+        let found = rosewall_simulation::mutation::find(*fault, 0, 1000, jobs);
         assert!(found.worlds.is_some(), "{fault:?} was not found");
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! rosewall: decides which worker gets which request. See `policy` for the decisions and how to call them.
 mod joint;
+pub mod mutation;
 pub mod pcg;
 pub mod policy;
-pub mod sabotage;
 mod start_delays;
 mod state;
 pub mod types;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -6,7 +6,7 @@
 //! `types.rs`; the names that the map may hold stand in `docs/design.md`.
 //! How to read it: `TABLE` says what may follow for a request, `choose` picks its worker, `recut` draws the
 //! lanes by DIFFEQAL, `Worker` holds what is believed of a worker, and `handle` joins them.
-use crate::sabotage::{Fault, is};
+use crate::mutation::{Fault, is};
 use crate::start_delays::{AttemptId, Congestion, Sent};
 pub use crate::state::Dispatcher;
 use crate::state::Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
