--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -8,7 +8,7 @@
 use crate::membership::{Change, Members, Out};
 use crate::peer_load::{LoadReceiver, LoadSender};
 use crate::ranks::ranks;
-use rosewall::mutation::{Fault as Planted, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
@@ -231,7 +231,11 @@
             self.load_receiver
                 .keep(|name| all.iter().any(|(known, _)| known == name));
             Some(FleetPosition {
-                rank: if is(Planted::RankOff) { rank + 1 } else { rank },
+                rank: if is_active(Mutation::WrongRank) {
+                    rank + 1
+                } else {
+                    rank
+                },
                 dispatchers: all.len() as u16,
             })
         };
--- a/crates/cluster/src/grants.rs
+++ b/crates/cluster/src/grants.rs
@@ -3,7 +3,7 @@
 //! time for which a right lasts. So in no window can more be spent than that, whoever spends it when; a right that is
 //! lost is lost until its window is over.
 use crate::lease::long;
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Nanos, WorkerId};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -67,12 +67,19 @@
         };
         let lasts = GrantIssuer::lasts(purse.window);
         // A window, and as long as a right lasts: a right may be spent at its very end.
-        let span = long(purse.window + if is(Fault::RightsLinger) { 0 } else { lasts });
-        if now < held + span && !is(Fault::NewGiverHasty) {
+        let span = long(
+            purse.window
+                + if is_active(Mutation::ForgetIssuedGrant) {
+                    0
+                } else {
+                    lasts
+                },
+        );
+        if now < held + span && !is_active(Mutation::IssueWithoutHandoverWait) {
             return (0, 0);
         }
         let seen = self.answered.entry(from).or_default();
-        if seen.contains(&seq) && !is(Fault::WantedTwice) {
+        if seen.contains(&seq) && !is_active(Mutation::GrantDuplicateRequest) {
             return (0, 0);
         }
         seen.push_back(seq);
@@ -88,7 +95,7 @@
             return (0, 0);
         }
         // Taken off before it is sent.
-        if !is(Fault::GivenAndKept) {
+        if !is_active(Mutation::KeepGrantedWork) {
             purse.given.push_back((now, work));
         }
         self.given += 1;
@@ -164,13 +171,13 @@
             .asked
             .iter()
             .position(|asked| asked.seq == seq && asked.worker == worker)?;
-        let asked = if is(Fault::GrantedTwice) {
+        let asked = if is_active(Mutation::AcceptDuplicateGrant) {
             &self.asked[at]
         } else {
             &self.asked.swap_remove(at)
         };
         let (from, most) = (asked.at, asked.work);
-        let from = if is(Fault::RightFromAnswer) {
+        let from = if is_active(Mutation::GrantFromReply) {
             now
         } else {
             from
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -3,7 +3,7 @@
 //! for, each less what clocks may drift: so no two hold it at once, whatever is lost, late or paused. Nothing is written
 //! to a disk: a keeper that has just started promises nothing until all that it may have promised before is over.
 use crate::datagram::Name;
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
 
 const MS: Nanos = 1_000_000;
@@ -28,7 +28,7 @@
 
 impl Keeper {
     pub fn new(now: Nanos) -> Self {
-        let mute = if is(Fault::KeeperForgets) {
+        let mute = if is_active(Mutation::ForgetLeasePromise) {
             0
         } else {
             long(SPAN)
@@ -45,7 +45,7 @@
             .promised
             .as_ref()
             .is_some_and(|(to, at)| to == name && *at == start);
-        if !same && now < self.until && !is(Fault::PromisedTwice) {
+        if !same && now < self.until && !is_active(Mutation::PromiseLeaseTwice) {
             return false;
         }
         (self.promised, self.until) = (Some((name.clone(), start)), now + long(SPAN));
@@ -98,14 +98,14 @@
             return;
         }
         self.promised.push(by.clone());
-        let short = usize::from(is(Fault::HalfIsEnough));
+        let short = usize::from(is_active(Mutation::LeaseWithoutMajority));
         let enough = (self.promised.len() + short) * 2 > keepers;
         if !enough {
             return;
         }
         // Counted from when it was asked for: whenever each promised, it was later. Guards against an answer that
         // was long on its way.
-        let from = if is(Fault::LeaseFromAnswer) {
+        let from = if is_active(Mutation::LeaseFromReply) {
             now
         } else {
             self.asked
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -3,7 +3,7 @@
 //! that by a higher incarnation, and is held for dead after a time that shrinks with those who suspect it too. What
 //! changes is passed on with the datagrams that go out anyway.
 use crate::datagram::{Draft, NONE, Name, Part, Record, Standing, hash};
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::pcg::Pcg;
 use rosewall::types::Nanos;
 use std::collections::{BTreeMap, VecDeque};
@@ -378,7 +378,7 @@
     fn wake(&mut self, now: Nanos) {
         let gap = now.saturating_sub(self.last);
         self.last = now;
-        if gap < ASLEEP || is(Fault::SleepIgnored) {
+        if gap < ASLEEP || is_active(Mutation::IgnorePause) {
             return;
         }
         self.probe = None;
@@ -857,7 +857,7 @@
             std::cmp::Ordering::Equal => Told::Same,
             std::cmp::Ordering::Less => Told::Older,
         };
-        let told = if is(Fault::OldIncarnation) && told == Told::Older {
+        let told = if is_active(Mutation::AcceptOldIncarnation) && told == Told::Older {
             Told::Newer
         } else {
             told
--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -1,7 +1,7 @@
 //! What members tell each other of workers: lines are held back for some ms and go many to a datagram, each with its age.
 //! Of what is heard, one member's word counts for only so many silent workers.
 use crate::datagram::{Name, Part};
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Nanos, PeerLoad, WorkerId};
 use std::collections::BTreeMap;
 
@@ -108,7 +108,10 @@
             .values()
             .filter(|(_, silent)| silent.is_some())
             .count();
-        if silent && count > SILENT.max(word.workers.len() / 4) && !is(Fault::WordUnbounded) {
+        if silent
+            && count > SILENT.max(word.workers.len() / 4)
+            && !is_active(Mutation::UnboundedSilenceReports)
+        {
             self.bounded += 1;
             load.speed_code = PeerLoad::SPEED_UNKNOWN;
         }
--- a/crates/cluster/src/register/mod.rs
+++ b/crates/cluster/src/register/mod.rs
@@ -4,7 +4,7 @@
 //! restart of all, and no other document ever has its version.
 //! Nothing is answered before the disk has what the answer rests on: the machine says `Store`, is told `stored`, and only
 //! then sends. It is fed messages and moments; paging documents and opening files are its caller's.
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::pcg::Pcg;
 use rosewall::types::Nanos;
 use serde::{Deserialize, Serialize};
@@ -216,10 +216,10 @@
     /// A keeper as it starts, with what its disk held.
     pub fn new(me: Keeper, count: u8, stored: Stored, now: Nanos, seed: u64) -> Self {
         let mut stored = stored;
-        if is(Fault::LowerAfterRestart) {
+        if is_active(Mutation::RegressAfterRestart) {
             stored.in_force = Rc::default();
         }
-        if is(Fault::PromiseForgotten) {
+        if is_active(Mutation::ForgetBallotPromise) {
             stored.promised = Ballot::default();
         }
         let round = stored.promised.round;
@@ -369,7 +369,7 @@
             record: self.stored.clone(),
         });
         self.waiting.push((self.serial, then));
-        if is(Fault::AnsweredBeforeDisk) {
+        if is_active(Mutation::ReplyBeforePersist) {
             self.release(0, self.serial, effects);
         }
     }
@@ -424,7 +424,7 @@
         document: Rc<Document>,
         effects: &mut Vec<Effect>,
     ) {
-        if ballot < self.stored.promised && !is(Fault::AcceptedBelowPromise) {
+        if ballot < self.stored.promised && !is_active(Mutation::AcceptBelowPromise) {
             return self.overtaken(from, ballot, effects);
         }
         self.stored.promised = self.stored.promised.max(ballot);
@@ -474,7 +474,7 @@
 
     fn majority(&self, heard: u8) -> bool {
         let most = u32::from(self.count) / 2;
-        if is(Fault::MajorityMiscounted) {
+        if is_active(Mutation::MiscountMajority) {
             heard.count_ones() >= most
         } else {
             heard.count_ones() > most
@@ -496,7 +496,7 @@
             return;
         };
         proposal.heard |= 1 << from;
-        if !is(Fault::AcceptedIgnored) {
+        if !is_active(Mutation::IgnoreAcceptedValue) {
             let best = proposal.best.take().into_iter().chain(accepted);
             proposal.best = best.max_by_key(|(ballot, _)| *ballot);
         }
@@ -509,7 +509,7 @@
         };
         let before = proposal.best.as_ref().map(|(_, document)| document.clone());
         let before = before.unwrap_or_else(|| {
-            if is(Fault::AcceptedIgnored) {
+            if is_active(Mutation::IgnoreAcceptedValue) {
                 self.stored.in_force.clone()
             } else {
                 Rc::default()
@@ -525,7 +525,7 @@
                 (before, Outcome::Accepted { version })
             }
             Change::Put { based_on, text }
-                if before.version == *based_on || is(Fault::VersionReused) =>
+                if before.version == *based_on || is_active(Mutation::ReuseVersion) =>
             {
                 let version = based_on + 1;
                 (
@@ -605,7 +605,7 @@
             .map(|(_, document)| document.clone());
         let same = |document: &Rc<Document>| {
             document.version == version
-                && (document.digest() == digest || is(Fault::DigestNotCompared))
+                && (document.digest() == digest || is_active(Mutation::SkipDigestCheck))
         };
         match held.filter(same) {
             Some(document) => self.takes(document, effects),
@@ -621,7 +621,7 @@
         effects: &mut Vec<Effect>,
     ) -> bool {
         let whole = (document.version, document.digest()) == wanted;
-        if !whole && !is(Fault::HalfTakenUp) {
+        if !whole && !is_active(Mutation::ApplyPartialDocument) {
             self.malformed += 1;
             return false;
         }
@@ -631,7 +631,9 @@
 
     /// Acts by a document from here on, unless it has a newer one: never goes back.
     fn takes(&mut self, document: Rc<Document>, effects: &mut Vec<Effect>) {
-        if document.version <= self.stored.in_force.version && !is(Fault::GoesBack) {
+        if document.version <= self.stored.in_force.version
+            && !is_active(Mutation::ApplyOlderDocument)
+        {
             return;
         }
         self.stored.in_force = document.clone();
--- a/crates/cluster/src/register/tests.rs
+++ b/crates/cluster/src/register/tests.rs
@@ -87,7 +87,7 @@
     }
 
     /// No two documents have one version.
-    fn is(&mut self, document: &Document) {
+    fn is_active(&mut self, document: &Document) {
         let digest = document.digest();
         let known = *self.versions.entry(document.version).or_insert(digest);
         assert_eq!(
@@ -135,7 +135,7 @@
                     self.ended.push(outcome);
                 }
                 Effect::InForce(document) => {
-                    self.is(&document);
+                    self.is_active(&document);
                     let place = &mut self.places[at];
                     let version = document.version;
                     assert!(
@@ -500,24 +500,24 @@
     );
 }
 
-#[cfg(feature = "sabotage")]
+#[cfg(feature = "mutations")]
 mod planted {
     use super::*;
-    use rosewall::mutation::{Fault, SETTINGS, plant};
+    use rosewall::mutation::{Mutation, REGISTER, activate};
 
-    fn found(fault: Fault) -> bool {
-        plant(Some(fault));
+    fn found(fault: Mutation) -> bool {
+        activate(Some(fault));
         let caught = std::panic::catch_unwind(|| {
             every_order(1);
             (0..2_000).for_each(|seed| drop(random_schedule(seed, 3, 1_500).to_string()));
         });
-        plant(None);
+        activate(None);
         caught.is_err()
     }
 
     #[test]
     fn every_fault_in_how_keepers_agree_is_found() {
-        let missed: Vec<Fault> = SETTINGS
+        let missed: Vec<Mutation> = REGISTER
             .iter()
             .copied()
             .filter(|fault| !found(*fault))
--- a/crates/cluster/src/simulated_tests.rs
+++ b/crates/cluster/src/simulated_tests.rs
@@ -547,40 +547,42 @@
     assert_eq!([1, 2, 6, 7].iter().filter(|at| gives(at)).count(), 1);
 }
 
-#[cfg(feature = "sabotage")]
+#[cfg(feature = "mutations")]
 mod planted {
     use super::*;
-    use rosewall::mutation::{BETWEEN, Fault, plant};
+    use rosewall::mutation::{CLUSTER, Mutation, activate};
 
     /// Whether any of these checks fails with the fault planted.
-    fn found(fault: Fault) -> bool {
-        plant(Some(fault));
+    fn found(fault: Mutation) -> bool {
+        activate(Some(fault));
         let caught = std::panic::catch_unwind(|| match fault {
-            Fault::SleepIgnored => one_that_wakes_suspects_no_one(),
-            Fault::KeeperForgets | Fault::HalfIsEnough | Fault::LeaseFromAnswer => {
-                crate::tests::a_lease_has_one_holder()
+            Mutation::IgnorePause => one_that_wakes_suspects_no_one(),
+            Mutation::ForgetLeasePromise
+            | Mutation::LeaseWithoutMajority
+            | Mutation::LeaseFromReply => crate::tests::a_lease_has_one_holder(),
+            Mutation::GrantDuplicateRequest => {
+                crate::tests::a_request_that_comes_twice_is_given_to_once()
             }
-            Fault::WantedTwice => crate::tests::a_request_that_comes_twice_is_given_to_once(),
-            Fault::OldIncarnation => {
+            Mutation::AcceptOldIncarnation => {
                 none_that_lives_is_held_dead_for_more_than_a_refutation_at_a_fifth_lost_and_pauses(
                 );
                 let believed = crate::tests::what_is_believed_of_an_old_incarnation(2);
                 assert_eq!(believed, crate::datagram::Standing::Alive);
             }
-            Fault::RankOff => after_a_kill_all_that_are_left_agree_within_three_seconds(5, 1),
-            Fault::WordUnbounded => crate::tests::one_members_word_empties_no_fleet(),
+            Mutation::WrongRank => after_a_kill_all_that_are_left_agree_within_three_seconds(5, 1),
+            Mutation::UnboundedSilenceReports => crate::tests::one_members_word_empties_no_fleet(),
             _ => (0..200).for_each(|seed| {
                 let (most, _) = spent(seed, 20);
                 assert!(most <= JOINT);
             }),
         });
-        plant(None);
+        activate(None);
         caught.is_err()
     }
 
     #[test]
     fn every_fault_between_dispatchers_is_found() {
-        let missed: Vec<Fault> = BETWEEN
+        let missed: Vec<Mutation> = CLUSTER
             .iter()
             .copied()
             .filter(|fault| !found(*fault))
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -1,5 +1,5 @@
 //! The table of workers: host, id, where to dial, when born.
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Endpoint, EndpointState, Nanos, WorkerId};
 use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
 use std::collections::{BTreeMap, BTreeSet};
@@ -80,7 +80,7 @@
     /// Whether a list is older than what is known. Guards against a copy of discovery that lags behind the one asked
     /// before, and shows workers as ready that are known to drain or to be gone.
     fn is_old(&mut self, now: Nanos, version: u64) -> bool {
-        if is(Fault::OldListWins)
+        if is_active(Mutation::AcceptStaleList)
             || version >= self.version
             || self
                 .back_since
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -3,7 +3,7 @@
 use crate::counters::Counters;
 use crate::endpoints::Workers;
 use crate::must;
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
     Action, AttemptEnded, EndpointState, Event, FleetPosition, HealthChecked, ListScope, Nanos,
@@ -230,7 +230,9 @@
 
     fn arm(&mut self, at: Nanos, due: Due) {
         self.armed += 1;
-        if is(Fault::TimerLost) && matches!(due, Due::Deadline(_)) && self.armed.is_multiple_of(16)
+        if is_active(Mutation::DropDeadlineTimer)
+            && matches!(due, Due::Deadline(_))
+            && self.armed.is_multiple_of(16)
         {
             return;
         }
@@ -244,7 +246,7 @@
                 at,
                 request,
             } => self.arrived(now, request_id, at, request, out),
-            Input::Left(_) if is(Fault::LeftIgnored) => {}
+            Input::Left(_) if is_active(Mutation::IgnoreClientDisconnect) => {}
             Input::Left(request_id) => {
                 if let Some(active) = self.active(request_id)
                     && std::mem::take(&mut active.owed)
@@ -342,12 +344,20 @@
         out: &mut Vec<Effect>,
     ) {
         // Guards against the id of another client's request: posted again it would run twice.
-        if !self.ids.insert(request.id.as_str().into()) && !is(Fault::IdTakenTwice) {
+        if !self.ids.insert(request.id.as_str().into()) && !is_active(Mutation::AcceptDuplicateId) {
             return self.give(request_id, Answer::DuplicateId, out);
         }
         self.counters.requests.add();
-        let margin = if is(Fault::LateAnswer) { 0 } else { MARGIN };
-        let late = if is(Fault::LateAnswer) { 5 * MARGIN } else { 0 };
+        let margin = if is_active(Mutation::AnswerAfterDeadline) {
+            0
+        } else {
+            MARGIN
+        };
+        let late = if is_active(Mutation::AnswerAfterDeadline) {
+            5 * MARGIN
+        } else {
+            0
+        };
         let deadline = (at + request.within + late).saturating_sub(margin);
         let deadline = self.stop_by.map_or(deadline, |by| deadline.min(by));
         let ClientRequest {
@@ -440,7 +450,7 @@
         out: &mut Vec<Effect>,
     ) {
         log::debug!("at={now} request={request_id} attempt={attempt_index} ended {outcome:?}");
-        let unrun = is(Fault::BrokenIsUnrun) && outcome == Outcome::ConnectionLost;
+        let unrun = is_active(Mutation::TreatLostAsNotRun) && outcome == Outcome::ConnectionLost;
         let outcome = if unrun {
             Outcome::ConnectFailed
         } else {
@@ -500,7 +510,7 @@
         };
         let over =
             |active: &ActiveRequest| !active.owed && active.attempts.iter().all(Option::is_none);
-        if is(Fault::TxnKept)
+        if is_active(Mutation::LeakRequest)
             && self
                 .requests
                 .get(place)
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -1,6 +1,6 @@
 //! Descriptors and the bytes of requests, all counted here. What waits at the door makes room before anyone is kept out.
 use async_channel::{Receiver, Sender};
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -201,8 +201,9 @@
         let oldest = strangers
             .first_key_value()
             .map(|(_, (since, _))| now.saturating_sub(*since));
-        let stranger =
-            oldest.is_some_and(|waited| waited >= MEANS_TO_ASK || is(Fault::ClosedAtOnce));
+        let stranger = oldest.is_some_and(|waited| {
+            waited >= MEANS_TO_ASK || is_active(Mutation::CloseWithoutAnswer)
+        });
         let closed = if stranger {
             strangers.pop_first()
         } else {
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -3,7 +3,7 @@
 use crate::traits::{Door, Ground, Stream, nanos, pause, within};
 use async_channel::Receiver;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
 use rosewall_engine::limits::{Slot, Waiter};
 use rosewall_protocol::client::{self, Answer, ClientRequest, Heard, Intake};
@@ -337,11 +337,11 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         };
         let keeps = keeps && !self.shared.stopping.get();
-        if is(Fault::AnswerLostAtStop) && self.shared.stopping.get() {
+        if is_active(Mutation::DropAnswerAtShutdown) && self.shared.stopping.get() {
             return Ok(false);
         }
         let mut text = client::answer(&answer, keeps);
-        if is(Fault::HalfAnswer) && request_id.is_multiple_of(32) {
+        if is_active(Mutation::TruncateAnswer) && request_id.is_multiple_of(32) {
             text.pop();
         }
         let written = self.write(&text).await;
--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::traits::{Ground, nanos, pause, within};
 use async_channel::{Receiver, Sender};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
 use rosewall_protocol::discovery::{self, EndpointListReader};
 use std::convert::Infallible;
@@ -84,7 +84,7 @@
         // while the configuration names an agent that does not answer yet.
         old = loop {
             let (told, first) = async_channel::bounded(1);
-            if is(Fault::WatchDropped) {
+            if is_active(Mutation::DropWatchOnReload) {
                 let _ = told.try_send(());
             }
             let mut new = Box::pin(tend(shared, to, leave, false, told, None));
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -2,7 +2,7 @@
 use crate::context::{Conn, News, Shared};
 use crate::traits::{Ground, Look, Stream, nanos, pause, within};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use rosewall::mutation::{Fault, is};
+use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{HealthChecked, Nanos, Outcome, Report, WorkerId};
 use rosewall_engine::engine::OutboundAttempt;
 use rosewall_engine::limits::Slot;
@@ -195,7 +195,7 @@
                 shared.broke(since);
             }
             reply.closed().into_iter().for_each(tell);
-            if is(Fault::ConnectionLeaked) {
+            if is_active(Mutation::LeakConnection) {
                 std::mem::forget(conn);
             }
             return;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -9,7 +9,7 @@
 mod http;
 pub mod judge;
 mod mail;
-#[cfg(feature = "sabotage")]
+#[cfg(feature = "mutations")]
 pub mod mutation;
 mod net;
 pub mod scenario;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -79,7 +79,7 @@
     },
     /// Plant faults in the program, one by one, and say how many worlds it took to find each; exit code 1 where one
     /// was not found
-    Sabotage {
+    Mutations {
         /// The most worlds for one fault
         #[arg(long, default_value_t = 1000)]
         seeds: u64,
@@ -271,14 +271,14 @@
             });
             Ok(true)
         }
-        Command::Sabotage { seeds, first, jobs } => {
-            sabotage(*seeds, *first, cores(*jobs), cli.json)
+        Command::Mutations { seeds, first, jobs } => {
+            check_mutations(*seeds, *first, cores(*jobs), cli.json)
         }
     }
 }
 
-#[cfg(feature = "sabotage")]
-fn sabotage(seeds: u64, first: u64, jobs: usize, as_json: bool) -> Result<bool, String> {
+#[cfg(feature = "mutations")]
+fn check_mutations(seeds: u64, first: u64, jobs: usize, as_json: bool) -> Result<bool, String> {
     let mut all = true;
     for fault in rosewall_simulation::mutation::all() {
         let found = rosewall_simulation::mutation::find(*fault, first, seeds, jobs);
@@ -297,7 +297,7 @@
     Ok(all)
 }
 
-#[cfg(not(feature = "sabotage"))]
-fn sabotage(_: u64, _: u64, _: usize, _: bool) -> Result<bool, String> {
-    Err("faults are planted only in a build with `--features sabotage`".to_string())
+#[cfg(not(feature = "mutations"))]
+fn check_mutations(_: u64, _: u64, _: usize, _: bool) -> Result<bool, String> {
+    Err("faults are planted only in a build with `--features mutations`".to_string())
 }
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -2,7 +2,7 @@
 use crate::draw::draw;
 use crate::judge::Rule;
 use crate::world::play;
-use rosewall::mutation::{ALL, Fault, plant};
+use rosewall::mutation::{ALL, Mutation, activate};
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -16,12 +16,12 @@
 }
 
 /// Plays seeds from the first one on until the fault is found, `most` worlds at the most.
-pub fn find(fault: Fault, first: u64, most: u64, jobs: usize) -> Found {
+pub fn find(fault: Mutation, first: u64, most: u64, jobs: usize) -> Found {
     let (next, best) = (AtomicU64::new(first), AtomicU64::new(u64::MAX));
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
-                plant(Some(fault));
+                activate(Some(fault));
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     // A lower seed may still be under way elsewhere: the lowest counts, for any number of jobs.
@@ -44,9 +44,9 @@
             what: String::new(),
         };
     }
-    plant(Some(fault));
+    activate(Some(fault));
     let violations = play(&draw(seed), false).violations;
-    plant(None);
+    activate(None);
     let (rule, what) = violations
         .first()
         .map(|one| (one.rule, one.what.clone()))
@@ -61,6 +61,6 @@
 }
 
 /// Each fault in turn.
-pub fn all() -> &'static [Fault] {
+pub fn all() -> &'static [Mutation] {
     ALL
 }
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -179,7 +179,7 @@
 }
 
 /// A judge that finds none of them is no judge.
-#[cfg(feature = "sabotage")]
+#[cfg(feature = "mutations")]
 #[test]
 fn every_fault_planted_on_purpose_is_found() {
     let jobs = std::thread::available_parallelism().map_or(1, |cores| cores.get());
--- a/src/mutation.rs
+++ b/src/mutation.rs
@@ -1,164 +1,164 @@
 //! Faults planted in the program on purpose, to show that whoever judges it can find them. Only a build with the
-//! feature `sabotage` has them, one at a time and on one thread; in all others `is` is false when it is compiled.
+//! feature `mutations` has them, one at a time and on one thread; in all others `is_active` is false when it is compiled.
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Mutation {
     /// A once-only request is posted again after it may have run.
-    OnceOnlyAgain,
+    RetryNonIdempotent,
     /// A referenced request is repeated out of its group and window.
-    WindowIgnored,
+    IgnoreRetryWindow,
     /// A worker that drains still gets new work.
-    GraceIgnored,
+    IgnoreDraining,
     /// A cold worker gets whatever its lane holds.
-    ColdIgnored,
+    IgnoreSlowStart,
     /// An answer that is ready while the program stops is not written.
-    AnswerLostAtStop,
+    DropAnswerAtShutdown,
     /// Answers are decided 100 ms after the deadline.
-    LateAnswer,
+    AnswerAfterDeadline,
     /// The timer of one deadline in sixteen is lost.
-    TimerLost,
+    DropDeadlineTimer,
     /// An old list overrides a new one.
-    OldListWins,
+    AcceptStaleList,
     /// A client that has left is not noticed, and its request is posted all the same.
-    LeftIgnored,
+    IgnoreClientDisconnect,
     /// The connection of an attempt that ended badly is never closed.
-    ConnectionLeaked,
+    LeakConnection,
     /// The id of a request in hand is taken again.
-    IdTakenTwice,
+    AcceptDuplicateId,
     /// A connection that broke after the last byte counts as one that never came up.
-    BrokenIsUnrun,
+    TreatLostAsNotRun,
     /// One answer in thirty-two ends before its last byte.
-    HalfAnswer,
+    TruncateAnswer,
     /// Whoever waits at a full door or a stop is closed at once.
-    ClosedAtOnce,
+    CloseWithoutAnswer,
     /// A reload drops the old watch before the new one has told anything.
-    WatchDropped,
+    DropWatchOnReload,
     /// Txns that were posted more than once stay in hand for ever.
-    TxnKept,
+    LeakRequest,
     // What dispatchers are to each other.
     /// What a paused process waited for counts against others.
-    SleepIgnored,
+    IgnorePause,
     /// What an old incarnation said is believed.
-    OldIncarnation,
+    AcceptOldIncarnation,
     /// A member takes the rank after its own.
-    RankOff,
+    WrongRank,
     /// A keeper that starts anew promises at once.
-    KeeperForgets,
+    ForgetLeasePromise,
     /// A keeper promises another while its word still holds.
-    PromisedTwice,
+    PromiseLeaseTwice,
     /// One less than a majority of the keepers is enough.
-    HalfIsEnough,
+    LeaseWithoutMajority,
     /// A lease counts from the answer.
-    LeaseFromAnswer,
+    LeaseFromReply,
     /// What was given is forgotten after a window, though it may be spent later.
-    RightsLinger,
+    ForgetIssuedGrant,
     /// A new giver does not wait for what the one before gave.
-    NewGiverHasty,
+    IssueWithoutHandoverWait,
     /// A request that comes twice is given to twice.
-    WantedTwice,
+    GrantDuplicateRequest,
     /// A right is given and kept.
-    GivenAndKept,
+    KeepGrantedWork,
     /// A right that comes twice counts twice.
-    GrantedTwice,
+    AcceptDuplicateGrant,
     /// A right counts from the answer.
-    RightFromAnswer,
+    GrantFromReply,
     /// One member's word on silence counts without bound.
-    WordUnbounded,
+    UnboundedSilenceReports,
     // How keepers agree on the fleet's settings.
     /// A keeper answers before its disk has what the answer rests on.
-    AnsweredBeforeDisk,
+    ReplyBeforePersist,
     /// Half of the keepers are taken for more than half.
-    MajorityMiscounted,
+    MiscountMajority,
     /// What keepers have accepted before is not looked at.
-    AcceptedIgnored,
+    IgnoreAcceptedValue,
     /// A change gets the number after the one that it names, whatever is there.
-    VersionReused,
+    ReuseVersion,
     /// A keeper accepts what lies below what it has promised.
-    AcceptedBelowPromise,
+    AcceptBelowPromise,
     /// A keeper that starts anew has promised nothing.
-    PromiseForgotten,
+    ForgetBallotPromise,
     /// A document is taken for the chosen one by its number alone.
-    DigestNotCompared,
+    SkipDigestCheck,
     /// What was fetched is taken up though it is not whole.
-    HalfTakenUp,
+    ApplyPartialDocument,
     /// A keeper that starts anew acts by nothing of what it had.
-    LowerAfterRestart,
+    RegressAfterRestart,
     /// An older document takes the place of a newer one.
-    GoesBack,
+    ApplyOlderDocument,
 }
 
 /// Those in how keepers agree on settings: `rosewall-cluster` finds them.
-pub const SETTINGS: &[Fault] = &[
-    Fault::AnsweredBeforeDisk,
-    Fault::MajorityMiscounted,
-    Fault::AcceptedIgnored,
-    Fault::VersionReused,
-    Fault::AcceptedBelowPromise,
-    Fault::PromiseForgotten,
-    Fault::DigestNotCompared,
-    Fault::HalfTakenUp,
-    Fault::LowerAfterRestart,
-    Fault::GoesBack,
+pub const REGISTER: &[Mutation] = &[
+    Mutation::ReplyBeforePersist,
+    Mutation::MiscountMajority,
+    Mutation::IgnoreAcceptedValue,
+    Mutation::ReuseVersion,
+    Mutation::AcceptBelowPromise,
+    Mutation::ForgetBallotPromise,
+    Mutation::SkipDigestCheck,
+    Mutation::ApplyPartialDocument,
+    Mutation::RegressAfterRestart,
+    Mutation::ApplyOlderDocument,
 ];
 
 /// Those that play between dispatchers: `rosewall-cluster` finds them.
-pub const BETWEEN: &[Fault] = &[
-    Fault::SleepIgnored,
-    Fault::OldIncarnation,
-    Fault::RankOff,
-    Fault::KeeperForgets,
-    Fault::PromisedTwice,
-    Fault::HalfIsEnough,
-    Fault::LeaseFromAnswer,
-    Fault::RightsLinger,
-    Fault::NewGiverHasty,
-    Fault::WantedTwice,
-    Fault::GivenAndKept,
-    Fault::GrantedTwice,
-    Fault::RightFromAnswer,
-    Fault::WordUnbounded,
+pub const CLUSTER: &[Mutation] = &[
+    Mutation::IgnorePause,
+    Mutation::AcceptOldIncarnation,
+    Mutation::WrongRank,
+    Mutation::ForgetLeasePromise,
+    Mutation::PromiseLeaseTwice,
+    Mutation::LeaseWithoutMajority,
+    Mutation::LeaseFromReply,
+    Mutation::ForgetIssuedGrant,
+    Mutation::IssueWithoutHandoverWait,
+    Mutation::GrantDuplicateRequest,
+    Mutation::KeepGrantedWork,
+    Mutation::AcceptDuplicateGrant,
+    Mutation::GrantFromReply,
+    Mutation::UnboundedSilenceReports,
 ];
 
-pub const ALL: &[Fault] = &[
-    Fault::OnceOnlyAgain,
-    Fault::WindowIgnored,
-    Fault::GraceIgnored,
-    Fault::ColdIgnored,
-    Fault::AnswerLostAtStop,
-    Fault::LateAnswer,
-    Fault::TimerLost,
-    Fault::OldListWins,
-    Fault::LeftIgnored,
-    Fault::ConnectionLeaked,
-    Fault::IdTakenTwice,
-    Fault::BrokenIsUnrun,
-    Fault::HalfAnswer,
-    Fault::ClosedAtOnce,
-    Fault::WatchDropped,
-    Fault::TxnKept,
+pub const ALL: &[Mutation] = &[
+    Mutation::RetryNonIdempotent,
+    Mutation::IgnoreRetryWindow,
+    Mutation::IgnoreDraining,
+    Mutation::IgnoreSlowStart,
+    Mutation::DropAnswerAtShutdown,
+    Mutation::AnswerAfterDeadline,
+    Mutation::DropDeadlineTimer,
+    Mutation::AcceptStaleList,
+    Mutation::IgnoreClientDisconnect,
+    Mutation::LeakConnection,
+    Mutation::AcceptDuplicateId,
+    Mutation::TreatLostAsNotRun,
+    Mutation::TruncateAnswer,
+    Mutation::CloseWithoutAnswer,
+    Mutation::DropWatchOnReload,
+    Mutation::LeakRequest,
 ];
 
-#[cfg(feature = "sabotage")]
+#[cfg(feature = "mutations")]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<Fault>> = const { std::cell::Cell::new(None) };
+    static ACTIVE: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
 /// Plants a fault in what this thread runs from here on, or none.
-#[cfg(feature = "sabotage")]
-pub fn plant(fault: Option<Fault>) {
-    PLANTED.set(fault);
+#[cfg(feature = "mutations")]
+pub fn activate(fault: Option<Mutation>) {
+    ACTIVE.set(fault);
 }
 
 /// Whether this fault is planted.
-#[cfg(feature = "sabotage")]
-pub fn is(fault: Fault) -> bool {
-    PLANTED.get() == Some(fault)
+#[cfg(feature = "mutations")]
+pub fn is_active(fault: Mutation) -> bool {
+    ACTIVE.get() == Some(fault)
 }
 
 /// No fault is planted in this build.
-#[cfg(not(feature = "sabotage"))]
+#[cfg(not(feature = "mutations"))]
 #[inline(always)]
-pub const fn is(_: Fault) -> bool {
+pub const fn is_active(_: Mutation) -> bool {
     false
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -6,7 +6,7 @@
 //! `types.rs`; the names that the map may hold stand in `docs/design.md`.
 //! How to read it: `TABLE` says what may follow for a request, `choose` picks its worker, `recut` draws the
 //! lanes by DIFFEQAL, `Worker` holds what is believed of a worker, and `handle` joins them.
-use crate::mutation::{Fault, is};
+use crate::mutation::{Mutation, is_active};
 use crate::start_delays::{AttemptId, Congestion, Sent};
 pub use crate::state::Dispatcher;
 use crate::state::Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
@@ -502,7 +502,7 @@
             }
             (worker.state, worker.zone, worker.worker_type) =
                 (entry.state, entry.zone, entry.worker_type);
-            if entry.state == EndpointState::Draining && is(Fault::GraceIgnored) {
+            if entry.state == EndpointState::Draining && is_active(Mutation::IgnoreDraining) {
                 worker.state = EndpointState::Ready;
             }
             if scope == ListScope::Cached {
@@ -727,7 +727,9 @@
         } = *active;
         let class = &self.classes[usize::from(request.class)];
         // Where a repeat is bound to a group, its workers may be any in the list.
-        let bound = doubt.filter(|_| idempotency == IdempotentWithKey && !is(Fault::WindowIgnored));
+        let bound = doubt.filter(|_| {
+            idempotency == IdempotentWithKey && !is_active(Mutation::IgnoreRetryWindow)
+        });
         let (lanes, mean) = (
             if bound.is_some() {
                 &class.all
@@ -778,7 +780,7 @@
             let seat = worker.out + told + need.min(part) <= part;
             let doubt = worker.doubt(now, self.distrust, usize::from(request.class), idempotency);
             let cold = self.warmth(worker, now) < 1.0;
-            if cold && self.budget(worker, now) < most && !is(Fault::ColdIgnored) {
+            if cold && self.budget(worker, now) < most && !is_active(Mutation::IgnoreSlowStart) {
                 self.lacking = self.lacking.or(seat.then_some(at));
                 continue;
             }
@@ -1198,7 +1200,7 @@
             return;
         };
         let active = &mut self.requests[key];
-        let idempotency = if is(Fault::OnceOnlyAgain) {
+        let idempotency = if is_active(Mutation::RetryNonIdempotent) {
             Idempotent
         } else {
             active.idempotency
