--- a/crates/cluster-testbed/src/scale/dispatchers.rs
+++ b/crates/cluster-testbed/src/scale/dispatchers.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use rosewall_runtime::node::Node;
 use rosewalld::life::start::load;
-use rosewalld::sockets::{Listener, Sockets};
+use rosewalld::sockets::{SocketListener, Sockets};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -35,7 +35,11 @@
         let listener = TcpListener::bind(given.listen)
             .and_then(Async::new)
             .map_err(|error| error.to_string())?;
-        let node = Node::start(Sockets::new(self.ex.clone()), given, Listener(listener))?;
+        let node = Node::start(
+            Sockets::new(self.ex.clone()),
+            given,
+            SocketListener(listener),
+        )?;
         self.nodes.borrow_mut()[at] = Some(node);
         Ok(())
     }
@@ -50,8 +54,8 @@
                 let mut seen = Views::default();
                 for node in self.nodes.borrow().iter().flatten() {
                     let text = node
-                        .shared
-                        .members
+                        .context
+                        .cluster
                         .as_ref()
                         .map(ToString::to_string)
                         .unwrap_or_default();
@@ -62,7 +66,7 @@
                     };
                     let number = |name| word(name).parse().unwrap_or(0);
                     seen.views.push((number("rank="), number("count=")));
-                    seen.ready += usize::from(node.shared.ready.get());
+                    seen.ready += usize::from(node.context.ready.get());
                     seen.bytes += word("bytes=").parse().unwrap_or(0);
                 }
                 return serde_json::to_string(&seen).map_err(|error| error.to_string());
--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -1,6 +1,6 @@
 //! One process among the others: members, ranks, leases, rights and signals put together. It is fed datagrams and
 //! moments and says what is to be sent and what the decisions are to hear.
-use crate::config::Joining;
+use crate::config::ClusterConfig;
 use crate::datagram::{self, Name, Part, Record, hash};
 use crate::error::ClusterError;
 use crate::grants::{GrantHolder, GrantIssuer, UNIT};
@@ -81,11 +81,11 @@
 }
 
 impl Cluster {
-    pub fn new(joining: &Joining, now: Nanos, seed: u64) -> Self {
-        let cluster = hash(joining.cluster.as_bytes());
-        let name: Name = joining.name.as_str().into();
-        let keepers: Vec<Name> = joining
-            .keepers
+    pub fn new(cluster_config: &ClusterConfig, now: Nanos, seed: u64) -> Self {
+        let cluster = hash(cluster_config.cluster.as_bytes());
+        let name: Name = cluster_config.name.as_str().into();
+        let keepers: Vec<Name> = cluster_config
+            .quorum
             .iter()
             .map(|name| name.as_str().into())
             .collect();
@@ -93,8 +93,8 @@
         let members = Members::new(
             cluster,
             name,
-            joining.listen,
-            joining.seeds.clone(),
+            cluster_config.listen,
+            cluster_config.seeds.clone(),
             now,
             seed,
         );
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -9,16 +9,16 @@
 
 /// How one dispatcher joins the others.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Joining {
+pub struct ClusterConfig {
     pub cluster: String,
     pub name: String,
     pub listen: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    pub keepers: Vec<String>,
+    pub quorum: Vec<String>,
     /// All datagrams go by this relay, each with the other side's address before it.
-    pub through: Option<SocketAddr>,
+    pub relay: Option<SocketAddr>,
     /// How far the machines' wall clocks may lie apart.
-    pub clocks: Nanos,
+    pub max_clock_skew: Nanos,
 }
 
 const KEYS: &[&str] = &[
@@ -128,7 +128,7 @@
 }
 
 /// Reads the file's text; `path` is for what is said of it.
-pub fn read(path: &Path, text: &str) -> Result<Joining, ClusterError> {
+pub fn parse(path: &Path, text: &str) -> Result<ClusterConfig, ClusterError> {
     let mut file = File {
         path,
         text,
@@ -180,15 +180,15 @@
     let clocks = file
         .get("clocks_ms", "0 to 3600000 (ms)", clocks)?
         .unwrap_or(CLOCKS_MS);
-    Ok(Joining {
+    Ok(ClusterConfig {
         cluster: file.need("cluster", NAME, name)?,
         name: file.need("name", NAME, name)?,
         listen: file.need("listen", ADDRESS, address)?,
         seeds: file.need("seeds", "a list of IPv4 addresses with ports", |value| {
             list(value, address)
         })?,
-        keepers,
-        through: file.get("through", ADDRESS, address)?,
-        clocks: clocks as Nanos * 1_000_000,
+        quorum: keepers,
+        relay: file.get("through", ADDRESS, address)?,
+        max_clock_skew: clocks as Nanos * 1_000_000,
     })
 }
--- a/crates/cluster/src/simulated.rs
+++ b/crates/cluster/src/simulated.rs
@@ -1,7 +1,7 @@
 //! Many processes' machines on one virtual clock, with datagrams lost, late, doubled and cut between them, clocks of
 //! their own, pauses, ends and starts: all from one seed. For tests and for the command that measures by size.
 use crate::cluster::{Cluster, Effect, LogLine};
-use crate::config::Joining;
+use crate::config::ClusterConfig;
 use rosewall::pcg::Pcg;
 use rosewall::types::{FleetPosition, Nanos, WorkerId};
 use std::cmp::Reverse;
@@ -34,7 +34,7 @@
 
 pub struct Node {
     pub cluster: Cluster,
-    joining: Joining,
+    cluster_config: ClusterConfig,
     /// Its clock: what it shows at the field's start, and how fast it runs.
     offset: f64,
     rate: f64,
@@ -113,30 +113,30 @@
         self.queue.push(Reverse((at, self.serial, event)));
     }
 
-    pub fn joining(&self, at: usize, keepers: usize) -> Joining {
-        Joining {
+    pub fn config_of(&self, at: usize, keepers: usize) -> ClusterConfig {
+        ClusterConfig {
             cluster: "field".to_string(),
             name: format!("n{at:04}"),
             listen: address(at),
             seeds: (0..3.min(self.nodes.len())).map(address).collect(),
-            keepers: (0..keepers).map(|at| format!("n{at:04}")).collect(),
-            through: None,
-            clocks: 0,
+            quorum: (0..keepers).map(|at| format!("n{at:04}")).collect(),
+            relay: None,
+            max_clock_skew: 0,
         }
     }
 
     /// Starts a process at a place; its clock is off by up to `skew` and by up to one in a hundred in speed.
-    pub fn start(&mut self, at: usize, joining: Joining, skew: Nanos) {
+    pub fn start(&mut self, at: usize, cluster_config: ClusterConfig, skew: Nanos) {
         let offset = 1e18 + self.chance.unit() * skew as f64;
         let rate = 1.0 + (self.chance.unit() - 0.5) * if skew > 0 { 0.018 } else { 0.0 };
         let local = (offset + self.now as f64 * rate) as Nanos;
         let seed = (self.chance.unit() * 1e18) as u64;
-        let cluster = Cluster::new(&joining, local, seed);
+        let cluster = Cluster::new(&cluster_config, local, seed);
         let (paused, bytes, datagrams) = (None, 0, 0);
         let (waiting, heard) = (Vec::new(), Vec::new());
         self.nodes[at] = Some(Node {
             cluster,
-            joining,
+            cluster_config,
             offset,
             rate,
             paused,
@@ -150,9 +150,11 @@
 
     /// Starts it again under its name, with nothing kept.
     pub fn restart(&mut self, at: usize, skew: Nanos) {
-        let joining = self.nodes[at].as_ref().map(|node| node.joining.clone());
-        let joining = joining.unwrap_or_else(|| self.joining(at, 3));
-        self.start(at, joining, skew);
+        let cluster_config = self.nodes[at]
+            .as_ref()
+            .map(|node| node.cluster_config.clone());
+        let cluster_config = cluster_config.unwrap_or_else(|| self.config_of(at, 3));
+        self.start(at, cluster_config, skew);
     }
 
     pub fn kill(&mut self, at: usize) {
@@ -211,7 +213,7 @@
                 Effect::Send { to, bytes } => {
                     (node.bytes, node.datagrams) =
                         (node.bytes + bytes.len() as u64, node.datagrams + 1);
-                    let from = node.joining.listen;
+                    let from = node.cluster_config.listen;
                     let other = self.addresses.get(&to).copied();
                     let apart = other.is_none_or(|other| {
                         self.side[other] != self.side[at] || self.cut.contains(&(at, other))
--- a/crates/cluster/src/simulated_tests.rs
+++ b/crates/cluster/src/simulated_tests.rs
@@ -11,8 +11,8 @@
 fn started(count: usize, seed: u64) -> Field {
     let mut field = Field::new(count, seed);
     for at in 0..count {
-        let joining = field.joining(at, 3);
-        field.start(at, joining, 0);
+        let cluster_config = field.config_of(at, 3);
+        field.start(at, cluster_config, 0);
     }
     let all: Vec<usize> = (0..count).collect();
     field
@@ -45,8 +45,8 @@
     let mut field = Field::new(count, seed);
     field.regions = far;
     for at in 0..count {
-        let joining = field.joining(at, 3);
-        field.start(at, joining, 0);
+        let cluster_config = field.config_of(at, 3);
+        field.start(at, cluster_config, 0);
     }
     let all = field.running();
     field
@@ -229,13 +229,13 @@
 fn two_of_one_name_are_told_and_the_older_stands_aside() {
     let mut field = Field::new(5, 1);
     for at in 0..4 {
-        let joining = field.joining(at, 3);
-        field.start(at, joining, 0);
+        let cluster_config = field.config_of(at, 3);
+        field.start(at, cluster_config, 0);
     }
     field.run(5 * SECOND);
-    let mut joining = field.joining(4, 3);
-    joining.name = "n0001".to_string();
-    field.start(4, joining, 0);
+    let mut cluster_config = field.config_of(4, 3);
+    cluster_config.name = "n0001".to_string();
+    field.start(4, cluster_config, 0);
     field.run(10 * SECOND);
     let errors = |at: usize, field: &Field| {
         let heard = &field.nodes[at].as_ref().unwrap().heard;
@@ -267,9 +267,9 @@
 fn clusters_of_other_names_never_merge() {
     let mut field = Field::new(6, 1);
     for at in 0..6 {
-        let mut joining = field.joining(at, 3);
-        joining.cluster = ["one", "other"][at % 2].to_string();
-        field.start(at, joining, 0);
+        let mut cluster_config = field.config_of(at, 3);
+        cluster_config.cluster = ["one", "other"][at % 2].to_string();
+        field.start(at, cluster_config, 0);
     }
     field.run(15 * SECOND);
     assert!(field.agree(&[0, 2, 4]));
@@ -287,9 +287,9 @@
 #[test]
 fn another_at_an_address_used_before_is_not_taken_for_the_one_that_was_there() {
     let mut field = started(6, 2);
-    let mut joining = field.joining(3, 3);
-    joining.name = "other".to_string();
-    field.start(3, joining, 0);
+    let mut cluster_config = field.config_of(3, 3);
+    cluster_config.name = "other".to_string();
+    field.start(3, cluster_config, 0);
     let all = field.running();
     field
         .until_agreed(&all, 6 * SECOND)
@@ -375,8 +375,8 @@
     let mut below = move |most: u64| (draw.unit() * most as f64) as u64;
     let skew = [0, 5 * SECOND][below(2) as usize];
     for at in 0..8 {
-        let joining = field.joining(at, 3);
-        field.start(at, joining, skew);
+        let cluster_config = field.config_of(at, 3);
+        field.start(at, cluster_config, skew);
     }
     field.way = Way {
         loss: [0.0, 0.05, 0.2][below(3) as usize],
--- a/crates/cluster/src/tests.rs
+++ b/crates/cluster/src/tests.rs
@@ -1,5 +1,5 @@
 //! The parts by themselves.
-use crate::config::{nearest, read};
+use crate::config::{nearest, parse};
 use crate::datagram::{self, Datagram, Draft, Fault, NONE, Name, Part, Record, Standing};
 use crate::error::ClusterError;
 use crate::grants::GrantIssuer;
@@ -252,23 +252,27 @@
 
 #[test]
 fn a_file_is_read() {
-    let joining = read(
+    let cluster_config = parse(
         Path::new("c.toml"),
         &format!("{GOOD}keepers = [\"a\", \"b\", \"c\"]\n"),
     )
     .unwrap();
     assert_eq!(
-        (joining.name.as_str(), joining.keepers.len(), joining.clocks),
+        (
+            cluster_config.name.as_str(),
+            cluster_config.quorum.len(),
+            cluster_config.max_clock_skew
+        ),
         ("n1", 3, 10_000_000_000)
     );
-    assert_eq!(joining.seeds, ["10.0.0.2:7946".parse().unwrap()]);
+    assert_eq!(cluster_config.seeds, ["10.0.0.2:7946".parse().unwrap()]);
 }
 
 #[test]
 fn the_example_under_deploy_is_one() {
     let text = include_str!("../../../deploy/cluster.toml");
     assert_eq!(
-        read(Path::new("cluster.toml"), text).unwrap().keepers,
+        parse(Path::new("cluster.toml"), text).unwrap().quorum,
         ["n1", "n2", "n3"]
     );
 }
@@ -280,14 +284,14 @@
 #[test_case("clocks_ms = -1", "c.toml:6: clocks_ms is -1"; "below none")]
 #[test_case("x = [", "c.toml:6: this is not TOML"; "no toml")]
 fn a_fault_names_file_line_and_key(more: &str, says: &str) {
-    let fault = read(Path::new("c.toml"), &format!("{GOOD}{more}\n")).unwrap_err();
+    let fault = parse(Path::new("c.toml"), &format!("{GOOD}{more}\n")).unwrap_err();
     assert!(fault.line().contains(says), "{}", fault.line());
     assert!(fault.line().starts_with(fault.code()) && fault.line().ends_with(fault.remedy()));
 }
 
 #[test]
 fn what_is_missing_is_named() {
-    let fault = read(Path::new("c.toml"), &GOOD.replace("name = \"n1\"\n", "")).unwrap_err();
+    let fault = parse(Path::new("c.toml"), &GOOD.replace("name = \"n1\"\n", "")).unwrap_err();
     assert!(
         matches!(fault, ClusterError::Missing { key: "name", .. }),
         "{fault:?}"
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -6,7 +6,7 @@
 use rosewall::pcg::Pcg;
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use rosewall_cluster::cluster::{Cluster, Effect, LogLine};
-use rosewall_cluster::config::Joining;
+use rosewall_cluster::config::ClusterConfig;
 use rosewall_cluster::register::{self, Document, Message, Register, Stored};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -98,17 +98,17 @@
     }
 
     fn start(&mut self, at: usize) {
-        let joining = Joining {
+        let cluster_config = ClusterConfig {
             cluster: "lock".to_string(),
             name: format!("n{at:02}"),
             listen: address(at),
             seeds: (0..3).map(address).collect(),
-            keepers: (0..self.quorum).map(|at| format!("n{at:02}")).collect(),
-            through: None,
-            clocks: 0,
+            quorum: (0..self.quorum).map(|at| format!("n{at:02}")).collect(),
+            relay: None,
+            max_clock_skew: 0,
         };
         let seed = below(&mut self.chance, 1 << 40);
-        self.clusters[at] = Some(Cluster::new(&joining, self.now, seed));
+        self.clusters[at] = Some(Cluster::new(&cluster_config, self.now, seed));
         self.push(0, Next::Wake(at));
     }
 
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -2,7 +2,7 @@
 use rosewall::pick;
 use rosewall::policy::Dispatcher;
 use rosewall::types::Nanos;
-use rosewall_cluster::config::Joining;
+use rosewall_cluster::config::ClusterConfig;
 use rosewall_cluster::error::ClusterError;
 use rosewall_protocol::client::Names;
 use rosewall_settings::{Map, ours};
@@ -39,7 +39,7 @@
 }
 
 #[derive(Clone)]
-pub struct Given {
+pub struct Config {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
@@ -50,12 +50,12 @@
     pub talk: Option<Talk>,
     pub cluster: Option<String>,
     /// What stands in that file, once it was read.
-    pub joining: Option<Joining>,
+    pub cluster_config: Option<ClusterConfig>,
     pub map: Map,
 }
 
 /// Reads the file's text; an error says what cannot be used.
-pub fn read(text: &[u8]) -> Result<Given, String> {
+pub fn parse(text: &[u8]) -> Result<Config, String> {
     let file: File = serde_json::from_slice(text).map_err(|error| error.to_string())?;
     let Limits { memory_mb, sockets } = file.limits;
     let seed = u64::from_str_radix(&file.seed, 16)
@@ -84,8 +84,8 @@
         file.discovery,
         file.known.to_string().into_bytes(),
     );
-    let (talk, cluster, joining) = (file.talk, file.cluster, None);
-    Ok(Given {
+    let (talk, cluster, cluster_config) = (file.talk, file.cluster, None);
+    Ok(Config {
         listen,
         discovery,
         seed,
@@ -94,40 +94,40 @@
         known,
         talk,
         cluster,
-        joining,
+        cluster_config,
         map,
     })
 }
 
-impl Given {
+impl Config {
     /// Takes in how it joins the others. Cold workers are then sent to by rights, also where no keeper gives any: turns count
     /// who runs, and one that is cut off would take itself for the only one.
-    pub fn join(&mut self, joining: Joining) -> Result<(), ClusterError> {
+    pub fn join(&mut self, cluster_config: ClusterConfig) -> Result<(), ClusterError> {
         if self.talk.is_some() {
             return Err(ClusterError::TalkAndCluster);
         }
         self.map.insert("warm_up_grants".into(), "true".to_string());
-        self.joining = Some(joining);
+        self.cluster_config = Some(cluster_config);
         Ok(())
     }
 }
 
 /// Whether the dispatcher can start with this; an error names what is wrong and its value.
-pub fn check(given: &Given) -> Result<(), String> {
-    Dispatcher::start(0, given.seed, &given.map)?;
+pub fn validate(config: &Config) -> Result<(), String> {
+    Dispatcher::start(0, config.seed, &config.map)?;
     // Guards against a stop that goes on past the kill, where deadlines are shorter than those assumed in place of them.
-    for at in 0..pick::<usize>(&given.map, "class.count")? {
-        pick::<Nanos>(&given.map, &format!("class.{at}.deadline"))?;
+    for at in 0..pick::<usize>(&config.map, "class.count")? {
+        pick::<Nanos>(&config.map, &format!("class.{at}.deadline"))?;
     }
     // Guards against lists that never come, or calls that cost others, where a word is not known.
-    let mode: String = pick(&given.map, "endpoints.mode")?;
+    let mode: String = pick(&config.map, "endpoints.mode")?;
     if !["pushed", "polled"].contains(&mode.as_str()) {
         return Err(format!("setting endpoints.mode cannot be read: {mode:?}"));
     }
-    if let Some(talk) = &given.talk {
+    if let Some(talk) = &config.talk {
         let (me, all) = (
-            pick::<usize>(&given.map, "me")?,
-            pick::<usize>(&given.map, "dispatchers")?,
+            pick::<usize>(&config.map, "me")?,
+            pick::<usize>(&config.map, "dispatchers")?,
         );
         if talk.peers.len() != all {
             return Err(format!(
@@ -210,7 +210,7 @@
 pub const SPARE: Nanos = 300_000_000;
 
 /// How long after the signal to stop all must be answered.
-pub fn stop_within(map: &Map) -> Nanos {
+pub fn shutdown_timeout(map: &Map) -> Nanos {
     let deadline = |at: usize| pick::<Nanos>(map, &format!("class.{at}.deadline")).ok();
     let longest = (0..).map_while(deadline).max().unwrap_or(LONGEST);
     longest.min(LONGEST) + MORE - SPARE
--- a/crates/engine/src/config_tests.rs
+++ b/crates/engine/src/config_tests.rs
@@ -1,6 +1,6 @@
 //! What is given at the start, without a file.
-use super::config::{check, names, read, stop_within};
-use crate::rate_limit::Pace;
+use super::config::{names, parse, shutdown_timeout, validate};
+use crate::rate_limit::RateLimiter;
 use rosewall_settings::ours;
 use test_case::test_case;
 
@@ -16,13 +16,13 @@
 #[test_case("class.1.objective_stretch", "1.5"; "a value for each class")]
 #[test_case("tenant.0.name", "once"; "a name that is a word elsewhere")]
 fn settings_become_a_plain_map(name: &str, value: &str) {
-    let given = read(GIVEN.as_bytes()).unwrap();
-    assert_eq!(given.map.get(name).map(String::as_str), Some(value));
+    let config = parse(GIVEN.as_bytes()).unwrap();
+    assert_eq!(config.map.get(name).map(String::as_str), Some(value));
 }
 
 #[test]
 fn names_are_found_in_their_order() {
-    let names = names(&read(GIVEN.as_bytes()).unwrap().map);
+    let names = names(&parse(GIVEN.as_bytes()).unwrap().map);
     assert_eq!(
         (names.classes, names.tenants),
         (vec!["thumb".into(), "x_y".into()], vec!["once".to_string()])
@@ -34,7 +34,7 @@
 #[test_case("127.0.0.1:0", "here"; "an address without sense")]
 #[test_case("\"limits\"", "\"other\""; "no limits")]
 fn an_unusable_configuration_is_told(from: &str, to: &str) {
-    assert!(read(GIVEN.replace(from, to).as_bytes()).is_err());
+    assert!(parse(GIVEN.replace(from, to).as_bytes()).is_err());
 }
 
 /// The kill comes the longest deadline, 3 s at most, and 0.7 s after the signal, and not sooner.
@@ -45,7 +45,7 @@
     let paths: Vec<String> = (0..deadlines.len())
         .map(|at| format!("Schemes.{at}.ExpiryNs"))
         .collect();
-    stop_within(&ours(
+    shutdown_timeout(&ours(
         paths
             .iter()
             .map(String::as_str)
@@ -70,14 +70,14 @@
 #[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses for 2 dispatchers".into()); "a peer too many")]
 #[test_case("7001\",\"peers", "7009\",\"peers" => Err("talk.listen 127.0.0.1:7009 is not the address of number 1 in talk.peers".into()); "another's address")]
 fn a_configuration_is_checked(from: &str, to: &str) -> Result<(), String> {
-    check(&read(WHOLE.replacen(from, to, 1).as_bytes()).unwrap())
+    validate(&parse(WHOLE.replacen(from, to, 1).as_bytes()).unwrap())
 }
 
 /// Guards against messages that nothing carries.
 #[test_case("talk" => "true"; "with addresses")]
 #[test_case("other" => "false"; "without")]
 fn talk_is_off_without_addresses(name: &str) -> String {
-    read(WHOLE.replacen("talk", name, 1).as_bytes())
+    parse(WHOLE.replacen("talk", name, 1).as_bytes())
         .unwrap()
         .map["peer_load.allowed"]
         .clone()
@@ -87,10 +87,10 @@
 #[test_case(&[0, 0, 0, 0, 500, 500, 500, 1_000] => 5; "more as time goes on")]
 #[test_case(&[0, 0, 0, 9_000, 8_000, 9_000, 9_000, 9_000] => 6; "a clock that goes back gives none")]
 fn what_a_pace_allows(at_ms: &[u64]) -> usize {
-    let mut pace = Pace::new(3);
+    let mut rate_limit = RateLimiter::new(3);
     at_ms
         .iter()
-        .filter(|at| pace.allows((**at + 1) * 1_000_000))
+        .filter(|at| rate_limit.allows((**at + 1) * 1_000_000))
         .count()
 }
 
@@ -99,9 +99,9 @@
 #[test_case("keepers = [\"a\"]"; "a keeper")]
 fn whoever_joins_others_sends_to_cold_workers_by_rights(more: &str) {
     let text = "version = 1\ncluster = \"c\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseeds = []\n";
-    let joining =
-        rosewall_cluster::config::read("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
-    let mut given = read(WHOLE.replacen("talk", "talkless", 1).as_bytes()).unwrap();
-    given.join(joining).unwrap();
-    assert_eq!(given.map["warm_up_grants"], "true");
+    let cluster_config =
+        rosewall_cluster::config::parse("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
+    let mut config = parse(WHOLE.replacen("talk", "talkless", 1).as_bytes()).unwrap();
+    config.join(cluster_config).unwrap();
+    assert_eq!(config.map["warm_up_grants"], "true");
 }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -19,7 +19,7 @@
 const DOUBTED_FOR: Nanos = 60_000_000_000;
 
 #[derive(Default)]
-pub struct Workers {
+pub struct EndpointTable {
     by_id: BTreeMap<WorkerId, Site>,
     /// The highest number of a list, and since when only lower ones have come.
     version: u64,
@@ -51,12 +51,12 @@
     }
 }
 
-impl Workers {
+impl EndpointTable {
     /// For a fleet whose clocks lie up to `apart` from one another, where a worker is warm `cold` after its birth.
     pub fn by_own_clock(apart: Nanos, cold: Nanos) -> Self {
-        Workers {
+        EndpointTable {
             own_clock: Some(apart + cold),
-            ..Workers::default()
+            ..EndpointTable::default()
         }
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,7 @@
 //! The hub joins decisions and requests: what it is told goes in with the moment, what is to be done comes out. It alone
 //! calls `handle`; what follows from an action waits in a queue for its turn.
 use crate::counters::Counters;
-use crate::endpoints::Workers;
+use crate::endpoints::EndpointTable;
 use crate::must;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::policy::Dispatcher;
@@ -11,7 +11,7 @@
 };
 use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::EndpointList;
-use rosewall_protocol::worker::{self, Told};
+use rosewall_protocol::worker::{self, AttemptProgress};
 use rustc_hash::{FxHashMap, FxHashSet};
 use slab::Slab;
 use std::cmp::Reverse;
@@ -39,10 +39,10 @@
     },
     /// Its client has closed.
     Left(RequestId),
-    Told {
+    AttemptProgress {
         request_id: RequestId,
         attempt_index: u8,
-        told: Told,
+        told: AttemptProgress,
     },
     HealthChecked(HealthChecked),
     /// Another dispatcher, by its number, tells this.
@@ -163,13 +163,13 @@
     Owed(RequestId),
 }
 
-pub struct Hub {
+pub struct Engine {
     dispatcher: Dispatcher,
     counters: Rc<Counters>,
     connect_within: Nanos,
     /// Whether a list of workers is known.
     ready: bool,
-    workers: Workers,
+    workers: EndpointTable,
     requests: Slab<ActiveRequest>,
     places: FxHashMap<RequestId, usize>,
     /// The ids of the requests in hand and of those over, the latter also in the order of their ends.
@@ -183,14 +183,14 @@
     stop_by: Option<Nanos>,
 }
 
-impl Hub {
+impl Engine {
     pub fn new(
         dispatcher: Dispatcher,
         counters: Rc<Counters>,
         connect_within: Nanos,
-        workers: Workers,
+        workers: EndpointTable,
     ) -> Self {
-        Hub {
+        Engine {
             dispatcher,
             counters,
             connect_within,
@@ -258,7 +258,7 @@
                     self.settle_up(request_id);
                 }
             }
-            Input::Told {
+            Input::AttemptProgress {
                 request_id,
                 attempt_index,
                 told,
@@ -358,7 +358,7 @@
         } else {
             0
         };
-        let deadline = (at + request.within + late).saturating_sub(margin);
+        let deadline = (at + request.timeout + late).saturating_sub(margin);
         let deadline = self.stop_by.map_or(deadline, |by| deadline.min(by));
         let ClientRequest {
             class,
@@ -410,7 +410,7 @@
         now: Nanos,
         request_id: RequestId,
         attempt_index: u8,
-        told: Told,
+        told: AttemptProgress,
         out: &mut Vec<Effect>,
     ) {
         // A attempt that was ended here may have told something just before.
@@ -418,7 +418,7 @@
             return;
         }
         match told {
-            Told::Started => {
+            AttemptProgress::Started => {
                 log::debug!("at={now} request={request_id} attempt={attempt_index} started");
                 self.counters.started.add();
                 self.decide(
@@ -430,13 +430,15 @@
                     out,
                 );
             }
-            Told::Succeeded(result) => {
+            AttemptProgress::Succeeded(result) => {
                 if !self.answer(request_id, Answer::Succeeded(result), out) {
                     self.counters.settled_late.add();
                 }
                 self.end(now, request_id, attempt_index, Outcome::Succeeded, out);
             }
-            Told::Ended(outcome) => self.end(now, request_id, attempt_index, outcome, out),
+            AttemptProgress::Ended(outcome) => {
+                self.end(now, request_id, attempt_index, outcome, out)
+            }
         }
     }
 
@@ -703,7 +705,7 @@
         };
         counters.postings.add();
         log::debug!("at={now} request={request_id} attempt={attempt_index} sent host={host}");
-        let message = worker::posting(&host, &active.request, left);
+        let message = worker::encode_request(&host, &active.request, left);
         let id = active.request.id.clone();
         // Half of what is left at most, so that another worker can still be tried after a vanished one.
         let connect_within = connect_within.min(left / 2);
--- a/crates/engine/src/engine_tests.rs
+++ b/crates/engine/src/engine_tests.rs
@@ -1,20 +1,20 @@
 //! The hub, told things at given moments; what it says is to be done.
 use super::counters::Counters;
-use super::endpoints::Workers;
-use super::engine::{Effect, Hub, Input};
+use super::endpoints::EndpointTable;
+use super::engine::{Effect, Engine, Input};
 use rosewall::Map;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{EndpointState, Nanos, Outcome};
 use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
-use rosewall_protocol::worker::Told;
+use rosewall_protocol::worker::AttemptProgress;
 use std::rc::Rc;
 use test_case::test_case;
 
 const MS: Nanos = 1_000_000;
 
 /// One class with this effect, and one worker that is listed so, or none.
-fn hub(effect: &str, state: Option<EndpointState>) -> Hub {
+fn engine(effect: &str, state: Option<EndpointState>) -> Engine {
     let settings = [
         ("class.count", "1"),
         ("class.0.idempotency", effect),
@@ -41,11 +41,11 @@
         .map(|(name, value)| (name.to_string(), value.to_string()))
         .collect();
     let dispatcher = Dispatcher::start(0, 1, &map).unwrap();
-    let mut hub = Hub::new(
+    let mut engine = Engine::new(
         dispatcher,
         Rc::new(Counters::default()),
         250 * MS,
-        Workers::default(),
+        EndpointTable::default(),
     );
     let entry = |state| DiscoveredEndpoint {
         host: "a".into(),
@@ -58,7 +58,7 @@
         born: 0,
     };
     let endpoints = state.into_iter().map(entry).collect();
-    hub.load_cached(
+    engine.load_cached(
         0,
         EndpointList {
             version: 1,
@@ -67,13 +67,13 @@
         },
         &mut Vec::new(),
     );
-    hub
+    engine
 }
 
 fn request(id: &str) -> ClientRequest {
     ClientRequest {
         id: id.into(),
-        within: 500 * MS,
+        timeout: 500 * MS,
         hint: Some(5 * MS),
         slots: 1.0,
         ..ClientRequest::default()
@@ -109,9 +109,9 @@
     effects.drain(..).map(word).collect()
 }
 
-fn arrive(hub: &mut Hub, request_id: u32, id: &str) -> Vec<String> {
+fn arrive(engine: &mut Engine, request_id: u32, id: &str) -> Vec<String> {
     let mut out = Vec::new();
-    hub.take(
+    engine.take(
         MS,
         Input::Arrived {
             request_id,
@@ -125,7 +125,7 @@
 
 #[test]
 fn an_id_in_hand_or_posted_is_known_and_one_never_posted_is_not() {
-    let mut one = hub("non-idempotent", Some(EndpointState::Ready));
+    let mut one = engine("non-idempotent", Some(EndpointState::Ready));
     assert_eq!(
         (arrive(&mut one, 1, "a"), arrive(&mut one, 2, "a")),
         (vec!["post 1 0".into()], vec!["known 2".into()])
@@ -133,10 +133,10 @@
     let mut out = Vec::new();
     one.take(
         9 * MS,
-        Input::Told {
+        Input::AttemptProgress {
             request_id: 1,
             attempt_index: 0,
-            told: Told::Succeeded(Vec::new()),
+            told: AttemptProgress::Succeeded(Vec::new()),
         },
         &mut out,
     );
@@ -152,14 +152,14 @@
 #[test_case("non-idempotent", Outcome::AtCapacity => vec!["done 1 0", "post 1 1"]; "once-only, proven unrun")]
 #[test_case("idempotent", Outcome::ConnectionLost => vec!["done 1 0", "post 1 1"]; "repeatable, may have run")]
 fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
-    let (mut hub, mut out) = (hub(effect, Some(EndpointState::Ready)), Vec::new());
-    arrive(&mut hub, 1, "a");
-    hub.take(
+    let (mut engine, mut out) = (engine(effect, Some(EndpointState::Ready)), Vec::new());
+    arrive(&mut engine, 1, "a");
+    engine.take(
         5 * MS,
-        Input::Told {
+        Input::AttemptProgress {
             request_id: 1,
             attempt_index: 0,
-            told: Told::Ended(outcome),
+            told: AttemptProgress::Ended(outcome),
         },
         &mut out,
     );
@@ -177,39 +177,39 @@
 
 #[test]
 fn a_client_that_leaves_has_its_posting_called_off_and_gets_no_answer() {
-    let (mut hub, mut out) = (
-        hub("non-idempotent", Some(EndpointState::Ready)),
+    let (mut engine, mut out) = (
+        engine("non-idempotent", Some(EndpointState::Ready)),
         Vec::new(),
     );
-    arrive(&mut hub, 1, "a");
-    hub.take(5 * MS, Input::Left(1), &mut out);
+    arrive(&mut engine, 1, "a");
+    engine.take(5 * MS, Input::Left(1), &mut out);
     assert_eq!(words(&mut out), ["off 1 0"]);
-    hub.take(
+    engine.take(
         6 * MS,
-        Input::Told {
+        Input::AttemptProgress {
             request_id: 1,
             attempt_index: 0,
-            told: Told::Succeeded(Vec::new()),
+            told: AttemptProgress::Succeeded(Vec::new()),
         },
         &mut out,
     );
     assert_eq!(
-        (words(&mut out), hub.active_requests()),
+        (words(&mut out), engine.active_requests()),
         (vec!["done 1 0".to_string()], 0)
     );
 }
 
 #[test]
 fn at_its_deadline_an_attempt_is_cut_and_the_request_answered_before_its_client_gives_up() {
-    let (mut hub, mut out) = (
-        hub("non-idempotent", Some(EndpointState::Ready)),
+    let (mut engine, mut out) = (
+        engine("non-idempotent", Some(EndpointState::Ready)),
         Vec::new(),
     );
-    arrive(&mut hub, 1, "a");
+    arrive(&mut engine, 1, "a");
     let mut at = 0;
-    while let Some(due) = hub.next_due().filter(|due| *due < 2_000 * MS) {
+    while let Some(due) = engine.next_due().filter(|due| *due < 2_000 * MS) {
         at = due;
-        hub.due(due, &mut out);
+        engine.due(due, &mut out);
         if !out.is_empty() {
             break;
         }
@@ -222,17 +222,17 @@
 
 #[test]
 fn a_stop_brings_all_forward_to_its_moment() {
-    let (mut hub, mut out) = (
-        hub("non-idempotent", Some(EndpointState::Ready)),
+    let (mut engine, mut out) = (
+        engine("non-idempotent", Some(EndpointState::Ready)),
         Vec::new(),
     );
-    arrive(&mut hub, 1, "a");
-    hub.take(10 * MS, Input::Stop(100 * MS), &mut out);
-    while hub.next_due().is_some_and(|due| due <= 100 * MS) {
-        hub.due(100 * MS, &mut out);
+    arrive(&mut engine, 1, "a");
+    engine.take(10 * MS, Input::Stop(100 * MS), &mut out);
+    while engine.next_due().is_some_and(|due| due <= 100 * MS) {
+        engine.due(100 * MS, &mut out);
     }
     assert_eq!(
-        (words(&mut out), hub.active_requests()),
+        (words(&mut out), engine.active_requests()),
         (vec!["cut 1 0".to_string(), "reversed 1".into()], 0)
     );
 }
@@ -240,6 +240,6 @@
 #[test_case(None; "no worker is known")]
 #[test_case(Some(EndpointState::Draining); "the only one drains")]
 fn nothing_is_posted_without_a_worker_that_is_ready(state: Option<EndpointState>) {
-    let mut hub = hub("non-idempotent", state);
-    assert_eq!(arrive(&mut hub, 1, "a"), Vec::<String>::new());
+    let mut engine = engine("non-idempotent", state);
+    assert_eq!(arrive(&mut engine, 1, "a"), Vec::<String>::new());
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,6 +1,6 @@
 //! What one dispatcher holds and what it makes of what it is told, without I/O: nothing here awaits, reads a clock
-//! or opens anything. `hub` is the machine in the middle; `pool` and `budget` say which connection is used again
-//! and who may still come in; `given` is what the operators hand over.
+//! or opens anything. `engine` is the machine in the middle; `pool` and `limits` say which connection is used again
+//! and who may still come in; `config` is what the operators hand over.
 /// For `must!`.
 pub use log;
 
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Default)]
-pub struct Budget {
+pub struct ResourceLimits {
     most: Cell<usize>,
     most_clients: Cell<usize>,
     most_bytes: Cell<usize>,
@@ -53,7 +53,7 @@
 
 /// One descriptor in use; given back when dropped.
 pub struct Slot {
-    budget: Rc<Budget>,
+    limits: Rc<ResourceLimits>,
     /// Whether it is one of those kept back.
     kept_back: bool,
     /// For a client, how many bytes of its requests are held.
@@ -66,10 +66,10 @@
         let Some(held) = &self.client else {
             return true;
         };
-        let all = self.budget.bytes.get() - held.get() + bytes * COPIES;
-        let fits = bytes * COPIES <= held.get() || all <= self.budget.most_bytes.get();
+        let all = self.limits.bytes.get() - held.get() + bytes * COPIES;
+        let fits = bytes * COPIES <= held.get() || all <= self.limits.most_bytes.get();
         if fits {
-            self.budget.bytes.set(all);
+            self.limits.bytes.set(all);
             held.set(bytes * COPIES);
         }
         fits
@@ -80,23 +80,23 @@
     fn drop(&mut self) {
         if self.kept_back {
             return self
-                .budget
+                .limits
                 .turned_away
-                .set(self.budget.turned_away.get() - 1);
+                .set(self.limits.turned_away.get() - 1);
         }
-        self.budget.used.set(self.budget.used.get() - 1);
+        self.limits.used.set(self.limits.used.get() - 1);
         if let Some(held) = &self.client {
-            self.budget.bytes.set(self.budget.bytes.get() - held.get());
-            self.budget.clients.set(self.budget.clients.get() - 1);
+            self.limits.bytes.set(self.limits.bytes.get() - held.get());
+            self.limits.clients.set(self.limits.clients.get() - 1);
         }
     }
 }
 
-impl Budget {
+impl ResourceLimits {
     pub fn new(sockets: usize, memory_mb: usize) -> Self {
-        let budget = Budget::default();
-        budget.limit(sockets, memory_mb);
-        budget
+        let limits = ResourceLimits::default();
+        limits.limit(sockets, memory_mb);
+        limits
     }
 
     /// Sets the limits; what is over a lower one ends as it falls idle.
@@ -135,7 +135,7 @@
         (taken < TO_TURN_AWAY).then(|| {
             self.turned_away.set(taken + 1);
             Slot {
-                budget: self.clone(),
+                limits: self.clone(),
                 kept_back: true,
                 client: None,
             }
@@ -152,7 +152,7 @@
         }
         self.used.set(self.used.get() + 1);
         Some(Slot {
-            budget: self.clone(),
+            limits: self.clone(),
             kept_back: false,
             client,
         })
@@ -177,7 +177,7 @@
             .insert(serial, (now, close));
         (
             Waits {
-                budget: self.clone(),
+                limits: self.clone(),
                 waiter,
                 serial,
             },
@@ -214,14 +214,14 @@
 }
 
 pub struct Waits {
-    budget: Rc<Budget>,
+    limits: Rc<ResourceLimits>,
     waiter: Waiter,
     serial: u64,
 }
 
 impl Drop for Waits {
     fn drop(&mut self) {
-        self.budget.waiting[self.waiter as usize]
+        self.limits.waiting[self.waiter as usize]
             .borrow_mut()
             .remove(&self.serial);
     }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -7,7 +7,7 @@
 pub trait Idle {
     /// Whether it is open and silent. Guards against an attempt on a connection that the worker has closed,
     /// or on which an answer to an earlier one still comes.
-    fn sound(&self) -> bool;
+    fn is_reusable(&self) -> bool;
 }
 
 struct Kept<C> {
@@ -94,20 +94,22 @@
         let Some(Line { kept, waits }) = self.idle.get_mut(&worker) else {
             return (None, 0);
         };
-        let mut sound = |Kept { conn, since, .. }: Kept<C>| {
-            let sound = now < since + keep && conn.sound();
+        let mut take_if_reusable = |Kept { conn, since, .. }: Kept<C>| {
+            let sound = now < since + keep && conn.is_reusable();
             stale += usize::from(!sound);
             sound.then_some((conn, since))
         };
         let rested = kept.partition_point(|kept| kept.since + REST <= now);
-        let mut found = (0..rested).rev().find_map(|at| sound(kept.remove(at)));
+        let mut found = (0..rested)
+            .rev()
+            .find_map(|at| take_if_reusable(kept.remove(at)));
         if found.is_none() && !kept.is_empty() {
             if now >= waits.1 + WAITS_WITHIN {
                 *waits = (0, now);
             }
             waits.0 += 1;
             while found.is_none() && waits.0 <= WAITS && !kept.is_empty() {
-                found = sound(kept.remove(0));
+                found = take_if_reusable(kept.remove(0));
             }
         }
         (found, stale)
--- a/crates/engine/src/rate_limit.rs
+++ b/crates/engine/src/rate_limit.rs
@@ -1,15 +1,15 @@
 //! A bound on how often something is done: so many at once, and so many a second.
 use rosewall::types::Nanos;
 
-pub struct Pace {
+pub struct RateLimiter {
     a_second: u64,
     left: u64,
     at: Nanos,
 }
 
-impl Pace {
+impl RateLimiter {
     pub fn new(a_second: u64) -> Self {
-        Pace {
+        RateLimiter {
             a_second,
             left: a_second,
             at: 0,
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -1,6 +1,6 @@
 //! What is held, without a socket.
-use super::endpoints::{Workers, id};
-use super::limits::{Budget, Waiter};
+use super::endpoints::{EndpointTable, id};
+use super::limits::{ResourceLimits, Waiter};
 use super::pool::{Idle, Pool, REST};
 use rosewall::types::{EndpointState, Nanos};
 use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
@@ -31,7 +31,7 @@
 
 #[test]
 fn an_id_follows_from_the_host_alone() {
-    let (mut one, mut other) = (Workers::default(), Workers::default());
+    let (mut one, mut other) = (EndpointTable::default(), EndpointTable::default());
     let (a, b) = (
         host("a", 1, EndpointState::Ready, 0),
         host("b", 2, EndpointState::Ready, 0),
@@ -61,7 +61,7 @@
     is_snapshot: bool,
     endpoints: &[DiscoveredEndpoint],
 ) -> Vec<&'static str> {
-    let mut workers = Workers::default();
+    let mut workers = EndpointTable::default();
     workers.take(
         0,
         list(
@@ -81,24 +81,24 @@
 
 #[test]
 fn descriptors_are_given_back_and_leave_room_for_postings() {
-    let budget = Rc::new(Budget::new(32 + 10, 192));
-    let clients: Vec<_> = std::iter::from_fn(|| budget.client()).collect();
-    let attempts: Vec<_> = std::iter::from_fn(|| budget.worker()).collect();
-    assert_eq!((clients.len(), attempts.len(), budget.clients()), (6, 4, 6));
+    let limits = Rc::new(ResourceLimits::new(32 + 10, 192));
+    let clients: Vec<_> = std::iter::from_fn(|| limits.client()).collect();
+    let attempts: Vec<_> = std::iter::from_fn(|| limits.worker()).collect();
+    assert_eq!((clients.len(), attempts.len(), limits.clients()), (6, 4, 6));
     drop(clients);
-    assert!(budget.client().is_some() && budget.worker().is_some());
-    assert_eq!(budget.clients(), 0);
+    assert!(limits.client().is_some() && limits.worker().is_some());
+    assert_eq!(limits.clients(), 0);
 }
 
 #[test]
 fn a_lower_limit_holds_from_then_on() {
-    let budget = Rc::new(Budget::new(1024, 192));
-    let clients: Vec<_> = (0..9).map_while(|_| budget.client()).collect();
-    budget.limit(32 + 10, 192);
-    assert!(budget.client().is_none());
+    let limits = Rc::new(ResourceLimits::new(1024, 192));
+    let clients: Vec<_> = (0..9).map_while(|_| limits.client()).collect();
+    limits.limit(32 + 10, 192);
+    assert!(limits.client().is_none());
     drop(clients);
     assert_eq!(
-        std::iter::from_fn(|| budget.client())
+        std::iter::from_fn(|| limits.client())
             .collect::<Vec<_>>()
             .len(),
         6
@@ -113,11 +113,11 @@
 #[test_case(&[false, false], 100 => Some(0); "strangers only")]
 #[test_case(&[], 0 => None; "no one")]
 fn who_makes_room(asked: &[bool], waited: u64) -> Option<usize> {
-    let budget = Rc::new(Budget::new(1024, 192));
+    let limits = Rc::new(ResourceLimits::new(1024, 192));
     let waiting: Vec<_> = asked
         .iter()
         .map(|asked| {
-            budget.waits(
+            limits.waits(
                 7,
                 if *asked {
                     Waiter::Known
@@ -127,7 +127,7 @@
             )
         })
         .collect();
-    let closed = budget.close_waiting(7 + waited * 1_000_000);
+    let closed = limits.close_waiting(7 + waited * 1_000_000);
     let told: Vec<_> = waiting
         .iter()
         .map(|(_, closed)| closed.try_recv().is_ok())
@@ -141,23 +141,23 @@
 
 #[test]
 fn to_close_who_holds_no_place_makes_no_room() {
-    let budget = Rc::new(Budget::new(1024, 192));
-    let _away = budget.waits(0, Waiter::Away);
-    assert!(!budget.anyone_waits() && !budget.close_waiting(SECOND));
+    let limits = Rc::new(ResourceLimits::new(1024, 192));
+    let _away = limits.waits(0, Waiter::Away);
+    assert!(!limits.anyone_waits() && !limits.close_waiting(SECOND));
 }
 
 #[test]
 fn who_waits_no_longer_is_not_closed() {
-    let budget = Rc::new(Budget::new(1024, 192));
-    drop(budget.waits(7, Waiter::Known));
-    assert!(!budget.close_waiting(7));
+    let limits = Rc::new(ResourceLimits::new(1024, 192));
+    drop(limits.waits(7, Waiter::Known));
+    assert!(!limits.close_waiting(7));
 }
 
 /// Half of the memory is for four copies of what clients send.
 #[test]
 fn memory_bounds_what_clients_send() {
-    let budget = Rc::new(Budget::new(1024, 16));
-    let (one, other) = (budget.client().unwrap(), budget.client().unwrap());
+    let limits = Rc::new(ResourceLimits::new(1024, 16));
+    let (one, other) = (limits.client().unwrap(), limits.client().unwrap());
     assert!(one.hold(1024 * 1024) && !other.hold(1024 * 1024 + 1) && other.hold(1024));
     assert!(one.hold(1024 * 1024 - 2048) && other.hold(2048));
     drop(one);
@@ -166,15 +166,15 @@
 
 #[test]
 fn memory_bounds_the_clients_too() {
-    let budget = Rc::new(Budget::new(100_000, 16));
-    let clients: Vec<_> = std::iter::from_fn(|| budget.client()).collect();
+    let limits = Rc::new(ResourceLimits::new(100_000, 16));
+    let clients: Vec<_> = std::iter::from_fn(|| limits.client()).collect();
     assert_eq!(clients.len(), 128);
 }
 
 struct Sound(bool);
 
 impl Idle for Sound {
-    fn sound(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         self.0
     }
 }
@@ -260,7 +260,7 @@
     born: u64,
     after: Nanos,
 ) -> EndpointState {
-    let mut workers = Workers::default();
+    let mut workers = EndpointTable::default();
     let list = |seq, endpoints| EndpointList {
         version: seq,
         is_snapshot: false,
@@ -277,18 +277,18 @@
 
 #[test]
 fn those_only_told_that_there_is_no_room_take_a_few_kept_back() {
-    let budget = Rc::new(Budget::new(32 + 2, 192));
-    let all: Vec<_> = std::iter::from_fn(|| budget.worker()).collect();
-    let away: Vec<_> = std::iter::from_fn(|| budget.turned_away()).collect();
-    assert_eq!((all.len(), away.len(), budget.used()), (2, 8, 10));
+    let limits = Rc::new(ResourceLimits::new(32 + 2, 192));
+    let all: Vec<_> = std::iter::from_fn(|| limits.worker()).collect();
+    let away: Vec<_> = std::iter::from_fn(|| limits.turned_away()).collect();
+    assert_eq!((all.len(), away.len(), limits.used()), (2, 8, 10));
     drop(away);
-    assert_eq!(budget.used(), 2);
+    assert_eq!(limits.used(), 2);
 }
 
 /// Guards against the address of a process that is no more, told by a list from before its successor.
 #[test]
 fn an_old_list_takes_no_worker_back_to_its_old_address() {
-    let mut workers = Workers::default();
+    let mut workers = EndpointTable::default();
     let list = |seq, port, born| EndpointList {
         version: seq,
         is_snapshot: false,
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -8,11 +8,11 @@
 use rosewall::policy::Dispatcher;
 use rosewall::types::{FleetPosition, Nanos, Outcome, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::counters::Counters;
-use rosewall_engine::endpoints::Workers;
-use rosewall_engine::engine::{Effect, Hub, Input};
+use rosewall_engine::endpoints::EndpointTable;
+use rosewall_engine::engine::{Effect, Engine, Input};
 use rosewall_protocol::client::{Heard, Intake, Names, answer, message};
 use rosewall_protocol::discovery::{EndpointListReader, call, decode_endpoint_list};
-use rosewall_protocol::worker::{Reply, Told};
+use rosewall_protocol::worker::{AttemptProgress, Reply};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -106,7 +106,7 @@
 
 /// Clients, workers, discovery and peers around one engine, in bytes, driven by one seed.
 struct Model {
-    hub: Hub,
+    engine: Engine,
     names: Names,
     intake: Intake,
     replies: BTreeMap<(RequestId, u8), Reply>,
@@ -126,7 +126,12 @@
             Dispatcher::start(SECOND, seed, &settings(overrides)).expect("valid settings");
         let counters = Rc::new(Counters::default());
         let mut model = Model {
-            hub: Hub::new(dispatcher, counters, 250 * MILLISECOND, Workers::default()),
+            engine: Engine::new(
+                dispatcher,
+                counters,
+                250 * MILLISECOND,
+                EndpointTable::default(),
+            ),
             names: names(),
             intake: Intake::default(),
             replies: BTreeMap::new(),
@@ -142,7 +147,7 @@
         let list = decode_endpoint_list(model.list_text(true).as_bytes(), &model.names)
             .expect("a valid list");
         let mut effects = Vec::new();
-        model.hub.load_cached(SECOND, list, &mut effects);
+        model.engine.load_cached(SECOND, list, &mut effects);
         model.carry_out(effects);
         model.push(0, Next::Timers);
         for (delay, next) in [
@@ -168,7 +173,7 @@
 
     fn take(&mut self, input: Input) {
         let mut effects = Vec::new();
-        self.hub.take(self.now, input, &mut effects);
+        self.engine.take(self.now, input, &mut effects);
         self.carry_out(effects);
     }
 
@@ -187,7 +192,7 @@
                 );
             }
         }
-        if let Some(due) = self.hub.next_due() {
+        if let Some(due) = self.engine.next_due() {
             self.push(due.saturating_sub(self.now), Next::Timers);
         }
     }
@@ -198,10 +203,10 @@
         match effect {
             Effect::Answer {
                 request_id,
-                answer: given,
+                answer: config,
             } => {
                 add_numbers(digest, &[1, u64::from(*request_id)]);
-                add_bytes(digest, &answer(given, keeps_open));
+                add_bytes(digest, &answer(config, keeps_open));
             }
             Effect::SendAttempt(attempt) => {
                 let (index, port) = (
@@ -371,13 +376,13 @@
         self.replies.insert((request, attempt), reply);
         for told in told {
             match &told {
-                Told::Started => add_numbers(&mut self.digest, &[21]),
-                Told::Succeeded(result) => add_bytes(&mut self.digest, result),
-                Told::Ended(outcome) => {
+                AttemptProgress::Started => add_numbers(&mut self.digest, &[21]),
+                AttemptProgress::Succeeded(result) => add_bytes(&mut self.digest, result),
+                AttemptProgress::Ended(outcome) => {
                     add_numbers(&mut self.digest, &[22, outcome_number(*outcome)])
                 }
             }
-            self.take(Input::Told {
+            self.take(Input::AttemptProgress {
                 request_id: request,
                 attempt_index: attempt,
                 told,
@@ -548,10 +553,10 @@
 
     fn run_timers(&mut self) {
         let mut effects = Vec::new();
-        while self.hub.due(self.now, &mut effects) {}
+        while self.engine.due(self.now, &mut effects) {}
         if !effects.is_empty() {
             self.carry_out(effects);
-        } else if let Some(due) = self.hub.next_due().filter(|due| *due > self.now) {
+        } else if let Some(due) = self.engine.next_due().filter(|due| *due > self.now) {
             self.push(due - self.now, Next::Timers);
         }
     }
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -17,10 +17,10 @@
     pub target: String,
     pub id: String,
     /// What a referenced one's repeats are known by; empty where it has none.
-    pub reference: String,
+    pub idempotency_key: String,
     pub class: u8,
     pub tenant: u16,
-    pub within: Nanos,
+    pub timeout: Nanos,
     pub hint: Option<Nanos>,
     pub slots: f32,
     pub memory: f32,
@@ -245,14 +245,14 @@
     Ok(ClientRequest {
         target: target.to_string(),
         id: id.to_string(),
-        reference: http::one(headers, "idempotency-key")?
+        idempotency_key: http::one(headers, "idempotency-key")?
             .unwrap_or_default()
             .to_string(),
         class: class.and_then(|at| u8::try_from(at).ok()).ok_or(unknown)?,
         tenant: tenant
             .and_then(|at| u16::try_from(at).ok())
             .ok_or(Fault::Malformed("an unknown Tenant"))?,
-        within: (within.ok_or(Fault::Malformed("the Request-Timeout cannot be read"))? * 1e9)
+        timeout: (within.ok_or(Fault::Malformed("the Request-Timeout cannot be read"))? * 1e9)
             as Nanos,
         hint: hint
             .map(|micros| (micros * 1e3) as Nanos)
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -3,7 +3,7 @@
 use super::discovery::{EndpointListReader, decode_endpoint_list};
 use super::http::{BODY_LIMIT, Fault, HEAD_LIMIT, Inlet};
 use super::peer_load;
-use super::worker::{Reply, Sounding, Told, posting};
+use super::worker::{AttemptProgress, Reply, Sounding, encode_request};
 use rosewall::pcg::Pcg;
 use rosewall::types::{EndpointState, Outcome, PeerLoad, Report, WorkerId};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     })
 }
 
-fn told(bytes: &[u8], size: usize) -> (Vec<Told>, Reply) {
+fn told(bytes: &[u8], size: usize) -> (Vec<AttemptProgress>, Reply) {
     let mut reply = Reply::new("id".into());
     let told = in_pieces(&mut reply, bytes, size, |reply, piece| {
         reply.feed(piece);
@@ -55,10 +55,10 @@
     Heard::Request(ClientRequest {
         target: "/api/x?y=%20".into(),
         id: "9b1f".into(),
-        reference: "43 66".into(),
+        idempotency_key: "43 66".into(),
         class: 1,
         tenant: 1,
-        within: 480_000_000,
+        timeout: 480_000_000,
         hint: Some(250_000),
         slots: 2.0,
         memory: 0.5,
@@ -143,7 +143,7 @@
         body,
         ..ClientRequest::default()
     };
-    let text = String::from_utf8(posting("w", &request, 1_250_000_000)).unwrap();
+    let text = String::from_utf8(encode_request("w", &request, 1_250_000_000)).unwrap();
     assert_eq!(
         text,
         "POST /api?q HTTP/1.1\r\nHost: w\r\nRequest-Id: 9b1f\r\nRequest-Timeout: 1.250\r\nContent-Length: 4\r\n\r\nbody"
@@ -163,18 +163,18 @@
     format!("{head}{}0\r\n\r\n", chunks.collect::<String>()).into_bytes()
 }
 
-fn done() -> Told {
-    Told::Succeeded(b"a \"b\"".to_vec())
+fn done() -> AttemptProgress {
+    AttemptProgress::Succeeded(b"a \"b\"".to_vec())
 }
 
-#[test_case(&[STARTED, DONE] => vec![Told::Started, done()]; "started and done")]
+#[test_case(&[STARTED, DONE] => vec![AttemptProgress::Started, done()]; "started and done")]
 #[test_case(&[DONE, FAILED, STARTED] => vec![done()]; "only the first end counts")]
 #[test_case(&["\n", "{\"id\":\"id\",\"state\":\"new\"}\n", DONE] => vec![done()]; "what is not known is passed over")]
-#[test_case(&[STARTED, FAILED] => vec![Told::Started, Told::Ended(Outcome::WorkerError)]; "failed")]
+#[test_case(&[STARTED, FAILED] => vec![AttemptProgress::Started, AttemptProgress::Ended(Outcome::WorkerError)]; "failed")]
 #[test_case(&[DONE.trim_ascii_end()] => vec![done()]; "a last line without its end")]
-#[test_case(&[STARTED] => vec![Told::Started, Told::Ended(Outcome::ConnectionLost)]; "no last line")]
-#[test_case(&["{\"id\":\"id\",\"state\":\"returned\"}\n"] => vec![Told::Ended(Outcome::AtCapacity)]; "returned")]
-fn an_answer_tells_the_same_however_it_is_cut(lines: &[&str]) -> Vec<Told> {
+#[test_case(&[STARTED] => vec![AttemptProgress::Started, AttemptProgress::Ended(Outcome::ConnectionLost)]; "no last line")]
+#[test_case(&["{\"id\":\"id\",\"state\":\"returned\"}\n"] => vec![AttemptProgress::Ended(Outcome::AtCapacity)]; "returned")]
+fn an_answer_tells_the_same_however_it_is_cut(lines: &[&str]) -> Vec<AttemptProgress> {
     let (whole, reply) = told(&streamed(lines), 10_000);
     assert!(reply.reusable());
     for size in [1, 3, 17] {
@@ -194,13 +194,13 @@
     let (told, reply) = told(text.as_bytes(), 10_000);
     assert_eq!(
         (told, reply.finished(), reply.reusable()),
-        (vec![Told::Ended(outcome)], true, reusable)
+        (vec![AttemptProgress::Ended(outcome)], true, reusable)
     );
 }
 
-#[test_case(&streamed(&[STARTED])[..60], Some(Told::Ended(Outcome::ConnectionLost)); "before the end")]
+#[test_case(&streamed(&[STARTED])[..60], Some(AttemptProgress::Ended(Outcome::ConnectionLost)); "before the end")]
 #[test_case(&streamed(&[DONE]), None; "after it")]
-fn a_closed_connection_ends_what_has_not_ended(bytes: &[u8], expected: Option<Told>) {
+fn a_closed_connection_ends_what_has_not_ended(bytes: &[u8], expected: Option<AttemptProgress>) {
     assert_eq!(told(bytes, 10_000).1.closed(), expected);
 }
 
@@ -227,7 +227,7 @@
         let ends = told(&bytes, size)
             .0
             .iter()
-            .filter(|told| **told != Told::Started)
+            .filter(|told| **told != AttemptProgress::Started)
             .count();
         assert!(ends <= 1);
         let _ = Sounding::new(&["x0".to_string()]).feed(&bytes);
@@ -243,7 +243,7 @@
     let piece = vec![b'x'; 4096];
     let fed = (0..100).find(|_| {
         reply.feed(&piece);
-        reply.told() == Some(Told::Ended(Outcome::ConnectionLost))
+        reply.told() == Some(AttemptProgress::Ended(Outcome::ConnectionLost))
     });
     assert!(fed.is_some_and(|count| count * piece.len() <= BODY_LIMIT));
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -6,7 +6,7 @@
 
 /// What a worker tells of an attempt.
 #[derive(Debug, PartialEq)]
-pub enum Told {
+pub enum AttemptProgress {
     Started,
     Succeeded(Vec<u8>),
     /// It has ended otherwise.
@@ -15,20 +15,20 @@
 
 /// A attempt's bytes, in one piece. The reference goes on as it came. Guards against workers that cannot tell a repeat of
 /// a referenced request from another one.
-pub fn posting(host: &str, request: &ClientRequest, within: Nanos) -> Vec<u8> {
+pub fn encode_request(host: &str, request: &ClientRequest, timeout: Nanos) -> Vec<u8> {
     let ClientRequest {
         target,
         id,
-        reference,
+        idempotency_key,
         body,
         ..
     } = request;
-    let seconds = within as f64 / 1e9;
+    let seconds = timeout as f64 / 1e9;
     let length = body.len();
-    let known = if reference.is_empty() {
+    let known = if idempotency_key.is_empty() {
         String::new()
     } else {
-        format!("Idempotency-Key: {reference}\r\n")
+        format!("Idempotency-Key: {idempotency_key}\r\n")
     };
     let mut bytes = format!(
         "POST {target} HTTP/1.1\r\nHost: {host}\r\nRequest-Id: {id}\r\nRequest-Timeout: {seconds:.3}\r\n\
@@ -58,7 +58,7 @@
 enum Step {
     Wait,
     On,
-    Tell(Told),
+    Tell(AttemptProgress),
 }
 
 /// Reads the answer to one attempt, however its bytes are cut.
@@ -108,18 +108,18 @@
     }
 
     /// The next thing told in the bytes fed so far.
-    pub fn told(&mut self) -> Option<Told> {
+    pub fn told(&mut self) -> Option<AttemptProgress> {
         while !self.broken {
             // What cannot be read was begun by a worker that had all of the posting: it may have run.
             let step = self.step().unwrap_or_else(|| {
                 self.broken = true;
-                Step::Tell(Told::Ended(Outcome::ConnectionLost))
+                Step::Tell(AttemptProgress::Ended(Outcome::ConnectionLost))
             });
             match step {
                 Step::Wait => return None,
                 Step::On => {}
-                Step::Tell(Told::Started) if self.ended => {}
-                Step::Tell(Told::Started) => return Some(Told::Started),
+                Step::Tell(AttemptProgress::Started) if self.ended => {}
+                Step::Tell(AttemptProgress::Started) => return Some(AttemptProgress::Started),
                 // Only the first end counts.
                 Step::Tell(end) => {
                     if !std::mem::replace(&mut self.ended, true) {
@@ -132,10 +132,10 @@
     }
 
     /// What the end of the connection tells, if the end of the attempt was not told before.
-    pub fn closed(&mut self) -> Option<Told> {
+    pub fn closed(&mut self) -> Option<AttemptProgress> {
         let ended = std::mem::replace(&mut self.ended, true);
         self.broken = true;
-        (!ended).then_some(Told::Ended(Outcome::ConnectionLost))
+        (!ended).then_some(AttemptProgress::Ended(Outcome::ConnectionLost))
     }
 
     /// One step through the bytes; none where they cannot be read.
@@ -160,7 +160,7 @@
         else {
             let over = done && !self.ended;
             return Some(if over {
-                Step::Tell(Told::Ended(Outcome::ConnectionLost))
+                Step::Tell(AttemptProgress::Ended(Outcome::ConnectionLost))
             } else {
                 Step::Wait
             });
@@ -174,11 +174,11 @@
             return None;
         }
         Some(match line.state.as_str() {
-            "started" => Step::Tell(Told::Started),
-            "done" => Step::Tell(Told::Succeeded(line.result?.into_bytes())),
-            "failed" => Step::Tell(Told::Ended(Outcome::WorkerError)),
-            "returned" => Step::Tell(Told::Ended(Outcome::AtCapacity)),
-            "lost" => Step::Tell(Told::Ended(Outcome::ConnectionLost)),
+            "started" => Step::Tell(AttemptProgress::Started),
+            "done" => Step::Tell(AttemptProgress::Succeeded(line.result?.into_bytes())),
+            "failed" => Step::Tell(AttemptProgress::Ended(Outcome::WorkerError)),
+            "returned" => Step::Tell(AttemptProgress::Ended(Outcome::AtCapacity)),
+            "lost" => Step::Tell(AttemptProgress::Ended(Outcome::ConnectionLost)),
             _ => Step::On,
         })
     }
@@ -204,9 +204,9 @@
         (self.keeps, self.body, self.streams) = (keeps, body, status == 200);
         Some(match status {
             100..=200 => Step::On, // what follows an interim answer, or the first line
-            400..=499 => Step::Tell(Told::Ended(Outcome::InvalidRequest)),
-            503 | 504 if not_run => Step::Tell(Told::Ended(Outcome::AtCapacity)),
-            _ => Step::Tell(Told::Ended(Outcome::WorkerError)),
+            400..=499 => Step::Tell(AttemptProgress::Ended(Outcome::InvalidRequest)),
+            503 | 504 if not_run => Step::Tell(AttemptProgress::Ended(Outcome::AtCapacity)),
+            _ => Step::Tell(AttemptProgress::Ended(Outcome::WorkerError)),
         })
     }
 }
--- a/crates/rosewalld/src/sockets.rs
+++ b/crates/rosewalld/src/sockets.rs
@@ -4,7 +4,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
 use rosewall::types::Nanos;
-use rosewall_runtime::traits::{Door, Ground, Look, Mail, Stream};
+use rosewall_runtime::traits::{DatagramSocket, Listener, Readiness, Runtime, Stream};
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::pin::Pin;
@@ -38,16 +38,16 @@
     }
 }
 
-impl Ground for Sockets {
+impl Runtime for Sockets {
     type Stream = Socket;
-    type Door = Listener;
-    type Mail = Datagrams;
+    type Listener = SocketListener;
+    type DatagramSocket = Datagrams;
 
     fn now(&self) -> Nanos {
         self.unix + u64::try_from(self.base.elapsed().as_nanos()).unwrap_or(u64::MAX / 2)
     }
 
-    async fn until(&self, at: Nanos) {
+    async fn sleep_until(&self, at: Nanos) {
         // The reactor's clock may be a little ahead of what was read here: it is never too early by more.
         Timer::at(self.base + Duration::from_nanos(at.saturating_sub(self.unix).min(u64::MAX / 4)))
             .await;
@@ -57,7 +57,11 @@
         self.ex.spawn(work)
     }
 
-    fn mail(&self, at: SocketAddr, through: Option<SocketAddr>) -> io::Result<Datagrams> {
+    fn bind_datagram_socket(
+        &self,
+        at: SocketAddr,
+        through: Option<SocketAddr>,
+    ) -> io::Result<Datagrams> {
         Ok(Datagrams {
             socket: Async::<UdpSocket>::bind(at)?,
             through,
@@ -78,7 +82,7 @@
 /// An IPv4 address and a port, as they stand before a datagram.
 const PREFIX: usize = 6;
 
-impl Mail for Datagrams {
+impl DatagramSocket for Datagrams {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let socket = self.socket.get_ref();
         let Some(relay) = self.through else {
@@ -122,11 +126,11 @@
 }
 
 impl Stream for Socket {
-    fn look(&self) -> Look {
+    fn readiness(&self) -> Readiness {
         match self.0.get_ref().peek(&mut [0]) {
-            Ok(1) => Look::Bytes,
-            Err(error) if error.kind() == ErrorKind::WouldBlock => Look::Silent,
-            _ => Look::Ended,
+            Ok(1) => Readiness::Readable,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Readiness::Idle,
+            _ => Readiness::Closed,
         }
     }
 
@@ -134,7 +138,7 @@
         self.0.readable().await
     }
 
-    fn end(&self) -> io::Result<()> {
+    fn shutdown_write(&self) -> io::Result<()> {
         self.0.get_ref().shutdown(Shutdown::Write)
     }
 }
@@ -167,16 +171,16 @@
     }
 }
 
-pub struct Listener(pub Async<TcpListener>);
+pub struct SocketListener(pub Async<TcpListener>);
 
-impl Door for Listener {
+impl Listener for SocketListener {
     type Stream = Socket;
 
-    fn widen(&self, backlog: i32) -> io::Result<()> {
+    fn set_backlog(&self, backlog: i32) -> io::Result<()> {
         Ok(rustix::net::listen(self.0.get_ref(), backlog)?)
     }
 
-    async fn ready(&self) -> io::Result<()> {
+    async fn wait_ready(&self) -> io::Result<()> {
         self.0.readable().await
     }
 
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -1,6 +1,6 @@
 //! Reads and writes for the client side: one task accepts, and one serves each connection.
-use crate::context::{News, Shared};
-use crate::traits::{Door, Ground, Stream, nanos, pause, within};
+use crate::context::{Context, EngineEvent};
+use crate::traits::{Listener, Runtime, Stream, nanos, sleep, with_timeout};
 use async_channel::Receiver;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::mutation::{Mutation, is_active};
@@ -46,8 +46,8 @@
 const READ: usize = 8 * 1024;
 
 /// Accepts until it is told to end; then what the machine has accepted by itself is still taken.
-pub async fn accept<G: Ground>(shared: Rc<Shared<G>>, door: G::Door, end: Receiver<()>) {
-    if let Err(error) = door.widen(BACKLOG) {
+pub async fn accept<R: Runtime>(context: Rc<Context<R>>, listener: R::Listener, end: Receiver<()>) {
+    if let Err(error) = listener.set_backlog(BACKLOG) {
         log::warn!("the queue of connections stays as it was: {error}");
     }
     let ended = async {
@@ -57,36 +57,36 @@
         let mut full_since = None;
         loop {
             // Room is made only for someone who is there.
-            if let Err(error) = door.ready().await {
+            if let Err(error) = listener.wait_ready().await {
                 log::warn!("cannot wait for connections: {error}");
-                pause(&shared.ground, PAUSE).await;
+                sleep(&context.runtime, PAUSE).await;
                 continue;
             }
-            let slot = match shared.budget.client() {
+            let slot = match context.limits.client() {
                 Some(slot) => (slot, false),
                 // The one who makes room has its turn before the next look.
-                None if shared.make_client_room() => {
+                None if context.make_client_room() => {
                     futures_lite::future::yield_now().await;
                     continue;
                 }
                 None => {
-                    let now = shared.ground.now();
+                    let now = context.runtime.now();
                     let since = *full_since.get_or_insert(now);
                     let away = now >= since + nanos(ROOM_WITHIN);
-                    let Some(slot) = away.then(|| shared.budget.turned_away()).flatten() else {
-                        shared.counters.accept_paused.add();
-                        pause(&shared.ground, PAUSE).await;
+                    let Some(slot) = away.then(|| context.limits.turned_away()).flatten() else {
+                        context.counters.accept_paused.add();
+                        sleep(&context.runtime, PAUSE).await;
                         continue;
                     };
                     (slot, true)
                 }
             };
-            match door.accept() {
+            match listener.accept() {
                 Ok(stream) => {
-                    take(&shared, stream, slot, full_since);
+                    take(&context, stream, slot, full_since);
                     // Only a door at which no one waits ends a time without room. Guards against a queue there that
                     // goes on for as long as a place falls free now and then, and ages all who are in it.
-                    if futures_lite::future::poll_once(door.ready())
+                    if futures_lite::future::poll_once(listener.wait_ready())
                         .await
                         .is_none()
                     {
@@ -96,10 +96,10 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => full_since = None,
                 Err(error) => {
                     // Guards against an end of the program, or a spin, where descriptors run out.
-                    shared.counters.accept_failed.add();
+                    context.counters.accept_failed.add();
                     log::warn!("cannot accept: {error}");
-                    shared.make_room();
-                    pause(&shared.ground, PAUSE).await;
+                    context.make_room();
+                    sleep(&context.runtime, PAUSE).await;
                 }
             }
             // Who was accepted has its turn. Guards against a crowd in which those that have asked already are
@@ -109,60 +109,60 @@
     };
     accepting.or(ended).await;
     // Who finds no more room is still told so.
-    let late = shared.ground.now() + nanos(LAST_WITHIN);
-    while shared.ground.now() < late {
-        let slot = shared.budget.client().map(|slot| (slot, false));
-        let Some(slot) = slot.or_else(|| shared.budget.turned_away().map(|slot| (slot, true)))
+    let late = context.runtime.now() + nanos(LAST_WITHIN);
+    while context.runtime.now() < late {
+        let slot = context.limits.client().map(|slot| (slot, false));
+        let Some(slot) = slot.or_else(|| context.limits.turned_away().map(|slot| (slot, true)))
         else {
-            pause(&shared.ground, PAUSE).await;
+            sleep(&context.runtime, PAUSE).await;
             continue;
         };
-        match door.accept() {
-            Ok(stream) => take(&shared, stream, slot, None),
+        match listener.accept() {
+            Ok(stream) => take(&context, stream, slot, None),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
             Err(error) => {
                 // Guards against a spin where descriptors run out, in which no one else has a turn.
-                shared.counters.accept_failed.add();
+                context.counters.accept_failed.add();
                 log::warn!("cannot accept: {error}");
-                pause(&shared.ground, PAUSE).await;
+                sleep(&context.runtime, PAUSE).await;
             }
         }
     }
 }
 
 /// Serves a connection, or only tells it that there is no room. It may have waited at the door since `from`.
-fn take<G: Ground>(
-    shared: &Rc<Shared<G>>,
-    stream: G::Stream,
+fn take<R: Runtime>(
+    context: &Rc<Context<R>>,
+    stream: R::Stream,
     (slot, away): (Slot, bool),
     from: Option<Nanos>,
 ) {
-    shared.counters.clients_accepted.add();
-    let (shared, ground) = (shared.clone(), &shared.ground);
-    let now = ground.now();
-    let door = (now, now.saturating_sub(from.unwrap_or(now)));
+    context.counters.clients_accepted.add();
+    let (context, runtime) = (context.clone(), &context.runtime);
+    let now = runtime.now();
+    let listener = (now, now.saturating_sub(from.unwrap_or(now)));
     let serving = async move {
         let (intake, buffer) = (Intake::default(), vec![0; READ]);
         let mut link = Link {
-            shared,
+            context,
             stream,
             intake,
             buffer,
             asked: false,
             away,
             over: false,
-            door,
+            listener,
             slot,
         };
         // What ends a connection is the client's doing, or was counted.
         let _ = link.serve().await;
     };
-    ground.spawn(serving).detach();
+    runtime.spawn(serving).detach();
 }
 
-struct Link<G: Ground> {
-    shared: Rc<Shared<G>>,
-    stream: G::Stream,
+struct Link<R: Runtime> {
+    context: Rc<Context<R>>,
+    stream: R::Stream,
     intake: Intake,
     buffer: Vec<u8>,
     /// Whether it has asked for something before.
@@ -172,13 +172,13 @@
     /// Whether more came ahead of its turn than there is room for: some of it is lost.
     over: bool,
     /// When it was accepted, and how long it may have waited for that.
-    door: (Nanos, Nanos),
+    listener: (Nanos, Nanos),
     slot: Slot,
 }
 
-impl<G: Ground> Link<G> {
+impl<R: Runtime> Link<R> {
     fn now(&self) -> Nanos {
-        self.shared.ground.now()
+        self.context.runtime.now()
     }
 
     fn waiter(&self, asked: bool) -> Waiter {
@@ -197,7 +197,7 @@
             match heard {
                 Heard::Continue => self.write(client::CONTINUE).await?,
                 Heard::Ready { keeps } => {
-                    let ready = self.shared.ready.get() && !self.shared.stopping.get();
+                    let ready = self.context.ready.get() && !self.context.stopping.get();
                     let (status, body) = if ready {
                         (200, "ready\n")
                     } else {
@@ -211,7 +211,7 @@
                     futures_lite::future::yield_now().await;
                 }
                 Heard::Bad(status, why) => {
-                    self.shared.turned_down(status, why);
+                    self.context.turned_down(status, why);
                     let why = format!("{why}\n");
                     self.write(&client::message(status, "", why.as_bytes(), false))
                         .await?;
@@ -220,11 +220,11 @@
                 Heard::Request(request) => {
                     // What was there at once had been sent before. Guards against an deadline that counts from when a
                     // full door let its client in, later than the client's own.
-                    let (accepted, waited) = self.door;
+                    let (accepted, waited) = self.listener;
                     let sent = first && self.now() <= accepted + nanos(PAUSE);
                     let at = self.now().saturating_sub(if sent { waited } else { 0 });
                     if self.away && !self.room().await {
-                        self.shared.counters.turned_away.add();
+                        self.context.counters.turned_away.add();
                         self.write(&client::answer(&Answer::Rejected { retry_after: 0 }, false))
                             .await?;
                         return self.part().await;
@@ -247,12 +247,12 @@
         };
         let mut until = self.now() + nanos(limit);
         let (waits, close) = self
-            .shared
-            .budget
+            .context
+            .limits
             .waits(self.now(), self.waiter(self.asked));
         let mut waits = Some(waits);
         loop {
-            if let Some(heard) = self.intake.next(&self.shared.names) {
+            if let Some(heard) = self.intake.next(&self.context.names) {
                 return Ok(heard);
             }
             if self.over {
@@ -270,7 +270,8 @@
             let left = Duration::from_nanos(until.saturating_sub(self.now()));
             let (stream, buffer) = (&mut self.stream, &mut self.buffer);
             // A read goes first: bytes that are there are never left behind by a close.
-            let read = within(&self.shared.ground, left, stream.read(buffer).or(closed)).await;
+            let read =
+                with_timeout(&self.context.runtime, left, stream.read(buffer).or(closed)).await;
             match read {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(count) => {
@@ -281,12 +282,12 @@
                 Err(error) => {
                     let late = error.kind() == io::ErrorKind::TimedOut;
                     if late && !self.intake.idle() {
-                        self.shared.counters.requests_cut.add();
+                        self.context.counters.requests_cut.add();
                         let text =
                             client::message(408, "", b"the request did not come whole\n", false);
                         self.write(&text).await?;
                     } else if late || error.kind() == io::ErrorKind::ConnectionAborted {
-                        self.shared.counters.clients_idle_closed.add();
+                        self.context.counters.clients_idle_closed.add();
                     }
                     return Err(error);
                 }
@@ -302,17 +303,17 @@
     async fn room(&mut self) -> bool {
         let until = self.now() + nanos(ASKER_WITHIN);
         loop {
-            if let Some(slot) = self.shared.budget.client() {
+            if let Some(slot) = self.context.limits.client() {
                 (self.slot, self.away) = (slot, false);
                 return true;
             }
-            if !self.shared.budget.anyone_waits() || self.now() >= until {
+            if !self.context.limits.anyone_waits() || self.now() >= until {
                 return false;
             }
-            if self.shared.make_client_room() {
+            if self.context.make_client_room() {
                 futures_lite::future::yield_now().await;
             } else {
-                pause(&self.shared.ground, PAUSE).await;
+                sleep(&self.context.runtime, PAUSE).await;
             }
         }
     }
@@ -320,12 +321,12 @@
     /// Hands a request that was read at `at` to the hub and writes its answer; false where the connection ends with it.
     async fn carry(&mut self, at: Nanos, request: ClientRequest) -> io::Result<bool> {
         let (request_id, keeps, bytes) = (
-            self.shared.next_request_id(),
+            self.context.next_request_id(),
             request.keeps,
             request.body.len(),
         );
         let (reply, answered) = async_channel::bounded(1);
-        self.shared.tell(News::Arrived {
+        self.context.tell(EngineEvent::Arrived {
             request_id,
             at,
             request,
@@ -333,11 +334,11 @@
         });
         let answer = self.answer(&answered, bytes).await;
         let Some(answer) = answer else {
-            self.shared.tell(News::Left(request_id));
+            self.context.tell(EngineEvent::Left(request_id));
             return Err(io::ErrorKind::UnexpectedEof.into());
         };
-        let keeps = keeps && !self.shared.stopping.get();
-        if is_active(Mutation::DropAnswerAtShutdown) && self.shared.stopping.get() {
+        let keeps = keeps && !self.context.stopping.get();
+        if is_active(Mutation::DropAnswerAtShutdown) && self.context.stopping.get() {
             return Ok(false);
         }
         let mut text = client::answer(&answer, keeps);
@@ -346,7 +347,7 @@
         }
         let written = self.write(&text).await;
         if written.is_err() {
-            self.shared.counters.answers_unsent.add();
+            self.context.counters.answers_unsent.add();
         }
         written.map(|()| keeps)
     }
@@ -370,7 +371,7 @@
             }
             if passed >= PASSED_AT_ONCE {
                 passed = 0;
-                pause(&self.shared.ground, PASSED_PAUSE).await;
+                sleep(&self.context.runtime, PASSED_PAUSE).await;
             } else {
                 futures_lite::future::yield_now().await;
             }
@@ -378,8 +379,8 @@
     }
 
     async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        within(
-            &self.shared.ground,
+        with_timeout(
+            &self.context.runtime,
             WRITE_WITHIN,
             self.stream.write_all(bytes),
         )
@@ -389,8 +390,8 @@
     /// Ends a connection after an answer: what the client still sends is read for a moment, if its descriptor is not
     /// needed. Guards against a reset that overtakes the answer.
     async fn part(&mut self) -> io::Result<()> {
-        self.stream.end()?;
-        let (_waits, close) = self.shared.budget.waits(self.now(), self.waiter(true));
+        self.stream.shutdown_write()?;
+        let (_waits, close) = self.context.limits.waits(self.now(), self.waiter(true));
         let closed = async {
             let _ = close.recv().await;
             Ok(())
@@ -406,6 +407,6 @@
             Ok(())
         };
         let limit = if self.away { PART_AWAY } else { PART_WITHIN };
-        within(&self.shared.ground, limit, drain.or(closed)).await
+        with_timeout(&self.context.runtime, limit, drain.or(closed)).await
     }
 }
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -1,5 +1,5 @@
 //! Drives what this dispatcher is to the others: datagrams in and out, and what is due.
-use crate::traits::{Ground, Mail};
+use crate::traits::{DatagramSocket, Runtime};
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
@@ -7,7 +7,7 @@
 use rosewall_cluster::cluster::{Cluster, Effect, LogLine};
 use rosewall_cluster::datagram::MOST;
 use rosewall_engine::counters::Counters;
-use rosewall_engine::rate_limit::Pace;
+use rosewall_engine::rate_limit::RateLimiter;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
@@ -28,8 +28,8 @@
     },
 }
 
-pub struct Members<M> {
-    mail: M,
+pub struct ClusterDriver<M> {
+    socket: M,
     cluster: RefCell<Cluster>,
     counters: Rc<Counters>,
     heard: Box<dyn Fn(Heard)>,
@@ -38,17 +38,17 @@
     waits: Cell<Nanos>,
 }
 
-impl<M: Mail> Members<M> {
+impl<M: DatagramSocket> ClusterDriver<M> {
     pub fn new(
-        mail: M,
+        socket: M,
         cluster: Cluster,
         counters: Rc<Counters>,
         heard: impl Fn(Heard) + 'static,
     ) -> Self {
         let sooner = async_channel::bounded(1);
         let (cluster, waits) = (RefCell::new(cluster), Cell::new(0));
-        Members {
-            mail,
+        ClusterDriver {
+            socket,
             cluster,
             counters,
             heard: Box::new(heard),
@@ -63,7 +63,7 @@
         act(&mut self.cluster.borrow_mut(), &mut effects);
         for effect in effects {
             match effect {
-                Effect::Send { to, bytes } => match self.mail.send(&bytes, to) {
+                Effect::Send { to, bytes } => match self.socket.send(&bytes, to) {
                     Ok(()) => self.counters.members_sent.add(),
                     Err(_) => self.counters.members_lost.add(),
                 },
@@ -113,15 +113,15 @@
     }
 
     /// Hears and does what is due, for ever.
-    pub async fn run<G: Ground>(&self, ground: &G) {
+    pub async fn run<R: Runtime>(&self, runtime: &R) {
         // Room for one byte more than is allowed, so that one too long is seen to be.
-        let (mut pace, mut bytes) = (Pace::new(A_SECOND), [0; MOST + 1]);
+        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; MOST + 1]);
         loop {
             let next = self.cluster.borrow().next_due();
             self.waits.set(next);
-            let came = async { Some(self.mail.receive(&mut bytes).await) };
+            let came = async { Some(self.socket.receive(&mut bytes).await) };
             let due = async {
-                ground.until(next).await;
+                runtime.sleep_until(next).await;
                 None
             };
             let sooner = async {
@@ -129,9 +129,9 @@
                 None
             };
             let came = came.or(due).or(sooner).await;
-            let now = ground.now();
+            let now = runtime.now();
             if let Some(Ok((length, from))) = came {
-                if pace.allows(now) {
+                if rate_limit.allows(now) {
                     self.counters.members_heard.add();
                     self.act(|cluster, effects| cluster.feed(now, from, &bytes[..length], effects));
                 } else {
@@ -148,7 +148,7 @@
 }
 
 /// For the log, beside the counters.
-impl<M> std::fmt::Display for Members<M> {
+impl<M> std::fmt::Display for ClusterDriver<M> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let cluster = self.cluster.borrow();
         let (members, counts) = (cluster.members(), cluster.counts);
--- a/crates/runtime/src/context.rs
+++ b/crates/runtime/src/context.rs
@@ -1,15 +1,15 @@
 //! What the drivers and the hub all reach: the clock, names, counters, descriptors, and the way to the hub.
-use crate::cluster::Members;
-use crate::peer_load::Talk;
-use crate::traits::{Ground, Look, Stream};
+use crate::cluster::ClusterDriver;
+use crate::peer_load::PeerLoadExchange;
+use crate::traits::{Readiness, Runtime, Stream};
 use async_channel::Sender;
 use rosewall::types::{FleetPosition, HealthChecked, Nanos, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::counters::Counters;
-use rosewall_engine::limits::{Budget, Slot};
+use rosewall_engine::limits::{ResourceLimits, Slot};
 use rosewall_engine::pool::{Idle, Pool};
 use rosewall_protocol::client::{Answer, ClientRequest, Names};
 use rosewall_protocol::discovery::EndpointList;
-use rosewall_protocol::worker::Told;
+use rosewall_protocol::worker::AttemptProgress;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,13 +23,13 @@
 }
 
 impl<S: Stream> Idle for Conn<S> {
-    fn sound(&self) -> bool {
-        self.stream.look() == Look::Silent
+    fn is_reusable(&self) -> bool {
+        self.stream.readiness() == Readiness::Idle
     }
 }
 
 /// What drivers tell the hub.
-pub enum News<G: Ground> {
+pub enum EngineEvent<R: Runtime> {
     Arrived {
         request_id: RequestId,
         at: Nanos,
@@ -37,14 +37,14 @@
         reply: Sender<Answer>,
     },
     Left(RequestId),
-    Told {
+    AttemptProgress {
         request_id: RequestId,
         attempt_index: u8,
-        told: Told,
+        told: AttemptProgress,
     },
     Spare {
         worker: WorkerId,
-        conn: Conn<G::Stream>,
+        conn: Conn<R::Stream>,
     },
     HealthChecked(HealthChecked),
     FleetView(Option<FleetPosition>),
@@ -63,14 +63,14 @@
     Stop(Nanos),
 }
 
-pub struct Shared<G: Ground> {
-    pub ground: G,
+pub struct Context<R: Runtime> {
+    pub runtime: R,
     pub names: Names,
     /// The names of a report's values, as workers send them.
     pub report: Vec<String>,
     pub counters: Rc<Counters>,
-    pub budget: Rc<Budget>,
-    pub pool: RefCell<Pool<Conn<G::Stream>>>,
+    pub limits: Rc<ResourceLimits>,
+    pub pool: RefCell<Pool<Conn<R::Stream>>>,
     /// Whether a list of workers is known, and whether the program is to end.
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
@@ -79,29 +79,29 @@
     pub serial: Cell<RequestId>,
     /// When the log last spoke of a request that was turned down.
     pub bad_told: Cell<Nanos>,
-    pub news: Sender<News<G>>,
+    pub events: Sender<EngineEvent<R>>,
     /// The way to the other dispatchers, where there is one.
-    pub talk: Option<Talk<G::Mail>>,
+    pub talk: Option<PeerLoadExchange<R::DatagramSocket>>,
     /// What this dispatcher is to the others, where it is to know them.
-    pub members: Option<Members<G::Mail>>,
+    pub cluster: Option<ClusterDriver<R::DatagramSocket>>,
 }
 
-impl<G: Ground> Shared<G> {
-    pub fn tell(&self, news: News<G>) {
+impl<R: Runtime> Context<R> {
+    pub fn tell(&self, events: EngineEvent<R>) {
         // The hub outlives all drivers; at the end of the program no one is left to be told.
-        let _ = self.news.try_send(news);
+        let _ = self.events.try_send(events);
     }
 
     /// A kept connection to a worker, if a sound one is there, and since when it is idle.
-    pub fn pooled(&self, worker: WorkerId) -> Option<(Conn<G::Stream>, Nanos)> {
-        let (conn, stale) = self.pool.borrow_mut().take(self.ground.now(), worker);
+    pub fn pooled(&self, worker: WorkerId) -> Option<(Conn<R::Stream>, Nanos)> {
+        let (conn, stale) = self.pool.borrow_mut().take(self.runtime.now(), worker);
         self.counters.pool_stale.more(stale);
         conn
     }
 
     /// A kept connection, idle since then, broke as it was used.
     pub fn broke(&self, since: Nanos) {
-        self.pool.borrow_mut().broke(self.ground.now(), since);
+        self.pool.borrow_mut().broke(self.runtime.now(), since);
         self.counters.pool_broke.add();
     }
 
@@ -111,16 +111,16 @@
             self.counters.pool_evicted.add();
             return true;
         }
-        self.budget.close_waiting(self.ground.now())
+        self.limits.close_waiting(self.runtime.now())
     }
 
     /// Makes room for one more client. Guards against dropping the connections to workers where it is the clients that
     /// are too many.
     pub fn make_client_room(&self) -> bool {
-        if self.budget.has_client_room() {
+        if self.limits.has_client_room() {
             self.make_room()
         } else {
-            self.budget.close_waiting(self.ground.now())
+            self.limits.close_waiting(self.runtime.now())
         }
     }
 
@@ -128,7 +128,7 @@
     /// them fills.
     pub fn turned_down(&self, status: u16, why: &str) {
         self.counters.requests_bad.add();
-        let now = self.ground.now();
+        let now = self.runtime.now();
         if now >= self.bad_told.get() + 1_000_000_000 {
             self.bad_told.set(now);
             log::info!(
--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Reads and writes for discovery: the whole list, then one watch kept unbroken.
-use crate::context::{News, Shared};
-use crate::traits::{Ground, nanos, pause, within};
+use crate::context::{Context, EngineEvent};
+use crate::traits::{Runtime, nanos, sleep, with_timeout};
 use async_channel::{Receiver, Sender};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::mutation::{Mutation, is_active};
@@ -61,16 +61,16 @@
 
 /// Follows the list for ever, from each address that `moves` names. Where it comes only when asked, it waits for leave
 /// before each new attempt, and the decisions are told of failures; else it pauses a little after each.
-pub async fn follow<G: Ground>(
-    shared: Rc<Shared<G>>,
+pub async fn follow<R: Runtime>(
+    context: Rc<Context<R>>,
     address: SocketAddr,
     moves: Receiver<SocketAddr>,
     leave: Option<Receiver<()>>,
     kept: Option<u64>,
 ) {
-    let (shared, leave) = (&*shared, leave.as_ref());
+    let (context, leave) = (&*context, leave.as_ref());
     let (told, _) = async_channel::bounded(1);
-    let mut old = Box::pin(tend(shared, address, leave, true, told, kept));
+    let mut old = Box::pin(tend(context, address, leave, true, told, kept));
     loop {
         let stays = async {
             old.as_mut().await;
@@ -87,7 +87,7 @@
             if is_active(Mutation::DropWatchOnReload) {
                 let _ = told.try_send(());
             }
-            let mut new = Box::pin(tend(shared, to, leave, false, told, None));
+            let mut new = Box::pin(tend(context, to, leave, false, told, None));
             let both = async {
                 futures_lite::future::zip(old.as_mut(), new.as_mut()).await;
                 None
@@ -106,8 +106,8 @@
 
 /// Follows the list at one address for ever; `told` hears of the first one. `waits` is whether leave is needed for the
 /// first attempt too; `from` is the version of the list that is known from this address.
-async fn tend<G: Ground>(
-    shared: &Shared<G>,
+async fn tend<R: Runtime>(
+    context: &Context<R>,
     address: SocketAddr,
     leave: Option<&Receiver<()>>,
     mut waits: bool,
@@ -125,7 +125,7 @@
         }
         let mut seen = false;
         let Err(Broken { fault, silent }) =
-            watch(shared, spans, address, &mut seen, &told, &mut from).await;
+            watch(context, spans, address, &mut seen, &told, &mut from).await;
         // A watch that told something and then fell silent is opened anew at once, from the version known: what it missed is
         // soon held against this dispatcher. Only when that call fails too is the pause the decisions'. It hurts where a
         // service that all follow is late with all of them.
@@ -142,15 +142,15 @@
         // Where each call costs the service, the list goes on from the version that is known: one call in place of two,
         // and the changes in place of the whole. Guards against a service that is kept busy by those it failed.
         from = from.filter(|_| leave.is_some());
-        shared.counters.lists_failed.add();
+        context.counters.lists_failed.add();
         // One line of some twenty tells as much, where calls follow each other closely.
         if failures % 20 <= 1 {
             log::warn!("discovery: {fault}");
         }
         if leave.is_some() {
-            shared.tell(News::ListFailed);
+            context.tell(EngineEvent::ListFailed);
         } else {
-            pause(&shared.ground, PAUSE).await;
+            sleep(&context.runtime, PAUSE).await;
         }
     }
 }
@@ -162,33 +162,33 @@
 }
 
 /// One watch, from the whole list until it breaks.
-async fn watch<G: Ground>(
-    shared: &Shared<G>,
+async fn watch<R: Runtime>(
+    context: &Context<R>,
     spans: &Spans,
     address: SocketAddr,
     seen: &mut bool,
     told: &Sender<()>,
     from: &mut Option<u64>,
 ) -> Result<Infallible, Broken> {
-    let (ground, mut kept) = (&shared.ground, None);
+    let (runtime, mut kept) = (&context.runtime, None);
     loop {
         let wait = from.map(|seq| (seq, spans.wait_ms));
         let text = discovery::call(&address.to_string(), wait);
         let begin = wait.map_or(spans.is_snapshot, |(_, ms)| {
             Duration::from_millis(ms) + spans.past
         });
-        let call = |kept: Option<G::Stream>| exchange(ground, address, kept, &text, begin);
+        let call = |kept: Option<R::Stream>| exchange(runtime, address, kept, &text, begin);
         let answer = match kept.take() {
-            None if wait.is_none() => soonest(ground, spans.again, || call(None)).await,
+            None if wait.is_none() => soonest(runtime, spans.again, || call(None)).await,
             kept => call(kept).await,
         };
         let (stream, text, keeps) = answer.map_err(|error| Broken {
             fault: format!("no answer: {error}"),
             silent: error.kind() == io::ErrorKind::TimedOut,
         })?;
-        let list = discovery::decode_endpoint_list(&text, &shared.names).map_err(|fault| {
+        let list = discovery::decode_endpoint_list(&text, &context.names).map_err(|fault| {
             // Passed over, and the whole list is fetched by a new watch.
-            shared.counters.lists_malformed.add();
+            context.counters.lists_malformed.add();
             *from = None;
             Broken {
                 fault: format!("malformed list: {fault}"),
@@ -198,24 +198,24 @@
         // A service that has lost its count is asked for the whole.
         let lost = from.is_some_and(|from| list.version < from) && !list.is_snapshot;
         (*seen, *from) = (true, (!lost).then_some(list.version));
-        shared.counters.lists.add();
-        shared.tell(News::List(list));
+        context.counters.lists.add();
+        context.tell(EngineEvent::List(list));
         let _ = told.try_send(());
         kept = keeps.then_some(stream);
     }
 }
 
 /// The first answer of calls of which another goes out each so often, while those before are still heard.
-async fn soonest<G: Ground, T, F: Future<Output = io::Result<T>>>(
-    ground: &G,
+async fn soonest<R: Runtime, T, F: Future<Output = io::Result<T>>>(
+    runtime: &R,
     again: Duration,
     call: impl Fn() -> F,
 ) -> io::Result<T> {
     let (mut calls, mut next): (Vec<Pin<Box<F>>>, Nanos) = (Vec::new(), 0);
     loop {
-        if ground.now() >= next {
+        if runtime.now() >= next {
             calls.push(Box::pin(call()));
-            next = ground.now().saturating_add(nanos(again));
+            next = runtime.now().saturating_add(nanos(again));
         }
         let ended = poll_fn(|cx| {
             let polled = calls.iter_mut().map(|call| call.as_mut().poll(cx));
@@ -225,7 +225,7 @@
             }
         });
         let another = async {
-            ground.until(next).await;
+            runtime.sleep_until(next).await;
             None
         };
         if let Some((at, ended)) = ended.or(another).await {
@@ -239,24 +239,24 @@
 
 /// One call over a connection that is kept, or a new one, and its answer, which must begin within a time and then come
 /// whole: the connection, the text and whether the next call may go over it.
-async fn exchange<G: Ground>(
-    ground: &G,
+async fn exchange<R: Runtime>(
+    runtime: &R,
     address: SocketAddr,
-    kept: Option<G::Stream>,
+    kept: Option<R::Stream>,
     call: &[u8],
     begin: Duration,
-) -> io::Result<(G::Stream, Vec<u8>, bool)> {
+) -> io::Result<(R::Stream, Vec<u8>, bool)> {
     let mut buffer = vec![0; READ];
     let first = async {
         let mut stream = match kept {
             Some(stream) => stream,
-            None => within(ground, CONNECT, ground.connect(address)).await?,
+            None => with_timeout(runtime, CONNECT, runtime.connect(address)).await?,
         };
         stream.write_all(call).await?;
         let count = stream.read(&mut buffer).await?;
         Ok((stream, count))
     };
-    let (mut stream, mut count) = within(ground, begin, first).await?;
+    let (mut stream, mut count) = with_timeout(runtime, begin, first).await?;
     let mut reader = EndpointListReader::default();
     let rest = async {
         while count > 0 {
@@ -268,5 +268,5 @@
         let text = reader.closed().ok_or(io::ErrorKind::UnexpectedEof)?;
         Ok((stream, text, false))
     };
-    within(ground, REST, rest).await
+    with_timeout(runtime, REST, rest).await
 }
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -1,12 +1,12 @@
 //! Drives the hub: hands it what came in and what is due, and carries out what it says.
-use crate::context::{News, Shared};
-use crate::traits::Ground;
+use crate::context::{Context, EngineEvent};
+use crate::traits::Runtime;
 use crate::worker;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use futures_lite::FutureExt;
 use rosewall::types::RequestId;
-use rosewall_engine::engine::{Effect, Hub, Input};
+use rosewall_engine::engine::{Effect, Engine, Input};
 use rosewall_protocol::client::Answer;
 use rosewall_protocol::discovery::EndpointList;
 use rustc_hash::FxHashMap;
@@ -20,10 +20,10 @@
     off: Rc<Cell<bool>>,
 }
 
-pub struct HubDriver<G: Ground> {
-    pub shared: Rc<Shared<G>>,
-    pub news: Receiver<News<G>>,
-    pub hub: Hub,
+pub struct EngineDriver<R: Runtime> {
+    pub context: Rc<Context<R>>,
+    pub events: Receiver<EngineEvent<R>>,
+    pub engine: Engine,
     /// Where leave is given to follow the list.
     pub leave: Option<Sender<()>>,
     /// Where the answer goes, for each request that is owed one.
@@ -32,18 +32,18 @@
     effects: Vec<Effect>,
 }
 
-impl<G: Ground> HubDriver<G> {
+impl<R: Runtime> EngineDriver<R> {
     pub fn new(
-        shared: Rc<Shared<G>>,
-        news: Receiver<News<G>>,
-        hub: Hub,
+        context: Rc<Context<R>>,
+        events: Receiver<EngineEvent<R>>,
+        engine: Engine,
         leave: Option<Sender<()>>,
     ) -> Self {
         let (replies, out) = (FxHashMap::default(), FxHashMap::default());
-        HubDriver {
-            shared,
-            news,
-            hub,
+        EngineDriver {
+            context,
+            events,
+            engine,
             leave,
             replies,
             out,
@@ -53,47 +53,47 @@
 
     /// The list as it was kept, before anything else.
     pub fn load_cached(&mut self, list: EndpointList) {
-        let now = self.shared.ground.now();
-        self.hub.load_cached(now, list, &mut self.effects);
+        let now = self.context.runtime.now();
+        self.engine.load_cached(now, list, &mut self.effects);
         self.carry_out();
     }
 
     /// Serves for ever; the caller ends it.
     pub async fn run(mut self) {
         loop {
-            while let Ok(news) = self.news.try_recv() {
-                self.take(news);
+            while let Ok(events) = self.events.try_recv() {
+                self.take(events);
             }
-            let now = self.shared.ground.now();
-            if self.hub.due(now, &mut self.effects) {
+            let now = self.context.runtime.now();
+            if self.engine.due(now, &mut self.effects) {
                 self.carry_out();
                 continue;
             }
-            let reap = self.shared.pool.borrow().next_reap();
+            let reap = self.context.pool.borrow().next_reap();
             if reap.is_some_and(|at| at <= now) {
-                self.shared.pool.borrow_mut().reap(now);
+                self.context.pool.borrow_mut().reap(now);
                 continue;
             }
-            let next = self.hub.next_due().into_iter().chain(reap).min();
+            let next = self.engine.next_due().into_iter().chain(reap).min();
             let timer = async {
                 match next {
-                    Some(at) => self.shared.ground.until(at).await,
+                    Some(at) => self.context.runtime.sleep_until(at).await,
                     None => std::future::pending().await,
                 }
                 None
             };
-            let heard = async { self.news.recv().await.ok() };
+            let heard = async { self.events.recv().await.ok() };
             let heard = heard.or(timer).await;
-            if let Some(news) = heard {
-                self.take(news);
+            if let Some(events) = heard {
+                self.take(events);
             }
         }
     }
 
-    fn take(&mut self, news: News<G>) {
-        let now = self.shared.ground.now();
-        let input = match news {
-            News::Arrived {
+    fn take(&mut self, events: EngineEvent<R>) {
+        let now = self.context.runtime.now();
+        let input = match events {
+            EngineEvent::Arrived {
                 request_id,
                 at,
                 request,
@@ -106,33 +106,33 @@
                     request,
                 }
             }
-            News::Left(request_id) => {
+            EngineEvent::Left(request_id) => {
                 self.replies.remove(&request_id);
                 Input::Left(request_id)
             }
-            News::Told {
+            EngineEvent::AttemptProgress {
                 request_id,
                 attempt_index,
                 told,
-            } => Input::Told {
+            } => Input::AttemptProgress {
                 request_id,
                 attempt_index,
                 told,
             },
-            News::Spare { worker, conn } => {
+            EngineEvent::Spare { worker, conn } => {
                 // One that leads elsewhere by now is of no use.
-                if self.hub.address_of(worker) == Some(conn.address) {
-                    self.shared
+                if self.engine.address_of(worker) == Some(conn.address) {
+                    self.context
                         .pool
                         .borrow_mut()
                         .put(now, worker, conn.address, conn);
                 }
                 return;
             }
-            News::HealthChecked(probed) => Input::HealthChecked(probed),
-            News::PeerLoad { from, load } => Input::PeerLoad { from, load },
-            News::FleetView(place) => Input::FleetView(place),
-            News::WarmUpGranted {
+            EngineEvent::HealthChecked(probed) => Input::HealthChecked(probed),
+            EngineEvent::PeerLoad { from, load } => Input::PeerLoad { from, load },
+            EngineEvent::FleetView(place) => Input::FleetView(place),
+            EngineEvent::WarmUpGranted {
                 worker,
                 work,
                 until,
@@ -141,11 +141,11 @@
                 work,
                 until,
             },
-            News::List(list) => Input::List(list),
-            News::ListFailed => Input::ListFailed,
-            News::Stop(by) => Input::Stop(by),
+            EngineEvent::List(list) => Input::List(list),
+            EngineEvent::ListFailed => Input::ListFailed,
+            EngineEvent::Stop(by) => Input::Stop(by),
         };
-        self.hub.take(now, input, &mut self.effects);
+        self.engine.take(now, input, &mut self.effects);
         self.carry_out();
     }
 
@@ -153,12 +153,14 @@
         let mut effects = std::mem::take(&mut self.effects);
         effects.drain(..).for_each(|effect| self.act(effect));
         self.effects = effects;
-        self.shared.ready.set(self.hub.ready());
-        self.shared.active_requests.set(self.hub.active_requests());
+        self.context.ready.set(self.engine.ready());
+        self.context
+            .active_requests
+            .set(self.engine.active_requests());
     }
 
     fn act(&mut self, effect: Effect) {
-        let shared = &self.shared;
+        let context = &self.context;
         match effect {
             Effect::Answer { request_id, answer } => {
                 if let Some(reply) = self.replies.remove(&request_id) {
@@ -166,18 +168,20 @@
                 }
             }
             Effect::SendAttempt(attempt) => {
-                let ready = shared.pooled(attempt.worker);
+                let ready = context.pooled(attempt.worker);
                 if ready.is_some() {
-                    shared.counters.posted_again.add()
+                    context.counters.posted_again.add()
                 } else {
-                    shared.counters.posted_new.add()
+                    context.counters.posted_new.add()
                 }
                 let place = (attempt.request_id, attempt.attempt_index);
                 let off = Rc::new(Cell::new(false));
-                let task =
-                    shared
-                        .ground
-                        .spawn(worker::post(shared.clone(), attempt, ready, off.clone()));
+                let task = context.runtime.spawn(worker::post(
+                    context.clone(),
+                    attempt,
+                    ready,
+                    off.clone(),
+                ));
                 self.out.insert(place, Out { task, off });
             }
             Effect::CancelUnsent {
@@ -206,25 +210,25 @@
                 host,
                 limit,
             } => {
-                shared
-                    .ground
-                    .spawn(worker::sound(shared.clone(), worker, address, host, limit))
+                context
+                    .runtime
+                    .spawn(worker::sound(context.clone(), worker, address, host, limit))
                     .detach();
             }
             Effect::EvictIdle { worker, address } => {
-                shared.pool.borrow_mut().drop_worker(worker, address)
+                context.pool.borrow_mut().drop_worker(worker, address)
             }
             Effect::SendPeerLoad { to, load } => {
-                let now = shared.ground.now();
-                match (&shared.members, &shared.talk) {
-                    (Some(members), _) => members.send_load(now, to, load),
-                    (None, Some(talk)) => talk.tell(now, &shared.counters, to, &load),
-                    (None, None) => shared.counters.told_lost.add(),
+                let now = context.runtime.now();
+                match (&context.cluster, &context.talk) {
+                    (Some(cluster), _) => cluster.send_load(now, to, load),
+                    (None, Some(talk)) => talk.tell(now, &context.counters, to, &load),
+                    (None, None) => context.counters.told_lost.add(),
                 }
             }
             Effect::RequestWarmUpGrant { worker, work } => {
-                if let Some(members) = &shared.members {
-                    members.request_grant(shared.ground.now(), worker, work);
+                if let Some(cluster) = &context.cluster {
+                    cluster.request_grant(context.runtime.now(), worker, work);
                 }
             }
             Effect::SetWarmUpBudget {
@@ -232,8 +236,8 @@
                 work,
                 window,
             } => {
-                if let Some(members) = &shared.members {
-                    members.set_warm_up_budget(worker, work, window);
+                if let Some(cluster) = &context.cluster {
+                    cluster.set_warm_up_budget(worker, work, window);
                 }
             }
             Effect::WatchEndpoints => {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
 //! The drivers: what reads, writes and waits for the machines of `rosewall-protocol` and `rosewall-engine`. They stand on
-//! one seam, `ground`, and so run the same over sockets and over a virtual network. `node` puts one dispatcher
+//! one seam, `runtime`, and so run the same over sockets and over a virtual network. `node` puts one dispatcher
 //! together; nothing here decides.
 pub mod client;
 pub mod cluster;
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -1,9 +1,9 @@
 //! Carries what dispatchers tell each other, where the configuration gives addresses for it.
-use crate::traits::{Ground, Mail};
+use crate::traits::{DatagramSocket, Runtime};
 use futures_lite::future::yield_now;
 use rosewall::types::{Nanos, PeerLoad};
 use rosewall_engine::counters::Counters;
-use rosewall_engine::rate_limit::Pace;
+use rosewall_engine::rate_limit::RateLimiter;
 use rosewall_protocol::peer_load::{LENGTH, datagram, read};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 /// beyond it is dropped and counted.
 const A_SECOND: u64 = 5_000;
 
-pub struct Talk<M> {
-    mail: M,
+pub struct PeerLoadExchange<M> {
+    socket: M,
     me: u16,
     peers: Vec<SocketAddr>,
-    out: RefCell<Pace>,
+    out: RefCell<RateLimiter>,
 }
 
-impl<M: Mail> Talk<M> {
-    pub fn new(mail: M, me: u16, peers: Vec<SocketAddr>) -> Self {
-        Talk {
-            mail,
+impl<M: DatagramSocket> PeerLoadExchange<M> {
+    pub fn new(socket: M, me: u16, peers: Vec<SocketAddr>) -> Self {
+        PeerLoadExchange {
+            socket,
             me,
             peers,
-            out: RefCell::new(Pace::new(A_SECOND)),
+            out: RefCell::new(RateLimiter::new(A_SECOND)),
         }
     }
 
@@ -35,7 +35,7 @@
             return counters.told_lost.add();
         };
         let allowed = self.out.borrow_mut().allows(now);
-        if allowed && self.mail.send(&datagram(self.me, load), *peer).is_ok() {
+        if allowed && self.socket.send(&datagram(self.me, load), *peer).is_ok() {
             counters.told.add();
         } else {
             counters.told_lost.add();
@@ -43,16 +43,16 @@
     }
 
     /// Hears for ever; each line goes to `heard` with its teller.
-    pub async fn hear<G: Ground>(
+    pub async fn hear<R: Runtime>(
         &self,
-        ground: &G,
+        runtime: &R,
         counters: &Counters,
         heard: impl Fn(u16, PeerLoad),
     ) {
-        let (mut pace, mut bytes) = (Pace::new(A_SECOND), [0; LENGTH + 1]);
+        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; LENGTH + 1]);
         loop {
-            let came = self.mail.receive(&mut bytes).await;
-            let line = came.ok().filter(|_| pace.allows(ground.now()));
+            let came = self.socket.receive(&mut bytes).await;
+            let line = came.ok().filter(|_| rate_limit.allows(runtime.now()));
             match line.and_then(|(length, sender)| read(&bytes[..length], sender, &self.peers).ok())
             {
                 Some((from, load)) => {
--- a/crates/runtime/src/traits.rs
+++ b/crates/runtime/src/traits.rs
@@ -8,55 +8,59 @@
 
 /// What is to be read from a connection just now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum Readiness {
     /// It is open and nothing is there.
-    Silent,
-    Bytes,
+    Idle,
+    Readable,
     /// It has ended or broken.
-    Ended,
+    Closed,
 }
 
 /// One connection. Dropping it closes it: with a reset where bytes came that no one has read.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
     /// Looks, and takes nothing.
-    fn look(&self) -> Look;
+    fn readiness(&self) -> Readiness;
     /// Waits until `look` would not find it silent; an error where that cannot be waited for.
     fn readable(&self) -> impl Future<Output = io::Result<()>>;
     /// Ends the sending side; what the other side sends can still be read.
-    fn end(&self) -> io::Result<()>;
+    fn shutdown_write(&self) -> io::Result<()>;
 }
 
 /// Where connections come in.
-pub trait Door: 'static {
+pub trait Listener: 'static {
     type Stream: Stream;
     /// Has the system take in so many connections before they are accepted.
-    fn widen(&self, backlog: i32) -> io::Result<()>;
+    fn set_backlog(&self, backlog: i32) -> io::Result<()>;
     /// Waits until someone is there.
-    fn ready(&self) -> impl Future<Output = io::Result<()>>;
+    fn wait_ready(&self) -> impl Future<Output = io::Result<()>>;
     /// The one who came first; `WouldBlock` where no one is there.
     fn accept(&self) -> io::Result<Self::Stream>;
 }
 
 /// Where datagrams go out and come in.
-pub trait Mail: 'static {
+pub trait DatagramSocket: 'static {
     /// Sends at once or not at all.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
     /// The next one's length, cut to the room there is, and its sender.
     fn receive(&self, bytes: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
 
-pub trait Ground: 'static {
+pub trait Runtime: 'static {
     type Stream: Stream;
-    type Mail: Mail;
-    type Door: Door<Stream = Self::Stream>;
+    type DatagramSocket: DatagramSocket;
+    type Listener: Listener<Stream = Self::Stream>;
     /// Unix time at the start, and from there on never back.
     fn now(&self) -> Nanos;
     /// Ends once `now` is `at` or later.
-    fn until(&self, at: Nanos) -> impl Future<Output = ()>;
+    fn sleep_until(&self, at: Nanos) -> impl Future<Output = ()>;
     /// Runs work beside the caller's; dropping the task ends it, with all that it holds.
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> Task<()>;
     /// Where datagrams come in; `through`: a relay that all go by, each with the other side's address before it.
-    fn mail(&self, at: SocketAddr, through: Option<SocketAddr>) -> io::Result<Self::Mail>;
+    fn bind_datagram_socket(
+        &self,
+        at: SocketAddr,
+        through: Option<SocketAddr>,
+    ) -> io::Result<Self::DatagramSocket>;
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
@@ -65,18 +69,20 @@
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX / 2)
 }
 
-pub async fn pause<G: Ground>(ground: &G, span: Duration) {
-    ground.until(ground.now().saturating_add(nanos(span))).await;
+pub async fn sleep<R: Runtime>(runtime: &R, span: Duration) {
+    runtime
+        .sleep_until(runtime.now().saturating_add(nanos(span)))
+        .await;
 }
 
 /// Work that counts as timed out where it takes longer than the limit.
-pub async fn within<G: Ground, T>(
-    ground: &G,
+pub async fn with_timeout<R: Runtime, T>(
+    runtime: &R,
     limit: Duration,
     work: impl Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
     let late = async {
-        pause(ground, limit).await;
+        sleep(runtime, limit).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     work.or(late).await
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -1,13 +1,13 @@
 //! Reads and writes for the worker side: one task an attempt, one a probe.
-use crate::context::{Conn, News, Shared};
-use crate::traits::{Ground, Look, Stream, nanos, pause, within};
+use crate::context::{Conn, Context, EngineEvent};
+use crate::traits::{Readiness, Runtime, Stream, nanos, sleep, with_timeout};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{HealthChecked, Nanos, Outcome, Report, WorkerId};
 use rosewall_engine::engine::OutboundAttempt;
 use rosewall_engine::limits::Slot;
 use rosewall_engine::pool::REST;
-use rosewall_protocol::worker::{Reply, Sounding, Told, probe};
+use rosewall_protocol::worker::{AttemptProgress, Reply, Sounding, probe};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,17 +22,17 @@
 const READ: usize = 8 * 1024;
 
 /// A descriptor for a new connection, once there is one.
-async fn descriptor<G: Ground>(shared: &Shared<G>) -> Slot {
+async fn descriptor<R: Runtime>(context: &Context<R>) -> Slot {
     let mut short = false;
     loop {
-        if let Some(slot) = shared.budget.worker() {
+        if let Some(slot) = context.limits.worker() {
             return slot;
         }
         if !std::mem::replace(&mut short, true) {
-            shared.counters.no_descriptor.add();
+            context.counters.no_descriptor.add();
         }
-        if !shared.make_room() {
-            pause(&shared.ground, PAUSE).await;
+        if !context.make_room() {
+            sleep(&context.runtime, PAUSE).await;
         }
         futures_lite::future::yield_now().await;
     }
@@ -40,41 +40,43 @@
 
 /// The connection that is ready, or a new one, within the time. Guards against a vanished machine, which never
 /// answers. Where it is this program that has no descriptor, that is no fault of the worker's.
-async fn connection<G: Ground>(
-    shared: &Shared<G>,
-    ready: Option<Conn<G::Stream>>,
+async fn connection<R: Runtime>(
+    context: &Context<R>,
+    ready: Option<Conn<R::Stream>>,
     address: SocketAddr,
     limit: Duration,
-) -> Result<Conn<G::Stream>, Outcome> {
+) -> Result<Conn<R::Stream>, Outcome> {
     if let Some(conn) = ready {
         return Ok(conn);
     }
-    let ground = &shared.ground;
-    let slot = within(ground, limit, async { Ok(descriptor(shared).await) })
+    let runtime = &context.runtime;
+    let slot = with_timeout(runtime, limit, async { Ok(descriptor(context).await) })
         .await
         .map_err(|_| Outcome::NotSent)?;
-    shared.counters.connects.add();
+    context.counters.connects.add();
     let connect = async {
         Ok(Conn {
-            stream: ground.connect(address).await?,
+            stream: runtime.connect(address).await?,
             address,
             _slot: slot,
         })
     };
-    within(ground, limit, connect).await.map_err(|error| {
-        shared.counters.connects_failed.add();
-        log::debug!("no connection to {address}: {error}");
-        Outcome::ConnectFailed
-    })
+    with_timeout(runtime, limit, connect)
+        .await
+        .map_err(|error| {
+            context.counters.connects_failed.add();
+            log::debug!("no connection to {address}: {error}");
+            Outcome::ConnectFailed
+        })
 }
 
 /// Writes a posting; false where the connection broke before the last byte was written, or it was called off by then,
 /// so that it never ran.
 /// Guards against kept connections that the worker has dropped in silence, which show it only when written to: the
 /// last byte waits until what came before it could have been answered with a reset.
-async fn written<G: Ground>(
-    ground: &G,
-    conn: &mut Conn<G::Stream>,
+async fn written<R: Runtime>(
+    runtime: &R,
+    conn: &mut Conn<R::Stream>,
     message: &[u8],
     off: &Cell<bool>,
     kept: Option<Nanos>,
@@ -87,13 +89,15 @@
     }
     let answered = async { conn.stream.readable().await.is_ok() };
     let silent = async {
-        let rest = kept.map_or(0, |since| (since + REST).saturating_sub(ground.now()));
-        pause(ground, ANSWERED_WITHIN.max(Duration::from_nanos(rest))).await;
+        let rest = kept.map_or(0, |since| (since + REST).saturating_sub(runtime.now()));
+        sleep(runtime, ANSWERED_WITHIN.max(Duration::from_nanos(rest))).await;
         false
     };
     // What is there to read is the connection's end, or an answer ahead of its time. On a kept one it is another's, as a
     // worker begins with the last byte: guards against a second answer that comes late, and would be taken for this one's.
-    if answered.or(silent).await && (kept.is_some() || conn.stream.look() != Look::Bytes) {
+    if answered.or(silent).await
+        && (kept.is_some() || conn.stream.readiness() != Readiness::Readable)
+    {
         return false;
     }
     !off.get() && conn.stream.write_all(&[*last]).await.is_ok()
@@ -101,20 +105,20 @@
 
 /// Sends an attempt over the kept connection, or over a new one where there is none or that one is dead; gives since when
 /// a kept one was idle. What could not be written whole never ran, and from there on nothing is sent again here.
-async fn sent<G: Ground>(
-    shared: &Shared<G>,
-    ready: Option<(Conn<G::Stream>, Nanos)>,
+async fn sent<R: Runtime>(
+    context: &Context<R>,
+    ready: Option<(Conn<R::Stream>, Nanos)>,
     address: SocketAddr,
     limit: Duration,
     message: &[u8],
     off: &Cell<bool>,
-) -> Result<(Conn<G::Stream>, Option<Nanos>), Outcome> {
+) -> Result<(Conn<R::Stream>, Option<Nanos>), Outcome> {
     // A connection that takes no bytes is given up as one that does not come up. Guards against a vanished machine that is
     // back seconds later, and is then sent over a new connection what the list has forbidden since.
-    let ground = &shared.ground;
+    let runtime = &context.runtime;
     if let Some((mut conn, since)) = ready {
-        let writing = async { Ok(written(ground, &mut conn, message, off, Some(since)).await) };
-        match within(ground, limit, writing).await {
+        let writing = async { Ok(written(runtime, &mut conn, message, off, Some(since)).await) };
+        match with_timeout(runtime, limit, writing).await {
             Ok(true) => return Ok((conn, Some(since))),
             Ok(false) => {}
             Err(_) => {
@@ -129,14 +133,14 @@
             return Err(Outcome::NotSent);
         }
         // It tells of its age, not of the worker: nothing was posted yet.
-        if conn.stream.look() == Look::Ended {
-            shared.broke(since);
+        if conn.stream.readiness() == Readiness::Closed {
+            context.broke(since);
         }
     }
-    let mut conn = connection(shared, None, address, limit).await?;
+    let mut conn = connection(context, None, address, limit).await?;
     // Not a byte goes out for a client who has left, or to a worker that was told to drain, while it came up.
-    let writing = async { Ok(!off.get() && written(ground, &mut conn, message, off, None).await) };
-    if within(ground, limit, writing).await.unwrap_or(false) {
+    let writing = async { Ok(!off.get() && written(runtime, &mut conn, message, off, None).await) };
+    if with_timeout(runtime, limit, writing).await.unwrap_or(false) {
         return Ok((conn, None));
     }
     Err(if off.get() {
@@ -147,10 +151,10 @@
 }
 
 /// Carries one attempt, unless it is called off before its last byte; what it ended in is told once.
-pub async fn post<G: Ground>(
-    shared: Rc<Shared<G>>,
+pub async fn post<R: Runtime>(
+    context: Rc<Context<R>>,
     attempt: OutboundAttempt,
-    ready: Option<(Conn<G::Stream>, Nanos)>,
+    ready: Option<(Conn<R::Stream>, Nanos)>,
     off: Rc<Cell<bool>>,
 ) {
     let OutboundAttempt {
@@ -164,17 +168,17 @@
     } = attempt;
     let connect_within = Duration::from_nanos(connect_within);
     let tell = |told| {
-        shared.tell(News::Told {
+        context.tell(EngineEvent::AttemptProgress {
             request_id,
             attempt_index,
             told,
         })
     };
-    let (mut conn, kept) = match sent(&shared, ready, address, connect_within, &message, &off).await
-    {
-        Ok(sent) => sent,
-        Err(outcome) => return tell(Told::Ended(outcome)),
-    };
+    let (mut conn, kept) =
+        match sent(&context, ready, address, connect_within, &message, &off).await {
+            Ok(sent) => sent,
+            Err(outcome) => return tell(AttemptProgress::Ended(outcome)),
+        };
     drop(message);
     let mut reply = Reply::new(id);
     let mut buffer = vec![0; READ];
@@ -183,7 +187,7 @@
         let read = async { conn.stream.read(&mut buffer).await.unwrap_or(0) };
         let late = async {
             match ended {
-                Some(at) => shared.ground.until(at).await,
+                Some(at) => context.runtime.sleep_until(at).await,
                 None => std::future::pending().await,
             };
             0
@@ -192,7 +196,7 @@
         let count = late.or(read).await;
         if count == 0 {
             if let Some(since) = kept.filter(|_| !heard) {
-                shared.broke(since);
+                context.broke(since);
             }
             reply.closed().into_iter().for_each(tell);
             if is_active(Mutation::LeakConnection) {
@@ -203,8 +207,8 @@
         heard = true;
         reply.feed(&buffer[..count]);
         while let Some(told) = reply.told() {
-            if told != Told::Started && ended.is_none() {
-                ended = Some(shared.ground.now() + nanos(TAIL_WITHIN));
+            if told != AttemptProgress::Started && ended.is_none() {
+                ended = Some(context.runtime.now() + nanos(TAIL_WITHIN));
             }
             tell(told);
         }
@@ -215,13 +219,13 @@
         futures_lite::future::yield_now().await;
     }
     if reply.reusable() {
-        shared.tell(News::Spare { worker, conn });
+        context.tell(EngineEvent::Spare { worker, conn });
     }
 }
 
 /// Asks one worker how it is, within so many nanoseconds.
-pub async fn sound<G: Ground>(
-    shared: Rc<Shared<G>>,
+pub async fn sound<R: Runtime>(
+    context: Rc<Context<R>>,
     worker: WorkerId,
     address: SocketAddr,
     host: String,
@@ -229,39 +233,39 @@
 ) {
     let limit = Duration::from_nanos(limit);
     let late = async {
-        pause(&shared.ground, limit).await;
+        sleep(&context.runtime, limit).await;
         (Outcome::TimedOut, Report::default())
     };
-    let (outcome, report) = ask(&shared, worker, address, &host, limit).or(late).await;
-    shared.tell(News::HealthChecked(HealthChecked {
+    let (outcome, report) = ask(&context, worker, address, &host, limit).or(late).await;
+    context.tell(EngineEvent::HealthChecked(HealthChecked {
         worker,
         outcome,
         report,
     }));
 }
 
-async fn ask<G: Ground>(
-    shared: &Shared<G>,
+async fn ask<R: Runtime>(
+    context: &Context<R>,
     worker: WorkerId,
     address: SocketAddr,
     host: &str,
     limit: Duration,
 ) -> (Outcome, Report) {
     let none = Report::default();
-    let ready = shared.pooled(worker).map(|(conn, _)| conn);
-    let mut conn = match connection(shared, ready, address, limit).await {
+    let ready = context.pooled(worker).map(|(conn, _)| conn);
+    let mut conn = match connection(context, ready, address, limit).await {
         Ok(conn) => conn,
         Err(outcome) => return (outcome, none),
     };
     if conn
         .stream
-        .write_all(&probe(host, !shared.report.is_empty()))
+        .write_all(&probe(host, !context.report.is_empty()))
         .await
         .is_err()
     {
         return (Outcome::ConnectFailed, none);
     }
-    let mut sounding = Sounding::new(&shared.report);
+    let mut sounding = Sounding::new(&context.report);
     let mut buffer = [0; 1024];
     loop {
         let count = conn.stream.read(&mut buffer).await.unwrap_or(0);
@@ -270,7 +274,7 @@
         }
         if let Some((outcome, report, reusable)) = sounding.feed(&buffer[..count]) {
             if reusable {
-                shared.tell(News::Spare { worker, conn });
+                context.tell(EngineEvent::Spare { worker, conn });
             }
             return (outcome, report);
         }
--- a/crates/simulation/src/agent.rs
+++ b/crates/simulation/src/agent.rs
@@ -6,7 +6,7 @@
 use async_channel::Sender;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rosewall::types::{EndpointState, Nanos};
-use rosewall_runtime::traits::Door;
+use rosewall_runtime::traits::Listener;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -209,7 +209,7 @@
 
     async fn accept(self: Rc<Self>, door: VDoor, address: usize) {
         loop {
-            let _ = door.ready().await;
+            let _ = door.wait_ready().await;
             while let Ok(stream) = door.accept() {
                 self.core.spawn(self.clone().serve(stream, address));
             }
--- a/crates/simulation/src/client.rs
+++ b/crates/simulation/src/client.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{Badness, Effect, Load, Scenario};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::types::Nanos;
-use rosewall_runtime::traits::{Look, Stream};
+use rosewall_runtime::traits::{Readiness, Stream};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -164,7 +164,7 @@
 
     async fn line(&self, at: usize) -> Option<Line> {
         if let Some(line) = self.kept.borrow_mut()[at].pop()
-            && line.stream.look() == Look::Silent
+            && line.stream.readiness() == Readiness::Idle
         {
             return Some(line);
         }
@@ -352,7 +352,7 @@
                 for byte in text.as_bytes() {
                     stream.write_all(&[*byte]).await.ok()?;
                     core.sleep(100 * MS).await;
-                    if stream.look() != Look::Silent {
+                    if stream.readiness() != Readiness::Idle {
                         break;
                     }
                 }
@@ -429,7 +429,7 @@
                 core.judge
                     .borrow_mut()
                     .sent(core.now(), txn, stream.peer(), Nanos::MAX);
-                stream.end().ok()?;
+                stream.shutdown_write().ok()?;
                 core.judge.borrow_mut().left(core.now(), txn);
                 self.linger(stream).await;
             }
--- a/crates/simulation/src/mail.rs
+++ b/crates/simulation/src/mail.rs
@@ -1,7 +1,7 @@
 //! Datagrams on the virtual network: lost, late, doubled and cut by direction, as the scenario has it.
 use crate::core::{Core, Event};
 use rosewall::types::Nanos;
-use rosewall_runtime::traits::Mail;
+use rosewall_runtime::traits::DatagramSocket;
 use std::collections::{BTreeMap, VecDeque};
 use std::future::poll_fn;
 use std::io;
@@ -81,7 +81,7 @@
     }
 }
 
-impl Mail for VMail {
+impl DatagramSocket for VMail {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let core = &self.core;
         let ways = core.post.borrow().ways;
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, Event, Owner};
 use futures_lite::{AsyncRead, AsyncWrite};
 use rosewall::types::Nanos;
-use rosewall_runtime::traits::{Door, Look, Stream};
+use rosewall_runtime::traits::{Listener, Readiness, Stream};
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::cell::Cell;
@@ -577,27 +577,27 @@
     }
 
     fn poll_close(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        Poll::Ready(self.end())
+        Poll::Ready(self.shutdown_write())
     }
 }
 
 impl Stream for VStream {
-    fn look(&self) -> Look {
+    fn readiness(&self) -> Readiness {
         let net = self.core.net.borrow();
         let Some(known) = net.links.get(self.link) else {
-            return Look::Ended;
+            return Readiness::Closed;
         };
         let flow = &known.flows[1 - self.side];
         match (flow.here.is_empty(), known.broken[self.side] || flow.ended) {
-            (false, _) => Look::Bytes,
-            (true, true) => Look::Ended,
-            (true, false) => Look::Silent,
+            (false, _) => Readiness::Readable,
+            (true, true) => Readiness::Closed,
+            (true, false) => Readiness::Idle,
         }
     }
 
     async fn readable(&self) -> io::Result<()> {
         std::future::poll_fn(|cx| {
-            if self.look() != Look::Silent {
+            if self.readiness() != Readiness::Idle {
                 return Poll::Ready(());
             }
             let mut net = self.core.net.borrow_mut();
@@ -610,7 +610,7 @@
         Ok(())
     }
 
-    fn end(&self) -> io::Result<()> {
+    fn shutdown_write(&self) -> io::Result<()> {
         {
             let mut net = self.core.net.borrow_mut();
             let Some(known) = net.links.get_mut(self.link) else {
@@ -661,17 +661,17 @@
     }
 }
 
-impl Door for VDoor {
+impl Listener for VDoor {
     type Stream = VStream;
 
-    fn widen(&self, backlog: i32) -> io::Result<()> {
+    fn set_backlog(&self, backlog: i32) -> io::Result<()> {
         if let Some(door) = self.core.net.borrow_mut().doors.get_mut(&self.at) {
             door.backlog = door.backlog.max(backlog.max(1) as usize);
         }
         Ok(())
     }
 
-    async fn ready(&self) -> io::Result<()> {
+    async fn wait_ready(&self) -> io::Result<()> {
         std::future::poll_fn(|cx| {
             let mut net = self.core.net.borrow_mut();
             match net.doors.get_mut(&self.at) {
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rosewall::types::Nanos;
-use rosewall_runtime::traits::{Door, Look, Stream};
+use rosewall_runtime::traits::{Listener, Readiness, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
 /// Who waits for an end of the connection: one that is closed by the other side.
 async fn closed(stream: &VStream) {
     loop {
-        if stream.readable().await.is_err() || stream.look() == Look::Ended {
+        if stream.readable().await.is_err() || stream.readiness() == Readiness::Closed {
             return;
         }
         // What is there to read is a next request, ahead of its time; it waits.
@@ -155,7 +155,7 @@
 
     async fn accept(self: Rc<Self>, door: VDoor) {
         loop {
-            let _ = door.ready().await;
+            let _ = door.wait_ready().await;
             self.unstalled().await;
             loop {
                 match door.accept() {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -10,10 +10,10 @@
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use rosewall::types::{EndpointState, Nanos};
-use rosewall_cluster::config::Joining;
-use rosewall_engine::config::{self, Given};
+use rosewall_cluster::config::ClusterConfig;
+use rosewall_engine::config::{self, Config};
 use rosewall_runtime::node::Node;
-use rosewall_runtime::traits::Ground;
+use rosewall_runtime::traits::Runtime;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -52,12 +52,16 @@
     }
 }
 
-impl Ground for Virtual {
+impl Runtime for Virtual {
     type Stream = VStream;
-    type Door = VDoor;
-    type Mail = VMail;
-
-    fn mail(&self, at: SocketAddr, through: Option<SocketAddr>) -> io::Result<VMail> {
+    type Listener = VDoor;
+    type DatagramSocket = VMail;
+
+    fn bind_datagram_socket(
+        &self,
+        at: SocketAddr,
+        through: Option<SocketAddr>,
+    ) -> io::Result<VMail> {
         match through {
             Some(_) => Err(io::ErrorKind::Unsupported.into()),
             None => Ok(VMail::new(&self.core, self.machine, at)),
@@ -68,7 +72,7 @@
         self.core.now() + self.ahead
     }
 
-    async fn until(&self, at: Nanos) {
+    async fn sleep_until(&self, at: Nanos) {
         self.core
             .until(self.machine, at.saturating_sub(self.ahead))
             .await;
@@ -143,7 +147,7 @@
 
 impl Stage {
     /// What a dispatcher at this place is given.
-    fn given(&self, place: usize, known: &str, sockets: usize) -> Result<Given, String> {
+    fn given(&self, place: usize, known: &str, sockets: usize) -> Result<Config, String> {
         let Scenario {
             limits,
             rules,
@@ -200,24 +204,24 @@
                 "Parties": [{"Name": "t"}], "Report": {"Fields": [], "How": "none"}, "Schemes": schemes,
             }
         });
-        let mut given = config::read(text.to_string().as_bytes())?;
+        let mut given = config::parse(text.to_string().as_bytes())?;
         if let Some(members) = &self.scenario.members {
             let count = |most: usize| 0..most.min(*dispatchers);
-            let joining = Joining {
+            let cluster_config = ClusterConfig {
                 cluster: "world".to_string(),
                 name: format!("n{place}"),
                 listen: post_box(place),
                 seeds: count(3).map(post_box).collect(),
-                keepers: count(members.keepers)
+                quorum: count(members.keepers)
                     .map(|place| format!("n{place}"))
                     .collect(),
-                through: None,
-                clocks: members.skew_ms * MS,
+                relay: None,
+                max_clock_skew: members.skew_ms * MS,
             };
             given
                 .map
                 .insert("share.allowed".into(), members.peers.to_string());
-            given.join(joining).map_err(|fault| fault.line())?;
+            given.join(cluster_config).map_err(|fault| fault.line())?;
         }
         Ok(given)
     }
@@ -712,7 +716,7 @@
         let core = &self.stage.core;
         for (at, place) in self.stage.places.borrow().iter().enumerate() {
             let Some(node) = &place.node else { continue };
-            let shared = &node.shared;
+            let shared = &node.context;
             let holds = [
                 (
                     "connections",
@@ -722,7 +726,7 @@
                 ("tasks", place.tasks.get(), REST_TASKS),
                 ("timers", core.timers(place.machine), REST_TIMERS),
                 ("txns", shared.active_requests.get(), 0),
-                ("counted descriptors", shared.budget.used(), 0),
+                ("counted descriptors", shared.limits.used(), 0),
             ];
             for (what, count, most) in holds {
                 if count > most {
