--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -264,12 +264,12 @@
         }
         self.feed(Event::RequestArrived(Request {
             id,
-            class: class,
+            class,
             tenant: 0,
             hint,
             slots,
             memory,
-            deadline: deadline,
+            deadline,
         }));
     }
 
