--- a/crates/rosewalld/tests/daemon.rs
+++ b/crates/rosewalld/tests/daemon.rs
@@ -615,7 +615,7 @@
     wrong["settings"]["Contract"]["ColdFrom"] = (-1).into();
     stage
         .daemon
-        .reload(&wrong.to_string(), "setting cold.from is out of range: -1");
+        .reload(&wrong.to_string(), "setting slow_start.from is out of range: -1");
     let new = Worker::start(&script(&[]));
     let discovery = Discovery::start(vec![host("c", &new.dial, "ready")]);
     stage.daemon.reload(
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -135,7 +135,7 @@
         });
         let asked = map
             .get("endpoints.mode")
-            .is_some_and(|mode| mode == "asked");
+            .is_some_and(|mode| mode == "polled");
         let (leave, left) = async_channel::unbounded();
         let engine = Engine::new(dispatcher, counters, connect_within, workers);
         let mut engine = EngineDriver::new(context.clone(), events, engine, asked.then_some(leave));
