--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -35,14 +35,14 @@
 
 // Their meaning stands in docs/on-call.md.
 counters! {
-    clients_accepted clients_idle_closed accept_paused accept_failed turned_away
-    requests requests_bad requests_cut requests_known clients_left settled declined reversed answers_unsent
-    postings posted_new posted_again started ended_settled ended_error ended_unfit ended_full ended_timeout ended_unconnected
-    ended_broken ended_moot settled_late
-    connects connects_failed pool_stale pool_broke pool_evicted no_descriptor probes
-    told told_lost heard heard_dropped
-    members_sent members_heard members_lost rights_wanted rights_got
-    lists lists_failed lists_malformed hosts_clashing broken_promises
+    clients_accepted clients_idle_closed accept_paused accept_failed clients_rejected
+    requests requests_malformed requests_incomplete requests_duplicate clients_disconnected succeeded rejected failed answers_undelivered
+    attempts attempts_on_new_connection attempts_on_reused_connection attempts_started attempts_succeeded attempts_worker_error attempts_invalid_request attempts_at_capacity attempts_timed_out attempts_connect_failed
+    attempts_connection_lost attempts_not_sent succeeded_late
+    connects connects_failed pool_stale pool_broken pool_evicted no_descriptor health_checks
+    peer_loads_sent peer_loads_not_sent peer_loads_received peer_loads_dropped
+    member_datagrams_sent member_datagrams_received member_datagrams_lost warm_up_grants_requested warm_up_grants_received
+    lists watches_failed lists_malformed host_id_collisions invariant_violations
 }
 
 /// What must hold: asserted in debug builds, counted in release builds.
@@ -51,7 +51,7 @@
     ($counters:expr, $holds:expr, $what:literal) => {
         if !$holds {
             debug_assert!(false, $what);
-            $counters.broken_promises.add();
+            $counters.invariant_violations.add();
             $crate::log::error!("must hold: {}", $what);
         }
     };
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -253,7 +253,7 @@
                 {
                     // Guards against work that is begun for someone who has left while a connection was coming up.
                     active.cancel_unsent(|_| true, out);
-                    self.counters.clients_left.add();
+                    self.counters.clients_disconnected.add();
                     self.decide(now, Event::ClientGone { request_id }, out);
                     self.settle_up(request_id);
                 }
@@ -326,7 +326,7 @@
             worker,
             address: None,
         }));
-        self.counters.hosts_clashing.more(clashing);
+        self.counters.host_id_collisions.more(clashing);
         self.decide(now, Event::EndpointList { scope, endpoints }, out);
     }
 
@@ -420,7 +420,7 @@
         match told {
             AttemptProgress::Started => {
                 log::debug!("at={now} request={request_id} attempt={attempt_index} started");
-                self.counters.started.add();
+                self.counters.attempts_started.add();
                 self.decide(
                     now,
                     Event::AttemptStarted {
@@ -432,7 +432,7 @@
             }
             AttemptProgress::Succeeded(result) => {
                 if !self.answer(request_id, Answer::Succeeded(result), out) {
-                    self.counters.settled_late.add();
+                    self.counters.succeeded_late.add();
                 }
                 self.end(now, request_id, attempt_index, Outcome::Succeeded, out);
             }
@@ -460,14 +460,14 @@
         };
         let counters = &self.counters;
         match outcome {
-            Outcome::Succeeded => counters.ended_settled.add(),
-            Outcome::WorkerError => counters.ended_error.add(),
-            Outcome::InvalidRequest => counters.ended_unfit.add(),
-            Outcome::AtCapacity => counters.ended_full.add(),
-            Outcome::TimedOut => counters.ended_timeout.add(),
-            Outcome::ConnectFailed => counters.ended_unconnected.add(),
-            Outcome::ConnectionLost | Outcome::Cancelled => counters.ended_broken.add(),
-            Outcome::NotSent => counters.ended_moot.add(),
+            Outcome::Succeeded => counters.attempts_succeeded.add(),
+            Outcome::WorkerError => counters.attempts_worker_error.add(),
+            Outcome::InvalidRequest => counters.attempts_invalid_request.add(),
+            Outcome::AtCapacity => counters.attempts_at_capacity.add(),
+            Outcome::TimedOut => counters.attempts_timed_out.add(),
+            Outcome::ConnectFailed => counters.attempts_connect_failed.add(),
+            Outcome::ConnectionLost | Outcome::Cancelled => counters.attempts_connection_lost.add(),
+            Outcome::NotSent => counters.attempts_not_sent.add(),
         }
         let Some(active) = self.active(request_id) else {
             return;
@@ -552,10 +552,10 @@
     fn give(&self, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
         let counters = &self.counters;
         match answer {
-            Answer::Succeeded(_) => counters.settled.add(),
-            Answer::Rejected { .. } => counters.declined.add(),
-            Answer::Failed => counters.reversed.add(),
-            Answer::DuplicateId => counters.requests_known.add(),
+            Answer::Succeeded(_) => counters.succeeded.add(),
+            Answer::Rejected { .. } => counters.rejected.add(),
+            Answer::Failed => counters.failed.add(),
+            Answer::DuplicateId => counters.requests_duplicate.add(),
         }
         out.push(Effect::Answer { request_id, answer });
     }
@@ -692,7 +692,7 @@
         );
         let Some((host, address)) = known.filter(|_| owed) else {
             active.attempts.push(None);
-            counters.ended_moot.add();
+            counters.attempts_not_sent.add();
             let (outcome, report) = (Outcome::NotSent, Report::default());
             let ended = AttemptEnded {
                 request_id,
@@ -703,7 +703,7 @@
             };
             return self.events.push_back(Event::AttemptEnded(ended));
         };
-        counters.postings.add();
+        counters.attempts.add();
         log::debug!("at={now} request={request_id} attempt={attempt_index} sent host={host}");
         let message = worker::encode_request(&host, &active.request, left);
         let id = active.request.id.clone();
@@ -722,7 +722,7 @@
     }
 
     fn probe(&mut self, worker: WorkerId, out: &mut Vec<Effect>) {
-        self.counters.probes.add();
+        self.counters.health_checks.add();
         let Some((host, address)) = self.workers.reach(worker) else {
             let probed = HealthChecked {
                 worker,
--- a/crates/rosewalld/tests/daemon.rs
+++ b/crates/rosewalld/tests/daemon.rs
@@ -138,11 +138,11 @@
     let mut client = daemon.client();
     let statuses = [0, 1, 2, 3].map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status);
     assert_eq!((statuses, worker.count()), ([200; 4], 4));
-    assert!(daemon.counter("pool_broke") > 0);
+    assert!(daemon.counter("pool_broken") > 0);
     assert_eq!(
         (
-            daemon.counter("postings"),
-            daemon.counter("ended_unconnected")
+            daemon.counter("attempts"),
+            daemon.counter("attempts_connect_failed")
         ),
         (4, 0)
     );
@@ -194,8 +194,8 @@
     assert_eq!((statuses, stage.postings()), ([502, 409, 409], 1));
     assert_eq!(
         (
-            stage.daemon.counter("ended_unfit"),
-            stage.daemon.counter("requests_known")
+            stage.daemon.counter("attempts_invalid_request"),
+            stage.daemon.counter("requests_duplicate")
         ),
         (1, 2)
     );
@@ -206,7 +206,7 @@
     let stage = stage(&[Act::Later(300)]);
     let mut client = stage.daemon.client();
     client.send(request("id", "charge", 5.0, "", "first").as_bytes());
-    stage.daemon.until_counter("started", 1);
+    stage.daemon.until_counter("attempts_started", 1);
     assert_eq!(stage.daemon.client().ask("id", "thumb", 5.0).status, 409);
     assert_eq!(
         (client.answer().unwrap().body, stage.postings()),
@@ -223,7 +223,7 @@
     let answer = stage.daemon.client().ask("id", scheme, 0.4);
     assert_eq!((answer.status, stage.postings()), (status, 1));
     assert_eq!(answer.head.contains("Retry-After: 0.500"), status == 503);
-    assert_eq!(stage.daemon.counter("ended_timeout"), 1);
+    assert_eq!(stage.daemon.counter("attempts_timed_out"), 1);
     // Guards against sockets of silent workers that pile up: what is answered is held no longer.
     assert_eq!(stage.daemon.client().ask("next", scheme, 5.0).status, 200);
 }
@@ -243,7 +243,7 @@
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
     daemon.until_ready();
     assert_eq!(daemon.client().ask("id", scheme, 5.0).status, 503);
-    assert_eq!(daemon.counter("ended_unconnected"), 3);
+    assert_eq!(daemon.counter("attempts_connect_failed"), 3);
 }
 
 #[test]
@@ -289,10 +289,10 @@
     let stage = stage(&[Act::Later(400)]);
     let mut client = stage.daemon.client();
     client.send(request("id", "charge", 5.0, "", "").as_bytes());
-    stage.daemon.until_counter("started", 1);
+    stage.daemon.until_counter("attempts_started", 1);
     drop(client);
-    stage.daemon.until_counter("clients_left", 1);
-    stage.daemon.until_counter("settled_late", 1);
+    stage.daemon.until_counter("clients_disconnected", 1);
+    stage.daemon.until_counter("succeeded_late", 1);
     assert_eq!(stage.postings(), 1);
 }
 
@@ -307,12 +307,15 @@
     client.send(request("held", "charge", 5.0, "", "").as_bytes());
     daemon.until_counter("requests", 1);
     drop(client);
-    daemon.until_counter("clients_left", 1);
+    daemon.until_counter("clients_disconnected", 1);
     discovery.tell(vec![host("a", &worker.dial, "ready")]);
     assert_eq!(daemon.client().ask("next", "thumb", 5.0).status, 200);
     std::thread::sleep(std::time::Duration::from_millis(60));
     assert_eq!(daemon.client().ask("last", "thumb", 5.0).status, 200);
-    assert_eq!((worker.count(), daemon.counter("broken_promises")), (2, 0));
+    assert_eq!(
+        (worker.count(), daemon.counter("invariant_violations")),
+        (2, 0)
+    );
 }
 
 #[test]
@@ -325,13 +328,13 @@
     );
     assert_eq!(idle.get("/healthz"), 200);
     soon.send(request("soon", "charge", 60.0, "", "x").as_bytes());
-    stage.daemon.until_counter("postings", 1);
+    stage.daemon.until_counter("attempts", 1);
     never.send(request("never", "charge", 60.0, "", "x").as_bytes());
-    stage.daemon.until_counter("postings", 2);
+    stage.daemon.until_counter("attempts", 2);
     // At the end of its time this one may not be posted again, as it would be at a time-out before.
     let mut again = stage.daemon.client();
     again.send(request("again", "thumb", 60.0, "", "x").as_bytes());
-    stage.daemon.until_counter("postings", 3);
+    stage.daemon.until_counter("attempts", 3);
     stage.daemon.signal("TERM");
     let settled = soon.answer().unwrap();
     assert_eq!(
@@ -350,9 +353,9 @@
     assert_eq!(
         (
             code,
-            count("settled"),
-            count("reversed"),
-            count("broken_promises")
+            count("succeeded"),
+            count("failed"),
+            count("invariant_violations")
         ),
         (Some(0), 1, 1, 0)
     );
@@ -365,7 +368,7 @@
     let mut stage = stage(&[Act::Silent]);
     let mut held = stage.daemon.client();
     held.send(request("held", "charge", 60.0, "", "x").as_bytes());
-    stage.daemon.until_counter("postings", 1);
+    stage.daemon.until_counter("attempts", 1);
     stage.daemon.signal("TERM");
     // The signal is handled a moment later; a client that came before it is served all the same.
     let status = (0..200)
@@ -436,7 +439,7 @@
     assert_eq!(client.answer().map(|answer| answer.status), Some(status));
     assert!(client.is_closed());
     assert_eq!(
-        (stage.daemon.counter("requests_bad"), stage.postings()),
+        (stage.daemon.counter("requests_malformed"), stage.postings()),
         (1, 0)
     );
     assert_eq!(stage.daemon.client().ask("next", "thumb", 5.0).status, 200);
@@ -476,7 +479,7 @@
     let stage = stage(&[]);
     let begun = std::time::Instant::now();
     (0..60).for_each(|_| assert_eq!(stage.daemon.client().get("/other"), 405));
-    assert_eq!(stage.daemon.counter("requests_bad"), 60);
+    assert_eq!(stage.daemon.counter("requests_malformed"), 60);
     let seconds = begun.elapsed().as_secs() as usize;
     assert!((1..=2 + seconds).contains(&stage.daemon.lines("turned down")));
 }
@@ -533,14 +536,14 @@
         std::thread::yield_now();
     }
     drop(leaving);
-    daemon.until_counter("clients_left", 5);
+    daemon.until_counter("clients_disconnected", 5);
     let _silent = [ask(5), ask(6)];
     daemon.until_counter("connects", 7);
     assert_eq!(ask(7).answer().unwrap().status, 503);
     assert_eq!(
         (
-            daemon.counter("ended_unconnected"),
-            daemon.counter("ended_moot")
+            daemon.counter("attempts_connect_failed"),
+            daemon.counter("attempts_not_sent")
         ),
         (0, 3)
     );
@@ -551,7 +554,7 @@
     let stage = stage(&[]);
     stage.discovery.until_watched();
     stage.discovery.go_down();
-    stage.daemon.until_counter("lists_failed", 2);
+    stage.daemon.until_counter("watches_failed", 2);
     assert_eq!(
         stage.daemon.client().ask("during", "thumb", 5.0).status,
         200
@@ -583,7 +586,7 @@
     discovery.until_watched();
     assert_eq!(discovery.calls(), 1);
     discovery.go_down();
-    daemon.until_counter("lists_failed", 1);
+    daemon.until_counter("watches_failed", 1);
     discovery.come_back(vec![host("b", &new.dial, "ready")]);
     discovery.tell(vec![host("a", &worker.dial, "draining")]);
     assert_eq!(daemon.client().ask("id", "thumb", 5.0).status, 200);
@@ -613,9 +616,10 @@
         .reload("{", "the configuration stays as it was");
     let mut wrong = configuration(&stage.discovery.address, 1024);
     wrong["settings"]["Contract"]["ColdFrom"] = (-1).into();
-    stage
-        .daemon
-        .reload(&wrong.to_string(), "setting slow_start.from is out of range: -1");
+    stage.daemon.reload(
+        &wrong.to_string(),
+        "setting slow_start.from is out of range: -1",
+    );
     let new = Worker::start(&script(&[]));
     let discovery = Discovery::start(vec![host("c", &new.dial, "ready")]);
     stage.daemon.reload(
--- a/crates/rosewalld/tests/ends.rs
+++ b/crates/rosewalld/tests/ends.rs
@@ -187,12 +187,15 @@
     let _ = stream.write_all(next.repeat(more.div_ceil(next.len())).as_bytes());
     drop(client);
     let left = Instant::now();
-    while daemon.counter("clients_left") == 0 {
+    while daemon.counter("clients_disconnected") == 0 {
         assert!(left.elapsed() < LEFT_WITHIN, "the leave is not seen");
     }
     discovery.tell(vec![host("a", &worker.dial, "ready")]);
     assert_eq!(daemon.client().ask("next", "thumb", 5.0).status, 200);
-    assert_eq!((worker.count(), daemon.counter("broken_promises")), (1, 0));
+    assert_eq!(
+        (worker.count(), daemon.counter("invariant_violations")),
+        (1, 0)
+    );
 }
 
 /// Who sends more ahead than there is room for still gets each answer to what was read whole, and a refusal for the rest.
@@ -201,7 +204,7 @@
     let (_worker, daemon) = one_worker(&[Act::Later(300)]);
     let mut client = daemon.client();
     client.send(request("id0", "thumb", 5.0, "", "x").as_bytes());
-    daemon.until_counter("started", 1);
+    daemon.until_counter("attempts_started", 1);
     (1..6).for_each(|at| {
         client.send(request(&format!("id{at}"), "thumb", 5.0, "", &"x".repeat(30_000)).as_bytes())
     });
--- a/crates/rosewalld/tests/mixed/mod.rs
+++ b/crates/rosewalld/tests/mixed/mod.rs
@@ -195,8 +195,12 @@
         "served {old:?} {new:?}"
     );
     assert!((old.1 - new.1).abs() < 0.05, "took {old:?} {new:?}");
-    let counts =
-        [(1, "told"), (1, "heard"), (0, "told")].map(|(at, name)| daemons[at].counter(name));
+    let counts = [
+        (1, "peer_loads_sent"),
+        (1, "peer_loads_received"),
+        (0, "peer_loads_sent"),
+    ]
+    .map(|(at, name)| daemons[at].counter(name));
     assert!(
         counts[0] > 0 && (counts[1] == 0) == lost && counts[2] == 0,
         "{counts:?}"
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -224,7 +224,7 @@
                     let sent = first && self.now() <= accepted + nanos(PAUSE);
                     let at = self.now().saturating_sub(if sent { waited } else { 0 });
                     if self.away && !self.room().await {
-                        self.context.counters.turned_away.add();
+                        self.context.counters.clients_rejected.add();
                         self.write(&client::answer(&Answer::Rejected { retry_after: 0 }, false))
                             .await?;
                         return self.part().await;
@@ -282,7 +282,7 @@
                 Err(error) => {
                     let late = error.kind() == io::ErrorKind::TimedOut;
                     if late && !self.intake.idle() {
-                        self.context.counters.requests_cut.add();
+                        self.context.counters.requests_incomplete.add();
                         let text =
                             client::message(408, "", b"the request did not come whole\n", false);
                         self.write(&text).await?;
@@ -347,7 +347,7 @@
         }
         let written = self.write(&text).await;
         if written.is_err() {
-            self.context.counters.answers_unsent.add();
+            self.context.counters.answers_undelivered.add();
         }
         written.map(|()| keeps)
     }
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -64,8 +64,8 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => match self.socket.send(&bytes, to) {
-                    Ok(()) => self.counters.members_sent.add(),
-                    Err(_) => self.counters.members_lost.add(),
+                    Ok(()) => self.counters.member_datagrams_sent.add(),
+                    Err(_) => self.counters.member_datagrams_lost.add(),
                 },
                 Effect::FleetView(place) => (self.heard)(Heard::FleetView(place)),
                 Effect::WarmUpGranted {
@@ -73,7 +73,7 @@
                     work,
                     until,
                 } => {
-                    self.counters.rights_got.add();
+                    self.counters.warm_up_grants_received.add();
                     (self.heard)(Heard::WarmUpGranted {
                         worker,
                         work,
@@ -81,7 +81,7 @@
                     });
                 }
                 Effect::PeerLoad { from, load } => {
-                    self.counters.heard.add();
+                    self.counters.peer_loads_received.add();
                     (self.heard)(Heard::PeerLoad { from, load });
                 }
                 Effect::Log(LogLine::Info(text)) => log::info!("{text}"),
@@ -94,12 +94,12 @@
     }
 
     pub fn send_load(&self, now: Nanos, to: u16, load: PeerLoad) {
-        self.counters.told.add();
+        self.counters.peer_loads_sent.add();
         self.act(|cluster, _| cluster.send_load(now, to, load));
     }
 
     pub fn request_grant(&self, now: Nanos, worker: WorkerId, work: Nanos) {
-        self.counters.rights_wanted.add();
+        self.counters.warm_up_grants_requested.add();
         self.act(|cluster, effects| cluster.request_grant(now, worker, work, effects));
     }
 
@@ -132,10 +132,10 @@
             let now = runtime.now();
             if let Some(Ok((length, from))) = came {
                 if rate_limit.allows(now) {
-                    self.counters.members_heard.add();
+                    self.counters.member_datagrams_received.add();
                     self.act(|cluster, effects| cluster.feed(now, from, &bytes[..length], effects));
                 } else {
-                    self.counters.members_lost.add();
+                    self.counters.member_datagrams_lost.add();
                 }
             }
             if self.cluster.borrow().next_due() <= now {
--- a/crates/runtime/src/context.rs
+++ b/crates/runtime/src/context.rs
@@ -102,7 +102,7 @@
     /// A kept connection, idle since then, broke as it was used.
     pub fn broke(&self, since: Nanos) {
         self.pool.borrow_mut().broke(self.runtime.now(), since);
-        self.counters.pool_broke.add();
+        self.counters.pool_broken.add();
     }
 
     /// Makes room for one more descriptor: idle connections to workers go first, then idle clients.
@@ -127,13 +127,13 @@
     /// Counts a request that is turned down; the log is told of one a second. Guards against a log that a flood of
     /// them fills.
     pub fn turned_down(&self, status: u16, why: &str) {
-        self.counters.requests_bad.add();
+        self.counters.requests_malformed.add();
         let now = self.runtime.now();
         if now >= self.bad_told.get() + 1_000_000_000 {
             self.bad_told.set(now);
             log::info!(
                 "a request was turned down with {status}: {why} ({} so far)",
-                self.counters.requests_bad.get()
+                self.counters.requests_malformed.get()
             );
         }
     }
--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -142,7 +142,7 @@
         // Where each call costs the service, the list goes on from the version that is known: one call in place of two,
         // and the changes in place of the whole. Guards against a service that is kept busy by those it failed.
         from = from.filter(|_| leave.is_some());
-        context.counters.lists_failed.add();
+        context.counters.watches_failed.add();
         // One line of some twenty tells as much, where calls follow each other closely.
         if failures % 20 <= 1 {
             log::warn!("discovery: {fault}");
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -170,9 +170,9 @@
             Effect::SendAttempt(attempt) => {
                 let ready = context.pooled(attempt.worker);
                 if ready.is_some() {
-                    context.counters.posted_again.add()
+                    context.counters.attempts_on_reused_connection.add()
                 } else {
-                    context.counters.posted_new.add()
+                    context.counters.attempts_on_new_connection.add()
                 }
                 let place = (attempt.request_id, attempt.attempt_index);
                 let off = Rc::new(Cell::new(false));
@@ -223,7 +223,7 @@
                 match (&context.cluster, &context.talk) {
                     (Some(cluster), _) => cluster.send_load(now, to, load),
                     (None, Some(talk)) => talk.tell(now, &context.counters, to, &load),
-                    (None, None) => context.counters.told_lost.add(),
+                    (None, None) => context.counters.peer_loads_not_sent.add(),
                 }
             }
             Effect::RequestWarmUpGrant { worker, work } => {
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -32,13 +32,13 @@
     /// To one peer. What cannot be sent is lost, as any datagram may be.
     pub fn tell(&self, now: Nanos, counters: &Counters, to: u16, load: &PeerLoad) {
         let Some(peer) = self.peers.get(usize::from(to)) else {
-            return counters.told_lost.add();
+            return counters.peer_loads_not_sent.add();
         };
         let allowed = self.out.borrow_mut().allows(now);
         if allowed && self.socket.send(&datagram(self.me, load), *peer).is_ok() {
-            counters.told.add();
+            counters.peer_loads_sent.add();
         } else {
-            counters.told_lost.add();
+            counters.peer_loads_not_sent.add();
         }
     }
 
@@ -56,10 +56,10 @@
             match line.and_then(|(length, sender)| read(&bytes[..length], sender, &self.peers).ok())
             {
                 Some((from, load)) => {
-                    counters.heard.add();
+                    counters.peer_loads_received.add();
                     heard(from, load);
                 }
-                None => counters.heard_dropped.add(),
+                None => counters.peer_loads_dropped.add(),
             }
             // Guards against a flood of them that leaves no one else a turn.
             yield_now().await;
