--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -85,7 +85,7 @@
             return Ok(None);
         };
         let (path, line) = (self.path.to_path_buf(), self.line(value.span().start));
-        let wrong = || ClusterError::Kind {
+        let wrong = || ClusterError::InvalidValue {
             path,
             line,
             key,
@@ -170,7 +170,7 @@
             .iter()
             .find(|(key, _)| key.get_ref() == "keepers");
         let line = at.map_or(1, |(key, _)| file.line(key.span().start));
-        return Err(ClusterError::Keepers {
+        return Err(ClusterError::QuorumSize {
             path: path.to_path_buf(),
             line,
             count: apart.len(),
--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -4,19 +4,19 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The most bytes of a datagram: what passes every network unbroken, less room for tunnels.
-pub const MOST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// The most bytes of a name.
-pub const NAME_MOST: usize = 32;
-const MARK: [u8; 2] = *b"rC";
+pub const MAX_NAME_BYTES: usize = 32;
+const MAGIC: [u8; 2] = *b"rC";
 const VERSION: u8 = 1;
 /// A rank that is not claimed.
-pub const NONE: u16 = u16::MAX;
+pub const NO_RANK: u16 = u16::MAX;
 
 pub type Name = std::rc::Rc<str>;
 
 /// What is held of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum MemberState {
     Alive,
     Suspect,
     Dead,
@@ -25,20 +25,20 @@
 
 /// What is known of one member, as it is passed on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct MemberRecord {
     pub name: Name,
     pub addr: SocketAddr,
     /// Drawn at each start of its process, higher than at the start before.
     pub start: u64,
     /// Raised by itself alone, to refute what is held of it or to tell anew.
     pub incarnation: u32,
-    pub standing: Standing,
+    pub state: MemberState,
     /// The rank that it has taken.
-    pub claim: u16,
+    pub claimed_rank: u16,
     /// Whether it gives rights.
-    pub gives: bool,
+    pub issues_grants: bool,
     /// Of a suspicion: by whom, as a hash of the name.
-    pub by: u32,
+    pub suspected_by: u32,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -56,31 +56,31 @@
         seq: u32,
     },
     /// Ask this one in my place.
-    PingFor {
+    IndirectPing {
         seq: u32,
         to: Name,
         addr: SocketAddr,
     },
-    Record(Record),
+    Record(MemberRecord),
     /// Which members the sender knows as living, as a hash.
     Digest {
         hash: u32,
         count: u16,
     },
     /// Send what you know, from this place on.
-    Page {
+    PageRequest {
         from: u16,
     },
     /// Promise not to promise another for the span of a lease.
-    Lease {
+    LeaseRequest {
         seq: u32,
     },
-    Promise {
+    LeaseVote {
         seq: u32,
         given: bool,
     },
     /// A right to send so much work (in ms of one seat) to a cold worker.
-    Want {
+    GrantRequest {
         seq: u32,
         worker: WorkerId,
         work: u32,
@@ -101,13 +101,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
-    pub sender: Record,
+    pub sender: MemberRecord,
     pub parts: Vec<Part>,
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     Length,
     Mark,
     Version(u8),
@@ -132,7 +132,7 @@
     }
 
     fn name(&mut self, name: &str) {
-        let bytes = &name.as_bytes()[..name.len().min(NAME_MOST)];
+        let bytes = &name.as_bytes()[..name.len().min(MAX_NAME_BYTES)];
         self.0.push(bytes.len() as u8);
         self.bytes(bytes);
     }
@@ -151,15 +151,15 @@
         self.bytes(&worker.port.to_be_bytes());
     }
 
-    fn record(&mut self, record: &Record) {
+    fn record(&mut self, record: &MemberRecord) {
         self.name(&record.name);
         self.addr(record.addr);
         self.bytes(&record.start.to_be_bytes());
         self.bytes(&record.incarnation.to_be_bytes());
         self.0
-            .push(record.standing as u8 | u8::from(record.gives) << 7);
-        self.bytes(&record.claim.to_be_bytes());
-        self.bytes(&record.by.to_be_bytes());
+            .push(record.state as u8 | u8::from(record.issues_grants) << 7);
+        self.bytes(&record.claimed_rank.to_be_bytes());
+        self.bytes(&record.suspected_by.to_be_bytes());
     }
 
     fn part(&mut self, part: &Part) {
@@ -168,13 +168,13 @@
             Part::Ping { .. } => 1,
             Part::Ack { .. } => 2,
             Part::Nack { .. } => 3,
-            Part::PingFor { .. } => 4,
+            Part::IndirectPing { .. } => 4,
             Part::Record(_) => 5,
             Part::Digest { .. } => 6,
-            Part::Page { .. } => 7,
-            Part::Lease { .. } => 8,
-            Part::Promise { .. } => 9,
-            Part::Want { .. } => 10,
+            Part::PageRequest { .. } => 7,
+            Part::LeaseRequest { .. } => 8,
+            Part::LeaseVote { .. } => 9,
+            Part::GrantRequest { .. } => 10,
             Part::Grant { .. } => 11,
             Part::PeerLoad { .. } => 12,
         };
@@ -184,10 +184,10 @@
                 self.bytes(&seq.to_be_bytes());
                 self.name(to);
             }
-            Part::Ack { seq } | Part::Nack { seq } | Part::Lease { seq } => {
+            Part::Ack { seq } | Part::Nack { seq } | Part::LeaseRequest { seq } => {
                 self.bytes(&seq.to_be_bytes())
             }
-            Part::PingFor { seq, to, addr } => {
+            Part::IndirectPing { seq, to, addr } => {
                 self.bytes(&seq.to_be_bytes());
                 self.name(to);
                 self.addr(*addr);
@@ -197,12 +197,12 @@
                 self.bytes(&hash.to_be_bytes());
                 self.bytes(&count.to_be_bytes());
             }
-            Part::Page { from } => self.bytes(&from.to_be_bytes()),
-            Part::Promise { seq, given } => {
+            Part::PageRequest { from } => self.bytes(&from.to_be_bytes()),
+            Part::LeaseVote { seq, given } => {
                 self.bytes(&seq.to_be_bytes());
                 self.0.push(u8::from(*given));
             }
-            Part::Want { seq, worker, work } => {
+            Part::GrantRequest { seq, worker, work } => {
                 self.bytes(&seq.to_be_bytes());
                 self.worker(*worker);
                 self.bytes(&work.to_be_bytes());
@@ -273,27 +273,27 @@
         })
     }
 
-    fn record(&mut self) -> Option<Record> {
+    fn record(&mut self) -> Option<MemberRecord> {
         let (name, addr) = (self.name()?, self.addr()?);
         let (start, incarnation) = (self.array().map(u64::from_be_bytes)?, self.u32()?);
         let byte = self.u8()?;
-        let standing = match byte & 0x7f {
-            0 => Standing::Alive,
-            1 => Standing::Suspect,
-            2 => Standing::Dead,
-            3 => Standing::Left,
+        let state = match byte & 0x7f {
+            0 => MemberState::Alive,
+            1 => MemberState::Suspect,
+            2 => MemberState::Dead,
+            3 => MemberState::Left,
             _ => return None,
         };
-        let (claim, by) = (self.u16()?, self.u32()?);
-        Some(Record {
+        let (claimed_rank, suspected_by) = (self.u16()?, self.u32()?);
+        Some(MemberRecord {
             name,
             addr,
             start,
             incarnation,
-            standing,
-            claim,
-            gives: byte & 0x80 != 0,
-            by,
+            state,
+            claimed_rank,
+            issues_grants: byte & 0x80 != 0,
+            suspected_by,
         })
     }
 
@@ -313,7 +313,7 @@
             3 => Part::Nack {
                 seq: seq(&mut body)?,
             },
-            4 => Part::PingFor {
+            4 => Part::IndirectPing {
                 seq: seq(&mut body)?,
                 to: body.name()?,
                 addr: body.addr()?,
@@ -323,15 +323,15 @@
                 hash: body.u32()?,
                 count: body.u16()?,
             },
-            7 => Part::Page { from: body.u16()? },
-            8 => Part::Lease {
+            7 => Part::PageRequest { from: body.u16()? },
+            8 => Part::LeaseRequest {
                 seq: seq(&mut body)?,
             },
-            9 => Part::Promise {
+            9 => Part::LeaseVote {
                 seq: seq(&mut body)?,
                 given: body.u8()? == 1,
             },
-            10 => Part::Want {
+            10 => Part::GrantRequest {
                 seq: seq(&mut body)?,
                 worker: body.worker()?,
                 work: body.u32()?,
@@ -367,23 +367,23 @@
 /// Whether a word may be a name: letters, digits, point, minus and underline.
 pub fn is_name(text: &str) -> bool {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
-    (1..=NAME_MOST).contains(&text.len()) && text.bytes().all(plain)
+    (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(plain)
 }
 
-/// Writes datagrams of at most [`MOST`] bytes.
-pub struct Draft {
+/// Writes datagrams of at most [`MAX_DATAGRAM_BYTES`] bytes.
+pub struct DatagramEncoder {
     bytes: Writer,
     one: Writer,
 }
 
-impl Draft {
-    pub fn new(cluster: u32, sender: &Record) -> Self {
-        let mut bytes = Writer(Vec::with_capacity(MOST));
-        bytes.bytes(&MARK);
+impl DatagramEncoder {
+    pub fn new(cluster: u32, sender: &MemberRecord) -> Self {
+        let mut bytes = Writer(Vec::with_capacity(MAX_DATAGRAM_BYTES));
+        bytes.bytes(&MAGIC);
         bytes.0.push(VERSION);
         bytes.bytes(&cluster.to_be_bytes());
         bytes.record(sender);
-        Draft {
+        DatagramEncoder {
             bytes,
             one: Writer::default(),
         }
@@ -393,7 +393,7 @@
     pub fn add(&mut self, part: &Part) -> bool {
         self.one.0.clear();
         self.one.part(part);
-        let fits = self.bytes.0.len() + self.one.0.len() <= MOST;
+        let fits = self.bytes.0.len() + self.one.0.len() <= MAX_DATAGRAM_BYTES;
         if fits {
             self.bytes.bytes(&self.one.0);
         }
@@ -406,25 +406,25 @@
 }
 
 /// Reads a datagram of this cluster.
-pub fn read(cluster: u32, bytes: &[u8]) -> Result<Datagram, Fault> {
-    if bytes.len() > MOST {
-        return Err(Fault::Length);
+pub fn read(cluster: u32, bytes: &[u8]) -> Result<Datagram, DecodeError> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DecodeError::Length);
     }
     let mut reader = Reader(bytes);
-    if reader.array() != Some(MARK) {
-        return Err(Fault::Mark);
+    if reader.array() != Some(MAGIC) {
+        return Err(DecodeError::Mark);
     }
-    match reader.u8().ok_or(Fault::Length)? {
+    match reader.u8().ok_or(DecodeError::Length)? {
         VERSION => {}
-        other => return Err(Fault::Version(other)),
+        other => return Err(DecodeError::Version(other)),
     }
-    if reader.u32().ok_or(Fault::Length)? != cluster {
-        return Err(Fault::Cluster);
+    if reader.u32().ok_or(DecodeError::Length)? != cluster {
+        return Err(DecodeError::Cluster);
     }
-    let sender = reader.record().ok_or(Fault::Part)?;
+    let sender = reader.record().ok_or(DecodeError::Part)?;
     let mut parts = Vec::new();
     while !reader.0.is_empty() {
-        parts.extend(reader.part().ok_or(Fault::Part)?);
+        parts.extend(reader.part().ok_or(DecodeError::Part)?);
     }
     Ok(Datagram { sender, parts })
 }
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     #[error("{path} cannot be read")]
-    Unread {
+    Unreadable {
         path: PathBuf,
         source: std::io::Error,
     },
@@ -24,7 +24,7 @@
         nearest: Option<&'static str>,
     },
     #[error("{path}:{line}: {key} is {value}, but has to be {wants}")]
-    Kind {
+    InvalidValue {
         path: PathBuf,
         line: usize,
         key: &'static str,
@@ -34,7 +34,7 @@
     #[error("{path}: {key} is missing")]
     Missing { path: PathBuf, key: &'static str },
     #[error("{path}:{line}: keepers are {count}, but a majority needs 1, 3 or 5 of them")]
-    Keepers {
+    QuorumSize {
         path: PathBuf,
         line: usize,
         count: usize,
@@ -47,50 +47,52 @@
         source: std::io::Error,
     },
     #[error("another process runs as {name} at {other}: this one stands aside")]
-    Twice { name: String, other: SocketAddr },
+    DuplicateName { name: String, other: SocketAddr },
     #[error("{count} datagrams of version {version} were dropped")]
-    Version { version: u8, count: u64 },
+    VersionMismatch { version: u8, count: u64 },
 }
 
 impl ClusterError {
     pub fn code(&self) -> &'static str {
         match self {
-            ClusterError::Unread { .. } => "RW-CLUSTER-UNREAD",
+            ClusterError::Unreadable { .. } => "RW-CLUSTER-UNREAD",
             ClusterError::Syntax { .. } => "RW-CLUSTER-SYNTAX",
             ClusterError::UnknownKey { .. } => "RW-CLUSTER-KEY",
-            ClusterError::Kind { .. } => "RW-CLUSTER-VALUE",
+            ClusterError::InvalidValue { .. } => "RW-CLUSTER-VALUE",
             ClusterError::Missing { .. } => "RW-CLUSTER-MISSING",
-            ClusterError::Keepers { .. } => "RW-CLUSTER-KEEPERS",
+            ClusterError::QuorumSize { .. } => "RW-CLUSTER-KEEPERS",
             ClusterError::TalkAndCluster => "RW-CLUSTER-TALK",
             ClusterError::Listen { .. } => "RW-CLUSTER-LISTEN",
-            ClusterError::Twice { .. } => "RW-CLUSTER-TWICE",
-            ClusterError::Version { .. } => "RW-CLUSTER-VERSION",
+            ClusterError::DuplicateName { .. } => "RW-CLUSTER-TWICE",
+            ClusterError::VersionMismatch { .. } => "RW-CLUSTER-VERSION",
         }
     }
 
     /// What an operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
-            ClusterError::Unread { .. } => {
+            ClusterError::Unreadable { .. } => {
                 "check the path under `cluster` in the configuration, and who may read it"
             }
             ClusterError::Syntax { .. } => "mend that line; deploy/cluster.toml is an example",
             ClusterError::UnknownKey { .. } => {
                 "correct or remove the key; docs/cluster.md lists them"
             }
-            ClusterError::Kind { .. } => "give it such a value; docs/cluster.md has the units",
+            ClusterError::InvalidValue { .. } => {
+                "give it such a value; docs/cluster.md has the units"
+            }
             ClusterError::Missing { .. } => "add it; deploy/cluster.toml is an example",
-            ClusterError::Keepers { .. } => {
+            ClusterError::QuorumSize { .. } => {
                 "name 1, 3 or 5 dispatchers, the same in all files, or none"
             }
             ClusterError::TalkAndCluster => "remove `talk`: members carry what it carried",
             ClusterError::Listen { .. } => {
                 "give an IPv4 address of this machine whose port is free, or stop who has it"
             }
-            ClusterError::Twice { .. } => {
+            ClusterError::DuplicateName { .. } => {
                 "give one of the two another name; it serves on, but is no member meanwhile"
             }
-            ClusterError::Version { .. } => {
+            ClusterError::VersionMismatch { .. } => {
                 "bring the dispatchers that send them to this program's version, or this one to theirs"
             }
         }
--- a/crates/cluster/src/grants.rs
+++ b/crates/cluster/src/grants.rs
@@ -2,7 +2,7 @@
 //! as it holds the lease: out of what the fleet together may send in a window, less what it gave in that window and in the
 //! time for which a right lasts. So in no window can more be spent than that, whoever spends it when; a right that is
 //! lost is lost until its window is over.
-use crate::lease::long;
+use crate::lease::with_drift_margin;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Nanos, WorkerId};
 use rustc_hash::FxHashMap;
@@ -10,50 +10,50 @@
 
 const MS: Nanos = 1_000_000;
 /// Works are whole ms of one seat on the way.
-pub const UNIT: Nanos = MS;
+pub const WORK_UNIT: Nanos = MS;
 /// A right lasts so long, or half a window: it is asked for by a request that waits for it. Short, as what a window holds is
 /// shared with as much of the next; but longer than the way there and back between distant rooms.
-const LASTS: Nanos = 100 * MS;
+const MAX_GRANT_VALIDITY: Nanos = 100 * MS;
 /// So many may be asked for in a second by one process.
-pub const WANTS_A_SECOND: u64 = 200;
+pub const MAX_REQUESTS_PER_SECOND: u64 = 200;
 
 /// What may be given of one worker.
 #[derive(Default)]
-struct Purse {
+struct WarmUpBudget {
     /// What all together may be given in a window, and its length, by what this process knows of the worker now.
-    joint: Nanos,
+    work_per_window: Nanos,
     window: Nanos,
-    given: VecDeque<(Nanos, Nanos)>,
+    issued: VecDeque<(Nanos, Nanos)>,
 }
 
 /// The side that gives.
 #[derive(Default)]
 pub struct GrantIssuer {
-    purses: FxHashMap<WorkerId, Purse>,
+    budgets: FxHashMap<WorkerId, WarmUpBudget>,
     /// What the same process was given, by name and number: one request that comes twice counts once.
-    answered: FxHashMap<(u32, u64), VecDeque<u32>>,
-    pub given: u64,
-    pub short: u64,
+    answered_requests: FxHashMap<(u32, u64), VecDeque<u32>>,
+    pub issued: u64,
+    pub refused: u64,
 }
 
 impl GrantIssuer {
     /// What the fleet may send this worker in a window, by rights; 0 where it is cold no more.
-    pub fn set_warm_up_budget(&mut self, worker: WorkerId, joint: Nanos, window: Nanos) {
-        if joint == 0 {
-            self.purses.remove(&worker);
+    pub fn set_warm_up_budget(&mut self, worker: WorkerId, work_per_window: Nanos, window: Nanos) {
+        if work_per_window == 0 {
+            self.budgets.remove(&worker);
             return;
         }
-        let purse = self.purses.entry(worker).or_default();
-        (purse.joint, purse.window) = (joint, window);
+        let budget = self.budgets.entry(worker).or_default();
+        (budget.work_per_window, budget.window) = (work_per_window, window);
     }
 
     /// How long a right lasts, of a window so long.
-    pub fn lasts(window: Nanos) -> Nanos {
-        LASTS.min(window / 2)
+    pub fn validity(window: Nanos) -> Nanos {
+        MAX_GRANT_VALIDITY.min(window / 2)
     }
 
     /// Gives a right, or none (0). `held` is since when the lease is held: what another gave before it must be over.
-    pub fn give(
+    pub fn issue(
         &mut self,
         now: Nanos,
         held: Nanos,
@@ -62,23 +62,23 @@
         worker: WorkerId,
         work: Nanos,
     ) -> (Nanos, Nanos) {
-        let Some(purse) = self.purses.get_mut(&worker) else {
+        let Some(budget) = self.budgets.get_mut(&worker) else {
             return (0, 0);
         };
-        let lasts = GrantIssuer::lasts(purse.window);
+        let validity = GrantIssuer::validity(budget.window);
         // A window, and as long as a right lasts: a right may be spent at its very end.
-        let span = long(
-            purse.window
+        let span = with_drift_margin(
+            budget.window
                 + if is_active(Mutation::ForgetIssuedGrant) {
                     0
                 } else {
-                    lasts
+                    validity
                 },
         );
         if now < held + span && !is_active(Mutation::IssueWithoutHandoverWait) {
             return (0, 0);
         }
-        let seen = self.answered.entry(from).or_default();
+        let seen = self.answered_requests.entry(from).or_default();
         if seen.contains(&seq) && !is_active(Mutation::GrantDuplicateRequest) {
             return (0, 0);
         }
@@ -86,40 +86,44 @@
         if seen.len() > 64 {
             seen.pop_front();
         }
-        while purse.given.front().is_some_and(|(at, _)| at + span <= now) {
-            purse.given.pop_front();
+        while budget
+            .issued
+            .front()
+            .is_some_and(|(at, _)| at + span <= now)
+        {
+            budget.issued.pop_front();
         }
-        let out: Nanos = purse.given.iter().map(|(_, work)| work).sum();
-        if work == 0 || out + work > purse.joint {
-            self.short += 1;
+        let out: Nanos = budget.issued.iter().map(|(_, work)| work).sum();
+        if work == 0 || out + work > budget.work_per_window {
+            self.refused += 1;
             return (0, 0);
         }
         // Taken off before it is sent.
         if !is_active(Mutation::KeepGrantedWork) {
-            purse.given.push_back((now, work));
+            budget.issued.push_back((now, work));
         }
-        self.given += 1;
-        (work, lasts)
+        self.issued += 1;
+        (work, validity)
     }
 
     /// All is forgotten as the lease is lost; whoever holds it next waits.
-    pub fn end(&mut self) {
-        self.answered.clear();
-        self.purses
+    pub fn clear(&mut self) {
+        self.answered_requests.clear();
+        self.budgets
             .values_mut()
-            .for_each(|purse| purse.given.clear());
+            .for_each(|budget| budget.issued.clear());
     }
 
     /// For each cold worker what may be given in a window, and what was given of late.
-    pub fn all(&self) -> impl Iterator<Item = (WorkerId, Nanos, Nanos)> {
-        let of = |purse: &Purse| purse.given.iter().map(|(_, work)| work).sum();
-        self.purses
+    pub fn budgets(&self) -> impl Iterator<Item = (WorkerId, Nanos, Nanos)> {
+        let of = |budget: &WarmUpBudget| budget.issued.iter().map(|(_, work)| work).sum();
+        self.budgets
             .iter()
-            .map(move |(worker, purse)| (*worker, purse.joint, of(purse)))
+            .map(move |(worker, budget)| (*worker, budget.work_per_window, of(budget)))
     }
 }
 
-struct Asked {
+struct PendingRequest {
     seq: u32,
     worker: WorkerId,
     at: Nanos,
@@ -129,26 +133,26 @@
 /// The side that asks and holds. What is held is with the decisions, who spend it: each right once, by its end.
 #[derive(Default)]
 pub struct GrantHolder {
-    asked: Vec<Asked>,
+    pending: Vec<PendingRequest>,
     serial: u32,
     second: (Nanos, u64),
-    pub got: u64,
-    pub late: u64,
+    pub accepted: u64,
+    pub expired: u64,
 }
 
 impl GrantHolder {
     /// The number to ask under, if it is time to ask for this.
     pub fn request_grant(&mut self, now: Nanos, worker: WorkerId, work: Nanos) -> Option<u32> {
-        self.asked.retain(|asked| now < asked.at + 1_000 * MS);
+        self.pending.retain(|pending| now < pending.at + 1_000 * MS);
         if now >= self.second.0 + 1_000 * MS {
             self.second = (now, 0);
         }
-        if self.second.1 >= WANTS_A_SECOND {
+        if self.second.1 >= MAX_REQUESTS_PER_SECOND {
             return None;
         }
         self.second.1 += 1;
         self.serial = self.serial.wrapping_add(1);
-        self.asked.push(Asked {
+        self.pending.push(PendingRequest {
             seq: self.serial,
             worker,
             at: now,
@@ -159,24 +163,24 @@
 
     /// A right that came: until when it may be spent, and its work. It counts from when it was asked for, once, and not
     /// at all once that is over. Guards against answers that are late, come twice, or were never asked for.
-    pub fn granted(
+    pub fn accept(
         &mut self,
         now: Nanos,
         seq: u32,
         worker: WorkerId,
         work: Nanos,
-        lasts: Nanos,
+        validity: Nanos,
     ) -> Option<(Nanos, Nanos)> {
         let at = self
-            .asked
+            .pending
             .iter()
-            .position(|asked| asked.seq == seq && asked.worker == worker)?;
-        let asked = if is_active(Mutation::AcceptDuplicateGrant) {
-            &self.asked[at]
+            .position(|pending| pending.seq == seq && pending.worker == worker)?;
+        let pending = if is_active(Mutation::AcceptDuplicateGrant) {
+            &self.pending[at]
         } else {
-            &self.asked.swap_remove(at)
+            &self.pending.swap_remove(at)
         };
-        let (from, most) = (asked.at, asked.work);
+        let (from, most) = (pending.at, pending.work);
         let from = if is_active(Mutation::GrantFromReply) {
             now
         } else {
@@ -185,12 +189,12 @@
         if work == 0 || work > most {
             return None;
         }
-        let until = from + lasts;
+        let until = from + validity;
         if now >= until {
-            self.late += 1;
+            self.expired += 1;
             return None;
         }
-        self.got += 1;
+        self.accepted += 1;
         Some((until, work))
     }
 }
--- a/crates/cluster/src/ranks.rs
+++ b/crates/cluster/src/ranks.rs
@@ -1,7 +1,7 @@
 //! Which place each member has, from 0 up without gaps: the decisions count lanes off by it. Each member claims a rank
 //! and keeps it; what follows is worked out from the members and their claims alone, so equal views give equal ranks.
 //! One that goes leaves a gap that the highest fills; one that comes takes the end: no one else moves.
-use crate::datagram::{NONE, Name};
+use crate::datagram::{NO_RANK, Name};
 
 /// The rank of each, in the order given; `members` are (name, claim), in the order of their names.
 pub fn ranks(members: &[(Name, u16)]) -> Vec<u16> {
@@ -18,7 +18,7 @@
     // Those with the lowest claims go first, those without one last, each by its name.
     unplaced.sort_by_key(|at| (members[*at].1, *at));
     let mut unplaced = unplaced.into_iter();
-    let mut ranks = vec![NONE; count];
+    let mut ranks = vec![NO_RANK; count];
     for (rank, held) in holder.into_iter().enumerate() {
         if let Some(at) = held.or_else(|| unplaced.next()) {
             ranks[at] = rank as u16;
--- a/crates/cluster/src/register/mod.rs
+++ b/crates/cluster/src/register/mod.rs
@@ -13,16 +13,16 @@
 const MS: Nanos = 1_000_000;
 /// A round that has not come to its end is begun anew after this and up to as much again: several ways there and back between
 /// far regions, and two disks, so that two who put at once do not overtake each other for ever.
-const ROUND: Nanos = 400 * MS;
+const ROUND_TIMEOUT: Nanos = 400 * MS;
 /// A change that has found no majority by then is given up on: whether it was accepted is not known, and is asked for.
-const GIVE_UP: Nanos = 10_000 * MS;
+const PROPOSAL_TIMEOUT: Nanos = 10_000 * MS;
 /// A keeper that holds what it does not know to be chosen asks after this and up to as much again.
-const SETTLE: Nanos = 1_000 * MS;
+const SETTLE_DELAY: Nanos = 1_000 * MS;
 /// The most bytes of a document: a thousand times what the largest known settings take.
-pub const LARGEST: usize = 1024 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 1024 * 1024;
 
 /// A keeper's place in the list of keepers.
-pub type Keeper = u8;
+pub type ReplicaId = u8;
 
 /// SHA-256 of a document's version and text.
 pub type Digest = [u8; 32];
@@ -50,17 +50,18 @@
 )]
 pub struct Ballot {
     pub round: u64,
-    pub by: Keeper,
+    pub by: ReplicaId,
 }
 
 /// What a keeper has on its disk, whole, at each moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Stored {
+pub struct PersistentState {
     /// No ballot below this is taken any more.
     pub promised: Ballot,
     pub accepted: Option<(Ballot, Rc<Document>)>,
     /// The newest that is known to be chosen: by this one acts.
-    pub in_force: Rc<Document>,
+    #[serde(rename = "in_force")]
+    pub committed: Rc<Document>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -73,7 +74,7 @@
         accepted: Option<(Ballot, Rc<Document>)>,
     },
     /// A higher ballot was promised.
-    Overtaken {
+    Preempted {
         ballot: Ballot,
         by: Ballot,
     },
@@ -99,7 +100,7 @@
         version: u64,
     },
     /// Another came between.
-    Refused {
+    Conflict {
         based_on: u64,
         now: u64,
     },
@@ -115,18 +116,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     Send {
-        to: Keeper,
+        to: ReplicaId,
         message: Message,
     },
     /// To be written beside, synced and renamed; then `stored` is called with the serial.
     Store {
         serial: u64,
-        record: Stored,
+        record: PersistentState,
     },
     /// The change that was put has ended.
-    Ended(Outcome),
+    Completed(Outcome),
     /// This keeper acts by this document, which is on its disk.
-    InForce(Rc<Document>),
+    Committed(Rc<Document>),
     /// A newer one was chosen, and this keeper has not got it.
     Fetch {
         version: u64,
@@ -147,9 +148,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Prepares,
+    Preparing,
     /// The document that is proposed, and how the change ends once that is chosen.
-    Accepts {
+    Accepting {
         document: Rc<Document>,
         outcome: Outcome,
     },
@@ -161,36 +162,36 @@
     ballot: Ballot,
     phase: Phase,
     /// Who has answered in this phase, a bit each.
-    heard: u8,
-    best: Option<(Ballot, Rc<Document>)>,
-    again_at: Nanos,
-    until: Nanos,
+    responders: u8,
+    highest_accepted: Option<(Ballot, Rc<Document>)>,
+    retry_at: Nanos,
+    deadline: Nanos,
 }
 
 /// What follows once the disk has what it rests on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Then {
-    Answer(Keeper, Message),
-    ActBy(Rc<Document>),
+enum AfterPersist {
+    Reply(ReplicaId, Message),
+    Commit(Rc<Document>),
 }
 
 #[derive(Clone, Debug)]
 pub struct Register {
-    me: Keeper,
-    count: u8,
+    id: ReplicaId,
+    replica_count: u8,
     /// What the disk has once all that was said to be stored is.
-    stored: Stored,
-    acts_by: Rc<Document>,
+    stored: PersistentState,
+    applied: Rc<Document>,
     proposal: Option<Proposal>,
     /// The highest round seen anywhere.
     round: u64,
     serial: u64,
     /// What waits for the disk to have this serial or a later one.
-    waiting: Vec<(u64, Then)>,
+    waiting: Vec<(u64, AfterPersist)>,
     settle_at: Nanos,
-    chance: Pcg,
+    rng: Pcg,
     /// Writes that failed; messages that made no sense.
-    pub unstored: u64,
+    pub failed_writes: u64,
     pub malformed: u64,
 }
 
@@ -199,87 +200,93 @@
     /// All that what it does next follows from, but for chance.
     pub fn state(&self) -> impl std::hash::Hash + use<> {
         let proposal = self.proposal.clone().map(|proposal| Proposal {
-            again_at: 0,
-            until: 0,
+            retry_at: 0,
+            deadline: 0,
             ..proposal
         });
-        let (stored, acts_by, waiting) = (
+        let (stored, applied, waiting) = (
             self.stored.clone(),
-            self.acts_by.clone(),
+            self.applied.clone(),
             self.waiting.clone(),
         );
-        (stored, acts_by, proposal, self.round, waiting)
+        (stored, applied, proposal, self.round, waiting)
     }
 }
 
 impl Register {
     /// A keeper as it starts, with what its disk held.
-    pub fn new(me: Keeper, count: u8, stored: Stored, now: Nanos, seed: u64) -> Self {
+    pub fn new(
+        id: ReplicaId,
+        replica_count: u8,
+        stored: PersistentState,
+        now: Nanos,
+        seed: u64,
+    ) -> Self {
         let mut stored = stored;
         if is_active(Mutation::RegressAfterRestart) {
-            stored.in_force = Rc::default();
+            stored.committed = Rc::default();
         }
         if is_active(Mutation::ForgetBallotPromise) {
             stored.promised = Ballot::default();
         }
         let round = stored.promised.round;
-        let (proposal, waiting, chance) = (None, Vec::new(), Pcg::new(seed));
-        let acts_by = stored.in_force.clone();
+        let (proposal, waiting, rng) = (None, Vec::new(), Pcg::new(seed));
+        let applied = stored.committed.clone();
         let mut new = Register {
-            me,
-            count,
+            id,
+            replica_count,
             stored,
-            acts_by,
+            applied,
             proposal,
             round,
             serial: 0,
             waiting,
             settle_at: now,
-            chance,
-            unstored: 0,
+            rng,
+            failed_writes: 0,
             malformed: 0,
         };
-        new.settle_at = new.later(now, SETTLE);
+        new.settle_at = new.jittered(now, SETTLE_DELAY);
         new
     }
 
     /// By which document this keeper acts: it is on its disk.
-    pub fn in_force(&self) -> &Rc<Document> {
-        &self.acts_by
+    pub fn committed(&self) -> &Rc<Document> {
+        &self.applied
     }
 
     /// A document that it has, by its number and digest, for whoever fetches it.
     pub fn document(&self, version: u64, digest: &Digest) -> Option<&Rc<Document>> {
         let held = self.stored.accepted.iter().map(|(_, document)| document);
-        let mut all = held.chain([&self.stored.in_force]);
+        let mut all = held.chain([&self.stored.committed]);
         all.find(|document| document.version == version && document.digest() == *digest)
     }
 
-    fn later(&mut self, now: Nanos, span: Nanos) -> Nanos {
-        now + span + (self.chance.unit() * span as f64) as Nanos
+    fn jittered(&mut self, now: Nanos, span: Nanos) -> Nanos {
+        now + span + (self.rng.unit() * span as f64) as Nanos
     }
 
     /// Whether it holds what it does not know to be chosen.
-    fn unsettled(&self) -> bool {
+    fn has_unconfirmed(&self) -> bool {
         self.stored
             .accepted
             .as_ref()
-            .is_some_and(|(_, document)| document.version > self.stored.in_force.version)
+            .is_some_and(|(_, document)| document.version > self.stored.committed.version)
     }
 
-    pub fn next_due(&self) -> Option<Nanos> {
-        let settles = (self.proposal.is_none() && self.unsettled()).then_some(self.settle_at);
+    pub fn next_timeout(&self) -> Option<Nanos> {
+        let settles = (self.proposal.is_none() && self.has_unconfirmed()).then_some(self.settle_at);
         self.proposal
             .as_ref()
-            .map(|proposal| proposal.again_at)
+            .map(|proposal| proposal.retry_at)
             .into_iter()
             .chain(settles)
             .min()
     }
 
-    pub fn due(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn handle_timeout(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         match &self.proposal {
-            Some(proposal) if now >= proposal.until => {
+            Some(proposal) if now >= proposal.deadline => {
                 let proposal = self.proposal.take();
                 if matches!(
                     proposal,
@@ -288,73 +295,79 @@
                         ..
                     })
                 ) {
-                    effects.push(Effect::Ended(Outcome::Unknown));
+                    effects.push(Effect::Completed(Outcome::Unknown));
                 }
             }
-            Some(proposal) if now >= proposal.again_at => {
-                let (change, until) = (proposal.change.clone(), proposal.until);
-                self.begin(now, change, until, effects);
+            Some(proposal) if now >= proposal.retry_at => {
+                let (change, deadline) = (proposal.change.clone(), proposal.deadline);
+                self.start_round(now, change, deadline, effects);
             }
-            None if self.unsettled() && now >= self.settle_at => {
-                self.settle_at = self.later(now, SETTLE);
-                self.begin(now, Change::Settle, now + GIVE_UP, effects);
+            None if self.has_unconfirmed() && now >= self.settle_at => {
+                self.settle_at = self.jittered(now, SETTLE_DELAY);
+                self.start_round(now, Change::Settle, now + PROPOSAL_TIMEOUT, effects);
             }
             _ => {}
         }
     }
 
     /// A change is handed in at this keeper.
-    pub fn put(&mut self, now: Nanos, based_on: u64, text: &str, effects: &mut Vec<Effect>) {
-        let put = matches!(
+    pub fn propose(&mut self, now: Nanos, based_on: u64, text: &str, effects: &mut Vec<Effect>) {
+        let propose = matches!(
             self.proposal,
             Some(Proposal {
                 change: Change::Put { .. },
                 ..
             })
         );
-        if put || text.len() > LARGEST {
-            let outcome = if put {
+        if propose || text.len() > MAX_DOCUMENT_BYTES {
+            let outcome = if propose {
                 Outcome::Busy
             } else {
                 Outcome::TooLarge { bytes: text.len() }
             };
-            effects.push(Effect::Ended(outcome));
+            effects.push(Effect::Completed(outcome));
             return;
         }
-        self.begin(
+        self.start_round(
             now,
             Change::Put {
                 based_on,
                 text: text.into(),
             },
-            now + GIVE_UP,
+            now + PROPOSAL_TIMEOUT,
             effects,
         );
     }
 
-    fn begin(&mut self, now: Nanos, change: Change, until: Nanos, effects: &mut Vec<Effect>) {
+    fn start_round(
+        &mut self,
+        now: Nanos,
+        change: Change,
+        deadline: Nanos,
+        effects: &mut Vec<Effect>,
+    ) {
         self.round += 1;
         let ballot = Ballot {
             round: self.round,
-            by: self.me,
+            by: self.id,
         };
-        let again_at = self.later(now, ROUND);
-        let (phase, best) = (Phase::Prepares, None);
+        let retry_at = self.jittered(now, ROUND_TIMEOUT);
+        let (phase, highest_accepted) = (Phase::Preparing, None);
         self.proposal = Some(Proposal {
             change,
             ballot,
             phase,
-            heard: 0,
-            best,
-            again_at,
-            until,
+            responders: 0,
+            highest_accepted,
+            retry_at,
+            deadline,
         });
         self.send_all(&Message::Prepare { ballot }, effects);
-        self.prepare(self.me, ballot, effects);
+        self.prepare(self.id, ballot, effects);
     }
 
     fn send_all(&self, message: &Message, effects: &mut Vec<Effect>) {
-        let others = (0..self.count).filter(|to| *to != self.me);
+        let others = (0..self.replica_count).filter(|to| *to != self.id);
         effects.extend(others.map(|to| Effect::Send {
             to,
             message: message.clone(),
@@ -362,89 +375,107 @@
     }
 
     /// Has the disk take what is held now; the rest follows it.
-    fn store(&mut self, then: Then, effects: &mut Vec<Effect>) {
+    fn store(&mut self, after: AfterPersist, effects: &mut Vec<Effect>) {
         self.serial += 1;
         effects.push(Effect::Store {
             serial: self.serial,
             record: self.stored.clone(),
         });
-        self.waiting.push((self.serial, then));
+        self.waiting.push((self.serial, after));
         if is_active(Mutation::ReplyBeforePersist) {
-            self.release(0, self.serial, effects);
+            self.run_persisted(0, self.serial, effects);
         }
     }
 
     /// The disk has this record, or could not take it. Then nothing is answered, and what was to be acted by is not: whoever
     /// asked tries another, or again.
-    pub fn stored(&mut self, now: Nanos, serial: u64, well: bool, effects: &mut Vec<Effect>) {
-        if well {
-            return self.release(now, serial, effects);
+    pub fn handle_persisted(
+        &mut self,
+        now: Nanos,
+        serial: u64,
+        succeeded: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        if succeeded {
+            return self.run_persisted(now, serial, effects);
         }
-        self.unstored += 1;
-        self.waiting.retain(|(waits, _)| *waits != serial);
-        let acts = |(_, then): &(u64, Then)| matches!(then, Then::ActBy(_));
-        if !self.waiting.iter().any(acts) {
-            self.stored.in_force = self.acts_by.clone();
+        self.failed_writes += 1;
+        self.waiting
+            .retain(|(serial_needed, _)| *serial_needed != serial);
+        let commits = |(_, after): &(u64, AfterPersist)| matches!(after, AfterPersist::Commit(_));
+        if !self.waiting.iter().any(commits) {
+            self.stored.committed = self.applied.clone();
         }
     }
 
-    fn release(&mut self, now: Nanos, serial: u64, effects: &mut Vec<Effect>) {
-        let ready: Vec<(u64, Then)> = self
+    fn run_persisted(&mut self, now: Nanos, serial: u64, effects: &mut Vec<Effect>) {
+        let ready: Vec<(u64, AfterPersist)> = self
             .waiting
-            .extract_if(.., |(waits, _)| *waits <= serial)
+            .extract_if(.., |(serial_needed, _)| *serial_needed <= serial)
             .collect();
-        for (_, then) in ready {
-            match then {
-                Then::Answer(to, message) if to == self.me => self.feed(now, to, message, effects),
-                Then::Answer(to, message) => effects.push(Effect::Send { to, message }),
-                Then::ActBy(document) => {
-                    self.acts_by = document.clone();
-                    effects.push(Effect::InForce(document));
+        for (_, after) in ready {
+            match after {
+                AfterPersist::Reply(to, message) if to == self.id => {
+                    self.handle_message(now, to, message, effects)
+                }
+                AfterPersist::Reply(to, message) => effects.push(Effect::Send { to, message }),
+                AfterPersist::Commit(document) => {
+                    self.applied = document.clone();
+                    effects.push(Effect::Committed(document));
                 }
             }
         }
     }
 
-    fn prepare(&mut self, from: Keeper, ballot: Ballot, effects: &mut Vec<Effect>) {
+    fn prepare(&mut self, from: ReplicaId, ballot: Ballot, effects: &mut Vec<Effect>) {
         if ballot <= self.stored.promised {
-            return self.overtaken(from, ballot, effects);
+            return self.reject_ballot(from, ballot, effects);
         }
         self.stored.promised = ballot;
         let accepted = self.stored.accepted.clone();
         self.store(
-            Then::Answer(from, Message::Promise { ballot, accepted }),
+            AfterPersist::Reply(from, Message::Promise { ballot, accepted }),
             effects,
         );
     }
 
     fn accept(
         &mut self,
-        from: Keeper,
+        from: ReplicaId,
         ballot: Ballot,
         document: Rc<Document>,
         effects: &mut Vec<Effect>,
     ) {
         if ballot < self.stored.promised && !is_active(Mutation::AcceptBelowPromise) {
-            return self.overtaken(from, ballot, effects);
+            return self.reject_ballot(from, ballot, effects);
         }
         self.stored.promised = self.stored.promised.max(ballot);
         self.stored.accepted = Some((ballot, document));
-        self.store(Then::Answer(from, Message::Accepted { ballot }), effects);
+        self.store(
+            AfterPersist::Reply(from, Message::Accepted { ballot }),
+            effects,
+        );
     }
 
-    fn overtaken(&self, to: Keeper, ballot: Ballot, effects: &mut Vec<Effect>) {
+    fn reject_ballot(&self, to: ReplicaId, ballot: Ballot, effects: &mut Vec<Effect>) {
         let by = self.stored.promised;
-        if to != self.me {
+        if to != self.id {
             effects.push(Effect::Send {
                 to,
-                message: Message::Overtaken { ballot, by },
+                message: Message::Preempted { ballot, by },
             });
         }
     }
 
     /// One message from a keeper.
-    pub fn feed(&mut self, now: Nanos, from: Keeper, message: Message, effects: &mut Vec<Effect>) {
-        if from >= self.count {
+    pub fn handle_message(
+        &mut self,
+        now: Nanos,
+        from: ReplicaId,
+        message: Message,
+        effects: &mut Vec<Effect>,
+    ) {
+        if from >= self.replica_count {
             self.malformed += 1;
             return;
         }
@@ -452,7 +483,7 @@
             Message::Prepare { ballot } | Message::Accept { ballot, .. } if ballot.by != from => {
                 self.malformed += 1
             }
-            Message::Accept { document, .. } if document.text.len() > LARGEST => {
+            Message::Accept { document, .. } if document.text.len() > MAX_DOCUMENT_BYTES => {
                 self.malformed += 1
             }
             Message::Prepare { ballot } => {
@@ -461,29 +492,29 @@
             }
             Message::Accept { ballot, document } => {
                 self.round = self.round.max(ballot.round);
-                self.settle_at = self.later(now, SETTLE);
+                self.settle_at = self.jittered(now, SETTLE_DELAY);
                 self.accept(from, ballot, document, effects);
             }
             // The next round goes above it.
-            Message::Overtaken { by, .. } => self.round = self.round.max(by.round),
+            Message::Preempted { by, .. } => self.round = self.round.max(by.round),
             Message::Promise { ballot, accepted } => self.promised(from, ballot, accepted, effects),
             Message::Accepted { ballot } => self.accepted(from, ballot, effects),
             Message::Chosen { version, digest } => self.chosen(version, digest, effects),
         }
     }
 
-    fn majority(&self, heard: u8) -> bool {
-        let most = u32::from(self.count) / 2;
+    fn is_majority(&self, responders: u8) -> bool {
+        let most = u32::from(self.replica_count) / 2;
         if is_active(Mutation::MiscountMajority) {
-            heard.count_ones() >= most
+            responders.count_ones() >= most
         } else {
-            heard.count_ones() > most
+            responders.count_ones() > most
         }
     }
 
     fn promised(
         &mut self,
-        from: Keeper,
+        from: ReplicaId,
         ballot: Ballot,
         accepted: Option<(Ballot, Rc<Document>)>,
         effects: &mut Vec<Effect>,
@@ -491,26 +522,29 @@
         let Some(proposal) = self
             .proposal
             .as_mut()
-            .filter(|p| p.ballot == ballot && p.phase == Phase::Prepares)
+            .filter(|p| p.ballot == ballot && p.phase == Phase::Preparing)
         else {
             return;
         };
-        proposal.heard |= 1 << from;
+        proposal.responders |= 1 << from;
         if !is_active(Mutation::IgnoreAcceptedValue) {
-            let best = proposal.best.take().into_iter().chain(accepted);
-            proposal.best = best.max_by_key(|(ballot, _)| *ballot);
+            let highest_accepted = proposal.highest_accepted.take().into_iter().chain(accepted);
+            proposal.highest_accepted = highest_accepted.max_by_key(|(ballot, _)| *ballot);
         }
-        let heard = proposal.heard;
-        if !self.majority(heard) {
+        let responders = proposal.responders;
+        if !self.is_majority(responders) {
             return;
         }
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let before = proposal.best.as_ref().map(|(_, document)| document.clone());
+        let before = proposal
+            .highest_accepted
+            .as_ref()
+            .map(|(_, document)| document.clone());
         let before = before.unwrap_or_else(|| {
             if is_active(Mutation::IgnoreAcceptedValue) {
-                self.stored.in_force.clone()
+                self.stored.committed.clone()
             } else {
                 Rc::default()
             }
@@ -537,16 +571,16 @@
                 )
             }
             Change::Put { based_on, .. } => {
-                let outcome = Outcome::Refused {
+                let outcome = Outcome::Conflict {
                     based_on: *based_on,
                     now: before.version,
                 };
                 (before, outcome)
             }
         };
-        (proposal.heard, proposal.phase) = (
+        (proposal.responders, proposal.phase) = (
             0,
-            Phase::Accepts {
+            Phase::Accepting {
                 document: document.clone(),
                 outcome,
             },
@@ -558,10 +592,10 @@
             },
             effects,
         );
-        self.accept(self.me, ballot, document, effects);
+        self.accept(self.id, ballot, document, effects);
     }
 
-    fn accepted(&mut self, from: Keeper, ballot: Ballot, effects: &mut Vec<Effect>) {
+    fn accepted(&mut self, from: ReplicaId, ballot: Ballot, effects: &mut Vec<Effect>) {
         let Some(proposal) = self
             .proposal
             .as_mut()
@@ -569,33 +603,33 @@
         else {
             return;
         };
-        if !matches!(proposal.phase, Phase::Accepts { .. }) {
+        if !matches!(proposal.phase, Phase::Accepting { .. }) {
             return;
         }
-        proposal.heard |= 1 << from;
-        let heard = proposal.heard;
-        if !self.majority(heard) {
+        proposal.responders |= 1 << from;
+        let responders = proposal.responders;
+        if !self.is_majority(responders) {
             return;
         }
         let Some(Proposal {
             change,
-            phase: Phase::Accepts { document, outcome },
+            phase: Phase::Accepting { document, outcome },
             ..
         }) = self.proposal.take()
         else {
             return;
         };
-        self.takes(document.clone(), effects);
+        self.commit(document.clone(), effects);
         let (version, digest) = (document.version, document.digest());
         self.send_all(&Message::Chosen { version, digest }, effects);
         if matches!(change, Change::Put { .. }) {
-            effects.push(Effect::Ended(outcome));
+            effects.push(Effect::Completed(outcome));
         }
     }
 
     /// Another says that this was chosen.
     fn chosen(&mut self, version: u64, digest: Digest, effects: &mut Vec<Effect>) {
-        if version <= self.stored.in_force.version {
+        if version <= self.stored.committed.version {
             return;
         }
         let held = self
@@ -608,7 +642,7 @@
                 && (document.digest() == digest || is_active(Mutation::SkipDigestCheck))
         };
         match held.filter(same) {
-            Some(document) => self.takes(document, effects),
+            Some(document) => self.commit(document, effects),
             None => effects.push(Effect::Fetch { version, digest }),
         }
     }
@@ -625,19 +659,19 @@
             self.malformed += 1;
             return false;
         }
-        self.takes(Rc::new(document), effects);
+        self.commit(Rc::new(document), effects);
         true
     }
 
     /// Acts by a document from here on, unless it has a newer one: never goes back.
-    fn takes(&mut self, document: Rc<Document>, effects: &mut Vec<Effect>) {
-        if document.version <= self.stored.in_force.version
+    fn commit(&mut self, document: Rc<Document>, effects: &mut Vec<Effect>) {
+        if document.version <= self.stored.committed.version
             && !is_active(Mutation::ApplyOlderDocument)
         {
             return;
         }
-        self.stored.in_force = document.clone();
-        self.store(Then::ActBy(document), effects);
+        self.stored.committed = document.clone();
+        self.store(AfterPersist::Commit(document), effects);
     }
 }
 
--- a/crates/cluster/src/register/tests.rs
+++ b/crates/cluster/src/register/tests.rs
@@ -1,7 +1,8 @@
 //! Keepers that agree on settings, under random schedules and under all small ones. What is checked is what disks hold and
 //! what was answered, not what a keeper thinks.
 use crate::register::{
-    Digest, Document, Effect, Keeper, LARGEST, Message, Outcome, Register, Stored,
+    Digest, Document, Effect, MAX_DOCUMENT_BYTES, Message, Outcome, PersistentState, Register,
+    ReplicaId,
 };
 use rosewall::pcg::Pcg;
 use std::collections::hash_map::DefaultHasher;
@@ -13,11 +14,11 @@
 const MS: u64 = 1_000_000;
 
 #[derive(Clone)]
-struct Place {
+struct TestReplica {
     register: Option<Register>,
-    disk: Stored,
+    disk: PersistentState,
     /// What is being written, the oldest first.
-    writes: Vec<(u64, Stored)>,
+    writes: Vec<(u64, PersistentState)>,
     /// The highest version that it ever acted by.
     acted: u64,
 }
@@ -25,10 +26,10 @@
 type Act<'a> = Box<dyn FnOnce(&mut Register, u64, &mut Vec<Effect>) + 'a>;
 
 #[derive(Clone)]
-struct World {
+struct TestReplicas {
     now: u64,
-    places: Vec<Place>,
-    net: Vec<(Keeper, Keeper, Message)>,
+    replicas: Vec<TestReplica>,
+    net: Vec<(ReplicaId, ReplicaId, Message)>,
     /// Which document each version is, by all that was ever said of it.
     versions: BTreeMap<u64, Digest>,
     /// Changes that were answered as accepted.
@@ -40,17 +41,17 @@
     seed: u64,
 }
 
-impl World {
-    fn new(count: usize, seed: u64, quick: bool) -> World {
-        let place = Place {
+impl TestReplicas {
+    fn new(count: usize, seed: u64, quick: bool) -> TestReplicas {
+        let replica = TestReplica {
             register: None,
-            disk: Stored::default(),
+            disk: PersistentState::default(),
             writes: Vec::new(),
             acted: 0,
         };
-        let mut world = World {
+        let mut replicas = TestReplicas {
             now: 0,
-            places: vec![place; count],
+            replicas: vec![replica; count],
             net: Vec::new(),
             versions: BTreeMap::new(),
             accepted: Vec::new(),
@@ -59,35 +60,35 @@
             quick,
             seed,
         };
-        (0..count).for_each(|at| world.start(at));
-        world
+        (0..count).for_each(|at| replicas.start(at));
+        replicas
     }
 
     fn start(&mut self, at: usize) {
         self.starts += 1;
-        let (count, seed) = (self.places.len() as u8, self.seed ^ self.starts << 8);
-        let place = &mut self.places[at];
-        let register = Register::new(at as u8, count, place.disk.clone(), self.now, seed);
-        let version = register.in_force().version;
+        let (count, seed) = (self.replicas.len() as u8, self.seed ^ self.starts << 8);
+        let replica = &mut self.replicas[at];
+        let register = Register::new(at as u8, count, replica.disk.clone(), self.now, seed);
+        let version = register.committed().version;
         assert!(
-            version >= place.acted,
+            version >= replica.acted,
             "keeper {at} goes back from {} to {version}",
-            place.acted
+            replica.acted
         );
-        place.register = Some(register);
+        replica.register = Some(register);
     }
 
     /// It ends at once; of what was being written so much has reached the disk.
     fn crash(&mut self, at: usize, written: usize) {
-        let place = &mut self.places[at];
-        place.register = None;
-        for (_, record) in place.writes.drain(..).take(written) {
-            place.disk = record;
+        let replica = &mut self.replicas[at];
+        replica.register = None;
+        for (_, record) in replica.writes.drain(..).take(written) {
+            replica.disk = record;
         }
     }
 
     /// No two documents have one version.
-    fn is_active(&mut self, document: &Document) {
+    fn check_unique_version(&mut self, document: &Document) {
         let digest = document.digest();
         let known = *self.versions.entry(document.version).or_insert(digest);
         assert_eq!(
@@ -103,56 +104,56 @@
 
     fn carry(&mut self, at: usize, act: Act<'_>) {
         let mut effects = Vec::new();
-        if let Some(register) = &mut self.places[at].register {
+        if let Some(register) = &mut self.replicas[at].register {
             act(register, self.now, &mut effects);
         }
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.net.push((at as u8, to, message)),
                 Effect::Store { serial, record } if self.quick => {
-                    self.places[at].disk = record;
+                    self.replicas[at].disk = record;
                     self.act(at, |register, now, effects| {
-                        register.stored(now, serial, true, effects)
+                        register.handle_persisted(now, serial, true, effects)
                     });
                 }
-                Effect::Store { serial, record } => self.places[at].writes.push((serial, record)),
-                Effect::Ended(outcome) => {
+                Effect::Store { serial, record } => self.replicas[at].writes.push((serial, record)),
+                Effect::Completed(outcome) => {
                     if let Outcome::Accepted { version } = outcome {
-                        let has = |place: &&Place| {
-                            place
+                        let has = |replica: &&TestReplica| {
+                            replica
                                 .disk
                                 .accepted
                                 .as_ref()
                                 .is_some_and(|(_, document)| document.version >= version)
                         };
-                        let count = self.places.iter().filter(has).count();
+                        let count = self.replicas.iter().filter(has).count();
                         assert!(
-                            2 * count > self.places.len(),
+                            2 * count > self.replicas.len(),
                             "version {version} was accepted on {count} disks"
                         );
                         self.accepted.push(version);
                     }
                     self.ended.push(outcome);
                 }
-                Effect::InForce(document) => {
-                    self.is_active(&document);
-                    let place = &mut self.places[at];
+                Effect::Committed(document) => {
+                    self.check_unique_version(&document);
+                    let replica = &mut self.replicas[at];
                     let version = document.version;
                     assert!(
-                        version > place.acted,
+                        version > replica.acted,
                         "keeper {at} goes back from {} to {version}",
-                        place.acted
+                        replica.acted
                     );
                     assert_eq!(
-                        *place.disk.in_force, *document,
+                        *replica.disk.committed, *document,
                         "keeper {at} acts by what its disk has not"
                     );
-                    place.acted = version;
+                    replica.acted = version;
                 }
                 Effect::Fetch { version, digest } => {
                     let mut found = None;
-                    for place in &self.places {
-                        let has = place
+                    for replica in &self.replicas {
+                        let has = replica
                             .register
                             .as_ref()
                             .and_then(|register| register.document(version, &digest));
@@ -173,10 +174,10 @@
         }
     }
 
-    fn put(&mut self, at: usize, text: &str) {
+    fn propose(&mut self, at: usize, text: &str) {
         self.act(at, |register, now, effects| {
-            let based_on = register.in_force().version;
-            register.put(now, based_on, text, effects);
+            let based_on = register.committed().version;
+            register.propose(now, based_on, text, effects);
         });
     }
 
@@ -187,37 +188,39 @@
             self.net.remove(n)
         };
         self.act(usize::from(to), |register, now, effects| {
-            register.feed(now, from, message, effects)
+            register.handle_message(now, from, message, effects)
         });
     }
 
-    fn write(&mut self, at: usize, well: bool) {
-        if self.places[at].writes.is_empty() {
+    fn write(&mut self, at: usize, succeeded: bool) {
+        if self.replicas[at].writes.is_empty() {
             return;
         }
-        let (serial, record) = self.places[at].writes.remove(0);
-        if well {
-            self.places[at].disk = record;
+        let (serial, record) = self.replicas[at].writes.remove(0);
+        if succeeded {
+            self.replicas[at].disk = record;
         }
         self.act(at, |register, now, effects| {
-            register.stored(now, serial, well, effects)
+            register.handle_persisted(now, serial, succeeded, effects)
         });
     }
 
     /// Everything works from here on, for so long.
     fn heal(&mut self, ms: u64) {
-        for at in 0..self.places.len() {
-            if self.places[at].register.is_none() {
+        for at in 0..self.replicas.len() {
+            if self.replicas[at].register.is_none() {
                 self.start(at);
             }
         }
         for _ in 0..ms {
             self.now += MS;
-            for at in 0..self.places.len() {
-                while !self.places[at].writes.is_empty() {
+            for at in 0..self.replicas.len() {
+                while !self.replicas[at].writes.is_empty() {
                     self.write(at, true);
                 }
-                self.act(at, |register, now, effects| register.due(now, effects));
+                self.act(at, |register, now, effects| {
+                    register.handle_timeout(now, effects)
+                });
             }
             while !self.net.is_empty() {
                 self.deliver(0, false);
@@ -226,9 +229,9 @@
     }
 
     /// One step of whatever may happen.
-    fn step(&mut self, chance: &mut Pcg, serial: u64) {
-        let mut below = |most: usize| (chance.unit() * most as f64) as usize;
-        let (at, count) = (below(self.places.len()), self.net.len());
+    fn step(&mut self, rng: &mut Pcg, serial: u64) {
+        let mut below = |most: usize| (rng.unit() * most as f64) as usize;
+        let (at, count) = (below(self.replicas.len()), self.net.len());
         match below(100) {
             0..55 if count > 0 => {
                 let n = below(count);
@@ -245,14 +248,16 @@
             63..86 => self.write(at, true),
             86..87 => self.write(at, false),
             87..88 => {
-                let written = below(self.places[at].writes.len() + 1);
+                let written = below(self.replicas[at].writes.len() + 1);
                 self.crash(at, written);
             }
-            88..92 if self.places[at].register.is_none() => self.start(at),
-            92..95 => self.put(at, &"x".repeat(1 + serial as usize % 97)),
+            88..92 if self.replicas[at].register.is_none() => self.start(at),
+            92..95 => self.propose(at, &"x".repeat(1 + serial as usize % 97)),
             _ => {
                 self.now += below(300) as u64 * MS;
-                self.act(at, |register, now, effects| register.due(now, effects));
+                self.act(at, |register, now, effects| {
+                    register.handle_timeout(now, effects)
+                });
             }
         }
     }
@@ -260,42 +265,45 @@
 
 /// Loss, repeats, any order, writes that fail or end in the middle of a crash, two who put at once: then all is well again,
 /// and the keepers come to one document that is no older than any that was accepted.
-fn random_schedule(seed: u64, keepers: usize, steps: u64) -> usize {
-    let (mut world, mut chance) = (World::new(keepers, seed, false), Pcg::new(seed));
+fn random_schedule(seed: u64, replica_count: usize, steps: u64) -> usize {
+    let (mut replicas, mut rng) = (
+        TestReplicas::new(replica_count, seed, false),
+        Pcg::new(seed),
+    );
     for serial in 0..steps {
-        world.step(&mut chance, seed.wrapping_add(serial));
+        replicas.step(&mut rng, seed.wrapping_add(serial));
     }
     // A change after the heal reaches all; what went before is settled by it.
-    world.heal(15_000);
-    world.put(0, "the last");
-    world.heal(15_000);
-    let documents: Vec<Rc<Document>> = world
-        .places
+    replicas.heal(15_000);
+    replicas.propose(0, "the last");
+    replicas.heal(15_000);
+    let documents: Vec<Rc<Document>> = replicas
+        .replicas
         .iter()
-        .map(|place| place.register.as_ref().unwrap().in_force().clone())
+        .map(|replica| replica.register.as_ref().unwrap().committed().clone())
         .collect();
     let newest = documents
         .iter()
         .max_by_key(|document| document.version)
         .unwrap();
     assert!(
-        world
+        replicas
             .accepted
             .iter()
             .all(|version| *version <= newest.version),
         "{:?}",
-        world.accepted
+        replicas.accepted
     );
     let have = documents
         .iter()
         .filter(|document| *document == newest)
         .count();
     assert!(
-        2 * have > keepers,
-        "{have} of {keepers} have version {}",
+        2 * have > replica_count,
+        "{have} of {replica_count} have version {}",
         newest.version
     );
-    world.accepted.len()
+    replicas.accepted.len()
 }
 
 #[test]
@@ -320,13 +328,13 @@
 /// Every order of messages, each of which may never come, and one crash of one keeper at any moment: three keepers, two who put at
 /// once. Returns how many states there are.
 fn every_order(crashes: usize) -> usize {
-    let mut first = World::new(3, 1, true);
-    first.put(0, "a");
-    first.put(1, "b");
+    let mut first = TestReplicas::new(3, 1, true);
+    first.propose(0, "a");
+    first.propose(1, "b");
     let (mut seen, mut open, mut both) = (HashSet::new(), vec![(first, crashes)], 0);
-    while let Some((world, crashes)) = open.pop() {
+    while let Some((replicas, crashes)) = open.pop() {
         let mut key = DefaultHasher::new();
-        let mut net: Vec<u64> = world
+        let mut net: Vec<u64> = replicas
             .net
             .iter()
             .map(|message| {
@@ -336,22 +344,30 @@
             })
             .collect();
         net.sort_unstable();
-        for place in &world.places {
-            place.register.as_ref().map(Register::state).hash(&mut key);
-            (&place.disk, place.acted).hash(&mut key);
+        for replica in &replicas.replicas {
+            replica
+                .register
+                .as_ref()
+                .map(Register::state)
+                .hash(&mut key);
+            (&replica.disk, replica.acted).hash(&mut key);
         }
-        (net, crashes, &world.accepted).hash(&mut key);
+        (net, crashes, &replicas.accepted).hash(&mut key);
         if !seen.insert(key.finish()) {
             continue;
         }
-        both += usize::from(world.accepted.len() > 1);
-        for n in 0..world.net.len() {
-            let mut next = world.clone();
+        both += usize::from(replicas.accepted.len() > 1);
+        for n in 0..replicas.net.len() {
+            let mut next = replicas.clone();
             next.deliver(n, false);
             open.push((next, crashes));
         }
-        for at in 0..if crashes > 0 { world.places.len() } else { 0 } {
-            let mut next = world.clone();
+        for at in 0..if crashes > 0 {
+            replicas.replicas.len()
+        } else {
+            0
+        } {
+            let mut next = replicas.clone();
             next.crash(at, 0);
             next.start(at);
             open.push((next, crashes - 1));
@@ -373,43 +389,51 @@
 /// All restart after a change was accepted by two of three: it is in force again.
 #[test]
 fn what_was_accepted_outlives_all_and_a_minority_for_good() {
-    let mut world = World::new(5, 3, false);
-    world.put(2, "one");
-    world.heal(5_000);
-    assert_eq!(world.accepted, [1]);
-    (0..5).for_each(|at| world.crash(at, 0));
+    let mut replicas = TestReplicas::new(5, 3, false);
+    replicas.propose(2, "one");
+    replicas.heal(5_000);
+    assert_eq!(replicas.accepted, [1]);
+    (0..5).for_each(|at| replicas.crash(at, 0));
     for at in [1, 3, 4] {
-        world.start(at);
+        replicas.start(at);
     }
     for _ in 0..20 {
-        world.now += 500 * MS;
-        (0..5).for_each(|at| world.act(at, |register, now, effects| register.due(now, effects)));
-        while !world.net.is_empty() {
-            world.deliver(0, false);
+        replicas.now += 500 * MS;
+        (0..5).for_each(|at| {
+            replicas.act(at, |register, now, effects| {
+                register.handle_timeout(now, effects)
+            })
+        });
+        while !replicas.net.is_empty() {
+            replicas.deliver(0, false);
         }
-        (0..5).for_each(|at| (0..3).for_each(|_| world.write(at, true)));
+        (0..5).for_each(|at| (0..3).for_each(|_| replicas.write(at, true)));
     }
-    assert!(
-        [1, 3, 4]
-            .iter()
-            .all(|at| world.places[*at].register.as_ref().unwrap().in_force().text == "one")
-    );
+    assert!([1, 3, 4].iter().all(|at| {
+        replicas.replicas[*at]
+            .register
+            .as_ref()
+            .unwrap()
+            .committed()
+            .text
+            == "one"
+    }));
 }
 
 #[test]
 fn a_change_that_is_based_on_an_older_version_is_refused_with_both() {
-    let mut world = World::new(3, 5, true);
-    world.put(0, "one");
-    world.heal(2_000);
-    world.act(1, |register, now, effects| {
-        register.put(now, 0, "two", effects)
+    let mut replicas = TestReplicas::new(3, 5, true);
+    replicas.propose(0, "one");
+    replicas.heal(2_000);
+    replicas.act(1, |register, now, effects| {
+        register.propose(now, 0, "two", effects)
     });
-    world.heal(2_000);
+    replicas.heal(2_000);
     assert_eq!(
-        world.ended,
+        replicas.ended,
         [
             Outcome::Accepted { version: 1 },
-            Outcome::Refused {
+            Outcome::Conflict {
                 based_on: 0,
                 now: 1
             }
@@ -419,59 +443,70 @@
 
 #[test]
 fn without_more_than_half_of_the_keepers_nothing_is_accepted_and_that_is_said() {
-    let mut world = World::new(3, 7, true);
-    (1..3).for_each(|at| world.crash(at, 0));
-    world.put(0, "alone");
+    let mut replicas = TestReplicas::new(3, 7, true);
+    (1..3).for_each(|at| replicas.crash(at, 0));
+    replicas.propose(0, "alone");
     for _ in 0..30 {
-        world.now += 500 * MS;
-        world.act(0, |register, now, effects| register.due(now, effects));
-        world.net.clear();
+        replicas.now += 500 * MS;
+        replicas.act(0, |register, now, effects| {
+            register.handle_timeout(now, effects)
+        });
+        replicas.net.clear();
     }
     assert_eq!(
-        (world.ended, world.accepted),
+        (replicas.ended, replicas.accepted),
         (vec![Outcome::Unknown], vec![])
     );
 }
 
 #[test]
 fn a_full_disk_answers_nothing_and_acts_by_what_it_had() {
-    let mut world = World::new(3, 9, false);
-    world.put(0, "one");
+    let mut replicas = TestReplicas::new(3, 9, false);
+    replicas.propose(0, "one");
     for _ in 0..200 {
-        world.now += 20 * MS;
-        (0..3).for_each(|at| world.write(at, at != 2));
-        while !world.net.is_empty() {
-            world.deliver(0, false);
+        replicas.now += 20 * MS;
+        (0..3).for_each(|at| replicas.write(at, at != 2));
+        while !replicas.net.is_empty() {
+            replicas.deliver(0, false);
         }
-        (0..3).for_each(|at| world.act(at, |register, now, effects| register.due(now, effects)));
+        (0..3).for_each(|at| {
+            replicas.act(at, |register, now, effects| {
+                register.handle_timeout(now, effects)
+            })
+        });
     }
-    assert_eq!(world.accepted, [1]);
-    let full = world.places[2].register.as_ref().unwrap();
-    assert!(full.in_force().version == 0 && full.unstored > 0);
-    world.heal(5_000);
-    world.put(1, "two");
-    world.heal(5_000);
+    assert_eq!(replicas.accepted, [1]);
+    let full = replicas.replicas[2].register.as_ref().unwrap();
+    assert!(full.committed().version == 0 && full.failed_writes > 0);
+    replicas.heal(5_000);
+    replicas.propose(1, "two");
+    replicas.heal(5_000);
     assert_eq!(
-        world.places[2].register.as_ref().unwrap().in_force().text,
+        replicas.replicas[2]
+            .register
+            .as_ref()
+            .unwrap()
+            .committed()
+            .text,
         "two"
     );
 }
 
-#[test_case(LARGEST + 1 => false; "more than the most")]
-#[test_case(LARGEST => true; "the most")]
+#[test_case(MAX_DOCUMENT_BYTES + 1 => false; "more than the most")]
+#[test_case(MAX_DOCUMENT_BYTES => true; "the most")]
 fn how_large_a_document_may_be(bytes: usize) -> bool {
-    let mut world = World::new(1, 11, true);
-    world.put(0, &"x".repeat(bytes));
-    world.accepted == [1]
+    let mut replicas = TestReplicas::new(1, 11, true);
+    replicas.propose(0, &"x".repeat(bytes));
+    replicas.accepted == [1]
 }
 
 /// What makes no sense is counted and changes nothing.
 #[test]
 fn messages_without_sense_are_dropped() {
-    let mut world = World::new(3, 13, true);
-    world.put(0, "one");
-    world.heal(1_000);
-    let before = world.places[0].disk.clone();
+    let mut replicas = TestReplicas::new(3, 13, true);
+    replicas.propose(0, "one");
+    replicas.heal(1_000);
+    let before = replicas.replicas[0].disk.clone();
     let ballot = crate::register::Ballot {
         round: u64::MAX,
         by: 2,
@@ -480,21 +515,21 @@
         (9, Message::Prepare { ballot }),
         (1, Message::Prepare { ballot }),
     ] {
-        world.act(0, |register, now, effects| {
-            register.feed(now, from, message, effects)
+        replicas.act(0, |register, now, effects| {
+            register.handle_message(now, from, message, effects)
         });
     }
     let document = Rc::new(Document {
         version: 7,
-        text: "x".repeat(LARGEST + 1),
+        text: "x".repeat(MAX_DOCUMENT_BYTES + 1),
     });
-    world.act(0, |register, now, effects| {
-        register.feed(now, 2, Message::Accept { ballot, document }, effects);
+    replicas.act(0, |register, now, effects| {
+        register.handle_message(now, 2, Message::Accept { ballot, document }, effects);
     });
     assert_eq!(
         (
-            &world.places[0].disk,
-            world.places[0].register.as_ref().unwrap().malformed
+            &replicas.replicas[0].disk,
+            replicas.replicas[0].register.as_ref().unwrap().malformed
         ),
         (&before, 3)
     );
--- a/crates/cluster/src/simulated.rs
+++ b/crates/cluster/src/simulated.rs
@@ -12,9 +12,9 @@
 
 /// What happens to datagrams.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Way {
+pub struct Link {
     pub loss: f64,
-    pub twice: f64,
+    pub duplication: f64,
     pub delay: Nanos,
     /// Up to so much more, drawn for each.
     pub jitter: Nanos,
@@ -22,7 +22,7 @@
 
 /// What the decisions of a process were told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum Observed {
     FleetView(Option<FleetPosition>),
     WarmUpGranted {
         worker: WorkerId,
@@ -32,7 +32,7 @@
     Error(String),
 }
 
-pub struct Node {
+pub struct SimulatedMember {
     pub cluster: Cluster,
     cluster_config: ClusterConfig,
     /// Its clock: what it shows at the field's start, and how fast it runs.
@@ -41,12 +41,12 @@
     paused: Option<Nanos>,
     /// What came while it was paused.
     waiting: Vec<(SocketAddr, Vec<u8>)>,
-    pub heard: Vec<(Nanos, Heard)>,
+    pub observed: Vec<(Nanos, Observed)>,
     pub bytes: u64,
     pub datagrams: u64,
 }
 
-impl Node {
+impl SimulatedMember {
     /// Its own clock.
     pub fn local(&self, now: Nanos) -> Nanos {
         (self.offset + now as f64 * self.rate) as Nanos
@@ -63,54 +63,54 @@
     Due(usize),
 }
 
-pub struct Field {
+pub struct SimulatedCluster {
     pub now: Nanos,
-    pub nodes: Vec<Option<Node>>,
-    pub way: Way,
+    pub members: Vec<Option<SimulatedMember>>,
+    pub link: Link,
     /// How much more the way takes between two regions, of which there are three, by turns.
-    pub regions: Nanos,
+    pub inter_region_delay: Nanos,
     /// The groups that a split has made; datagrams pass only within one.
-    pub side: Vec<u32>,
+    pub partition: Vec<u32>,
     /// Directed pairs that are cut.
-    pub cut: Vec<(usize, usize)>,
+    pub cut_links: Vec<(usize, usize)>,
     addresses: std::collections::BTreeMap<SocketAddr, usize>,
     queue: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
-    serial: u64,
-    pub chance: Pcg,
+    last_event: u64,
+    pub rng: Pcg,
 }
 
 pub fn address(at: usize) -> SocketAddr {
     ([10, 0, (at / 250) as u8, (at % 250) as u8 + 1], 7946).into()
 }
 
-impl Field {
+impl SimulatedCluster {
     /// So many places; none runs yet.
     pub fn new(count: usize, seed: u64) -> Self {
-        Field {
+        SimulatedCluster {
             now: 0,
-            nodes: (0..count).map(|_| None).collect(),
-            way: Way {
+            members: (0..count).map(|_| None).collect(),
+            link: Link {
                 delay: MS / 2,
                 jitter: MS,
-                ..Way::default()
+                ..Link::default()
             },
-            regions: 0,
-            side: vec![0; count],
-            cut: Vec::new(),
+            inter_region_delay: 0,
+            partition: vec![0; count],
+            cut_links: Vec::new(),
             addresses: (0..count).map(|at| (address(at), at)).collect(),
             queue: BinaryHeap::new(),
-            serial: 0,
-            chance: Pcg::new(seed),
+            last_event: 0,
+            rng: Pcg::new(seed),
         }
     }
 
     pub fn below(&mut self, most: u64) -> u64 {
-        (self.chance.unit() * most as f64) as u64
+        (self.rng.unit() * most as f64) as u64
     }
 
     fn push(&mut self, at: Nanos, event: Event) {
-        self.serial += 1;
-        self.queue.push(Reverse((at, self.serial, event)));
+        self.last_event += 1;
+        self.queue.push(Reverse((at, self.last_event, event)));
     }
 
     pub fn config_of(&self, at: usize, keepers: usize) -> ClusterConfig {
@@ -118,7 +118,7 @@
             cluster: "field".to_string(),
             name: format!("n{at:04}"),
             listen: address(at),
-            seeds: (0..3.min(self.nodes.len())).map(address).collect(),
+            seeds: (0..3.min(self.members.len())).map(address).collect(),
             quorum: (0..keepers).map(|at| format!("n{at:04}")).collect(),
             relay: None,
             max_clock_skew: 0,
@@ -127,21 +127,21 @@
 
     /// Starts a process at a place; its clock is off by up to `skew` and by up to one in a hundred in speed.
     pub fn start(&mut self, at: usize, cluster_config: ClusterConfig, skew: Nanos) {
-        let offset = 1e18 + self.chance.unit() * skew as f64;
-        let rate = 1.0 + (self.chance.unit() - 0.5) * if skew > 0 { 0.018 } else { 0.0 };
+        let offset = 1e18 + self.rng.unit() * skew as f64;
+        let rate = 1.0 + (self.rng.unit() - 0.5) * if skew > 0 { 0.018 } else { 0.0 };
         let local = (offset + self.now as f64 * rate) as Nanos;
-        let seed = (self.chance.unit() * 1e18) as u64;
+        let seed = (self.rng.unit() * 1e18) as u64;
         let cluster = Cluster::new(&cluster_config, local, seed);
         let (paused, bytes, datagrams) = (None, 0, 0);
-        let (waiting, heard) = (Vec::new(), Vec::new());
-        self.nodes[at] = Some(Node {
+        let (waiting, observed) = (Vec::new(), Vec::new());
+        self.members[at] = Some(SimulatedMember {
             cluster,
             cluster_config,
             offset,
             rate,
             paused,
             waiting,
-            heard,
+            observed,
             bytes,
             datagrams,
         });
@@ -150,42 +150,42 @@
 
     /// Starts it again under its name, with nothing kept.
     pub fn restart(&mut self, at: usize, skew: Nanos) {
-        let cluster_config = self.nodes[at]
+        let cluster_config = self.members[at]
             .as_ref()
-            .map(|node| node.cluster_config.clone());
+            .map(|member| member.cluster_config.clone());
         let cluster_config = cluster_config.unwrap_or_else(|| self.config_of(at, 3));
         self.start(at, cluster_config, skew);
     }
 
     pub fn kill(&mut self, at: usize) {
-        self.nodes[at] = None;
+        self.members[at] = None;
     }
 
     pub fn leave(&mut self, at: usize) {
         let mut effects = Vec::new();
-        if let Some(node) = &mut self.nodes[at] {
-            node.cluster.leave(&mut effects);
+        if let Some(member) = &mut self.members[at] {
+            member.cluster.leave(&mut effects);
         }
-        self.carry(at, effects);
-        self.nodes[at] = None;
+        self.apply_effects(at, effects);
+        self.members[at] = None;
     }
 
     pub fn pause(&mut self, at: usize, until: Nanos) {
-        if let Some(node) = &mut self.nodes[at] {
-            node.paused = Some(until);
+        if let Some(member) = &mut self.members[at] {
+            member.paused = Some(until);
             self.push(until, Event::Due(at));
         }
     }
 
     pub fn paused(&self, at: usize) -> bool {
-        self.nodes[at]
+        self.members[at]
             .as_ref()
-            .is_some_and(|node| node.paused.is_some_and(|until| until > self.now))
+            .is_some_and(|member| member.paused.is_some_and(|until| until > self.now))
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.nodes.len())
-            .filter(|at| self.nodes[*at].is_some())
+        (0..self.members.len())
+            .filter(|at| self.members[*at].is_some())
             .collect()
     }
 
@@ -196,39 +196,40 @@
         }
         let now = self.now;
         let mut effects = Vec::new();
-        if let Some(node) = &mut self.nodes[at] {
-            let local = node.local(now);
-            act(&mut node.cluster, local, &mut effects);
+        if let Some(member) = &mut self.members[at] {
+            let local = member.local(now);
+            act(&mut member.cluster, local, &mut effects);
         }
-        self.carry(at, effects);
+        self.apply_effects(at, effects);
     }
 
-    fn carry(&mut self, at: usize, effects: Vec<Effect>) {
-        let (now, way) = (self.now, self.way);
+    fn apply_effects(&mut self, at: usize, effects: Vec<Effect>) {
+        let (now, link) = (self.now, self.link);
         for effect in effects {
-            let Some(node) = &mut self.nodes[at] else {
+            let Some(member) = &mut self.members[at] else {
                 return;
             };
             match effect {
                 Effect::Send { to, bytes } => {
-                    (node.bytes, node.datagrams) =
-                        (node.bytes + bytes.len() as u64, node.datagrams + 1);
-                    let from = node.cluster_config.listen;
+                    (member.bytes, member.datagrams) =
+                        (member.bytes + bytes.len() as u64, member.datagrams + 1);
+                    let from = member.cluster_config.listen;
                     let other = self.addresses.get(&to).copied();
                     let apart = other.is_none_or(|other| {
-                        self.side[other] != self.side[at] || self.cut.contains(&(at, other))
+                        self.partition[other] != self.partition[at]
+                            || self.cut_links.contains(&(at, other))
                     });
-                    if apart || self.chance.unit() < way.loss {
+                    if apart || self.rng.unit() < link.loss {
                         continue;
                     }
                     let far = if other.is_some_and(|other| other % 3 != at % 3) {
-                        self.regions
+                        self.inter_region_delay
                     } else {
                         0
                     };
-                    for _ in 0..1 + u64::from(self.chance.unit() < way.twice) {
+                    for _ in 0..1 + u64::from(self.rng.unit() < link.duplication) {
                         let late =
-                            far + way.delay + (self.chance.unit() * way.jitter as f64) as Nanos;
+                            far + link.delay + (self.rng.unit() * link.jitter as f64) as Nanos;
                         self.push(
                             now + late,
                             Event::Deliver {
@@ -239,28 +240,30 @@
                         );
                     }
                 }
-                Effect::FleetView(view) => node.heard.push((now, Heard::FleetView(view))),
+                Effect::FleetView(view) => member.observed.push((now, Observed::FleetView(view))),
                 Effect::WarmUpGranted {
                     worker,
                     work,
                     until,
                 } => {
-                    node.heard.push((
+                    member.observed.push((
                         now,
-                        Heard::WarmUpGranted {
+                        Observed::WarmUpGranted {
                             worker,
                             work,
                             until,
                         },
                     ));
                 }
-                Effect::Log(LogLine::Error(text)) => node.heard.push((now, Heard::Error(text))),
+                Effect::Log(LogLine::Error(text)) => {
+                    member.observed.push((now, Observed::Error(text)))
+                }
                 Effect::Log(LogLine::Info(_)) | Effect::PeerLoad { .. } => {}
             }
         }
-        if let Some(node) = &self.nodes[at] {
-            let next = node.cluster.next_due();
-            let wait = next.saturating_sub(node.local(now)) as f64 / node.rate;
+        if let Some(member) = &self.members[at] {
+            let next = member.cluster.next_timeout();
+            let wait = next.saturating_sub(member.local(now)) as f64 / member.rate;
             self.push(now + wait as Nanos + 1_000, Event::Due(at));
         }
     }
@@ -282,33 +285,37 @@
                         continue;
                     };
                     let paused = self.paused(at);
-                    if let Some(node) = &mut self.nodes[at].as_mut().filter(|_| paused) {
+                    if let Some(member) = &mut self.members[at].as_mut().filter(|_| paused) {
                         // A socket's buffer holds so many.
-                        if node.waiting.len() < 200 {
-                            node.waiting.push((from, bytes));
+                        if member.waiting.len() < 200 {
+                            member.waiting.push((from, bytes));
                         }
                         continue;
                     }
                     self.act(at, |cluster, now, effects| {
-                        cluster.feed(now, from, &bytes, effects)
+                        cluster.handle_datagram(now, from, &bytes, effects)
                     });
                 }
                 Event::Due(at) => {
-                    if self.paused(at) || self.nodes[at].is_none() {
+                    if self.paused(at) || self.members[at].is_none() {
                         continue;
                     }
-                    let waiting = self.nodes[at].as_mut().map(|node| {
-                        node.paused = None;
-                        std::mem::take(&mut node.waiting)
+                    let waiting = self.members[at].as_mut().map(|member| {
+                        member.paused = None;
+                        std::mem::take(&mut member.waiting)
                     });
                     for (from, bytes) in waiting.into_iter().flatten() {
                         self.act(at, |cluster, now, effects| {
-                            cluster.feed(now, from, &bytes, effects)
+                            cluster.handle_datagram(now, from, &bytes, effects)
                         });
                     }
-                    let due = |node: &Node| node.cluster.next_due() <= node.local(self.now);
-                    if self.nodes[at].as_ref().is_some_and(due) {
-                        self.act(at, |cluster, now, effects| cluster.due(now, effects));
+                    let due = |member: &SimulatedMember| {
+                        member.cluster.next_timeout() <= member.local(self.now)
+                    };
+                    if self.members[at].as_ref().is_some_and(due) {
+                        self.act(at, |cluster, now, effects| {
+                            cluster.handle_timeout(now, effects)
+                        });
                     }
                 }
             }
@@ -320,7 +327,9 @@
     pub fn agree(&self, who: &[usize]) -> bool {
         let mut ranks: Vec<u16> = Vec::new();
         for at in who {
-            let Some(Some(position)) = self.nodes[*at].as_ref().map(|node| node.cluster.view())
+            let Some(Some(position)) = self.members[*at]
+                .as_ref()
+                .map(|member| member.cluster.view())
             else {
                 return false;
             };
@@ -331,16 +340,16 @@
         }
         ranks.sort_unstable();
         let digest = |at: &usize| {
-            self.nodes[*at]
+            self.members[*at]
                 .as_ref()
-                .map(|node| node.cluster.members().digest())
+                .map(|member| member.cluster.membership().digest())
         };
         ranks.into_iter().eq(0..who.len() as u16)
             && who.iter().all(|at| digest(at) == digest(&who[0]))
     }
 
     /// Plays on until they agree: after how long, if within the limit.
-    pub fn until_agreed(&mut self, who: &[usize], within: Nanos) -> Option<Nanos> {
+    pub fn run_until_agreed(&mut self, who: &[usize], within: Nanos) -> Option<Nanos> {
         let from = self.now;
         while self.now < from + within {
             self.run(self.now + 20 * MS);
--- a/crates/cluster/src/simulated_tests.rs
+++ b/crates/cluster/src/simulated_tests.rs
@@ -1,5 +1,5 @@
 //! Many processes' machines together, with faults between them.
-use crate::simulated::{Field, Heard, MS, Way};
+use crate::simulated::{Link, MS, Observed, SimulatedCluster};
 use rosewall::pcg::Pcg;
 use rosewall::types::{Nanos, WorkerId};
 use std::collections::VecDeque;
@@ -8,19 +8,19 @@
 const SECOND: Nanos = 1_000 * MS;
 
 /// So many started together, and agreed.
-fn started(count: usize, seed: u64) -> Field {
-    let mut field = Field::new(count, seed);
+fn started(count: usize, seed: u64) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(count, seed);
     for at in 0..count {
-        let cluster_config = field.config_of(at, 3);
-        field.start(at, cluster_config, 0);
+        let cluster_config = cluster.config_of(at, 3);
+        cluster.start(at, cluster_config, 0);
     }
     let all: Vec<usize> = (0..count).collect();
-    field
-        .until_agreed(&all, 40 * SECOND)
+    cluster
+        .run_until_agreed(&all, 40 * SECOND)
         .expect("they never agreed");
     // Until ranks are claimed.
-    field.run(field.now + 2 * SECOND);
-    field
+    cluster.run(cluster.now + 2 * SECOND);
+    cluster
 }
 
 #[test_case(5, 1; "five")]
@@ -28,11 +28,11 @@
 #[test_case(24, 1; "one of twenty-four")]
 fn after_a_kill_all_that_are_left_agree_within_three_seconds(count: usize, killed: usize) {
     for seed in 0..10 {
-        let mut field = started(count, seed);
-        (0..killed).for_each(|at| field.kill(2 * at));
-        let left = field.running();
-        let took = field
-            .until_agreed(&left, 10 * SECOND)
+        let mut cluster = started(count, seed);
+        (0..killed).for_each(|at| cluster.kill(2 * at));
+        let left = cluster.running();
+        let took = cluster
+            .run_until_agreed(&left, 10 * SECOND)
             .expect("the living never agreed");
         println!("{count}-{killed}: {} ms", took / MS);
         assert!(took <= 3 * SECOND, "seed {seed}: {} ms", took / MS);
@@ -42,38 +42,38 @@
 /// So many, in three regions that lie so far apart one way: datagrams of each a second while nothing happens, how many are
 /// suspected after one has died, and how long until all agree.
 fn among_regions(count: usize, far: Nanos, seed: u64) -> (f64, u64, Nanos) {
-    let mut field = Field::new(count, seed);
-    field.regions = far;
+    let mut cluster = SimulatedCluster::new(count, seed);
+    cluster.inter_region_delay = far;
     for at in 0..count {
-        let cluster_config = field.config_of(at, 3);
-        field.start(at, cluster_config, 0);
+        let cluster_config = cluster.config_of(at, 3);
+        cluster.start(at, cluster_config, 0);
     }
-    let all = field.running();
-    field
-        .until_agreed(&all, 60 * SECOND)
+    let all = cluster.running();
+    cluster
+        .run_until_agreed(&all, 60 * SECOND)
         .expect("they never agreed");
-    field.run(field.now + 5 * SECOND);
-    let of = |field: &Field| {
-        field
-            .nodes
+    cluster.run(cluster.now + 5 * SECOND);
+    let of = |cluster: &SimulatedCluster| {
+        cluster
+            .members
             .iter()
             .flatten()
-            .map(|node| node.datagrams)
+            .map(|member| member.datagrams)
             .sum::<u64>()
     };
-    let before = of(&field);
-    field.run(field.now + 10 * SECOND);
-    let datagrams = (of(&field) - before) as f64 / 10.0 / count as f64;
-    field.kill(count - 1);
-    let left = field.running();
-    let took = field
-        .until_agreed(&left, 20 * SECOND)
+    let before = of(&cluster);
+    cluster.run(cluster.now + 10 * SECOND);
+    let datagrams = (of(&cluster) - before) as f64 / 10.0 / count as f64;
+    cluster.kill(count - 1);
+    let left = cluster.running();
+    let took = cluster
+        .run_until_agreed(&left, 20 * SECOND)
         .expect("the living never agreed");
-    let refuted = field
-        .nodes
+    let refuted = cluster
+        .members
         .iter()
         .flatten()
-        .map(|node| node.cluster.members().counts.refuted)
+        .map(|member| member.cluster.membership().counts.refuted)
         .sum();
     (datagrams, refuted, took)
 }
@@ -104,32 +104,38 @@
 fn none_that_lives_is_held_dead_for_more_than_a_refutation_at_a_fifth_lost_and_pauses() {
     let (mut died, mut longest) = (0, 0);
     for seed in 0..8 {
-        let mut field = started(24, seed);
-        field.way = Way {
+        let mut cluster = started(24, seed);
+        cluster.link = Link {
             loss: 0.2,
             delay: MS,
             jitter: 20 * MS,
-            twice: 0.05,
+            duplication: 0.05,
         };
         let mut since = [None; 24];
         for step in 0..1_500 {
             if step % 25 == 0 {
-                let one = field.below(24) as usize;
-                field.pause(one, field.now + 300 * MS);
+                let one = cluster.below(24) as usize;
+                cluster.pause(one, cluster.now + 300 * MS);
             }
-            field.run(field.now + 20 * MS);
+            cluster.run(cluster.now + 20 * MS);
             for (at, since) in since.iter_mut().enumerate() {
-                let lacks = field.nodes[at].as_ref().unwrap().cluster.members().count() < 24;
-                let from: Nanos = *since.get_or_insert(field.now);
-                longest = longest.max(if lacks { field.now - from } else { 0 });
+                let lacks = cluster.members[at]
+                    .as_ref()
+                    .unwrap()
+                    .cluster
+                    .membership()
+                    .count()
+                    < 24;
+                let from: Nanos = *since.get_or_insert(cluster.now);
+                longest = longest.max(if lacks { cluster.now - from } else { 0 });
                 *since = since.filter(|_| lacks);
             }
         }
-        died += field
-            .nodes
+        died += cluster
+            .members
             .iter()
             .flatten()
-            .map(|node| node.cluster.members().counts.died)
+            .map(|member| member.cluster.membership().counts.died)
             .sum::<u64>();
     }
     println!(
@@ -146,16 +152,16 @@
 
 #[test]
 fn a_paused_one_is_dropped_and_comes_back_as_it_wakes() {
-    let mut field = started(8, 3);
-    field.pause(2, field.now + 10 * SECOND);
+    let mut cluster = started(8, 3);
+    cluster.pause(2, cluster.now + 10 * SECOND);
     let others: Vec<usize> = (0..8).filter(|at| *at != 2).collect();
-    field
-        .until_agreed(&others, 4 * SECOND)
+    cluster
+        .run_until_agreed(&others, 4 * SECOND)
         .expect("the paused one was never dropped");
-    field.run(field.now + 8 * SECOND);
-    let all = field.running();
-    field
-        .until_agreed(&all, 4 * SECOND)
+    cluster.run(cluster.now + 8 * SECOND);
+    let all = cluster.running();
+    cluster
+        .run_until_agreed(&all, 4 * SECOND)
         .expect("it never came back");
 }
 
@@ -163,39 +169,39 @@
 #[test]
 fn one_that_wakes_suspects_no_one() {
     for seed in 0..20 {
-        let mut field = started(8, seed);
-        field.side[2] = 1;
-        field.run(field.now + 100 * MS);
-        field.pause(2, field.now + 700 * MS);
-        let suspected = |field: &Field| {
-            field.nodes[2]
+        let mut cluster = started(8, seed);
+        cluster.partition[2] = 1;
+        cluster.run(cluster.now + 100 * MS);
+        cluster.pause(2, cluster.now + 700 * MS);
+        let suspected = |cluster: &SimulatedCluster| {
+            cluster.members[2]
                 .as_ref()
                 .unwrap()
                 .cluster
-                .members()
+                .membership()
                 .counts
                 .suspected
         };
-        let before = suspected(&field);
-        field.run(field.now + 690 * MS);
-        field.side[2] = 0;
-        field.run(field.now + 60 * MS);
-        assert_eq!(suspected(&field), before, "seed {seed}");
+        let before = suspected(&cluster);
+        cluster.run(cluster.now + 690 * MS);
+        cluster.partition[2] = 0;
+        cluster.run(cluster.now + 60 * MS);
+        assert_eq!(suspected(&cluster), before, "seed {seed}");
     }
 }
 
 #[test]
 fn a_split_heals() {
     for seed in 0..5 {
-        let mut field = started(12, seed);
-        (0..5).for_each(|at| field.side[at] = 1);
-        field.run(field.now + 8 * SECOND);
+        let mut cluster = started(12, seed);
+        (0..5).for_each(|at| cluster.partition[at] = 1);
+        cluster.run(cluster.now + 8 * SECOND);
         let small: Vec<usize> = (0..5).collect();
-        assert!(field.agree(&small), "each side is a cluster of its own");
-        field.side.fill(0);
-        let all = field.running();
-        let took = field
-            .until_agreed(&all, 15 * SECOND)
+        assert!(cluster.agree(&small), "each side is a cluster of its own");
+        cluster.partition.fill(0);
+        let all = cluster.running();
+        let took = cluster
+            .run_until_agreed(&all, 15 * SECOND)
             .expect("they never came together again");
         assert!(took <= 8 * SECOND, "{} ms", took / MS);
     }
@@ -204,13 +210,13 @@
 /// Deaf: it hears nothing and is heard. Others answer it, see no answers to their probes, and drop it.
 #[test]
 fn one_that_is_deaf_is_dropped_and_does_not_bring_others_down() {
-    let mut field = started(8, 4);
-    field.cut = (0..8).filter(|at| *at != 3).map(|at| (at, 3)).collect();
-    field.run(field.now + 10 * SECOND);
+    let mut cluster = started(8, 4);
+    cluster.cut_links = (0..8).filter(|at| *at != 3).map(|at| (at, 3)).collect();
+    cluster.run(cluster.now + 10 * SECOND);
     let others: Vec<usize> = (0..8).filter(|at| *at != 3).collect();
     let views: Vec<_> = others
         .iter()
-        .map(|at| field.nodes[*at].as_ref().unwrap().cluster.view())
+        .map(|at| cluster.members[*at].as_ref().unwrap().cluster.view())
         .collect();
     assert!(
         views
@@ -218,36 +224,36 @@
             .all(|view| view.is_some_and(|view| view.dispatchers >= 7)),
         "{views:?}"
     );
-    field.cut.clear();
-    let all = field.running();
-    field
-        .until_agreed(&all, 10 * SECOND)
+    cluster.cut_links.clear();
+    let all = cluster.running();
+    cluster
+        .run_until_agreed(&all, 10 * SECOND)
         .expect("it never came back");
 }
 
 #[test]
 fn two_of_one_name_are_told_and_the_older_stands_aside() {
-    let mut field = Field::new(5, 1);
+    let mut cluster = SimulatedCluster::new(5, 1);
     for at in 0..4 {
-        let cluster_config = field.config_of(at, 3);
-        field.start(at, cluster_config, 0);
+        let cluster_config = cluster.config_of(at, 3);
+        cluster.start(at, cluster_config, 0);
     }
-    field.run(5 * SECOND);
-    let mut cluster_config = field.config_of(4, 3);
+    cluster.run(5 * SECOND);
+    let mut cluster_config = cluster.config_of(4, 3);
     cluster_config.name = "n0001".to_string();
-    field.start(4, cluster_config, 0);
-    field.run(10 * SECOND);
-    let errors = |at: usize, field: &Field| {
-        let heard = &field.nodes[at].as_ref().unwrap().heard;
-        heard
+    cluster.start(4, cluster_config, 0);
+    cluster.run(10 * SECOND);
+    let errors = |at: usize, cluster: &SimulatedCluster| {
+        let observed = &cluster.members[at].as_ref().unwrap().observed;
+        observed
             .iter()
-            .filter(|(_, heard)| matches!(heard, Heard::Error(text) if text.contains("RW-CLUSTER-TWICE")))
+            .filter(|(_, observed)| matches!(observed, Observed::Error(text) if text.contains("RW-CLUSTER-TWICE")))
             .count()
     };
-    assert_eq!((errors(1, &field), errors(4, &field)), (1, 0));
-    assert_eq!(field.nodes[1].as_ref().unwrap().cluster.view(), None);
+    assert_eq!((errors(1, &cluster), errors(4, &cluster)), (1, 0));
+    assert_eq!(cluster.members[1].as_ref().unwrap().cluster.view(), None);
     assert_eq!(
-        field.nodes[4]
+        cluster.members[4]
             .as_ref()
             .unwrap()
             .cluster
@@ -255,26 +261,26 @@
             .map(|view| view.dispatchers),
         Some(4)
     );
-    field.kill(4);
-    field.run(30 * SECOND);
+    cluster.kill(4);
+    cluster.run(30 * SECOND);
     assert!(
-        field.agree(&[0, 1, 2, 3]),
+        cluster.agree(&[0, 1, 2, 3]),
         "the older one is a member again"
     );
 }
 
 #[test]
 fn clusters_of_other_names_never_merge() {
-    let mut field = Field::new(6, 1);
+    let mut cluster = SimulatedCluster::new(6, 1);
     for at in 0..6 {
-        let mut cluster_config = field.config_of(at, 3);
+        let mut cluster_config = cluster.config_of(at, 3);
         cluster_config.cluster = ["one", "other"][at % 2].to_string();
-        field.start(at, cluster_config, 0);
+        cluster.start(at, cluster_config, 0);
     }
-    field.run(15 * SECOND);
-    assert!(field.agree(&[0, 2, 4]));
+    cluster.run(15 * SECOND);
+    assert!(cluster.agree(&[0, 2, 4]));
     assert!(
-        field.nodes[0]
+        cluster.members[0]
             .as_ref()
             .unwrap()
             .cluster
@@ -286,20 +292,20 @@
 
 #[test]
 fn another_at_an_address_used_before_is_not_taken_for_the_one_that_was_there() {
-    let mut field = started(6, 2);
-    let mut cluster_config = field.config_of(3, 3);
+    let mut cluster = started(6, 2);
+    let mut cluster_config = cluster.config_of(3, 3);
     cluster_config.name = "other".to_string();
-    field.start(3, cluster_config, 0);
-    let all = field.running();
-    field
-        .until_agreed(&all, 6 * SECOND)
+    cluster.start(3, cluster_config, 0);
+    let all = cluster.running();
+    cluster
+        .run_until_agreed(&all, 6 * SECOND)
         .expect("the old name lives on");
     assert!(
-        field.nodes[0]
+        cluster.members[0]
             .as_ref()
             .unwrap()
             .cluster
-            .members()
+            .membership()
             .get("other")
             .is_some()
     );
@@ -307,11 +313,11 @@
 
 #[test]
 fn one_that_leaves_is_gone_at_once() {
-    let mut field = started(12, 5);
-    field.leave(7);
-    let left = field.running();
-    let took = field
-        .until_agreed(&left, 3 * SECOND)
+    let mut cluster = started(12, 5);
+    cluster.leave(7);
+    let left = cluster.running();
+    let took = cluster
+        .run_until_agreed(&left, 3 * SECOND)
         .expect("it is still there");
     assert!(took <= 500 * MS, "{} ms", took / MS);
 }
@@ -319,11 +325,11 @@
 /// Guards against a process that, on its way out, turns round and round for what is long due (found by the virtual world).
 #[test]
 fn one_that_leaves_has_nothing_due_any_more() {
-    let mut field = started(3, 1);
-    field.act(1, |cluster, now, effects| {
+    let mut cluster = started(3, 1);
+    cluster.act(1, |cluster, now, effects| {
         cluster.leave(effects);
-        cluster.due(now + SECOND, effects);
-        assert!(cluster.next_due() > now + 3_600 * SECOND);
+        cluster.handle_timeout(now + SECOND, effects);
+        assert!(cluster.next_timeout() > now + 3_600 * SECOND);
     });
 }
 
@@ -333,23 +339,23 @@
 #[test_case(300 => ignore["by command"]; "three hundred")]
 #[test_case(1000 => ignore["by command"]; "a thousand")]
 fn bytes_a_member_stay_flat(count: usize) {
-    let mut field = started(count, 1);
-    let bytes = |field: &Field| {
-        field
-            .nodes
+    let mut cluster = started(count, 1);
+    let bytes = |cluster: &SimulatedCluster| {
+        cluster
+            .members
             .iter()
             .flatten()
-            .map(|node| node.bytes)
+            .map(|member| member.bytes)
             .sum::<u64>()
     };
-    let before = bytes(&field);
-    field.run(field.now + 10 * SECOND);
-    let each = (bytes(&field) - before) / 10 / count as u64;
+    let before = bytes(&cluster);
+    cluster.run(cluster.now + 10 * SECOND);
+    let each = (bytes(&cluster) - before) / 10 / count as u64;
     let killed = count / 10;
-    (0..killed).for_each(|at| field.kill(3 + at));
-    let left = field.running();
-    let took = field
-        .until_agreed(&left, 30 * SECOND)
+    (0..killed).for_each(|at| cluster.kill(3 + at));
+    let left = cluster.running();
+    let took = cluster
+        .run_until_agreed(&left, 30 * SECOND)
         .expect("they never agreed");
     println!(
         "{count}: {each} bytes a second and member; {killed} killed at once: agreed after {} ms",
@@ -370,17 +376,17 @@
 /// apart. However that falls, in no window is more spent than all together may. Gives the most of any window and how
 /// much was spent in all.
 fn spent(seed: u64, seconds: u64) -> (Nanos, Nanos) {
-    let mut field = Field::new(8, seed);
+    let mut cluster = SimulatedCluster::new(8, seed);
     let mut draw = Pcg::new(seed ^ 0xabcd);
     let mut below = move |most: u64| (draw.unit() * most as f64) as u64;
     let skew = [0, 5 * SECOND][below(2) as usize];
     for at in 0..8 {
-        let cluster_config = field.config_of(at, 3);
-        field.start(at, cluster_config, skew);
+        let cluster_config = cluster.config_of(at, 3);
+        cluster.start(at, cluster_config, skew);
     }
-    field.way = Way {
+    cluster.link = Link {
         loss: [0.0, 0.05, 0.2][below(3) as usize],
-        twice: [0.0, 0.3][below(2) as usize],
+        duplication: [0.0, 0.3][below(2) as usize],
         delay: MS / 2,
         jitter: [MS, 100 * MS, 800 * MS][below(3) as usize],
     };
@@ -389,35 +395,37 @@
     let mut starts = [0; 8];
     let mut held: Vec<(usize, u32, Nanos, Nanos)> = Vec::new();
     let end = seconds * SECOND;
-    while field.now < end {
-        let now = field.now;
+    while cluster.now < end {
+        let now = cluster.now;
         for at in 0..8 {
-            field.act(at, |cluster, now, effects| {
+            cluster.act(at, |cluster, now, effects| {
                 cluster.set_warm_up_budget(W, JOINT, WINDOW);
                 // Now and then the decisions find that it is cold no more, and then another.
                 cluster.request_grant(now, W, (30 + now % 170) * MS, effects);
             });
-            if let Some(node) = &field.nodes[at] {
-                for (_, heard) in &node.heard[seen[at]..] {
-                    if let Heard::WarmUpGranted { work, until, .. } = heard {
+            if let Some(member) = &cluster.members[at] {
+                for (_, observed) in &member.observed[seen[at]..] {
+                    if let Observed::WarmUpGranted { work, until, .. } = observed {
                         held.push((at, starts[at], *work, *until));
                     }
                 }
-                seen[at] = node.heard.len();
+                seen[at] = member.observed.len();
             }
         }
         // Spent at the last moment, or at any.
         let late = below(2) == 0;
         let mut kept = Vec::new();
         for (at, start, work, until) in held.drain(..) {
-            let running = field.nodes[at]
+            let running = cluster.members[at]
                 .as_ref()
-                .filter(|_| starts[at] == start && !field.paused(at));
+                .filter(|_| starts[at] == start && !cluster.paused(at));
             match running {
                 _ if starts[at] != start => {}
                 None => kept.push((at, start, work, until)),
-                Some(node) if node.local(now) >= until => {}
-                Some(node) if node.local(now + 25 * MS) >= until || (!late && below(3) == 0) => {
+                Some(member) if member.local(now) >= until => {}
+                Some(member)
+                    if member.local(now + 25 * MS) >= until || (!late && below(3) == 0) =>
+                {
                     spent.push((now, work));
                 }
                 Some(_) => kept.push((at, start, work, until)),
@@ -427,29 +435,29 @@
         match below(160) {
             0 => {
                 let at = below(8) as usize;
-                field.pause(at, now + (100 + below(4_000)) * MS);
+                cluster.pause(at, now + (100 + below(4_000)) * MS);
             }
             1 => {
                 let at = below(8) as usize;
-                field.kill(at);
+                cluster.kill(at);
             }
             // A keeper above all.
             2 | 3 => {
                 let at = below(4) as usize;
-                field.restart(at, skew);
+                cluster.restart(at, skew);
                 (seen[at], starts[at]) = (0, starts[at] + 1);
             }
-            4 => (0..8).for_each(|at| field.side[at] = below(2) as u32),
-            5 | 6 => field.side.fill(0),
+            4 => (0..8).for_each(|at| cluster.partition[at] = below(2) as u32),
+            5 | 6 => cluster.partition.fill(0),
             _ => {}
         }
         for at in 0..8 {
-            if field.nodes[at].is_none() && below(100) == 0 {
-                field.restart(at, skew);
+            if cluster.members[at].is_none() && below(100) == 0 {
+                cluster.restart(at, skew);
                 (seen[at], starts[at]) = (0, starts[at] + 1);
             }
         }
-        field.run(now + 20 * MS);
+        cluster.run(now + 20 * MS);
     }
     let (mut window, mut sum, mut most) = (VecDeque::new(), 0, 0);
     for (at, work) in &spent {
@@ -504,23 +512,23 @@
 
 #[test]
 fn with_nothing_in_the_way_most_of_what_may_be_sent_is() {
-    let mut field = started(8, 1);
-    field.run(field.now + 5 * SECOND);
+    let mut cluster = started(8, 1);
+    cluster.run(cluster.now + 5 * SECOND);
     let mut got = 0;
     for _ in 0..500 {
         for at in 0..8 {
-            field.act(at, |cluster, now, effects| {
+            cluster.act(at, |cluster, now, effects| {
                 cluster.set_warm_up_budget(W, JOINT, WINDOW);
                 cluster.request_grant(now, W, 60 * MS, effects);
             });
         }
-        field.run(field.now + 20 * MS);
+        cluster.run(cluster.now + 20 * MS);
     }
-    for node in field.nodes.iter().flatten() {
-        got += node
-            .heard
+    for member in cluster.members.iter().flatten() {
+        got += member
+            .observed
             .iter()
-            .filter(|(_, heard)| matches!(heard, Heard::WarmUpGranted { .. }))
+            .filter(|(_, observed)| matches!(observed, Observed::WarmUpGranted { .. }))
             .count() as u64
             * 60
             * MS;
@@ -536,13 +544,13 @@
 /// Half dead for good, the first keeper among them: rights go on after a lease and a window.
 #[test]
 fn rights_go_on_where_half_are_dead() {
-    let mut field = started(8, 1);
-    field.run(field.now + 5 * SECOND);
-    [0, 3, 4, 5].iter().for_each(|at| field.kill(*at));
-    field.run(field.now + 8 * SECOND);
+    let mut cluster = started(8, 1);
+    cluster.run(cluster.now + 5 * SECOND);
+    [0, 3, 4, 5].iter().for_each(|at| cluster.kill(*at));
+    cluster.run(cluster.now + 8 * SECOND);
     let gives = |at: &usize| {
-        let node = field.nodes[*at].as_ref().unwrap();
-        node.cluster.gives(node.local(field.now))
+        let member = cluster.members[*at].as_ref().unwrap();
+        member.cluster.issues_grants(member.local(cluster.now))
     };
     assert_eq!([1, 2, 6, 7].iter().filter(|at| gives(at)).count(), 1);
 }
@@ -567,7 +575,7 @@
                 none_that_lives_is_held_dead_for_more_than_a_refutation_at_a_fifth_lost_and_pauses(
                 );
                 let believed = crate::tests::what_is_believed_of_an_old_incarnation(2);
-                assert_eq!(believed, crate::datagram::Standing::Alive);
+                assert_eq!(believed, crate::datagram::MemberState::Alive);
             }
             Mutation::WrongRank => after_a_kill_all_that_are_left_agree_within_three_seconds(5, 1),
             Mutation::UnboundedSilenceReports => crate::tests::one_members_word_empties_no_fleet(),
--- a/crates/cluster/src/tests.rs
+++ b/crates/cluster/src/tests.rs
@@ -1,10 +1,12 @@
 //! The parts by themselves.
 use crate::config::{nearest, parse};
-use crate::datagram::{self, Datagram, Draft, Fault, NONE, Name, Part, Record, Standing};
+use crate::datagram::{
+    self, Datagram, DatagramEncoder, DecodeError, MemberRecord, MemberState, NO_RANK, Name, Part,
+};
 use crate::error::ClusterError;
 use crate::grants::GrantIssuer;
-use crate::lease::{Candidate, Keeper, SPAN};
-use crate::membership::Members;
+use crate::lease::{LEASE_DURATION, LeaseCandidate, LeaseVoter};
+use crate::membership::Membership;
 use crate::peer_load::{LoadReceiver, LoadSender};
 use crate::ranks::ranks;
 use proptest::prelude::*;
@@ -14,16 +16,16 @@
 
 const MS: u64 = 1_000_000;
 
-fn record(name: &str) -> Record {
-    Record {
+fn record(name: &str) -> MemberRecord {
+    MemberRecord {
         name: name.into(),
         addr: ([10, 0, 0, 1], 7946).into(),
         start: 7,
         incarnation: 3,
-        standing: Standing::Suspect,
-        claim: 2,
-        gives: true,
-        by: 9,
+        state: MemberState::Suspect,
+        claimed_rank: 2,
+        issues_grants: true,
+        suspected_by: 9,
     }
 }
 
@@ -50,20 +52,20 @@
         },
         Part::Ack { seq: 2 },
         Part::Nack { seq: 3 },
-        Part::PingFor {
+        Part::IndirectPing {
             seq: 4,
             to: name,
             addr,
         },
         Part::Record(record("b")),
         Part::Digest { hash: 5, count: 6 },
-        Part::Page { from: 7 },
-        Part::Lease { seq: 8 },
-        Part::Promise {
+        Part::PageRequest { from: 7 },
+        Part::LeaseRequest { seq: 8 },
+        Part::LeaseVote {
             seq: 9,
             given: true,
         },
-        Part::Want {
+        Part::GrantRequest {
             seq: 10,
             worker: worker(2),
             work: 11,
@@ -76,7 +78,7 @@
         },
         Part::PeerLoad { load, age: 15 },
     ];
-    let mut draft = Draft::new(77, &record("a"));
+    let mut draft = DatagramEncoder::new(77, &record("a"));
     assert!(parts.iter().all(|part| draft.add(part)));
     let bytes = draft.done();
     assert_eq!(
@@ -86,19 +88,19 @@
             parts
         })
     );
-    assert_eq!(datagram::read(78, &bytes), Err(Fault::Cluster));
+    assert_eq!(datagram::read(78, &bytes), Err(DecodeError::Cluster));
     let mut other = bytes.clone();
     other[2] = 2;
-    assert_eq!(datagram::read(77, &other), Err(Fault::Version(2)));
+    assert_eq!(datagram::read(77, &other), Err(DecodeError::Version(2)));
     assert_eq!(
         datagram::read(77, &bytes[..bytes.len() - 1]),
-        Err(Fault::Part)
+        Err(DecodeError::Part)
     );
 }
 
 #[test]
 fn a_part_that_is_not_known_is_passed_over() {
-    let mut bytes = Draft::new(1, &record("a")).done();
+    let mut bytes = DatagramEncoder::new(1, &record("a")).done();
     bytes.extend([200, 3, 1, 2, 3, 2, 4, 0, 0, 0, 9]);
     assert_eq!(
         datagram::read(1, &bytes).unwrap().parts,
@@ -108,13 +110,14 @@
 
 #[test]
 fn no_datagram_is_longer_than_the_most() {
-    let mut draft = Draft::new(1, &record("a"));
+    let mut draft = DatagramEncoder::new(1, &record("a"));
     let added = (0..200)
         .filter(|_| draft.add(&Part::Record(record("some-name"))))
         .count();
     let length = draft.done().len();
     assert!(
-        (datagram::MOST - 60..=datagram::MOST).contains(&length) && added > 20,
+        (datagram::MAX_DATAGRAM_BYTES - 60..=datagram::MAX_DATAGRAM_BYTES).contains(&length)
+            && added > 20,
         "{length} {added}"
     );
 }
@@ -123,7 +126,7 @@
     #[test]
     fn mangled_datagrams_are_dropped_or_read(mut bytes in prop::collection::vec(any::<u8>(), 0..200), whole in any::<bool>()) {
         if whole {
-            let mut draft = Draft::new(1, &record("a")).done();
+            let mut draft = DatagramEncoder::new(1, &record("a")).done();
             draft.append(&mut bytes);
             bytes = draft;
         }
@@ -135,7 +138,7 @@
     fn one_more_or_less_moves_one_other_at_most(count in 1_usize..60, gone in 0_usize..60, claims in prop::collection::vec(0_u16..70, 60)) {
         let name = |at: usize| Name::from(format!("n{at:03}"));
         // Whatever they claim at first, once each has claimed its rank they are settled.
-        let mut all: Vec<(Name, u16)> = (0..count).map(|at| (name(at), if claims[at] > 60 { NONE } else { claims[at] })).collect();
+        let mut all: Vec<(Name, u16)> = (0..count).map(|at| (name(at), if claims[at] > 60 { NO_RANK } else { claims[at] })).collect();
         let settled = ranks(&all);
         let mut sorted = settled.clone();
         sorted.sort_unstable();
@@ -147,9 +150,9 @@
         let moved = ranks(&less).iter().zip(&less).filter(|(rank, (_, claim))| **rank != *claim).count();
         prop_assert!(moved <= 1);
         let mut more = all.clone();
-        more.insert(gone % count, (Name::from(format!("n{:03}x", gone % count)), NONE));
+        more.insert(gone % count, (Name::from(format!("n{:03}x", gone % count)), NO_RANK));
         more.sort();
-        let moved = ranks(&more).iter().zip(&more).filter(|(rank, (_, claim))| *claim != NONE && **rank != *claim).count();
+        let moved = ranks(&more).iter().zip(&more).filter(|(rank, (_, claim))| *claim != NO_RANK && **rank != *claim).count();
         prop_assert_eq!(moved, 0);
     }
 }
@@ -159,35 +162,39 @@
 #[test]
 pub fn a_lease_has_one_holder() {
     let (a, b): (Name, Name) = ("a".into(), "b".into());
-    let mut candidate = Candidate::default();
-    let seq = candidate.begin(0, true).unwrap();
-    candidate.promise(MS, seq, &a, 3);
+    let mut candidate = LeaseCandidate::default();
+    let seq = candidate.start_round(0, true).unwrap();
+    candidate.handle_vote(MS, seq, &a, 3);
     assert!(!candidate.holds(MS));
     // An answer that was long on its way makes no longer lease.
-    candidate.promise(SPAN / 2, seq, &b, 3);
-    assert!(candidate.holds(SPAN / 2) && !candidate.holds(SPAN));
-    let mut keeper = Keeper::new(0);
-    assert!(!keeper.ask(MS, &a, 1) && !keeper.ask(SPAN, &a, 1));
+    candidate.handle_vote(LEASE_DURATION / 2, seq, &b, 3);
+    assert!(candidate.holds(LEASE_DURATION / 2) && !candidate.holds(LEASE_DURATION));
+    let mut voter = LeaseVoter::new(0);
+    assert!(!voter.request(MS, &a, 1) && !voter.request(LEASE_DURATION, &a, 1));
     assert!(
-        keeper.ask(2 * SPAN, &a, 1)
-            && !keeper.ask(2 * SPAN + MS, &b, 1)
-            && keeper.ask(3 * SPAN, &a, 1)
+        voter.request(2 * LEASE_DURATION, &a, 1)
+            && !voter.request(2 * LEASE_DURATION + MS, &b, 1)
+            && voter.request(3 * LEASE_DURATION, &a, 1)
     );
-    assert!(!keeper.ask(4 * SPAN, &b, 1) && keeper.ask(5 * SPAN, &b, 1));
+    assert!(!voter.request(4 * LEASE_DURATION, &b, 1) && voter.request(5 * LEASE_DURATION, &b, 1));
 }
 
 #[test]
 pub fn a_request_that_comes_twice_is_given_to_once() {
     let mut grant_issuer = GrantIssuer::default();
     grant_issuer.set_warm_up_budget(worker(1), 1_000 * MS, 1_000 * MS);
-    let mut give = |now, seq, work| {
+    let mut issue = |now, seq, work| {
         grant_issuer
-            .give(now * MS, 0, (1, 1), seq, worker(1), work * MS)
+            .issue(now * MS, 0, (1, 1), seq, worker(1), work * MS)
             .0
     };
-    assert_eq!((give(1_000, 1, 300), give(5_000, 2, 300)), (0, 300 * MS));
+    assert_eq!((issue(1_000, 1, 300), issue(5_000, 2, 300)), (0, 300 * MS));
     assert_eq!(
-        (give(5_010, 2, 300), give(5_020, 3, 700), give(5_020, 4, 1)),
+        (
+            issue(5_010, 2, 300),
+            issue(5_020, 3, 700),
+            issue(5_020, 4, 1)
+        ),
         (0, 700 * MS, 0)
     );
 }
@@ -204,11 +211,11 @@
     };
     let believed = (0..40)
         .filter(|at| {
-            load_receiver.line(1, &name, load(*at), 0).speed_code == PeerLoad::SPEED_SILENT
+            load_receiver.receive(1, &name, load(*at), 0).speed_code == PeerLoad::SPEED_SILENT
         })
         .count();
     assert!((2..=10).contains(&believed), "{believed} of 40");
-    assert!(load_receiver.bounded > 0);
+    assert!(load_receiver.ignored_silence > 0);
 }
 
 #[test]
@@ -219,7 +226,7 @@
         work: 100,
         speed_code: 140,
     };
-    let line = LoadReceiver::default().line(1, &"n1".into(), load, 100);
+    let line = LoadReceiver::default().receive(1, &"n1".into(), load, 100);
     // 400 ms at two seats are 800 ms, in units of 16 ms.
     assert_eq!(line.work, 50);
 }
@@ -236,16 +243,16 @@
     load_sender.send_load(0, &name, load(1, 5));
     load_sender.send_load(MS, &name, load(2, 6));
     load_sender.send_load(2 * MS, &name, load(1, 7));
-    assert_eq!(load_sender.due(20 * MS), []);
+    assert_eq!(load_sender.take_due(20 * MS), []);
     let line = |at, work, age| Part::PeerLoad {
         load: load(at, work),
         age,
     };
     assert_eq!(
-        load_sender.due(26 * MS),
+        load_sender.take_due(26 * MS),
         [(name, vec![line(1, 7, 6), line(2, 6, 6)])]
     );
-    assert_eq!(load_sender.due(100 * MS), []);
+    assert_eq!(load_sender.take_due(100 * MS), []);
 }
 
 const GOOD: &str = "version = 1\ncluster = \"shop\"\nname = \"n1\"\nlisten = \"10.0.0.1:7946\"\nseeds = [\"10.0.0.2:7946\"]\n";
@@ -306,29 +313,29 @@
 }
 
 /// Guards against a member that has refuted its death and is dropped by news of before, however late that comes.
-#[test_case(3 => Standing::Dead; "of the same incarnation")]
-#[test_case(2 => Standing::Alive; "of the one before")]
-pub(crate) fn what_is_believed_of_an_old_incarnation(incarnation: u32) -> Standing {
+#[test_case(3 => MemberState::Dead; "of the same incarnation")]
+#[test_case(2 => MemberState::Alive; "of the one before")]
+pub(crate) fn what_is_believed_of_an_old_incarnation(incarnation: u32) -> MemberState {
     let own = ([10, 0, 0, 9], 7946).into();
-    let mut members = Members::new(1, "me".into(), own, Vec::new(), 0, 5);
+    let mut members = Membership::new(1, "me".into(), own, Vec::new(), 0, 5);
     let (alive, mut out) = (
-        Record {
-            standing: Standing::Alive,
+        MemberRecord {
+            state: MemberState::Alive,
             ..record("a")
         },
         Vec::new(),
     );
-    members.heard(MS, alive.addr, &alive, &[], &mut out);
-    let teller = Record {
-        standing: Standing::Alive,
+    members.handle_datagram(MS, alive.addr, &alive, &[], &mut out);
+    let teller = MemberRecord {
+        state: MemberState::Alive,
         addr: ([10, 0, 0, 2], 7946).into(),
         ..record("b")
     };
-    let news = Part::Record(Record {
-        standing: Standing::Dead,
+    let news = Part::Record(MemberRecord {
+        state: MemberState::Dead,
         incarnation,
         ..alive
     });
-    members.heard(2 * MS, teller.addr, &teller, &[news], &mut out);
-    members.get("a").unwrap().record.standing
+    members.handle_datagram(2 * MS, teller.addr, &teller, &[news], &mut out);
+    members.get("a").unwrap().record.state
 }
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -7,7 +7,7 @@
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use rosewall_cluster::cluster::{Cluster, Effect, LogLine};
 use rosewall_cluster::config::ClusterConfig;
-use rosewall_cluster::register::{self, Document, Message, Register, Stored};
+use rosewall_cluster::register::{self, Document, Message, PersistentState, Register};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -118,8 +118,11 @@
             return;
         };
         act(cluster, self.now, &mut effects);
-        let next_due = cluster.next_due();
-        self.push(next_due.saturating_sub(self.now) + 1_000, Next::Wake(at));
+        let next_timeout = cluster.next_timeout();
+        self.push(
+            next_timeout.saturating_sub(self.now) + 1_000,
+            Next::Wake(at),
+        );
         for effect in effects {
             self.effects += 1;
             self.record(at, &effect);
@@ -236,13 +239,15 @@
             match next {
                 Next::Deliver { to, from, bytes } => {
                     self.act(to, |cluster, now, effects| {
-                        cluster.feed(now, from, &bytes, effects)
+                        cluster.handle_datagram(now, from, &bytes, effects)
                     });
                 }
                 Next::Wake(at) => {
-                    let due = |cluster: &Cluster| cluster.next_due() <= self.now;
+                    let due = |cluster: &Cluster| cluster.next_timeout() <= self.now;
                     if self.clusters[at].as_ref().is_some_and(due) {
-                        self.act(at, |cluster, now, effects| cluster.due(now, effects));
+                        self.act(at, |cluster, now, effects| {
+                            cluster.handle_timeout(now, effects)
+                        });
                     }
                 }
                 Next::Disturb => self.disturb(),
@@ -271,9 +276,9 @@
 /// Replicas of the register on a network that loses and reorders, with disks that fail and crashes between.
 struct Replicas {
     registers: Vec<Register>,
-    disks: Vec<Stored>,
+    disks: Vec<PersistentState>,
     network: Vec<(u8, u8, Message)>,
-    writes: Vec<(usize, u64, Stored)>,
+    writes: Vec<(usize, u64, PersistentState)>,
     now: Nanos,
     chance: Pcg,
     digest: Sha256,
@@ -304,7 +309,7 @@
                 add_document(digest, document);
             }
         }
-        Message::Overtaken { ballot, by } => {
+        Message::Preempted { ballot, by } => {
             add_numbers(digest, &[3]);
             add_ballot(digest, ballot);
             add_ballot(digest, by);
@@ -330,10 +335,18 @@
 
 impl Replicas {
     fn new(count: u8, seed: u64) -> Self {
-        let register = |me| Register::new(me, count, Stored::default(), 0, seed + u64::from(me));
+        let register = |me| {
+            Register::new(
+                me,
+                count,
+                PersistentState::default(),
+                0,
+                seed + u64::from(me),
+            )
+        };
         Replicas {
             registers: (0..count).map(register).collect(),
-            disks: vec![Stored::default(); usize::from(count)],
+            disks: vec![PersistentState::default(); usize::from(count)],
             network: Vec::new(),
             writes: Vec::new(),
             now: 0,
@@ -372,20 +385,20 @@
                     add_ballot(digest, ballot);
                     add_document(digest, document);
                 }
-                add_document(digest, &record.in_force);
+                add_document(digest, &record.committed);
                 self.writes.push((at, serial, record));
             }
-            register::Effect::Ended(outcome) => {
+            register::Effect::Completed(outcome) => {
                 let numbers = match outcome {
                     register::Outcome::Accepted { version } => [3, version, 0],
-                    register::Outcome::Refused { based_on, now } => [4, based_on, now],
+                    register::Outcome::Conflict { based_on, now } => [4, based_on, now],
                     register::Outcome::Unknown => [5, 0, 0],
                     register::Outcome::Busy => [6, 0, 0],
                     register::Outcome::TooLarge { bytes } => [7, bytes as u64, 0],
                 };
                 add_numbers(digest, &numbers);
             }
-            register::Effect::InForce(document) => {
+            register::Effect::Committed(document) => {
                 add_numbers(digest, &[8]);
                 add_document(digest, &document);
             }
@@ -421,10 +434,10 @@
                     Register::new(me, count, self.disks[at].clone(), self.now, number);
             }
             1..=4 => {
-                let based_on = self.registers[at].in_force().version;
+                let based_on = self.registers[at].committed().version;
                 let text = format!("settings {number}");
                 self.act(at, |register, now, effects| {
-                    register.put(now, based_on, &text, effects)
+                    register.propose(now, based_on, &text, effects)
                 });
             }
             5..=54 if !self.network.is_empty() => {
@@ -433,26 +446,28 @@
                 if below(&mut self.chance, 8) != 0 {
                     let to = usize::from(to);
                     self.act(to, |register, now, effects| {
-                        register.feed(now, from, message, effects)
+                        register.handle_message(now, from, message, effects)
                     });
                 }
             }
             55..=89 if !self.writes.is_empty() => {
                 let (at, serial, record) = self.writes.remove(0);
-                let well = below(&mut self.chance, 30) != 0;
-                if well {
+                let succeeded = below(&mut self.chance, 30) != 0;
+                if succeeded {
                     self.disks[at] = record;
                 }
                 self.act(at, |register, now, effects| {
-                    register.stored(now, serial, well, effects)
+                    register.handle_persisted(now, serial, succeeded, effects)
                 });
             }
             _ => {
                 if self.registers[at]
-                    .next_due()
+                    .next_timeout()
                     .is_some_and(|due| due <= self.now)
                 {
-                    self.act(at, |register, now, effects| register.due(now, effects));
+                    self.act(at, |register, now, effects| {
+                        register.handle_timeout(now, effects)
+                    });
                 }
             }
         }
--- a/crates/rosewalld/src/life/start.rs
+++ b/crates/rosewalld/src/life/start.rs
@@ -29,7 +29,7 @@
         .map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
     if let Some(path) = config.cluster.take() {
         let cluster_config = std::fs::read_to_string(&path)
-            .map_err(|source| ClusterError::Unread {
+            .map_err(|source| ClusterError::Unreadable {
                 path: path.clone().into(),
                 source,
             })
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -5,7 +5,7 @@
 use futures_lite::future::yield_now;
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use rosewall_cluster::cluster::{Cluster, Effect, LogLine};
-use rosewall_cluster::datagram::MOST;
+use rosewall_cluster::datagram::MAX_DATAGRAM_BYTES;
 use rosewall_engine::counters::Counters;
 use rosewall_engine::rate_limit::RateLimiter;
 use std::cell::{Cell, RefCell};
@@ -88,7 +88,7 @@
                 Effect::Log(LogLine::Error(text)) => log::error!("{text}"),
             }
         }
-        if self.cluster.borrow().next_due() < self.waits.get() {
+        if self.cluster.borrow().next_timeout() < self.waits.get() {
             let _ = self.sooner.0.try_send(());
         }
     }
@@ -115,9 +115,9 @@
     /// Hears and does what is due, for ever.
     pub async fn run<R: Runtime>(&self, runtime: &R) {
         // Room for one byte more than is allowed, so that one too long is seen to be.
-        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; MOST + 1]);
+        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; MAX_DATAGRAM_BYTES + 1]);
         loop {
-            let next = self.cluster.borrow().next_due();
+            let next = self.cluster.borrow().next_timeout();
             self.waits.set(next);
             let came = async { Some(self.socket.receive(&mut bytes).await) };
             let due = async {
@@ -133,13 +133,15 @@
             if let Some(Ok((length, from))) = came {
                 if rate_limit.allows(now) {
                     self.counters.members_heard.add();
-                    self.act(|cluster, effects| cluster.feed(now, from, &bytes[..length], effects));
+                    self.act(|cluster, effects| {
+                        cluster.handle_datagram(now, from, &bytes[..length], effects)
+                    });
                 } else {
                     self.counters.members_lost.add();
                 }
             }
-            if self.cluster.borrow().next_due() <= now {
-                self.act(|cluster, effects| cluster.due(now, effects));
+            if self.cluster.borrow().next_timeout() <= now {
+                self.act(|cluster, effects| cluster.handle_timeout(now, effects));
             }
             // Guards against a flood of them that leaves no one else a turn.
             yield_now().await;
@@ -151,7 +153,7 @@
 impl<M> std::fmt::Display for ClusterDriver<M> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let cluster = self.cluster.borrow();
-        let (members, counts) = (cluster.members(), cluster.counts);
+        let (members, counts) = (cluster.membership(), cluster.counts);
         let (rank, count) = cluster
             .view()
             .map_or((0, 0), |view| (view.rank, view.dispatchers));
@@ -179,12 +181,12 @@
         write!(
             f,
             " rights_given={} rights_short={}",
-            cluster.grant_issuer.given, cluster.grant_issuer.short
+            cluster.grant_issuer.issued, cluster.grant_issuer.refused
         )?;
         write!(
             f,
             " rights_late={} words_bounded={}",
-            cluster.grant_holder.late, cluster.load_receiver.bounded
+            cluster.grant_holder.expired, cluster.load_receiver.ignored_silence
         )
     }
 }
