--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -192,3 +192,6 @@
         max_clock_skew: clocks as Nanos * 1_000_000,
     })
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram/mod.rs
@@ -428,3 +428,6 @@
     }
     Ok(Datagram { sender, parts })
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/cluster/src/grants.rs
+++ b/crates/cluster/src/grants/mod.rs
@@ -198,3 +198,6 @@
         Some((until, work))
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -131,3 +131,6 @@
         self.until = 0;
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -13,8 +13,3 @@
 pub mod ranks;
 pub mod register;
 pub mod simulated;
-
-#[cfg(test)]
-mod simulated_tests;
-#[cfg(test)]
-mod tests;
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1038,3 +1038,6 @@
         draft.done()
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -127,3 +127,6 @@
         self.reporters.retain(|name, _| lives(name));
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/cluster/src/ranks.rs
+++ b/crates/cluster/src/ranks.rs
@@ -26,3 +26,6 @@
     }
     ranks
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/cluster/src/simulated.rs
+++ b/crates/cluster/src/simulated/mod.rs
@@ -360,3 +360,6 @@
         None
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/cluster/src/simulated_tests.rs
+++ b/crates/cluster/src/simulated/tests.rs
@@ -567,18 +567,20 @@
             Mutation::IgnorePause => one_that_wakes_suspects_no_one(),
             Mutation::ForgetLeasePromise
             | Mutation::LeaseWithoutMajority
-            | Mutation::LeaseFromReply => crate::tests::a_lease_has_one_holder(),
+            | Mutation::LeaseFromReply => crate::lease::tests::a_lease_has_one_holder(),
             Mutation::GrantDuplicateRequest => {
-                crate::tests::a_request_that_comes_twice_is_given_to_once()
+                crate::grants::tests::a_request_that_comes_twice_is_given_to_once()
             }
             Mutation::AcceptOldIncarnation => {
                 none_that_lives_is_held_dead_for_more_than_a_refutation_at_a_fifth_lost_and_pauses(
                 );
-                let believed = crate::tests::what_is_believed_of_an_old_incarnation(2);
+                let believed = crate::membership::tests::what_is_believed_of_an_old_incarnation(2);
                 assert_eq!(believed, crate::datagram::MemberState::Alive);
             }
             Mutation::WrongRank => after_a_kill_all_that_are_left_agree_within_three_seconds(5, 1),
-            Mutation::UnboundedSilenceReports => crate::tests::one_members_word_empties_no_fleet(),
+            Mutation::UnboundedSilenceReports => {
+                crate::peer_load::tests::one_members_word_empties_no_fleet()
+            }
             _ => (0..200).for_each(|seed| {
                 let (most, _) = spent(seed, 20);
                 assert!(most <= JOINT);
