--- a/crates/rosewalld/tests/daemon.rs
+++ b/crates/rosewalld/tests/daemon.rs
@@ -613,9 +613,10 @@
         .reload("{", "the configuration stays as it was");
     let mut wrong = configuration(&stage.discovery.address, 1024);
     wrong["settings"]["Contract"]["ColdFrom"] = (-1).into();
-    stage
-        .daemon
-        .reload(&wrong.to_string(), "setting slow_start.from is out of range: -1");
+    stage.daemon.reload(
+        &wrong.to_string(),
+        "setting slow_start.from is out of range: -1",
+    );
     let new = Worker::start(&script(&[]));
     let discovery = Discovery::start(vec![host("c", &new.dial, "ready")]);
     stage.daemon.reload(
--- a/src/joint.rs
+++ b/src/joint.rs
@@ -12,18 +12,18 @@
 /// Of what a cold worker bears, in any window: what is given out, what those who have met others keep between them, and
 /// what those keep who never heard of any. Given and kept make 0.65, under the two thirds that those told of a start may
 /// send whoever else sends; given and the last 0.95: also where none of them has met another, it bears the sum.
-const GIVEN: f64 = 0.5;
+const GRANTED_SHARE: f64 = 0.5;
 const KEPT: f64 = 0.15;
-const ALONE: f64 = 0.45;
+const RESERVED_SHARE_WITHOUT_VIEW: f64 = 0.45;
 /// So many hold what is kept of one worker: a part of it must hold a job.
-const HOLDERS: f64 = 2.0;
+const RESERVING_DISPATCHERS: f64 = 2.0;
 /// How long a request waits for a right: ten times the way there and back inside a data centre.
-const ANSWER: Nanos = 5_000_000;
+const GRANT_WAIT: Nanos = 5_000_000;
 
 impl Worker {
     /// What its rights still allow.
-    pub(crate) fn granted(&self, now: Nanos) -> f64 {
-        self.rights
+    pub(crate) fn unused_grants(&self, now: Nanos) -> f64 {
+        self.warm_up_grants
             .iter()
             .filter(|(until, _)| now < *until)
             .map(|(_, work)| work)
@@ -31,10 +31,10 @@
     }
 
     /// Takes work out of the rights, those first that end first; what they do not cover is left.
-    pub(crate) fn spend(&mut self, now: Nanos, mut work: f64) -> f64 {
-        self.rights
+    pub(crate) fn consume_grants(&mut self, now: Nanos, mut work: f64) -> f64 {
+        self.warm_up_grants
             .retain(|(until, left)| now < *until && *left > 0.0);
-        for (_, left) in &mut self.rights {
+        for (_, left) in &mut self.warm_up_grants {
             let used = left.min(work);
             (*left, work) = (*left - used, work - used);
         }
@@ -44,23 +44,23 @@
 
 impl Dispatcher {
     /// Its place among those that run, in place of the settings'.
-    pub(crate) fn view(&mut self, now: Nanos, position: Option<FleetPosition>) {
+    pub(crate) fn set_fleet_position(&mut self, now: Nanos, position: Option<FleetPosition>) {
         let configured = FleetPosition {
             rank: self.says("me") as u16,
-            dispatchers: self.slots as u16,
+            dispatchers: self.configured_dispatchers as u16,
         };
         let FleetPosition { rank, dispatchers } = position.unwrap_or(configured);
-        self.me = usize::from(rank);
+        self.rank = usize::from(rank);
         self.dispatchers = f64::from(dispatchers).max(1.0);
-        self.unseen = 1.0 - 1.0 / self.dispatchers;
-        self.met |= position.is_some();
-        self.keep_to(now);
+        self.unobserved_share = 1.0 - 1.0 / self.dispatchers;
+        self.has_fleet_view |= position.is_some();
+        self.select_subset(now);
     }
 
     /// For how many dispatchers workers are shared out: where they come and go the same for a whole octave, as a hand of
     /// another size at each would move all lanes.
-    pub(crate) fn among(&self) -> f64 {
-        if self.met {
+    pub(crate) fn octave_dispatchers(&self) -> f64 {
+        if self.has_fleet_view {
             self.dispatchers.log2().ceil().exp2()
         } else {
             self.dispatchers
@@ -72,10 +72,10 @@
     /// place to the next. So on each way round every worker is kept to once more: the keepers of two differ by one at most,
     /// whoever runs, and one's lanes follow from its own place alone. In place of one that takes no connection the next
     /// beyond it that is warm.
-    pub(crate) fn dealt(&self, now: Nanos, all: &[usize], m: usize) -> Vec<usize> {
+    pub(crate) fn ranked_subset(&self, now: Nanos, all: &[usize], m: usize) -> Vec<usize> {
         let n = all.len();
-        let place = |lane: usize| (lane * n + self.me * m % n) / m;
-        let sound = |place: usize| !self.workers[all[place]].refuses(now);
+        let place = |lane: usize| (lane * n + self.rank * m % n) / m;
+        let sound = |place: usize| !self.workers[all[place]].is_unreachable(now);
         let warm = |place: usize| self.warmth(&self.workers[all[place]], now) >= 1.0;
         let mut active: Vec<usize> = (0..m).map(place).collect();
         for lane in 0..m {
@@ -91,44 +91,53 @@
     }
 
     /// The other dispatchers that keep to the worker at a place.
-    pub(crate) fn dealt_to(&self, place: usize, n: usize, m: usize) -> impl Iterator<Item = u16> {
-        let (me, all) = (self.me, self.dispatchers as usize);
+    pub(crate) fn ranked_peers(
+        &self,
+        place: usize,
+        n: usize,
+        m: usize,
+    ) -> impl Iterator<Item = u16> {
+        let (me, all) = (self.rank, self.dispatchers as usize);
         let keeps = move |to: usize| (to * m % n + n - place * m % n) % n < m;
         (0..all)
             .filter(move |to| *to != me && keeps(*to))
             .map(|to| to as u16)
     }
 
-    pub(crate) fn right(&mut self, worker: WorkerId, work: Nanos, until: Nanos) {
-        if let Some(&at) = self.known.get(&worker) {
-            let rights = &mut self.workers[at].rights;
+    pub(crate) fn add_warm_up_grant(&mut self, worker: WorkerId, work: Nanos, until: Nanos) {
+        if let Some(&at) = self.worker_indices.get(&worker) {
+            let rights = &mut self.workers[at].warm_up_grants;
             let place = rights.partition_point(|(end, _)| *end <= until);
             rights.insert(place, (until, work as f64));
         }
     }
 
     /// What a cold worker bears in any window that has begun by now: by what it could do at the window's start.
-    fn bears(&self, worker: &Worker, now: Nanos) -> f64 {
+    fn warm_up_capacity(&self, worker: &Worker, now: Nanos) -> f64 {
         let window = self.says("overload.window").max(1.0);
         let warmth = self.warmth(worker, now.saturating_sub(window as Nanos));
-        self.says("overload.multiple") * self.unit * worker.size * warmth * window
+        self.says("overload.multiple") * self.capacity_per_size * worker.size * warmth * window
     }
 
     /// What this one may send a cold worker in any window without asking, and for how many it stands there: the two whose
     /// numbers come first after the worker's own have it, as long as it is cold.
-    pub(crate) fn own_part(&self, worker: &Worker, now: Nanos) -> (f64, f64) {
-        let part = if self.met { KEPT } else { ALONE };
-        let holders = HOLDERS.min(self.slots);
+    pub(crate) fn reserved_allowance(&self, worker: &Worker, now: Nanos) -> (f64, f64) {
+        let part = if self.has_fleet_view {
+            KEPT
+        } else {
+            RESERVED_SHARE_WITHOUT_VIEW
+        };
+        let holders = RESERVING_DISPATCHERS.min(self.configured_dispatchers);
         let [a, b, c, d] = worker.id.addr.map(u64::from);
         let of = a + b + c + d + u64::from(worker.id.port);
-        let (me, slots) = (self.says("me") as u64, self.slots as u64);
+        let (me, slots) = (self.says("me") as u64, self.configured_dispatchers as u64);
         let mine = me < slots && (me + slots - of % slots) % slots < holders as u64;
         // What a process before this one sent may still count.
-        let fresh = now < self.begun + self.says("overload.window") as Nanos;
+        let fresh_peer_loads = now < self.started_at + self.says("overload.window") as Nanos;
         (
-            part * self.bears(worker, now) / holders,
-            if mine && !fresh {
-                self.slots / holders
+            part * self.warm_up_capacity(worker, now) / holders,
+            if mine && !fresh_peer_loads {
+                self.configured_dispatchers / holders
             } else {
                 0.0
             },
@@ -138,36 +147,43 @@
     /// Whether a request waits for a right to a cold worker that it would have gone to. Once, and not for long: where none
     /// comes, as all are given or no one answers, it goes on as if there were none. Guards against rights that come when
     /// their request has gone elsewhere, which were half of all.
-    pub(crate) fn awaits_right(&mut self, now: Nanos, key: usize, acts: &mut Vec<Action>) -> bool {
+    pub(crate) fn waits_for_grant(
+        &mut self,
+        now: Nanos,
+        key: usize,
+        acts: &mut Vec<Action>,
+    ) -> bool {
         let active = &mut self.requests[key];
-        let Some(at) = self
-            .lacking
-            .filter(|_| self.rights && self.met && !active.asked && active.attempts_sent == 0)
-        else {
+        let Some(at) = self.missing_grant_for.filter(|_| {
+            self.uses_warm_up_grants
+                && self.has_fleet_view
+                && !active.grant_requested
+                && active.attempts_sent == 0
+        }) else {
             return false;
         };
-        active.asked = true;
+        active.grant_requested = true;
         acts.push(Action::RequestWarmUpGrant {
             worker: self.workers[at].id,
-            work: active.most as Nanos,
+            work: active.warm_up_work as Nanos,
         });
         acts.push(Action::SetTimer {
-            at: now + ANSWER,
+            at: now + GRANT_WAIT,
             token: token(active.request.id, 0),
         });
         true
     }
 
     /// Says what all together may be given for each cold worker; 0 for one that has just become warm.
-    pub(crate) fn tell_joint(&self, now: Nanos, acts: &mut Vec<Action>) {
+    pub(crate) fn update_warm_up_budgets(&self, now: Nanos, acts: &mut Vec<Action>) {
         let window = self.says("overload.window") as Nanos;
-        for worker in self.workers.iter().filter(|_| self.rights) {
+        for worker in self.workers.iter().filter(|_| self.uses_warm_up_grants) {
             let cold = worker.state == EndpointState::Ready && self.warmth(worker, now) < 1.0;
             let lately =
-                worker.started + self.says("slow_start.duration") as Nanos + 5_000_000_000 > now;
-            if cold || (worker.started > 0 && lately) {
+                worker.started_at + self.says("slow_start.duration") as Nanos + 5_000_000_000 > now;
+            if cold || (worker.started_at > 0 && lately) {
                 let work = if cold {
-                    GIVEN * self.bears(worker, now)
+                    GRANTED_SHARE * self.warm_up_capacity(worker, now)
                 } else {
                     0.0
                 };
--- a/src/joint/tests.rs
+++ b/src/joint/tests.rs
@@ -60,7 +60,7 @@
     let active = |me: u16| {
         let mut d = dispatcher(members, me, workers, 0);
         seen(&mut d, Some((me, members)));
-        d.classes[0].lanes.clone()
+        d.classes[0].subset.clone()
     };
     (0..members).map(active).collect()
 }
@@ -97,7 +97,7 @@
     seen(&mut d, Some((4, 13)));
     let m = hands[0].len();
     for place in 0..10 {
-        let told: Vec<u16> = d.dealt_to(place, 10, m).collect();
+        let told: Vec<u16> = d.ranked_peers(place, 10, m).collect();
         let keep = (0..13_u16).filter(|to| *to != 4 && hands[usize::from(*to)].contains(&place));
         assert_eq!(told, keep.collect::<Vec<_>>());
     }
@@ -119,11 +119,11 @@
                     seen(&mut d, Some((0, 1 + me)));
                 }
                 let worker = &d.workers[at];
-                let (part, mine) = d.own_part(worker, now);
-                sum += if mine > 0.0 { part } else { 0.0 } / d.bears(worker, now);
+                let (part, mine) = d.reserved_allowance(worker, now);
+                sum += if mine > 0.0 { part } else { 0.0 } / d.warm_up_capacity(worker, now);
             }
         }
-        assert!(sum > 0.0 && sum + GIVEN <= most + 1e-9, "{sum}");
+        assert!(sum > 0.0 && sum + GRANTED_SHARE <= most + 1e-9, "{sum}");
     }
 }
 
@@ -132,7 +132,7 @@
     let holds = |at: Nanos| {
         (0..4).any(|me| {
             dispatcher(4, me, 1, 1)
-                .own_part(&dispatcher(4, me, 1, 1).workers[0], at)
+                .reserved_allowance(&dispatcher(4, me, 1, 1).workers[0], at)
                 .1
                 > 0.0
         })
@@ -156,18 +156,21 @@
     }
     let w = &mut d.workers[1];
     let ms = |work: f64| (work / 1e6).round() as i64;
-    assert_eq!(ms(w.granted(50 * MS)), 80);
+    assert_eq!(ms(w.unused_grants(50 * MS)), 80);
     // That which ends first goes first; what is not covered is left.
     assert_eq!(
         (
-            ms(w.spend(50 * MS, 40e6)),
-            ms(w.granted(50 * MS)),
-            ms(w.granted(150 * MS))
+            ms(w.consume_grants(50 * MS, 40e6)),
+            ms(w.unused_grants(50 * MS)),
+            ms(w.unused_grants(150 * MS))
         ),
         (0, 40, 40)
     );
     assert_eq!(
-        (ms(w.spend(50 * MS, 60e6)), ms(w.granted(50 * MS))),
+        (
+            ms(w.consume_grants(50 * MS, 60e6)),
+            ms(w.unused_grants(50 * MS))
+        ),
         (20, 0)
     );
     d.handle(
@@ -179,7 +182,7 @@
         },
         &mut Vec::new(),
     );
-    assert_eq!(d.workers[1].granted(100 * MS), 0.0);
+    assert_eq!(d.workers[1].unused_grants(100 * MS), 0.0);
 }
 
 fn arrive(d: &mut Dispatcher, now: Nanos) -> Vec<Action> {
@@ -203,7 +206,7 @@
 fn a_request_waits_once_for_a_right_to_a_cold_worker(comes: bool) -> bool {
     let mut d = (0..4)
         .map(|me| dispatcher(4, me, 1, 1))
-        .find(|d| d.own_part(&d.workers[0], 2_000 * MS).1 == 0.0)
+        .find(|d| d.reserved_allowance(&d.workers[0], 2_000 * MS).1 == 0.0)
         .unwrap();
     seen(&mut d, Some((1, 4)));
     let now = 2_000 * MS;
@@ -244,7 +247,7 @@
     let mut d = dispatcher(12, 5, 20, 0);
     seen(&mut d, Some((0, 3)));
     seen(&mut d, None);
-    assert_eq!((d.me, d.dispatchers), (5, 12.0));
+    assert_eq!((d.rank, d.dispatchers), (5, 12.0));
 }
 
 #[test]
@@ -252,7 +255,7 @@
     let d = dispatcher(12, 0, 2, 1);
     let joint = |now: Nanos| {
         let mut acts = Vec::new();
-        d.tell_joint(now, &mut acts);
+        d.update_warm_up_budgets(now, &mut acts);
         acts.iter().find_map(|act| match act {
             Action::SetWarmUpBudget {
                 worker: of, work, ..
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::pcg::Pcg;
-use crate::state::{Gaps, bin_of};
+use crate::state::{InterArrivalTimes, bin_index};
 use crate::types::WorkerId;
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -102,13 +102,13 @@
         } else {
             1.25 * wait
         };
-        let expected = wait - delay * time_to_spare;
+        let expected_wait = wait - delay * time_to_spare;
         d.start_delays.sent(Sent {
             id,
             at: now - wait as Nanos,
-            expected,
+            expected_wait,
             time_to_spare,
-            run: 0.0,
+            service_time: 0.0,
         });
         d.start_delays.started(id, now);
     }
@@ -127,26 +127,44 @@
 #[test_case(0.2, 0.3 => (0.4, 0.0, 0.2); "high more")]
 #[test_case(0.3, 0.3 => (0.4, 0.4, 0.0); "alike")]
 fn corrections_by_autocorrelation(low: f64, high: f64) -> (f64, f64, f64) {
-    corrections(low, high)
+    shift_ratios(low, high)
 }
 
 #[test_case(&[1.0, 1.0], &[(10, 100.0), (20, 100.0)] => vec![100, 200]; "between two sizes")]
 #[test_case(&[1.0, 1.0, 2.0], &[(10, 100.0)] => vec![25, 50, 100]; "inside one bin")]
 #[test_case(&[1.0, 1.0], &[] => vec![0, 0]; "empty")]
-fn lanes_end_at_their_part(targets: &[f64], filled: &[(usize, f64)]) -> Vec<i64> {
-    let (mut bins, mut ends) = ([0.0; BINS], Vec::new());
+fn lanes_end_at_their_part(interval_weights: &[f64], filled: &[(usize, f64)]) -> Vec<i64> {
+    let (mut bins, mut interval_bounds) = ([0.0; BINS], Vec::new());
     filled.iter().for_each(|(bin, work)| bins[*bin] = *work);
-    cut(&bins, &bins, targets, shifts(targets.len(), 0.0), &mut ends);
-    ends.iter().map(|end| end.round() as i64).collect()
+    interval_bounds_into(
+        &bins,
+        &bins,
+        interval_weights,
+        shifts(interval_weights.len(), 0.0),
+        &mut interval_bounds,
+    );
+    interval_bounds
+        .iter()
+        .map(|end| end.round() as i64)
+        .collect()
 }
 
 #[test]
 fn a_class_keeps_its_work_over_the_shifted_lanes() {
-    let (mut whole, mut own, mut ends) = ([0.0; BINS], [0.0; BINS], Vec::new());
+    let (mut whole, mut own, mut interval_bounds) = ([0.0; BINS], [0.0; BINS], Vec::new());
     (8..40).for_each(|bin| (whole[bin], own[bin]) = (10.0, if bin < 24 { 5.0 } else { 1.0 }));
-    cut(&whole, &own, &[1.0; 2], shifts(2, 0.4), &mut ends);
+    interval_bounds_into(
+        &whole,
+        &own,
+        &[1.0; 2],
+        shifts(2, 0.4),
+        &mut interval_bounds,
+    );
     assert_eq!(
-        ends.iter().map(|end| end.round()).collect::<Vec<_>>(),
+        interval_bounds
+            .iter()
+            .map(|end| end.round())
+            .collect::<Vec<_>>(),
         [48.0, 70.0]
     );
 }
@@ -156,7 +174,7 @@
 fn a_request_larger_than_all_before_falls_on_the_lanes_that_its_work_fills() {
     let lane = |hint: Nanos| {
         let mut d = dispatcher(10);
-        d.classes[0].bins[bin_of(1e6)] = 1e6;
+        d.classes[0].histogram[bin_index(1e6)] = 1e6;
         let acts = handle(
             &mut d,
             MS,
@@ -167,25 +185,25 @@
         };
         worker.addr[3]
     };
-    let lanes: std::collections::BTreeSet<u8> = (0..40).map(|n| lane(100 + 5 * n)).collect();
-    assert!(lanes.len() > 6, "{lanes:?}");
+    let subset: std::collections::BTreeSet<u8> = (0..40).map(|n| lane(100 + 5 * n)).collect();
+    assert!(subset.len() > 6, "{subset:?}");
 }
 
 #[test_case(60, 4 => false; "too few gaps keep the last estimate")]
 #[test_case(300, 4 => true; "bursts of four are correlated")]
 #[test_case(300, 1 => false; "alternating gaps are not")]
-fn autocorrelation(arrivals: u64, run: u64) -> bool {
-    let (mut gaps, mut now) = (Gaps::default(), 0);
+fn autocorrelation(arrivals: u64, burst: u64) -> bool {
+    let (mut inter_arrival_times, mut now) = (InterArrivalTimes::default(), 0);
     for n in 0..arrivals {
-        now += if (n / run).is_multiple_of(2) {
+        now += if (n / burst).is_multiple_of(2) {
             10 * MS
         } else {
             90 * MS
         };
-        gaps.arrival(now);
+        inter_arrival_times.arrival(now);
     }
-    gaps.measure(now);
-    gaps.estimate > 0.1
+    inter_arrival_times.measure(now);
+    inter_arrival_times.estimate > 0.1
 }
 
 #[test_case(InFlight, RequestInput::NotRun, NonIdempotent => (Pending, RequestStep::Forward); "once only proven not run")]
@@ -274,15 +292,15 @@
         let [
             Action::SetTimer {
                 at: again,
-                token: ASK,
+                token: POLL_TIMER,
             },
         ] = acts[..]
         else {
             panic!("{acts:?}")
         };
-        assert!(handle(&mut d, again, Event::TimerFired { token: BEAT }).is_empty());
+        assert!(handle(&mut d, again, Event::TimerFired { token: TICK_TIMER }).is_empty());
         assert_eq!(
-            handle(&mut d, again, Event::TimerFired { token: ASK }),
+            handle(&mut d, again, Event::TimerFired { token: POLL_TIMER }),
             vec![Action::WatchEndpoints]
         );
         at.push(again);
@@ -306,7 +324,7 @@
 #[test_case(100, 3, 7_000 => 1; "more take turns at once as it warms")]
 fn budget_of_a_cold_worker(started: Nanos, me: u32, at: Nanos) -> usize {
     let mut d = among(12, me, Vec::new());
-    d.classes[0].sla = 90.0 * SECOND;
+    d.classes[0].latency_objective = 90.0 * SECOND;
     let endpoints = vec![entry(0, EndpointState::Ready, started * MS)];
     handle(
         &mut d,
@@ -331,7 +349,7 @@
 #[test_case(2_000, 0.0 => false; "this window may have been spent before")]
 #[test_case(3_100, 0.0 => true; "the next one is its own")]
 #[test_case(3_100, 1.5 => true; "also while the fleet is jammed")]
-fn a_cold_worker_after_a_restart(at: Nanos, lag: f64) -> bool {
+fn a_cold_worker_after_a_restart(at: Nanos, start_delay: f64) -> bool {
     let mut d = Dispatcher::start(0, 7, &settings()).unwrap();
     let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
@@ -342,7 +360,7 @@
             endpoints,
         },
     );
-    starts_of_late(&mut d, at * MS, lag, 32);
+    starts_of_late(&mut d, at * MS, start_delay, 32);
     !handle(
         &mut d,
         at * MS,
@@ -358,27 +376,29 @@
 #[test]
 fn a_worker_that_takes_no_connection_has_no_lane_for_a_while() {
     let mut d = among(100, 3, warm(60));
-    let first = d.classes[0].lanes[2];
-    (0..2).for_each(|_| d.workers[first].refused(0));
-    d.keep_to(0);
-    let other = d.classes[0].lanes[2];
-    assert!(first != other && d.classes[0].lanes.len() == 8);
-    d.keep_to(1_000 * MS);
-    assert_eq!(d.classes[0].lanes[2], first);
+    let first = d.classes[0].subset[2];
+    (0..2).for_each(|_| d.workers[first].record_connect_failure(0));
+    d.select_subset(0);
+    let other = d.classes[0].subset[2];
+    assert!(first != other && d.classes[0].subset.len() == 8);
+    d.select_subset(1_000 * MS);
+    assert_eq!(d.classes[0].subset[2], first);
     // Twice as long each time in a row, until it gives a sign of life.
-    d.workers[first].refused(1_000 * MS);
-    assert!(d.workers[first].refuses(2_999 * MS) && !d.workers[first].refuses(3_000 * MS));
-    d.workers[first].heard(1_500 * MS, 0.0);
-    assert!(!d.workers[first].refuses(1_500 * MS));
+    d.workers[first].record_connect_failure(1_000 * MS);
+    assert!(
+        d.workers[first].is_unreachable(2_999 * MS) && !d.workers[first].is_unreachable(3_000 * MS)
+    );
+    d.workers[first].record_response(1_500 * MS, 0.0);
+    assert!(!d.workers[first].is_unreachable(1_500 * MS));
     // None that is cold in its place, as its turns count on who keeps to it.
-    d.workers[first].refused(2_000 * MS);
+    d.workers[first].record_connect_failure(2_000 * MS);
     d.workers
         .iter_mut()
         .enumerate()
         .filter(|(at, _)| *at != first)
-        .for_each(|(_, w)| w.started = 1);
-    d.keep_to(2_000 * MS);
-    assert_eq!(d.classes[0].lanes[2], first);
+        .for_each(|(_, w)| w.started_at = 1);
+    d.select_subset(2_000 * MS);
+    assert_eq!(d.classes[0].subset[2], first);
 }
 
 /// Most of a large fleet is replaced at once. Guards against parts of a cold worker's budget in which no job fits,
@@ -482,13 +502,13 @@
 #[test]
 fn unseen_queues_are_taken_as_long_as_the_fleets() {
     let mut worker = Worker {
-        seats: 2.0,
-        lag: 0.0,
-        lag_at: 0,
+        slots: 2.0,
+        start_delay: 0.0,
+        start_delay_at: 0,
         ..Worker::default()
     };
     assert!(worker.wait(10_000 * MS, 1.0, 0.0, (SECOND, 0.0)) > 0.9 * SECOND);
-    (worker.others, worker.others_at) = (0.0, 0);
+    (worker.other_slots, worker.other_slots_at) = (0.0, 0);
     assert!(worker.wait(10_000 * MS, 1.0, SECOND, (0.0, 4.0)) > SECOND);
 }
 
@@ -505,15 +525,18 @@
         1.0,
         0,
     ));
-    d.load_cached(0, key, 0.0, strain)
+    d.admit(0, key, 0.0, strain)
 }
 
 #[test_case(0, 0 => true; "no word for long: others' jobs may be ahead")]
 #[test_case(1_000, 1_000 => false; "heard of just before: a start is due soon")]
-fn silence_is_not_held_against_a_worker_hardly_heard_of(alive: Nanos, now: Nanos) -> bool {
+fn silence_is_not_held_against_a_worker_hardly_heard_of(
+    last_response_at: Nanos,
+    now: Nanos,
+) -> bool {
     let mut d = dispatcher(1);
-    (d.unseen, d.workers[0].alive) = (1.0, alive * MS);
-    let now = now.max(1) * MS + 60_000 * MS * u64::from(alive == 0);
+    (d.unobserved_share, d.workers[0].last_response_at) = (1.0, last_response_at * MS);
+    let now = now.max(1) * MS + 60_000 * MS * u64::from(last_response_at == 0);
     let mut acts = Vec::new();
     d.handle(
         now,
@@ -551,9 +574,9 @@
 /// Guards against a jam that stays: between two rare starts the late ones were forgotten.
 #[test_case(1.0 => true; "where many are seen")]
 #[test_case(5.0 => false; "where few are")]
-fn late_starts_are_forgotten_in_two_seconds(rare: f64) -> bool {
+fn late_starts_are_forgotten_in_two_seconds(rarity: f64) -> bool {
     let mut d = dispatcher(1);
-    d.rare = rare;
+    d.rarity = rarity;
     starts_of_late(&mut d, 10_000 * MS, 0.0, 32);
     let key = d.requests.insert(ActiveRequest::new(
         request(1, 2, MS, 0),
@@ -563,7 +586,7 @@
         1.0,
         0,
     ));
-    (0..20).all(|_| d.load_cached(13_000 * MS, key, 0.0, 0.6))
+    (0..20).all(|_| d.admit(13_000 * MS, key, 0.0, 0.6))
 }
 
 #[test_case(4, 40 => (40, 4, 4); "few dispatchers use all workers")]
@@ -572,14 +595,14 @@
 #[test_case(200, 100 => (6, 11, 13); "of many, about twelve share each")]
 #[test_case(500, 100 => (3, 14, 16); "or a few more")]
 fn workers_are_shared_evenly(dispatchers: u32, workers: u8) -> (usize, usize, usize) {
-    let (mut users, mut lanes) = (vec![0; usize::from(workers)], 0);
+    let (mut users, mut subset) = (vec![0; usize::from(workers)], 0);
     for me in 0..dispatchers {
         let d = among(dispatchers, me, warm(workers));
-        lanes = d.classes[0].lanes.len();
-        d.classes[0].lanes.iter().for_each(|at| users[*at] += 1);
+        subset = d.classes[0].subset.len();
+        d.classes[0].subset.iter().for_each(|at| users[*at] += 1);
     }
     (
-        lanes,
+        subset,
         users.iter().copied().min().unwrap(),
         users.iter().copied().max().unwrap(),
     )
@@ -610,7 +633,7 @@
         posted_to(&handle(&mut d, 2 * MS, Event::AttemptEnded(ended))),
         first
     );
-    assert!(d.workers[d.known[&first]].lag > 0.2 * SECOND);
+    assert!(d.workers[d.worker_indices[&first]].start_delay > 0.2 * SECOND);
 }
 
 /// Guards against bad clients that spoil trust in workers and have their jobs posted again and again.
@@ -628,7 +651,7 @@
     };
     let reversed =
         handle(&mut d, 0, Event::AttemptEnded(ended)) == [Action::Fail { request_id: 1 }];
-    (reversed, d.workers[0].trust.distrust)
+    (reversed, d.workers[0].failure_score.value)
 }
 
 /// Guards against a worker that has lost one job and is then taken for full and for hung.
@@ -657,10 +680,10 @@
         );
     }
     handle(&mut d, 600 * MS, Event::TimerFired { token: token(1, 0) });
-    d.tally(600 * MS);
+    d.refresh_worker_loads(600 * MS);
     (
-        d.workers[0].doubt(600 * MS, 0.0, 0, Idempotent) > 0.25,
-        d.workers[0].out,
+        d.workers[0].failure_score_for(600 * MS, 0.0, 0, Idempotent) > 0.25,
+        d.workers[0].slots_in_use,
     )
 }
 
@@ -700,7 +723,7 @@
         handle(&mut d, 0, Event::AttemptEnded(ended));
     }
     let late = 20 * SECOND as Nanos;
-    [0, 1, 2].map(|class| d.workers[0].doubt(late, 0.0, class, Idempotent) > 0.25)
+    [0, 1, 2].map(|class| d.workers[0].failure_score_for(late, 0.0, class, Idempotent) > 0.25)
 }
 
 /// Guards against a request posted again to the worker that has just failed it.
@@ -720,8 +743,8 @@
     };
     d.workers
         .iter_mut()
-        .for_each(|worker| (worker.lag, worker.lag_at) = (0.1 * SECOND, 0));
-    d.distrust = 0.9;
+        .for_each(|worker| (worker.start_delay, worker.start_delay_at) = (0.1 * SECOND, 0));
+    d.mean_failure_score = 0.9;
     acts = handle(&mut d, 0, Event::AttemptEnded(ended));
     assert!(
         matches!(acts[..], [Action::SendAttempt { worker, .. }] if worker != first),
@@ -744,7 +767,7 @@
         values: [0.0, 2.0, 0.0, 0.0],
     };
     d.read_report(MS, 0, report);
-    assert_eq!(d.workers[0].seats, 2.0);
+    assert_eq!(d.workers[0].slots, 2.0);
 }
 
 /// Guards against a cold worker pushed over, as its kind was taken for one of more seats: by jobs lost with its old process, by
@@ -774,7 +797,7 @@
             },
         ))
     });
-    d.workers[0].started = restarted * MS;
+    d.workers[0].started_at = restarted * MS;
     handle(
         &mut d,
         third * MS,
@@ -784,7 +807,7 @@
         },
     );
     handle(&mut d, settled * MS, ended(0, 0, Outcome::Succeeded));
-    d.workers[0].seats
+    d.workers[0].slots
 }
 
 #[test]
@@ -792,16 +815,20 @@
     let mut d = dispatcher(3);
     d.workers
         .iter_mut()
-        .for_each(|worker| worker.trust.add(0, Worker::HALF, 0.8));
-    d.beat(0, &mut Vec::new());
-    assert!(
-        d.workers
-            .iter()
-            .all(|worker| worker.doubt(0, d.distrust, 0, Idempotent) == 0.0)
-    );
-    d.workers[1].trust.add(0, Worker::HALF, 0.9);
-    d.beat(0, &mut Vec::new());
-    let doubts = [1, 0].map(|at: usize| d.workers[at].doubt(0, d.distrust, 0, Idempotent));
+        .for_each(|worker| worker.failure_score.add(0, Worker::FAILURE_HALF_LIFE, 0.8));
+    d.tick(0, &mut Vec::new());
+    assert!(d.workers.iter().all(|worker| worker.failure_score_for(
+        0,
+        d.mean_failure_score,
+        0,
+        Idempotent
+    ) == 0.0));
+    d.workers[1]
+        .failure_score
+        .add(0, Worker::FAILURE_HALF_LIFE, 0.9);
+    d.tick(0, &mut Vec::new());
+    let doubts = [1, 0]
+        .map(|at: usize| d.workers[at].failure_score_for(0, d.mean_failure_score, 0, Idempotent));
     assert!(doubts[0] > 0.1 && doubts[1] == 0.0);
 }
 
@@ -833,7 +860,7 @@
             .any(|act| matches!(act, Action::SendAttempt { .. })),
         workers > 0,
     );
-    assert!(attempts_sent == wanted && d.classes[2].lanes.len() <= usize::from(workers));
+    assert!(attempts_sent == wanted && d.classes[2].subset.len() <= usize::from(workers));
 }
 
 /// What a long sequence remembers of one request, to hold the rules against.
@@ -860,7 +887,7 @@
     let (mut dice, mut acts) = (Pcg::new(seed), Vec::new());
     let mut d = among(dispatchers, 0, warm(workers));
     d.exchanges_load = seed > 6;
-    d.keep_to(0);
+    d.select_subset(0);
     let fleet = usize::from(workers);
     let (mut state, mut started) = (vec![EndpointState::Ready; fleet], vec![0; fleet]);
     let mut timers: Vec<(Nanos, u64)> = Vec::new();
@@ -870,7 +897,7 @@
         let now = u64::from(step) * 10 * MS;
         let mut events = Vec::new();
         if dice.unit() < 0.02 {
-            let kept = &d.classes[0].lanes;
+            let kept = &d.classes[0].subset;
             let any = (dice.unit() * f64::from(workers)) as usize;
             let n = if fleet > 6 && !kept.is_empty() {
                 kept[any % kept.len()]
@@ -902,7 +929,7 @@
                 300.0,
                 256.0,
             ]
-            .map(|below| (dice.unit() * below) as u16);
+            .map(|work_below| (dice.unit() * work_below) as u16);
             let load = PeerLoad {
                 worker: id(n as u8),
                 half_slots: half_slots as u8,
@@ -940,7 +967,7 @@
                 record.out.remove(0);
                 let complete = record.answers > 0 || outcome == Outcome::Succeeded;
                 record.answers += usize::from(complete && record.answers == 0);
-                if sorted(outcome) == RequestInput::MayHaveRun {
+                if classify_outcome(outcome) == RequestInput::MayHaveRun {
                     record.first_doubt.get_or_insert((worker, at));
                 }
                 let report = Report::default();
@@ -994,9 +1021,9 @@
                                 "outside group or window"
                             );
                         }
-                        let work = d.requests[d.held[&request_id]].work;
+                        let work = d.requests[d.request_keys[&request_id]].work;
                         // In hinted work a second, by the most that was ever believed: beliefs move meanwhile.
-                        unit = unit.max(d.unit);
+                        unit = unit.max(d.capacity_per_size);
                         cold.push((n, now, work));
                         let recent = |(m, at, _): &&(usize, Nanos, f64)| {
                             *m == n && *at + 1_000 * MS > now && *at >= started[n]
@@ -1100,7 +1127,7 @@
 #[test_case(Some((8, 9000)), 11000 => true; "told too long ago: who told it may be dead")]
 fn a_worker_is_free_by_what_others_told(told: Option<(u8, u16)>, at: Nanos) -> bool {
     let mut d = sharing(3, 2);
-    let post = |d: &mut Dispatcher, id, now| {
+    let send_attempt = |d: &mut Dispatcher, id, now| {
         let acts = handle(d, now, Event::RequestArrived(request(id, 2, 100 * MS, now)));
         acts.into_iter().find_map(|act| {
             if let Action::SendAttempt { worker, .. } = act {
@@ -1110,7 +1137,7 @@
             }
         })
     };
-    let mine = post(&mut d, 1, 900 * MS).unwrap();
+    let mine = send_attempt(&mut d, 1, 900 * MS).unwrap();
     handle(&mut d, 910 * MS, settled(1));
     if let Some((half_slots, work)) = told {
         // What is told twice by one counts once; of a worker that is not known, not at all.
@@ -1124,8 +1151,8 @@
             handle(&mut d, 950 * MS, Event::PeerLoad { from: 1, load });
         }
     }
-    assert!(d.workers.iter().all(|worker| worker.theirs.len() <= 1));
-    post(&mut d, 2, at * MS) == Some(mine)
+    assert!(d.workers.iter().all(|worker| worker.peer_loads.len() <= 1));
+    send_attempt(&mut d, 2, at * MS) == Some(mine)
 }
 
 fn settled(request_id: RequestId) -> Event {
@@ -1153,8 +1180,8 @@
     };
     handle(&mut d, 900 * MS, Event::PeerLoad { from: 1, load });
     (
-        (d.workers[0].pace * 100.0) as i64,
-        (d.workers[0].trust.distrust * 100.0).round() as i64,
+        (d.workers[0].service_time_factor * 100.0) as i64,
+        (d.workers[0].failure_score.value * 100.0).round() as i64,
     )
 }
 
@@ -1181,12 +1208,12 @@
             attempt_index: 0,
         },
     );
-    d.tally((age + 1) * MS);
-    (d.workers[0].seen_pace().0 * 100.0).round() as i64
+    d.refresh_worker_loads((age + 1) * MS);
+    (d.workers[0].observed_service_time_factor().0 * 100.0).round() as i64
 }
 
 /// Whom a dispatcher tells of so many halves of a seat.
-fn told(acts: &[Action]) -> Vec<(u16, u8)> {
+fn peer_load(acts: &[Action]) -> Vec<(u16, u8)> {
     let told = |act: &Action| {
         if let Action::SendPeerLoad { to, load } = act {
             Some((*to, load.half_slots))
@@ -1209,15 +1236,15 @@
         Event::RequestArrived(request(1, 2, 100 * MS, 0)),
     );
     acts.extend(handle(&mut d, end * MS, settled(1)));
-    told(&acts)
+    peer_load(&acts)
 }
 
 /// One that tells the others, by its number.
 fn numbered(me: u32, dispatchers: u32, workers: u8) -> Dispatcher {
     let mut d = sharing(dispatchers, workers);
     d.figures.insert("me", f64::from(me));
-    d.me = me as usize;
-    d.keep_to(0);
+    d.rank = me as usize;
+    d.select_subset(0);
     d
 }
 
@@ -1232,9 +1259,9 @@
     );
     let at = d.requests[0].attempts[0].worker;
     let keep =
-        (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).classes[0].lanes.contains(&at));
+        (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).classes[0].subset.contains(&at));
     assert_eq!(
-        told(&acts),
+        peer_load(&acts),
         keep.map(|me| (me as u16, 2)).collect::<Vec<_>>()
     );
 }
@@ -1244,11 +1271,11 @@
 fn a_cold_workers_budget_is_kept_by_all_who_share_it() {
     for at in (0..60_u64).map(|part| part * 500 * MS) {
         let mut keepers: Vec<Dispatcher> = (0..130).map(|me| numbered(me, 130, 34)).collect();
-        keepers.retain(|d| d.classes[0].lanes.contains(&9));
+        keepers.retain(|d| d.classes[0].subset.contains(&9));
         let budget = |d: &mut Dispatcher| {
-            d.workers[9].started = 1;
-            d.survey(at);
-            d.budget(&d.workers[9], at).max(0.0)
+            d.workers[9].started_at = 1;
+            d.update_fleet_estimates(at);
+            d.warm_up_allowance(&d.workers[9], at).max(0.0)
         };
         let (sum, warmth) = (
             keepers.iter_mut().map(budget).sum::<f64>(),
@@ -1292,20 +1319,25 @@
         );
         handle(&mut d, now + 200 * MS, ended(id, 0, Outcome::Succeeded));
     }
-    handle(&mut d, 3_000 * MS, Event::TimerFired { token: BEAT });
+    handle(&mut d, 3_000 * MS, Event::TimerFired { token: TICK_TIMER });
     assert!(
-        d.workers.iter().all(|worker| worker.pace > 1.4),
+        d.workers
+            .iter()
+            .all(|worker| worker.service_time_factor > 1.4),
         "{:?}",
-        d.workers.iter().map(|w| w.pace).collect::<Vec<_>>()
+        d.workers
+            .iter()
+            .map(|w| w.service_time_factor)
+            .collect::<Vec<_>>()
     );
-    assert!(d.workers.iter().any(|worker| worker.paced == 0.0));
+    assert!(d.workers.iter().any(|worker| worker.factor_samples == 0.0));
 }
 
 /// Guards against turning requests away on a quiet day, as a slow worker leaves them little room: that is no queue.
 #[test]
 fn what_a_slow_worker_makes_late_is_no_overload() {
     let mut d = dispatcher(1);
-    d.workers[0].pace = 4.0;
+    d.workers[0].service_time_factor = 4.0;
     for id in 1..=20 {
         let now = u64::from(id) * 1_000 * MS;
         let acts = handle(
@@ -1333,7 +1365,7 @@
 #[test_case(1, 1_000 => true; "another class that may be repeated")]
 fn goes_where_another_scheme_has_failed(class: u8, after: Nanos) -> bool {
     let mut d = dispatcher(2);
-    d.workers[0].of[0].add(0, 3.0 * Worker::HALF, 0.6);
+    d.workers[0].class_failure_scores[0].add(0, 3.0 * Worker::FAILURE_HALF_LIFE, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
         let acts = handle(
@@ -1363,10 +1395,10 @@
     d.read_report(MS, 0, report);
     let worker = &d.workers[0];
     assert_eq!(
-        (worker.seats, worker.others, worker.others_at),
+        (worker.slots, worker.other_slots, worker.other_slots_at),
         (2.0, 0.0, 0)
     );
-    let acts = handle(&mut d, MS, Event::TimerFired { token: BEAT });
+    let acts = handle(&mut d, MS, Event::TimerFired { token: TICK_TIMER });
     assert!(
         acts.contains(&Action::Log("2 absurd figures in reports".into())),
         "{acts:?}"
@@ -1381,8 +1413,13 @@
     let mut d = dispatcher(1);
     let worker = &mut d.workers[0];
     // Of 600 ms of room its pace leaves 100; a wait of 200 ms.
-    (worker.pace, worker.paced, worker.lag, worker.lag_at) = (2.6, 9.0, 200.0 * 1e6, now);
-    d.unseen = 0.0;
+    (
+        worker.service_time_factor,
+        worker.factor_samples,
+        worker.start_delay,
+        worker.start_delay_at,
+    ) = (2.6, 9.0, 200.0 * 1e6, now);
+    d.unobserved_share = 0.0;
     starts_of_late(&mut d, now, 0.0, late);
     let acts = handle(
         &mut d,
@@ -1397,10 +1434,10 @@
 #[test]
 fn a_cold_worker_tells_its_own_pace_a_little() {
     let mut d = dispatcher(1);
-    d.workers[0].started = 1;
+    d.workers[0].started_at = 1;
     let attempt = Attempt {
-        started: Some(MS),
-        out: true,
+        started_at: Some(MS),
+        in_flight: true,
         ..Attempt::default()
     };
     let mut active = ActiveRequest::new(
@@ -1413,12 +1450,12 @@
     );
     (active.state, active.attempts_sent, active.attempts[0]) = (InFlight, 1, attempt);
     let key = d.requests.insert(active);
-    d.held.insert(1, key);
+    d.request_keys.insert(1, key);
     handle(&mut d, 400 * MS, ended(1, 0, Outcome::Succeeded));
     assert!(
-        (1.1..1.4).contains(&d.workers[0].pace) && d.paces.is_empty(),
+        (1.1..1.4).contains(&d.workers[0].service_time_factor) && d.worker_type_factors.is_empty(),
         "{}",
-        d.workers[0].pace
+        d.workers[0].service_time_factor
     );
 }
 
@@ -1450,7 +1487,7 @@
         },
     );
     d.workers[0]
-        .spent
+        .recent_work
         .iter()
         .filter(|(at, work)| *at == attempts_sent * MS && *work == 1e8)
         .count()
@@ -1460,8 +1497,8 @@
 #[test]
 fn a_cold_worker_that_is_born_again_keeps_what_it_got_since() {
     let mut d = dispatcher(1);
-    d.workers[0].started = 90 * MS;
-    d.workers[0].spent = [(95 * MS, 1e8), (500 * MS, 2e8)].into();
+    d.workers[0].started_at = 90 * MS;
+    d.workers[0].recent_work = [(95 * MS, 1e8), (500 * MS, 2e8)].into();
     let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
         &mut d,
@@ -1471,7 +1508,7 @@
             endpoints,
         },
     );
-    assert_eq!(d.workers[0].spent, [(500 * MS, 2e8)]);
+    assert_eq!(d.workers[0].recent_work, [(500 * MS, 2e8)]);
 }
 
 /// Guards against so few lanes that chance overloads them, where those who share them hear of each other.
@@ -1479,29 +1516,33 @@
 #[test_case(13 => 13; "four to a worker of more")]
 #[test_case(100 => 8; "eight lanes at least, however many share them")]
 fn lanes_kept_with_sharing(dispatchers: u32) -> usize {
-    sharing(dispatchers, 40).classes[0].lanes.len()
+    sharing(dispatchers, 40).classes[0].subset.len()
 }
 
 /// Guards against cold workers left idle: a kind's pace for workers not yet seen is no sign of less capacity.
 #[test]
 fn full_capacity_goes_by_the_pace_of_own_jobs() {
     let mut d = dispatcher(2);
-    d.workers.iter_mut().for_each(|worker| worker.pace = 3.0);
-    d.survey(MS);
-    let unseen = d.unit;
-    d.workers.iter_mut().for_each(|worker| worker.paced = 1.0);
-    d.survey(MS);
-    assert_eq!((unseen, d.unit * 3.0), (1.0, 1.0));
+    d.workers
+        .iter_mut()
+        .for_each(|worker| worker.service_time_factor = 3.0);
+    d.update_fleet_estimates(MS);
+    let unobserved_share = d.capacity_per_size;
+    d.workers
+        .iter_mut()
+        .for_each(|worker| worker.factor_samples = 1.0);
+    d.update_fleet_estimates(MS);
+    assert_eq!((unobserved_share, d.capacity_per_size * 3.0), (1.0, 1.0));
 }
 
 /// Guards against queues that long rooms can bear and in which nothing of more value can be in time.
 #[test_case(0, 0.0 => true; "the dearest are taken")]
 #[test_case(0, 0.9 => false; "the dearest are turned away")]
 #[test_case(2, 0.9 => true; "itself the dearest")]
-fn the_room_of_dearer_schemes_counts(class: u8, turned: f64) -> bool {
+fn the_room_of_dearer_schemes_counts(class: u8, rejected_share: f64) -> bool {
     let mut d = dispatcher(1);
     (0..5).for_each(|_| d.classes[2].add(100e6));
-    d.turned = turned;
+    d.rejected_share = rejected_share;
     let key = d.requests.insert(ActiveRequest::new(
         request(1, class, MS, 0),
         Idempotent,
@@ -1511,7 +1552,7 @@
         0,
     ));
     // A second's wait: half of its own room, two and a half times theirs.
-    d.load_cached(0, key, SECOND, 0.5)
+    d.admit(0, key, SECOND, 0.5)
 }
 
 /// Guards against users who give no hints: a figure out of the air had each worker look slow by what it happened to run, and
@@ -1524,14 +1565,14 @@
     hint: Option<Nanos>,
 ) -> (u64, u64) {
     let mut d = dispatcher(4);
-    let mut run = |id: RequestId, class: u8, hint: Option<Nanos>, took: Nanos| {
+    let mut complete = |id: RequestId, class: u8, hint: Option<Nanos>, took: Nanos| {
         let now = Nanos::from(id) * 2_000 * MS;
         let request = Request {
             hint: hint.map(|hint| hint * MS),
             ..request(id, class, 0, now)
         };
         drop(handle(&mut d, now, Event::RequestArrived(request)));
-        let run = d.requests[d.held[&id]].run / MS as f64;
+        let run = d.requests[d.request_keys[&id]].service_time / MS as f64;
         drop(handle(
             &mut d,
             now,
@@ -1552,10 +1593,10 @@
         run.round() as u64
     };
     for (at, took) in [(1, 400), (2, 600)] {
-        run(at, 0, before, took);
-        run(10 + at, 2, before, 300);
+        complete(at, 0, before, took);
+        complete(10 + at, 2, before, 300);
     }
-    (run(20, 0, hint, 1), run(21, 2, None, 1))
+    (complete(20, 0, hint, 1), complete(21, 2, None, 1))
 }
 
 /// Guards against a cold worker pushed over by requests that run longer than those before: without a hint each counts twice.
@@ -1563,7 +1604,7 @@
 #[test_case(None => 1; "of none, taken for as much")]
 fn a_cold_worker_gets_fewer_of_unknown_size(hint: Option<Nanos>) -> usize {
     let mut d = among(12, 0, Vec::new());
-    (d.classes[0].sla, d.classes[0].ran) = (90.0 * SECOND, (1e8, 1.0));
+    (d.classes[0].latency_objective, d.classes[0].service_times) = (90.0 * SECOND, (1e8, 1.0));
     let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
         &mut d,
@@ -1624,7 +1665,7 @@
 #[test]
 fn classes_never_seen_to_run_are_told_apart_by_their_sla_times() {
     let mut d = one_of_a_large_fleet();
-    let mut lanes = [Vec::new(), Vec::new()];
+    let mut subset = [Vec::new(), Vec::new()];
     for id in 0..60 {
         let (class, now) = (
             if id % 3 == 0 { 2 } else { 0 },
@@ -1638,7 +1679,7 @@
         let [Action::SendAttempt { worker, .. }] = acts[..] else {
             panic!("{acts:?}")
         };
-        lanes[usize::from(class == 2)].push(worker.addr[3]);
+        subset[usize::from(class == 2)].push(worker.addr[3]);
         let report = Report::default();
         let end = AttemptEnded {
             request_id: id,
@@ -1649,9 +1690,10 @@
         };
         handle(&mut d, now + MS, Event::AttemptEnded(end));
     }
-    let mean =
-        |lanes: &[u8]| lanes.iter().map(|lane| f64::from(*lane)).sum::<f64>() / lanes.len() as f64;
-    assert!(mean(&lanes[0]) + 60.0 < mean(&lanes[1]), "{lanes:?}");
+    let mean = |subset: &[u8]| {
+        subset.iter().map(|lane| f64::from(*lane)).sum::<f64>() / subset.len() as f64
+    };
+    assert!(mean(&subset[0]) + 60.0 < mean(&subset[1]), "{subset:?}");
 }
 
 /// The lane taken by a request of 10 ms where the whole fleet waits for three tenths of its room, and the worker of the last
@@ -1659,13 +1701,14 @@
 fn lane_where_all_have_queues(mut d: Dispatcher, part: f64) -> usize {
     let now = 100_000 * MS;
     starts_of_late(&mut d, now, 0.3, 0);
-    d.classes[0].bins[bin_of(1e7)] = 1e7;
-    d.classes[2].bins[bin_of(2e9)] = 2e10;
+    d.classes[0].histogram[bin_index(1e7)] = 1e7;
+    d.classes[2].histogram[bin_index(2e9)] = 2e10;
     (d.classes[0].seen, d.classes[2].seen) = (1.0, 10.0);
-    let last = *d.classes[0].lanes.last().unwrap();
+    let last = *d.classes[0].subset.last().unwrap();
     // Wanted within its SLA time and twice its run.
-    let room = d.classes[0].sla + 10e6;
-    (d.workers[last].lag, d.workers[last].lag_at) = (part * 0.3 * d.unseen * room, now);
+    let room = d.classes[0].latency_objective + 10e6;
+    (d.workers[last].start_delay, d.workers[last].start_delay_at) =
+        (part * 0.3 * d.unobserved_share * room, now);
     let acts = handle(
         &mut d,
         now,
@@ -1675,7 +1718,7 @@
         panic!("{acts:?}")
     };
     d.classes[0]
-        .lanes
+        .subset
         .iter()
         .position(|at| d.workers[*at].id == worker)
         .unwrap()
@@ -1703,10 +1746,10 @@
 fn requests_go_to_another_zone_if_they_can_bear_the_way(class: u8, hint: Nanos) -> bool {
     let mut d = one_of_a_large_fleet();
     let now = 100_000 * MS;
-    let lanes = d.classes[0].lanes.clone();
-    lanes[..7].iter().for_each(|at| d.workers[*at].zone = 2);
-    d.zones.observe(1, 2e6);
-    d.zones.observe(2, 80e6);
+    let subset = d.classes[0].subset.clone();
+    subset[..7].iter().for_each(|at| d.workers[*at].zone = 2);
+    d.zone_delays.observe(1, 2e6);
+    d.zone_delays.observe(2, 80e6);
     let acts = handle(
         &mut d,
         now,
@@ -1715,15 +1758,15 @@
     let [Action::SendAttempt { worker, .. }] = acts[..] else {
         panic!("{acts:?}")
     };
-    d.workers[d.known[&worker]].zone == 1
+    d.workers[d.worker_indices[&worker]].zone == 1
 }
 
 /// Guards against zone delays that no start teaches.
 #[test]
 fn a_start_tells_the_way_to_its_zone() {
     let mut d = one_of_a_large_fleet();
-    let at = d.classes[0].lanes[0];
-    d.classes[0].lanes.truncate(1);
+    let at = d.classes[0].subset[0];
+    d.classes[0].subset.truncate(1);
     d.workers[at].zone = 2;
     handle(&mut d, 0, Event::RequestArrived(request(1, 0, 10 * MS, 0)));
     handle(
@@ -1734,7 +1777,10 @@
             attempt_index: 0,
         },
     );
-    assert_eq!((d.zones.extra(2), d.zones.extra(1)), (80e6, 0.0));
+    assert_eq!(
+        (d.zone_delays.extra(2), d.zone_delays.extra(1)),
+        (80e6, 0.0)
+    );
 }
 
 /// Guards against a class that is declined until one of it has run: an SLA time near the time that clients wait left no room
@@ -1750,8 +1796,11 @@
     };
     let acts = handle(&mut d, now, Event::RequestArrived(request));
     assert!(matches!(acts[..], [Action::SendAttempt { .. }]), "{acts:?}");
-    let active = &d.requests[d.held[&1]];
-    assert_eq!((active.run, active.room(now, 1.0)), (750e6, 2_250e6));
+    let active = &d.requests[d.request_keys[&1]];
+    assert_eq!(
+        (active.service_time, active.time_to_spare(now, 1.0)),
+        (750e6, 2_250e6)
+    );
 }
 
 /// Guards against a burst that fills all queues before the first start tells of them: each dispatcher tried all eight of its
@@ -1796,8 +1845,8 @@
     let active = ActiveRequest::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0);
     let key = d.requests.insert(active);
     let kept = |_: &usize| {
-        d.turned = 1.0;
-        d.load_cached(0, key, 0.8e9, 0.8e9 / room)
+        d.rejected_share = 1.0;
+        d.admit(0, key, 0.8e9, 0.8e9 / room)
     };
     (0..100).filter(kept).count()
 }
@@ -1815,6 +1864,6 @@
 #[test_case("request", 1.0 => 0.9; "ten times the work for one request")]
 fn worth_goes_by_what_the_settings_reckon_by(basis: &str, short_value: f64) -> f64 {
     let d = short_beside_long(basis, short_value);
-    let ratio = d.classes[2].worth(d.worth_basis) / d.classes[0].worth(d.worth_basis);
+    let ratio = d.classes[2].worth(d.weight_basis) / d.classes[0].worth(d.weight_basis);
     (ratio * 1e6).round() / 1e6
 }
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -3,7 +3,7 @@
 //! Attempts count in the order in which they were sent, not in the order of their starts. One that has not started yet counts
 //! as if it started now: its delay is at least its age, so it can raise the estimate and never lower it. Guards against a
 //! queue that is noticed only once it has been worked off: starts alone tell how long the queue was when they were sent.
-use crate::state::{SECOND, fade};
+use crate::state::{SECOND, decay};
 use crate::types::{Nanos, RequestId};
 use std::collections::VecDeque;
 
@@ -30,19 +30,19 @@
     pub id: AttemptId,
     pub at: Nanos,
     /// The wait that this dispatcher's own earlier attempts explain.
-    pub expected: f64,
+    pub expected_wait: f64,
     /// How long it may wait and still be in time; not above 0 where it is late even at an idle worker.
     pub time_to_spare: f64,
     /// How long it is taken to run.
-    pub run: f64,
+    pub service_time: f64,
 }
 
 impl Sent {
     /// How much longer than expected it has waited by `now`, in times to spare.
     fn delay(&self, now: Nanos) -> f64 {
-        let waited = (now.saturating_sub(self.at) as f64 - self.expected).max(0.0);
+        let waited = (now.saturating_sub(self.at) as f64 - self.expected_wait).max(0.0);
         // Guards against tiny times to spare, in which any delay is endless.
-        let room = self.time_to_spare.max(0.25 * self.run).max(1.0);
+        let room = self.time_to_spare.max(0.25 * self.service_time).max(1.0);
         (waited / room).min(LONGEST)
     }
 
@@ -120,7 +120,7 @@
         for (sent, waited) in &self.attempts {
             let (delay, late) = match waited {
                 Some(Waited { until, delay, late }) => {
-                    let left = fade(1.0, *until, now, SECOND * rarity);
+                    let left = decay(1.0, *until, now, SECOND * rarity);
                     (left * delay, left * f64::from(*late))
                 }
                 None => {
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -10,9 +10,9 @@
     delays.sent(Sent {
         id,
         at: at * MS,
-        expected: 0.0,
+        expected_wait: 0.0,
         time_to_spare: 1e8,
-        run: 1e7,
+        service_time: 1e7,
     });
     id
 }
@@ -98,9 +98,9 @@
     delays.sent(Sent {
         id,
         at: 0,
-        expected: 0.0,
+        expected_wait: 0.0,
         time_to_spare: -1.0,
-        run: 1e8,
+        service_time: 1e8,
     });
     delays.started(id, 10 * MS);
     assert_eq!(delays.congestion(10 * MS, RARITY).late, 0.0);
