--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,13 @@
 //! rosewall: decides which worker gets which request. See `policy` for the decisions and how to call them.
-mod joint;
 pub mod mutation;
 pub mod pcg;
 pub mod policy;
+mod settings;
 mod start_delays;
 mod state;
+mod time;
+mod timers;
 pub mod types;
 mod zones;
 
-pub use state::{Map, pick};
+pub use settings::{Map, pick};
--- /dev/null
+++ b/src/policy/diffeqal/tests.rs
@@ -0,0 +1,80 @@
+use super::{interval_bounds_into, shift_ratios, shifts};
+use crate::policy::test_support::{MS, dispatcher, handle, request};
+use crate::state::{BINS, bin_index};
+use crate::types::{Action, Event, Nanos};
+use test_case::test_case;
+
+#[test_case(4, 0.1 => vec![-100, -17, 33, 83]; "the source's example")]
+#[test_case(4, 0.2 => vec![-200, -33, 67, 167]; "twice the shift")]
+#[test_case(1, 0.4 => vec![0]; "one worker")]
+#[test_case(0, 0.4 => Vec::<i64>::new(); "no worker")]
+fn semi_geometric_shifts(n: usize, r: f64) -> Vec<i64> {
+    shifts(n, r).map(|p| (p * 1000.0).round() as i64).collect()
+}
+
+#[test_case(0.0, 0.0 => (0.0, 0.4, 0.0); "neither")]
+#[test_case(0.3, 0.0 => (0.4, 0.4, 0.0); "low only")]
+#[test_case(0.2, 0.3 => (0.4, 0.0, 0.2); "high more")]
+#[test_case(0.3, 0.3 => (0.4, 0.4, 0.0); "alike")]
+fn corrections_by_autocorrelation(low: f64, high: f64) -> (f64, f64, f64) {
+    shift_ratios(low, high)
+}
+
+#[test_case(&[1.0, 1.0], &[(10, 100.0), (20, 100.0)] => vec![100, 200]; "between two sizes")]
+#[test_case(&[1.0, 1.0, 2.0], &[(10, 100.0)] => vec![25, 50, 100]; "inside one bin")]
+#[test_case(&[1.0, 1.0], &[] => vec![0, 0]; "empty")]
+fn lanes_end_at_their_part(interval_weights: &[f64], filled: &[(usize, f64)]) -> Vec<i64> {
+    let (mut bins, mut interval_bounds) = ([0.0; BINS], Vec::new());
+    filled.iter().for_each(|(bin, work)| bins[*bin] = *work);
+    interval_bounds_into(
+        &bins,
+        &bins,
+        interval_weights,
+        shifts(interval_weights.len(), 0.0),
+        &mut interval_bounds,
+    );
+    interval_bounds
+        .iter()
+        .map(|end| end.round() as i64)
+        .collect()
+}
+
+#[test]
+fn a_class_keeps_its_work_over_the_shifted_lanes() {
+    let (mut whole, mut own, mut interval_bounds) = ([0.0; BINS], [0.0; BINS], Vec::new());
+    (8..40).for_each(|bin| (whole[bin], own[bin]) = (10.0, if bin < 24 { 5.0 } else { 1.0 }));
+    interval_bounds_into(
+        &whole,
+        &own,
+        &[1.0; 2],
+        shifts(2, 0.4),
+        &mut interval_bounds,
+    );
+    assert_eq!(
+        interval_bounds
+            .iter()
+            .map(|end| end.round())
+            .collect::<Vec<_>>(),
+        [48.0, 70.0]
+    );
+}
+
+/// Guards against a crowd at the end: of many that have seen one job each, a larger one goes anywhere.
+#[test]
+fn a_request_larger_than_all_before_falls_on_the_lanes_that_its_work_fills() {
+    let lane = |hint: Nanos| {
+        let mut d = dispatcher(10);
+        d.classes[0].histogram[bin_index(1e6)] = 1e6;
+        let acts = handle(
+            &mut d,
+            MS,
+            Event::RequestArrived(request(1, 0, hint * MS, 0)),
+        );
+        let [Action::SendAttempt { worker, .. }] = acts[..] else {
+            panic!("{acts:?}")
+        };
+        worker.addr[3]
+    };
+    let subset: std::collections::BTreeSet<u8> = (0..40).map(|n| lane(100 + 5 * n)).collect();
+    assert!(subset.len() > 6, "{subset:?}");
+}
--- /dev/null
+++ b/src/policy/outlier/tests.rs
@@ -0,0 +1,160 @@
+use crate::policy::test_support::{MS, dispatcher, ended, handle, request};
+use crate::state::Idempotency::Idempotent;
+use crate::state::Worker;
+use crate::time::SECOND;
+use crate::timers::token;
+use crate::types::{Action, AttemptEnded, Event, Nanos, Outcome, Report};
+use test_case::test_case;
+
+/// Guards against bad clients that spoil trust in workers and have their jobs posted again and again.
+#[test_case(Outcome::InvalidRequest => (true, 0.0); "the job itself is at fault")]
+#[test_case(Outcome::WorkerError => (false, 0.5); "the worker may be")]
+fn who_is_blamed(outcome: Outcome) -> (bool, f64) {
+    let mut d = dispatcher(1);
+    handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
+    let ended = AttemptEnded {
+        request_id: 1,
+        attempt_index: 0,
+        outcome,
+        complete: false,
+        report: Report::default(),
+    };
+    let reversed =
+        handle(&mut d, 0, Event::AttemptEnded(ended)) == [Action::Fail { request_id: 1 }];
+    (reversed, d.workers[0].failure_score.value)
+}
+
+/// Guards against a worker that has lost one job and is then taken for full and for hung.
+#[test_case(true => (false, 1.0); "passed over by a job sent later")]
+#[test_case(false => (true, 2.0); "nothing starts")]
+fn silence_where_others_start(starts: bool) -> (bool, f64) {
+    let mut d = dispatcher(1);
+    handle(
+        &mut d,
+        MS,
+        Event::RequestArrived(request(1, 2, 100 * MS, MS)),
+    );
+    handle(
+        &mut d,
+        50 * MS,
+        Event::RequestArrived(request(2, 0, 100 * MS, 50 * MS)),
+    );
+    if starts {
+        handle(
+            &mut d,
+            60 * MS,
+            Event::AttemptStarted {
+                request_id: 2,
+                attempt_index: 0,
+            },
+        );
+    }
+    handle(&mut d, 600 * MS, Event::TimerFired { token: token(1, 0) });
+    d.refresh_worker_loads(600 * MS);
+    (
+        d.workers[0].failure_score_for(600 * MS, 0.0, 0, Idempotent) > 0.25,
+        d.workers[0].slots_in_use,
+    )
+}
+
+/// Guards against a worker that starts all and fails most: its starts had it trusted again at once.
+#[test_case(&[0] => [true, false, false]; "one class")]
+#[test_case(&[0, 1] => [true, true, false]; "two classes")]
+#[test_case(&[] => [false; 3]; "none")]
+fn errors_are_held_against_the_scheme(failing: &[u8]) -> [bool; 3] {
+    let mut d = dispatcher(1);
+    for n in 0..12 {
+        let class = failing.get(n as usize % 2).copied().unwrap_or(2);
+        let outcome = if failing.contains(&class) {
+            Outcome::WorkerError
+        } else {
+            Outcome::Succeeded
+        };
+        handle(
+            &mut d,
+            0,
+            Event::RequestArrived(request(n, class, 100 * MS, 0)),
+        );
+        handle(
+            &mut d,
+            0,
+            Event::AttemptStarted {
+                request_id: n,
+                attempt_index: 0,
+            },
+        );
+        let ended = AttemptEnded {
+            request_id: n,
+            attempt_index: 0,
+            outcome,
+            complete: false,
+            report: Report::default(),
+        };
+        handle(&mut d, 0, Event::AttemptEnded(ended));
+    }
+    let late = 20 * SECOND as Nanos;
+    [0, 1, 2].map(|class| d.workers[0].failure_score_for(late, 0.0, class, Idempotent) > 0.25)
+}
+
+#[test]
+fn distrust_of_all_is_distrust_of_none() {
+    let mut d = dispatcher(3);
+    d.workers
+        .iter_mut()
+        .for_each(|worker| worker.failure_score.add(0, Worker::FAILURE_HALF_LIFE, 0.8));
+    d.tick(0, &mut Vec::new());
+    assert!(d.workers.iter().all(|worker| worker.failure_score_for(
+        0,
+        d.mean_failure_score,
+        0,
+        Idempotent
+    ) == 0.0));
+    d.workers[1]
+        .failure_score
+        .add(0, Worker::FAILURE_HALF_LIFE, 0.9);
+    d.tick(0, &mut Vec::new());
+    let doubts = [1, 0]
+        .map(|at: usize| d.workers[at].failure_score_for(0, d.mean_failure_score, 0, Idempotent));
+    assert!(doubts[0] > 0.1 && doubts[1] == 0.0);
+}
+
+#[test_case(0, 0 => true; "no word for long: others' jobs may be ahead")]
+#[test_case(1_000, 1_000 => false; "heard of just before: a start is due soon")]
+fn silence_is_not_held_against_a_worker_hardly_heard_of(
+    last_response_at: Nanos,
+    now: Nanos,
+) -> bool {
+    let mut d = dispatcher(1);
+    (d.unobserved_share, d.workers[0].last_response_at) = (1.0, last_response_at * MS);
+    let now = now.max(1) * MS + 60_000 * MS * u64::from(last_response_at == 0);
+    let mut acts = Vec::new();
+    d.handle(
+        now,
+        Event::RequestArrived(request(1, 0, 800 * MS, now)),
+        &mut acts,
+    );
+    acts.iter()
+        .any(|act| matches!(act, Action::SetTimer { at, .. } if *at > now + 1_000 * MS))
+}
+
+/// Guards against workers that fail by turns: what can be repeated finds out, and the rest keeps away for a while.
+#[test_case(2, 1_000 => false; "once-only, soon after")]
+#[test_case(2, 60_000 => true; "once-only, a minute after")]
+#[test_case(1, 1_000 => true; "another class that may be repeated")]
+fn goes_where_another_scheme_has_failed(class: u8, after: Nanos) -> bool {
+    let mut d = dispatcher(2);
+    d.workers[0].class_failure_scores[0].add(0, 3.0 * Worker::FAILURE_HALF_LIFE, 0.6);
+    (1..=20).any(|id| {
+        let now = (after + u64::from(id)) * MS;
+        let acts = handle(
+            &mut d,
+            now,
+            Event::RequestArrived(request(id, class, 50 * MS, now)),
+        );
+        let [Action::SendAttempt { worker, .. }] = acts[..] else {
+            panic!("{acts:?}")
+        };
+        handle(&mut d, now, ended(id, 0, Outcome::Succeeded));
+        worker == crate::policy::test_support::id(0)
+    })
+}
--- a/src/joint.rs
+++ b/src/policy/slow_start.rs
@@ -1,24 +1,24 @@
-//! What the decisions make of being one of many that know each other: their place among those that run, and whole rights
-//! to send to cold workers. No right comes from counting who runs, nor from clocks being one. A worker's joint budget has
-//! two parts. One is given out by one dispatcher at a time, whoever asks (`rosewall-cluster`). The other is divided by the
-//! numbers of the settings, for good: it is what is left to those whom no message reaches.
-use crate::policy::Dispatcher;
-use crate::state::{Worker, token};
-use crate::types::{Action, EndpointState, FleetPosition, Nanos, WorkerId};
-
-#[cfg(test)]
-mod tests;
+//! Slow start: how much work a warming worker gets.
+use super::Dispatcher;
+use super::subset::MAX_DISPATCHERS_PER_WORKER;
+use crate::state::Worker;
+use crate::timers::token;
+use crate::types::{Action, EndpointState, Nanos, WorkerId};
 
 /// Of what a cold worker bears, in any window: what is given out, what those who have met others keep between them, and
 /// what those keep who never heard of any. Given and kept make 0.65, under the two thirds that those told of a start may
 /// send whoever else sends; given and the last 0.95: also where none of them has met another, it bears the sum.
-const GRANTED_SHARE: f64 = 0.5;
-const KEPT: f64 = 0.15;
-const RESERVED_SHARE_WITHOUT_VIEW: f64 = 0.45;
+pub(crate) const GRANTED_SHARE: f64 = 0.5;
+
+pub(crate) const KEPT: f64 = 0.15;
+
+pub(crate) const RESERVED_SHARE_WITHOUT_VIEW: f64 = 0.45;
+
 /// So many hold what is kept of one worker: a part of it must hold a job.
-const RESERVING_DISPATCHERS: f64 = 2.0;
+pub(crate) const RESERVING_DISPATCHERS: f64 = 2.0;
+
 /// How long a request waits for a right: ten times the way there and back inside a data centre.
-const GRANT_WAIT: Nanos = 5_000_000;
+pub(crate) const GRANT_WAIT: Nanos = 5_000_000;
 
 impl Worker {
     /// What its rights still allow.
@@ -43,65 +43,109 @@
 }
 
 impl Dispatcher {
-    /// Its place among those that run, in place of the settings'.
-    pub(crate) fn set_fleet_position(&mut self, now: Nanos, position: Option<FleetPosition>) {
-        let configured = FleetPosition {
-            rank: self.says("me") as u16,
-            dispatchers: self.configured_dispatchers as u16,
+    pub(crate) fn update_fleet_estimates(&mut self, now: Nanos) {
+        let ready = || {
+            self.workers
+                .iter()
+                .filter(|worker| worker.state == EndpointState::Ready)
+        };
+        self.mean_failure_score = ready()
+            .map(|w| w.failure_score.now(now, Worker::FAILURE_HALF_LIFE))
+            .sum::<f64>()
+            / ready().count().max(1) as f64;
+        // Full capacity by what is known of the fleet: seats at their pace for their size, the least fourth
+        // of the warm where there are some. Guards against a figure that falls with their number, as of many
+        // one is slow, and against a mean of large and small.
+        let some = ready().any(|w| self.warmth(w, now) >= 1.0);
+        let full = ready().filter(|w| !some || self.warmth(w, now) >= 1.0);
+        // And none is taken to be faster than hints say, as the cold one may be the slow one. Only its own
+        // jobs tell of it here: a kind's mean for all not yet seen left cold workers idle.
+        let service_time_factor = |w: &Worker| {
+            if w.factor_samples > 0.0 {
+                w.service_time_factor.max(1.0)
+            } else {
+                1.0
+            }
         };
-        let FleetPosition { rank, dispatchers } = position.unwrap_or(configured);
-        self.rank = usize::from(rank);
-        self.dispatchers = f64::from(dispatchers).max(1.0);
-        self.unobserved_share = 1.0 - 1.0 / self.dispatchers;
-        self.has_fleet_view |= position.is_some();
-        self.select_subset(now);
+        let mut units: Vec<f64> = full
+            .map(|w| w.slots / service_time_factor(w) / w.size)
+            .collect();
+        units.sort_unstable_by(f64::total_cmp);
+        self.capacity_per_size = units
+            .get(units.len().saturating_sub(1) / 4)
+            .copied()
+            .unwrap_or(0.0);
     }
 
-    /// For how many dispatchers workers are shared out: where they come and go the same for a whole octave, as a hand of
-    /// another size at each would move all lanes.
-    pub(crate) fn octave_dispatchers(&self) -> f64 {
-        if self.has_fleet_view {
-            self.dispatchers.log2().ceil().exp2()
-        } else {
-            self.dispatchers
+    /// The part of its full capacity that a worker surely has: the settings' slowest way up.
+    pub(crate) fn warmth(&self, worker: &Worker, now: Nanos) -> f64 {
+        if worker.started_at == 0 {
+            return 1.0;
         }
+        let (age, from) = (
+            now.saturating_sub(worker.started_at) as f64,
+            self.says("slow_start.from"),
+        );
+        (from + (1.0 - from) * age / self.says("slow_start.duration").max(1.0)).min(1.0)
     }
 
-    /// The workers that this one keeps to, where dispatchers come and go: one of each `m`th part of the ids, so that a
-    /// worker is the same lane, and gets the same sizes, whoever sends; which one of a part moves on by a lane's width from one
-    /// place to the next. So on each way round every worker is kept to once more: the keepers of two differ by one at most,
-    /// whoever runs, and one's lanes follow from its own place alone. In place of one that takes no connection the next
-    /// beyond it that is warm.
-    pub(crate) fn ranked_subset(&self, now: Nanos, all: &[usize], m: usize) -> Vec<usize> {
-        let n = all.len();
-        let place = |lane: usize| (lane * n + self.rank * m % n) / m;
-        let sound = |place: usize| !self.workers[all[place]].is_unreachable(now);
-        let warm = |place: usize| self.warmth(&self.workers[all[place]], now) >= 1.0;
-        let mut active: Vec<usize> = (0..m).map(place).collect();
-        for lane in 0..m {
-            if !sound(active[lane]) {
-                let mut others = (1..n).map(|step| (active[lane] + step) % n);
-                let other =
-                    others.find(|place| sound(*place) && warm(*place) && !active.contains(place));
-                active[lane] = other.unwrap_or(active[lane]);
-            }
+    /// What one dispatcher may send to a cold worker in any window, and for how many of those that keep to it
+    /// this one stands: none where it is not its turn. All clocks are one, and numbers next to each other
+    /// take different workers of a stretch. Guards against parts in which no job fits.
+    pub(crate) fn warm_up_turn(&self, worker: &Worker, now: Nanos) -> (f64, f64) {
+        if self.uses_warm_up_grants {
+            return self.reserved_allowance(worker, now);
         }
-        active.sort_unstable();
-        active.into_iter().map(|place| all[place]).collect()
+        let (warmth, window) = (
+            self.warmth(worker, now),
+            self.says("overload.window").max(1.0),
+        );
+        // Half of what is allowed: a third may come from those not told of its start, the rest is for hints.
+        let most = 0.5
+            * self.says("overload.multiple")
+            * self.capacity_per_size
+            * worker.size
+            * warmth
+            * window;
+        let turns = if self.exchanges_load {
+            self.dispatchers_per_worker.ceil()
+        } else {
+            MAX_DISPATCHERS_PER_WORKER
+        }
+        .min(self.dispatchers);
+        // Two have a turn at once, and more as it warms, as one has few requests in a window; the part of each
+        // stays what it is at the start. All count alike, by what the list and the settings tell.
+        let at_once = (2.0 * warmth / self.says("slow_start.from").max(0.01))
+            .floor()
+            .clamp(1.0, turns);
+        let place = (self.says("me") * turns / self.dispatchers) as u64;
+        let [a, b, c, d] = worker.id.addr.map(u64::from);
+        let of = a + b + c + d + u64::from(worker.id.port);
+        // A turn lasts four windows, of which the first is a rest: those before may have filled it.
+        let at = now / window as u64 + of;
+        let mine = !at.is_multiple_of(4) && (at / 4 + of + place) % (turns as u64) < at_once as u64;
+        (most / at_once, if mine { turns / at_once } else { 0.0 })
     }
 
-    /// The other dispatchers that keep to the worker at a place.
-    pub(crate) fn ranked_peers(
-        &self,
-        place: usize,
-        n: usize,
-        m: usize,
-    ) -> impl Iterator<Item = u16> {
-        let (me, all) = (self.rank, self.dispatchers as usize);
-        let keeps = move |to: usize| (to * m % n + n - place * m % n) % n < m;
-        (0..all)
-            .filter(move |to| *to != me && keeps(*to))
-            .map(|to| to as u16)
+    /// What this dispatcher may still send to a cold worker now.
+    pub(crate) fn warm_up_allowance(&self, worker: &Worker, now: Nanos) -> f64 {
+        let (most, part) = self.warm_up_turn(worker, now);
+        let from = now.saturating_sub(self.says("overload.window") as Nanos);
+        let recent_work = worker
+            .recent_work
+            .iter()
+            .filter(|(at, _)| *at >= from)
+            .map(|(_, work)| work);
+        let own = if part > 0.0 {
+            most - recent_work.sum::<f64>()
+        } else {
+            0.0
+        };
+        if self.uses_warm_up_grants {
+            own.max(0.0) + worker.unused_grants(now)
+        } else {
+            own
+        }
     }
 
     pub(crate) fn add_warm_up_grant(&mut self, worker: WorkerId, work: Nanos, until: Nanos) {
@@ -113,7 +157,7 @@
     }
 
     /// What a cold worker bears in any window that has begun by now: by what it could do at the window's start.
-    fn warm_up_capacity(&self, worker: &Worker, now: Nanos) -> f64 {
+    pub(crate) fn warm_up_capacity(&self, worker: &Worker, now: Nanos) -> f64 {
         let window = self.says("overload.window").max(1.0);
         let warmth = self.warmth(worker, now.saturating_sub(window as Nanos));
         self.says("overload.multiple") * self.capacity_per_size * worker.size * warmth * window
@@ -196,3 +240,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/worker_selection/tests.rs
@@ -0,0 +1,269 @@
+use super::Dispatcher;
+use crate::policy::test_support::{
+    MS, among, dispatcher, handle, one_of_a_large_fleet, request, starts_of_late, warm,
+};
+use crate::state::{Worker, bin_index};
+use crate::time::SECOND;
+use crate::types::{Action, AttemptEnded, Event, Nanos, Outcome, Report, Request, RequestId};
+use test_case::test_case;
+
+#[test]
+fn unseen_queues_are_taken_as_long_as_the_fleets() {
+    let mut worker = Worker {
+        slots: 2.0,
+        start_delay: 0.0,
+        start_delay_at: 0,
+        ..Worker::default()
+    };
+    assert!(worker.wait(10_000 * MS, 1.0, 0.0, (SECOND, 0.0)) > 0.9 * SECOND);
+    (worker.other_slots, worker.other_slots_at) = (0.0, 0);
+    assert!(worker.wait(10_000 * MS, 1.0, SECOND, (0.0, 4.0)) > SECOND);
+}
+
+/// Guards against a worker that is full or dead: answering at once, it looked idle and drew all that waited.
+#[test_case(Outcome::AtCapacity; "full")]
+#[test_case(Outcome::ConnectFailed; "dead")]
+fn a_worker_that_takes_nothing_is_passed_over(outcome: Outcome) {
+    let mut d = dispatcher(3);
+    let posted_to = |acts: &[Action]| match acts[..] {
+        [Action::SendAttempt { worker, .. }] => worker,
+        _ => panic!("{acts:?}"),
+    };
+    let first = posted_to(&handle(
+        &mut d,
+        MS,
+        Event::RequestArrived(request(1, 0, 100 * MS, MS)),
+    ));
+    let ended = AttemptEnded {
+        request_id: 1,
+        attempt_index: 0,
+        outcome,
+        complete: false,
+        report: Report::default(),
+    };
+    assert_ne!(
+        posted_to(&handle(&mut d, 2 * MS, Event::AttemptEnded(ended))),
+        first
+    );
+    assert!(d.workers[d.worker_indices[&first]].start_delay > 0.2 * SECOND);
+}
+
+/// Guards against a request posted again to the worker that has just failed it.
+#[test]
+fn a_request_goes_elsewhere_after_an_error() {
+    let mut d = dispatcher(2);
+    let mut acts = handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
+    let ended = AttemptEnded {
+        request_id: 1,
+        attempt_index: 0,
+        outcome: Outcome::WorkerError,
+        complete: false,
+        report: Report::default(),
+    };
+    let [Action::SendAttempt { worker: first, .. }] = acts[..] else {
+        panic!("{acts:?}")
+    };
+    d.workers
+        .iter_mut()
+        .for_each(|worker| (worker.start_delay, worker.start_delay_at) = (0.1 * SECOND, 0));
+    d.mean_failure_score = 0.9;
+    acts = handle(&mut d, 0, Event::AttemptEnded(ended));
+    assert!(
+        matches!(acts[..], [Action::SendAttempt { worker, .. }] if worker != first),
+        "{acts:?}"
+    );
+}
+
+/// The lane taken by a request of 10 ms where the whole fleet waits for three tenths of its room, and the worker of the last
+/// lane for `part` of that; lanes are numbered from the smallest jobs.
+fn lane_where_all_have_queues(mut d: Dispatcher, part: f64) -> usize {
+    let now = 100_000 * MS;
+    starts_of_late(&mut d, now, 0.3, 0);
+    d.classes[0].histogram[bin_index(1e7)] = 1e7;
+    d.classes[2].histogram[bin_index(2e9)] = 2e10;
+    (d.classes[0].seen, d.classes[2].seen) = (1.0, 10.0);
+    let last = *d.classes[0].subset.last().unwrap();
+    // Wanted within its SLA time and twice its run.
+    let room = d.classes[0].latency_objective + 10e6;
+    (d.workers[last].start_delay, d.workers[last].start_delay_at) =
+        (part * 0.3 * d.unobserved_share * room, now);
+    let acts = handle(
+        &mut d,
+        now,
+        Event::RequestArrived(request(1, 0, 10 * MS, now)),
+    );
+    let [Action::SendAttempt { worker, .. }] = acts[..] else {
+        panic!("{acts:?}")
+    };
+    d.classes[0]
+        .subset
+        .iter()
+        .position(|at| d.workers[*at].id == worker)
+        .unwrap()
+}
+
+/// Guards against short requests that stand behind long ones: where the whole fleet has queues, who looks least busy is
+/// no better known than by a part of the fleet's wait.
+#[test_case(0.5 => 0; "half of the fleet's wait is not worth seven lanes")]
+#[test_case(0.0 => 7; "an idle one is")]
+fn a_short_request_keeps_near_its_lane_where_all_have_queues(part: f64) -> usize {
+    lane_where_all_have_queues(one_of_a_large_fleet(), part)
+}
+
+/// Guards against lanes kept where each dispatcher sees enough of a worker to know which one is idle. All share eight workers.
+#[test_case(4 => 7; "four share each")]
+#[test_case(12 => 0; "twelve share each")]
+fn lanes_hold_the_more_the_less_is_seen_of_a_worker(dispatchers: u32) -> usize {
+    lane_where_all_have_queues(among(dispatchers, 0, warm(8)), 0.5)
+}
+
+/// Guards against a class wanted sooner than the network reaches other zones: it was hardly served, as each lane led to
+/// any zone. Long requests go on by their size alone.
+#[test_case(0, 10 => true; "a short request stays in its zone")]
+#[test_case(2, 1_000 => false; "a long one goes by its lane")]
+fn requests_go_to_another_zone_if_they_can_bear_the_way(class: u8, hint: Nanos) -> bool {
+    let mut d = one_of_a_large_fleet();
+    let now = 100_000 * MS;
+    let subset = d.classes[0].subset.clone();
+    subset[..7].iter().for_each(|at| d.workers[*at].zone = 2);
+    d.zone_delays.observe(1, 2e6);
+    d.zone_delays.observe(2, 80e6);
+    let acts = handle(
+        &mut d,
+        now,
+        Event::RequestArrived(request(1, class, hint * MS, now)),
+    );
+    let [Action::SendAttempt { worker, .. }] = acts[..] else {
+        panic!("{acts:?}")
+    };
+    d.workers[d.worker_indices[&worker]].zone == 1
+}
+
+/// Guards against zone delays that no start teaches.
+#[test]
+fn a_start_tells_the_way_to_its_zone() {
+    let mut d = one_of_a_large_fleet();
+    let at = d.classes[0].subset[0];
+    d.classes[0].subset.truncate(1);
+    d.workers[at].zone = 2;
+    handle(&mut d, 0, Event::RequestArrived(request(1, 0, 10 * MS, 0)));
+    handle(
+        &mut d,
+        80 * MS,
+        Event::AttemptStarted {
+            request_id: 1,
+            attempt_index: 0,
+        },
+    );
+    assert_eq!(
+        (d.zone_delays.extra(2), d.zone_delays.extra(1)),
+        (80e6, 0.0)
+    );
+}
+
+fn without_hint(id: RequestId, class: u8, now: Nanos) -> Request {
+    Request {
+        hint: None,
+        ..request(id, class, 0, now)
+    }
+}
+
+/// Guards against classes that all look alike until one of each has settled, which took a third of a day where a
+/// dispatcher sees one request a second: the class of short requests then queued behind long ones and was hardly served.
+#[test]
+fn classes_never_seen_to_run_are_told_apart_by_their_sla_times() {
+    let mut d = one_of_a_large_fleet();
+    let mut subset = [Vec::new(), Vec::new()];
+    for id in 0..60 {
+        let (class, now) = (
+            if id % 3 == 0 { 2 } else { 0 },
+            Nanos::from(id) * 10_000 * MS,
+        );
+        let acts = handle(
+            &mut d,
+            now,
+            Event::RequestArrived(without_hint(id, class, now)),
+        );
+        let [Action::SendAttempt { worker, .. }] = acts[..] else {
+            panic!("{acts:?}")
+        };
+        subset[usize::from(class == 2)].push(worker.addr[3]);
+        let report = Report::default();
+        let end = AttemptEnded {
+            request_id: id,
+            attempt_index: 0,
+            outcome: Outcome::AtCapacity,
+            complete: true,
+            report,
+        };
+        handle(&mut d, now + MS, Event::AttemptEnded(end));
+    }
+    let mean = |subset: &[u8]| {
+        subset.iter().map(|lane| f64::from(*lane)).sum::<f64>() / subset.len() as f64
+    };
+    assert!(mean(&subset[0]) + 60.0 < mean(&subset[1]), "{subset:?}");
+}
+
+/// Guards against a class that is declined until one of it has run: an SLA time near the time that clients wait left no room
+/// for any queue. Found by two tests as it was tried before.
+#[test]
+fn a_class_never_seen_to_run_leaves_room_for_a_queue() {
+    let mut d = one_of_a_large_fleet();
+    let now = 100_000 * MS;
+    starts_of_late(&mut d, now, 0.5, 0);
+    let request = Request {
+        deadline: now + 3_000 * MS,
+        ..without_hint(1, 2, now)
+    };
+    let acts = handle(&mut d, now, Event::RequestArrived(request));
+    assert!(matches!(acts[..], [Action::SendAttempt { .. }]), "{acts:?}");
+    let active = &d.requests[d.request_keys[&1]];
+    assert_eq!(
+        (active.service_time, active.time_to_spare(now, 1.0)),
+        (750e6, 2_250e6)
+    );
+}
+
+/// Guards against users who give no hints: a figure out of the air had each worker look slow by what it happened to run, and
+/// requests turned away for it.
+#[test_case(None, None => (500, 300); "none gives a hint")]
+#[test_case(Some(40), None => (40, 40); "those before gave one")]
+#[test_case(None, Some(40) => (40, 300); "it gives one itself")]
+fn one_without_a_hint_is_taken_to_run_as_those_like_it(
+    before: Option<Nanos>,
+    hint: Option<Nanos>,
+) -> (u64, u64) {
+    let mut d = dispatcher(4);
+    let mut complete = |id: RequestId, class: u8, hint: Option<Nanos>, took: Nanos| {
+        let now = Nanos::from(id) * 2_000 * MS;
+        let request = Request {
+            hint: hint.map(|hint| hint * MS),
+            ..request(id, class, 0, now)
+        };
+        drop(handle(&mut d, now, Event::RequestArrived(request)));
+        let run = d.requests[d.request_keys[&id]].service_time / MS as f64;
+        drop(handle(
+            &mut d,
+            now,
+            Event::AttemptStarted {
+                request_id: id,
+                attempt_index: 0,
+            },
+        ));
+        let report = Report::default();
+        let end = AttemptEnded {
+            request_id: id,
+            attempt_index: 0,
+            outcome: Outcome::Succeeded,
+            complete: true,
+            report,
+        };
+        drop(handle(&mut d, now + took * MS, Event::AttemptEnded(end)));
+        run.round() as u64
+    };
+    for (at, took) in [(1, 400), (2, 600)] {
+        complete(at, 0, before, took);
+        complete(10 + at, 2, before, 300);
+    }
+    (complete(20, 0, hint, 1), complete(21, 2, None, 1))
+}
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -3,7 +3,7 @@
 //! Attempts count in the order in which they were sent, not in the order of their starts. One that has not started yet counts
 //! as if it started now: its delay is at least its age, so it can raise the estimate and never lower it. Guards against a
 //! queue that is noticed only once it has been worked off: starts alone tell how long the queue was when they were sent.
-use crate::state::{SECOND, decay};
+use crate::time::{SECOND, decay};
 use crate::types::{Nanos, RequestId};
 use std::collections::VecDeque;
 
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -3,7 +3,7 @@
 //! Requests of a class that is wanted within some tens of milliseconds cannot be in time at a worker whose
 //! connection alone takes as long. Nothing on the wire states these delays, so the least start delays seen stand
 //! for them: a worker that was idle shows little else.
-use crate::state::SECOND;
+use crate::time::SECOND;
 
 /// Longer delays are queues: both customers' settings give up a connection after 250 ms.
 const LONGEST: f64 = 0.25 * SECOND;
