--- /dev/null
+++ b/crates/simulation/tests/exploration_lock.rs
@@ -0,0 +1,22 @@
+//! Locks what drawn simulations do: a refactoring must not change a single step of them.
+use rosewall_simulation::explore::scenario;
+use rosewall_simulation::world::play;
+
+#[test]
+fn sixty_drawn_simulations_take_exactly_the_recorded_steps() {
+    let mut total = [0_u64; 4];
+    let mut digest = 0xcbf2_9ce4_8422_2325_u64;
+
+    for seed in 0..60 {
+        let report = play(&scenario(seed, None), false);
+        let tally = &report.tally;
+        let counts = [report.steps, tally.txns, tally.postings, tally.settled];
+        for (total, count) in total.iter_mut().zip(counts) {
+            *total += count;
+            digest = (digest ^ count).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    assert_eq!(total, [834_084, 52_653, 50_263, 46_827]);
+    assert_eq!(digest, 3_119_102_420_819_159_616);
+}
