--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -220,7 +220,7 @@
             };
             given
                 .map
-                .insert("share.allowed".into(), members.peers.to_string());
+                .insert("peer_load.allowed".into(), members.peers.to_string());
             given.join(cluster_config).map_err(|fault| fault.line())?;
         }
         Ok(given)
