--- a/crates/engine/src/config_tests.rs
+++ b/crates/engine/src/config_tests.rs
@@ -90,7 +90,7 @@
     let mut rate_limit = RateLimiter::new(3);
     at_ms
         .iter()
-        .filter(|at| rate_limit.allows((**at + 1) * 1_000_000))
+        .filter(|at| rate_limit.try_acquire((**at + 1) * 1_000_000))
         .count()
 }
 
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -21,14 +21,14 @@
 
 impl Counter {
     pub fn add(&self) {
-        self.more(1);
+        self.add_many(1);
     }
 
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 
-    pub fn more(&self, count: usize) {
+    pub fn add_many(&self, count: usize) {
         self.0.set(self.0.get() + count as u64);
     }
 }
@@ -47,12 +47,12 @@
 
 /// What must hold: asserted in debug builds, counted in release builds.
 #[macro_export]
-macro_rules! must {
+macro_rules! invariant {
     ($counters:expr, $holds:expr, $what:literal) => {
         if !$holds {
             debug_assert!(false, $what);
             $counters.invariant_violations.add();
-            $crate::log::error!("must hold: {}", $what);
+            $crate::log::error!("invariant violated: {}", $what);
         }
     };
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,7 +2,7 @@
 //! calls `handle`; what follows from an action waits in a queue for its turn.
 use crate::counters::Counters;
 use crate::endpoints::EndpointTable;
-use crate::must;
+use crate::invariant;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
@@ -32,13 +32,13 @@
 /// What the hub is told.
 pub enum Input {
     /// A whole request, read at this moment.
-    Arrived {
+    RequestArrived {
         request_id: RequestId,
         at: Nanos,
         request: ClientRequest,
     },
     /// Its client has closed.
-    Left(RequestId),
+    ClientDisconnected(RequestId),
     AttemptProgress {
         request_id: RequestId,
         attempt_index: u8,
@@ -58,10 +58,10 @@
         work: Nanos,
         until: Nanos,
     },
-    List(EndpointList),
-    ListFailed,
+    EndpointList(EndpointList),
+    EndpointListFailed,
     /// The program ends: all is to be answered by this moment.
-    Stop(Nanos),
+    ShutDown(Nanos),
 }
 
 /// Where an attempt goes, and what goes there.
@@ -209,17 +209,17 @@
     }
 
     /// When to call `due` next.
-    pub fn next_due(&self) -> Option<Nanos> {
+    pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// Whether a list of workers is known.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.ready
     }
 
     /// Txns in hand: not answered, or with an attempt out.
-    pub fn active_requests(&self) -> usize {
+    pub fn active_request_count(&self) -> usize {
         self.requests.len()
     }
 
@@ -239,15 +239,15 @@
         self.timers.push(Reverse((at, self.armed, due)));
     }
 
-    pub fn take(&mut self, now: Nanos, input: Input, out: &mut Vec<Effect>) {
+    pub fn handle(&mut self, now: Nanos, input: Input, out: &mut Vec<Effect>) {
         match input {
-            Input::Arrived {
+            Input::RequestArrived {
                 request_id,
                 at,
                 request,
             } => self.arrived(now, request_id, at, request, out),
-            Input::Left(_) if is_active(Mutation::IgnoreClientDisconnect) => {}
-            Input::Left(request_id) => {
+            Input::ClientDisconnected(_) if is_active(Mutation::IgnoreClientDisconnect) => {}
+            Input::ClientDisconnected(request_id) => {
                 if let Some(active) = self.active(request_id)
                     && std::mem::take(&mut active.owed)
                 {
@@ -281,7 +281,7 @@
                     out,
                 );
             }
-            Input::List(list) => {
+            Input::EndpointList(list) => {
                 let scope = if list.is_snapshot {
                     ListScope::Snapshot
                 } else {
@@ -289,7 +289,7 @@
                 };
                 self.list(now, scope, list, out);
             }
-            Input::ListFailed => self.decide(
+            Input::EndpointListFailed => self.decide(
                 now,
                 Event::EndpointList {
                     scope: ListScope::Failed,
@@ -297,7 +297,7 @@
                 },
                 out,
             ),
-            Input::Stop(by) => self.stop(now, by, out),
+            Input::ShutDown(by) => self.stop(now, by, out),
         }
     }
 
@@ -326,7 +326,7 @@
             worker,
             address: None,
         }));
-        self.counters.host_id_collisions.more(clashing);
+        self.counters.host_id_collisions.add_many(clashing);
         self.decide(now, Event::EndpointList { scope, endpoints }, out);
     }
 
@@ -561,8 +561,8 @@
     }
 
     /// Takes the one timer that is due first, if one is; false where none is.
-    pub fn due(&mut self, now: Nanos, out: &mut Vec<Effect>) -> bool {
-        if self.next_due().is_none_or(|at| at > now) {
+    pub fn fire_next_timer(&mut self, now: Nanos, out: &mut Vec<Effect>) -> bool {
+        if self.next_timer().is_none_or(|at| at > now) {
             return false;
         }
         let Some(Reverse((_, _, due))) = self.timers.pop() else {
@@ -573,7 +573,7 @@
             Due::Deadline(request_id) => self.deadline_reached(now, request_id, out),
             Due::Owed(request_id) => {
                 let owed = self.active(request_id).is_some_and(|active| active.owed);
-                must!(
+                invariant!(
                     self.counters,
                     !owed,
                     "every request is answered at its deadline"
@@ -662,7 +662,7 @@
     fn refuse(&mut self, now: Nanos, request_id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
         log::debug!("at={now} request={request_id} answered {answer:?}");
         let owed = self.answer(request_id, answer, out);
-        must!(
+        invariant!(
             self.counters,
             owed,
             "only a request that is owed an answer gets one"
@@ -685,7 +685,7 @@
             active.deadline.saturating_sub(now),
         );
         let owed = active.owed && left > 0;
-        must!(
+        invariant!(
             counters,
             active.owed,
             "nothing is posted for a request that was answered"
--- a/crates/engine/src/engine_tests.rs
+++ b/crates/engine/src/engine_tests.rs
@@ -111,9 +111,9 @@
 
 fn arrive(engine: &mut Engine, request_id: u32, id: &str) -> Vec<String> {
     let mut out = Vec::new();
-    engine.take(
+    engine.handle(
         MS,
-        Input::Arrived {
+        Input::RequestArrived {
             request_id,
             at: MS,
             request: request(id),
@@ -131,7 +131,7 @@
         (vec!["post 1 0".into()], vec!["known 2".into()])
     );
     let mut out = Vec::new();
-    one.take(
+    one.handle(
         9 * MS,
         Input::AttemptProgress {
             request_id: 1,
@@ -141,7 +141,7 @@
         &mut out,
     );
     assert_eq!(
-        (words(&mut out), one.active_requests()),
+        (words(&mut out), one.active_request_count()),
         (vec!["settled 1".to_string(), "done 1 0".into()], 0)
     );
     assert_eq!(arrive(&mut one, 3, "a"), ["known 3"]);
@@ -154,7 +154,7 @@
 fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
     let (mut engine, mut out) = (engine(effect, Some(EndpointState::Ready)), Vec::new());
     arrive(&mut engine, 1, "a");
-    engine.take(
+    engine.handle(
         5 * MS,
         Input::AttemptProgress {
             request_id: 1,
@@ -182,9 +182,9 @@
         Vec::new(),
     );
     arrive(&mut engine, 1, "a");
-    engine.take(5 * MS, Input::Left(1), &mut out);
+    engine.handle(5 * MS, Input::ClientDisconnected(1), &mut out);
     assert_eq!(words(&mut out), ["off 1 0"]);
-    engine.take(
+    engine.handle(
         6 * MS,
         Input::AttemptProgress {
             request_id: 1,
@@ -194,7 +194,7 @@
         &mut out,
     );
     assert_eq!(
-        (words(&mut out), engine.active_requests()),
+        (words(&mut out), engine.active_request_count()),
         (vec!["done 1 0".to_string()], 0)
     );
 }
@@ -207,9 +207,9 @@
     );
     arrive(&mut engine, 1, "a");
     let mut at = 0;
-    while let Some(due) = engine.next_due().filter(|due| *due < 2_000 * MS) {
+    while let Some(due) = engine.next_timer().filter(|due| *due < 2_000 * MS) {
         at = due;
-        engine.due(due, &mut out);
+        engine.fire_next_timer(due, &mut out);
         if !out.is_empty() {
             break;
         }
@@ -227,12 +227,12 @@
         Vec::new(),
     );
     arrive(&mut engine, 1, "a");
-    engine.take(10 * MS, Input::Stop(100 * MS), &mut out);
-    while engine.next_due().is_some_and(|due| due <= 100 * MS) {
-        engine.due(100 * MS, &mut out);
+    engine.handle(10 * MS, Input::ShutDown(100 * MS), &mut out);
+    while engine.next_timer().is_some_and(|due| due <= 100 * MS) {
+        engine.fire_next_timer(100 * MS, &mut out);
     }
     assert_eq!(
-        (words(&mut out), engine.active_requests()),
+        (words(&mut out), engine.active_request_count()),
         (vec!["cut 1 0".to_string(), "reversed 1".into()], 0)
     );
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! What one dispatcher holds and what it makes of what it is told, without I/O: nothing here awaits, reads a clock
 //! or opens anything. `engine` is the machine in the middle; `pool` and `limits` say which connection is used again
 //! and who may still come in; `config` is what the operators hand over.
-/// For `must!`.
+/// For `invariant!`.
 pub use log;
 
 pub mod config;
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -28,13 +28,13 @@
 
 /// Who waits for a client's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiter {
+pub enum IdleClient {
     /// One that has not asked yet.
-    Stranger,
+    AwaitingFirstRequest,
     /// One that has asked before.
-    Known,
+    BetweenRequests,
     /// One that is only told that there is no room: to close it gives no place.
-    Away,
+    Overflow,
 }
 
 #[derive(Default)]
@@ -52,7 +52,7 @@
 }
 
 /// One descriptor in use; given back when dropped.
-pub struct Slot {
+pub struct DescriptorPermit {
     limits: Rc<ResourceLimits>,
     /// Whether it is one of those kept back.
     kept_back: bool,
@@ -60,9 +60,9 @@
     client: Option<Cell<usize>>,
 }
 
-impl Slot {
+impl DescriptorPermit {
     /// Counts the bytes that a client's requests hold now; false where there is no room for them.
-    pub fn hold(&self, bytes: usize) -> bool {
+    pub fn reserve_bytes(&self, bytes: usize) -> bool {
         let Some(held) = &self.client else {
             return true;
         };
@@ -76,7 +76,7 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         if self.kept_back {
             return self
@@ -95,12 +95,12 @@
 impl ResourceLimits {
     pub fn new(sockets: usize, memory_mb: usize) -> Self {
         let limits = ResourceLimits::default();
-        limits.limit(sockets, memory_mb);
+        limits.set_limits(sockets, memory_mb);
         limits
     }
 
     /// Sets the limits; what is over a lower one ends as it falls idle.
-    pub fn limit(&self, sockets: usize, memory_mb: usize) {
+    pub fn set_limits(&self, sockets: usize, memory_mb: usize) {
         let (most, memory) = (
             sockets.saturating_sub(KEPT_BACK).max(2),
             memory_mb * 1024 * 1024,
@@ -114,12 +114,12 @@
     }
 
     /// Whether one more client fits among the clients, whatever else is open.
-    pub fn has_client_room(&self) -> bool {
+    pub fn has_client_capacity(&self) -> bool {
         self.clients.get() < self.most_clients.get()
     }
 
-    pub fn client(self: &Rc<Self>) -> Option<Slot> {
-        let slot = if self.has_client_room() {
+    pub fn acquire_client(self: &Rc<Self>) -> Option<DescriptorPermit> {
+        let slot = if self.has_client_capacity() {
             self.slot(Some(Cell::new(0)))?
         } else {
             return None;
@@ -130,11 +130,11 @@
 
     /// One of the few for clients that are only told that there is no room. Guards against requests that wait at the door
     /// past their deadline.
-    pub fn turned_away(self: &Rc<Self>) -> Option<Slot> {
+    pub fn acquire_overflow_client(self: &Rc<Self>) -> Option<DescriptorPermit> {
         let taken = self.turned_away.get();
         (taken < TO_TURN_AWAY).then(|| {
             self.turned_away.set(taken + 1);
-            Slot {
+            DescriptorPermit {
                 limits: self.clone(),
                 kept_back: true,
                 client: None,
@@ -142,16 +142,16 @@
         })
     }
 
-    pub fn worker(self: &Rc<Self>) -> Option<Slot> {
+    pub fn acquire_worker(self: &Rc<Self>) -> Option<DescriptorPermit> {
         self.slot(None)
     }
 
-    fn slot(self: &Rc<Self>, client: Option<Cell<usize>>) -> Option<Slot> {
+    fn slot(self: &Rc<Self>, client: Option<Cell<usize>>) -> Option<DescriptorPermit> {
         if self.used.get() >= self.most.get() {
             return None;
         }
         self.used.set(self.used.get() + 1);
-        Some(Slot {
+        Some(DescriptorPermit {
             limits: self.clone(),
             kept_back: false,
             client,
@@ -159,16 +159,20 @@
     }
 
     /// Descriptors in use now.
-    pub fn used(&self) -> usize {
+    pub fn descriptors_used(&self) -> usize {
         self.used.get() + self.turned_away.get()
     }
 
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.clients.get()
     }
 
     /// A client waits until what is given back is dropped; the channel tells it to close.
-    pub fn waits(self: &Rc<Self>, now: Nanos, waiter: Waiter) -> (Waits, Receiver<()>) {
+    pub fn register_idle(
+        self: &Rc<Self>,
+        now: Nanos,
+        waiter: IdleClient,
+    ) -> (IdleRegistration, Receiver<()>) {
         let serial = self.serial.get();
         self.serial.set(serial + 1);
         let (close, closed) = async_channel::bounded(1);
@@ -176,7 +180,7 @@
             .borrow_mut()
             .insert(serial, (now, close));
         (
-            Waits {
+            IdleRegistration {
                 limits: self.clone(),
                 waiter,
                 serial,
@@ -186,7 +190,7 @@
     }
 
     /// Whether there is a client whose place may fall free as it is closed.
-    pub fn anyone_waits(&self) -> bool {
+    pub fn has_evictable_client(&self) -> bool {
         self.waiting[..2]
             .iter()
             .any(|waiting| !waiting.borrow().is_empty())
@@ -195,7 +199,7 @@
     /// Closes the client that has waited longest; false where none may be closed. Guards against silent connections by
     /// the hundred that keep others out, or have those closed that are of use; and, as no one who came just now is
     /// closed, against the loss of a first request that is on its way.
-    pub fn close_waiting(&self, now: Nanos) -> bool {
+    pub fn evict_idle_client(&self, now: Nanos) -> bool {
         let [strangers, known, _] = &self.waiting;
         let (mut strangers, mut known) = (strangers.borrow_mut(), known.borrow_mut());
         let oldest = strangers
@@ -213,13 +217,13 @@
     }
 }
 
-pub struct Waits {
+pub struct IdleRegistration {
     limits: Rc<ResourceLimits>,
-    waiter: Waiter,
+    waiter: IdleClient,
     serial: u64,
 }
 
-impl Drop for Waits {
+impl Drop for IdleRegistration {
     fn drop(&mut self) {
         self.limits.waiting[self.waiter as usize]
             .borrow_mut()
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,165 +1,268 @@
-//! Idle connections to workers, of whatever kind carries them. One that is taken out was looked at first.
+//! Idle connections to workers, of whatever kind carries them: which one is used again, and for how long it may be.
 use rosewall::types::{Nanos, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What the pool asks of a connection.
-pub trait Idle {
-    /// Whether it is open and silent. Guards against an attempt on a connection that the worker has closed,
-    /// or on which an answer to an earlier one still comes.
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
+
+/// How long after a connection broke in use the shorter idle timeout applies that follows from it.
+const BREAK_MEMORY: Nanos = 30 * SECOND;
+
+/// How long after an answer the last byte of an attempt must not be written to the same connection.
+///
+/// A faulty worker may send a second answer to the same attempt some milliseconds late. It would be taken for the answer to
+/// the next request, which would then be sent again although it runs.
+pub const REST_AFTER_ANSWER: Nanos = 10 * MILLISECOND;
+
+/// How many attempts to one worker in `UNRESTED_WINDOW` may take a connection that has not rested. Beyond that no
+/// connection is given, so that the caller opens one more.
+const MAX_UNRESTED_IN_WINDOW: u32 = 25;
+const UNRESTED_WINDOW: Nanos = SECOND;
+
+/// Expired connections are looked for at multiples of this.
+const EXPIRY_GRANULARITY: Nanos = 100 * MILLISECOND;
+
+/// What the pool needs to know of a connection.
+pub trait Reusable {
+    /// Whether the connection is open and has nothing to read: the worker has not closed it, and no part of an earlier answer
+    /// is still arriving.
     fn is_reusable(&self) -> bool;
 }
 
-struct Kept<C> {
-    conn: C,
+/// A connection taken from the pool.
+pub struct IdleConnection<C> {
+    /// The connection.
+    pub connection: C,
+    /// When it was put into the pool.
+    pub idle_since: Nanos,
+}
+
+/// What [`Pool::take`] found.
+pub struct Taken<C> {
+    /// A reusable connection, if there is one.
+    pub connection: Option<IdleConnection<C>>,
+    /// How many connections were dropped because they had expired or were not reusable.
+    pub stale: usize,
+}
+
+struct PooledConnection<C> {
+    connection: C,
     address: SocketAddr,
-    since: Nanos,
+    idle_since: Nanos,
+}
+
+/// The idle connections to one worker, the one that was used last at the end.
+struct WorkerPool<C> {
+    connections: Vec<PooledConnection<C>>,
+    /// How many attempts found no rested connection since `window_start`.
+    unrested_count: u32,
+    window_start: Nanos,
 }
 
-/// The connections to one worker, the one used last at the end.
-struct Line<C> {
-    kept: Vec<Kept<C>>,
-    /// How many attempts were to wait for a rest, since a moment.
-    waits: (u32, Nanos),
+impl<C> WorkerPool<C> {
+    fn new(now: Nanos) -> Self {
+        WorkerPool {
+            connections: Vec::new(),
+            unrested_count: 0,
+            window_start: now,
+        }
+    }
+
+    /// Counts an attempt that found no rested connection; whether it may take one that has not rested.
+    fn may_use_unrested(&mut self, now: Nanos) -> bool {
+        if now >= self.window_start + UNRESTED_WINDOW {
+            self.unrested_count = 0;
+            self.window_start = now;
+        }
+        self.unrested_count += 1;
+        self.unrested_count <= MAX_UNRESTED_IN_WINDOW
+    }
 }
 
+impl<C: Reusable> WorkerPool<C> {
+    fn take(&mut self, now: Nanos, idle_timeout: Nanos) -> Taken<C> {
+        let mut stale = 0;
+        let mut connection = self.take_rested(now, idle_timeout, &mut stale);
+        if connection.is_none() && !self.connections.is_empty() && self.may_use_unrested(now) {
+            connection = self.take_longest_idle(now, idle_timeout, &mut stale);
+        }
+        Taken { connection, stale }
+    }
+
+    /// Of the connections that have rested, the reusable one that was used last.
+    fn take_rested(
+        &mut self,
+        now: Nanos,
+        idle_timeout: Nanos,
+        stale: &mut usize,
+    ) -> Option<IdleConnection<C>> {
+        let rested = self
+            .connections
+            .partition_point(|pooled| pooled.idle_since + REST_AFTER_ANSWER <= now);
+        (0..rested)
+            .rev()
+            .find_map(|index| self.remove_if_reusable(index, now, idle_timeout, stale))
+    }
+
+    /// The reusable connection that has been idle for longest.
+    fn take_longest_idle(
+        &mut self,
+        now: Nanos,
+        idle_timeout: Nanos,
+        stale: &mut usize,
+    ) -> Option<IdleConnection<C>> {
+        while !self.connections.is_empty() {
+            let found = self.remove_if_reusable(0, now, idle_timeout, stale);
+            if found.is_some() {
+                return found;
+            }
+        }
+        None
+    }
+
+    /// Removes one connection; gives it if it is reusable, else drops and counts it.
+    fn remove_if_reusable(
+        &mut self,
+        index: usize,
+        now: Nanos,
+        idle_timeout: Nanos,
+        stale: &mut usize,
+    ) -> Option<IdleConnection<C>> {
+        let PooledConnection {
+            connection,
+            idle_since,
+            ..
+        } = self.connections.remove(index);
+        if now < idle_since + idle_timeout && connection.is_reusable() {
+            return Some(IdleConnection {
+                connection,
+                idle_since,
+            });
+        }
+        *stale += 1;
+        None
+    }
+}
+
+/// The idle connections to all workers.
 pub struct Pool<C> {
-    idle: BTreeMap<WorkerId, Line<C>>,
-    keep: Nanos,
-    /// The shortest time of late after which a connection broke though it had looked sound, and when it last did.
-    broke: Nanos,
-    broke_at: Nanos,
-    /// When to look for those that are idle for too long.
-    reaps: VecDeque<Nanos>,
+    by_worker: BTreeMap<WorkerId, WorkerPool<C>>,
+    idle_timeout: Nanos,
+    /// The shortest recent idle time after which a connection broke in use although it had looked reusable.
+    shortest_broken_idle: Nanos,
+    /// When a connection last broke so.
+    last_broken_at: Nanos,
+    /// When to look for expired connections.
+    expiries: VecDeque<Nanos>,
 }
 
-/// How long a break is remembered: a few times what a busy dispatcher needs to meet the next one, and short beside
-/// a day if it was chance.
-const REMEMBERED: Nanos = 30_000_000_000;
-
-/// So long after an answer nothing is posted whole over its connection: a second answer to the same attempt comes some
-/// milliseconds late if it comes. Guards against one that is taken for the next request's: as what never ran, it would have
-/// that posted twice.
-pub const REST: Nanos = 10_000_000;
-/// So many attempts a second to one worker wait for that, up to a quarter of the time; then one more connection to it is opened,
-/// until there are enough that each rests. Guards against a wait for each attempt at a busy dispatcher, and against several
-/// connections for who posts one by one.
-const WAITS: u32 = 25;
-const WAITS_WITHIN: Nanos = 1_000_000_000;
-/// Those idle for too long are looked for this often at most: short beside the seconds by which they are dropped early.
-const REAP: Nanos = 100_000_000;
-
-impl<C: Idle> Pool<C> {
-    /// The worker closes what was idle for `limit`. Three fifths leave seconds for clocks and for the
-    /// attempt that is being written.
-    pub fn new(limit: Nanos) -> Self {
-        let (idle, reaps) = (BTreeMap::new(), VecDeque::new());
+impl<C: Reusable> Pool<C> {
+    /// For workers that close a connection after it was idle for `worker_idle_timeout`. Connections are used for three fifths
+    /// of that, which leaves time for clocks that differ and for the attempt that is being written.
+    pub fn new(worker_idle_timeout: Nanos) -> Self {
         Pool {
-            idle,
-            keep: limit / 5 * 3,
-            broke: Nanos::MAX,
-            broke_at: 0,
-            reaps,
+            by_worker: BTreeMap::new(),
+            idle_timeout: three_fifths(worker_idle_timeout),
+            shortest_broken_idle: Nanos::MAX,
+            last_broken_at: 0,
+            expiries: VecDeque::new(),
         }
     }
 
-    /// One that looked sound, idle since `since`, broke as it was used. Guards against workers, or what is between,
-    /// that drop kept connections in silence, and sooner than the settings say: what ran on those cannot be told.
-    pub fn broke(&mut self, now: Nanos, since: Nanos) {
-        let age = now.saturating_sub(since);
-        self.broke = age.min(if self.remembers(now) {
-            self.broke
+    /// Records that a connection which looked reusable, idle since `idle_since`, broke as it was used. Workers, or devices
+    /// between, may drop idle connections silently and earlier than the settings say; whether a request ran there is unknown.
+    pub fn record_broken(&mut self, now: Nanos, idle_since: Nanos) {
+        let idle = now.saturating_sub(idle_since);
+        self.shortest_broken_idle = if self.broke_recently(now) {
+            idle.min(self.shortest_broken_idle)
         } else {
-            Nanos::MAX
-        });
-        self.broke_at = now;
+            idle
+        };
+        self.last_broken_at = now;
     }
 
-    fn remembers(&self, now: Nanos) -> bool {
-        now < self.broke_at + REMEMBERED
+    fn broke_recently(&self, now: Nanos) -> bool {
+        now < self.last_broken_at + BREAK_MEMORY
     }
 
-    fn keep(&self, now: Nanos) -> Nanos {
-        if self.remembers(now) {
-            self.keep.min(self.broke / 5 * 3)
+    fn current_idle_timeout(&self, now: Nanos) -> Nanos {
+        if self.broke_recently(now) {
+            self.idle_timeout
+                .min(three_fifths(self.shortest_broken_idle))
         } else {
-            self.keep
+            self.idle_timeout
         }
     }
 
-    /// A sound connection, if one is to be used, with the moment since when it is idle, and how many were not sound. Of those
-    /// that have rested the one used last; else the one that has rested longest, unless too many waited so of late.
-    pub fn take(&mut self, now: Nanos, worker: WorkerId) -> (Option<(C, Nanos)>, usize) {
-        let (mut stale, keep) = (0, self.keep(now));
-        let Some(Line { kept, waits }) = self.idle.get_mut(&worker) else {
-            return (None, 0);
-        };
-        let mut take_if_reusable = |Kept { conn, since, .. }: Kept<C>| {
-            let sound = now < since + keep && conn.is_reusable();
-            stale += usize::from(!sound);
-            sound.then_some((conn, since))
-        };
-        let rested = kept.partition_point(|kept| kept.since + REST <= now);
-        let mut found = (0..rested)
-            .rev()
-            .find_map(|at| take_if_reusable(kept.remove(at)));
-        if found.is_none() && !kept.is_empty() {
-            if now >= waits.1 + WAITS_WITHIN {
-                *waits = (0, now);
-            }
-            waits.0 += 1;
-            while found.is_none() && waits.0 <= WAITS && !kept.is_empty() {
-                found = take_if_reusable(kept.remove(0));
-            }
+    /// Takes a connection to a worker: of those that have rested the one used last, else the one that has been idle for
+    /// longest, unless too many attempts took such a one recently.
+    pub fn take(&mut self, now: Nanos, worker: WorkerId) -> Taken<C> {
+        let idle_timeout = self.current_idle_timeout(now);
+        match self.by_worker.get_mut(&worker) {
+            Some(pool) => pool.take(now, idle_timeout),
+            None => Taken {
+                connection: None,
+                stale: 0,
+            },
         }
-        (found, stale)
     }
 
-    /// Puts one in that leads to `address`.
-    pub fn put(&mut self, now: Nanos, worker: WorkerId, address: SocketAddr, conn: C) {
-        let line = self.idle.entry(worker).or_insert_with(|| Line {
-            kept: Vec::new(),
-            waits: (0, now),
-        });
-        line.kept.push(Kept {
-            conn,
+    /// Puts in a connection that leads to `address`.
+    pub fn put(&mut self, now: Nanos, worker: WorkerId, address: SocketAddr, connection: C) {
+        let pool = self
+            .by_worker
+            .entry(worker)
+            .or_insert_with(|| WorkerPool::new(now));
+        pool.connections.push(PooledConnection {
+            connection,
             address,
-            since: now,
+            idle_since: now,
         });
-        let at = (now + self.keep).next_multiple_of(REAP);
-        if self.reaps.back() != Some(&at) {
-            self.reaps.push_back(at);
+        let expiry = (now + self.idle_timeout).next_multiple_of(EXPIRY_GRANULARITY);
+        if self.expiries.back() != Some(&expiry) {
+            self.expiries.push_back(expiry);
         }
     }
 
-    /// Drops those to a worker that do not lead to `address`: all of them where it is none.
-    pub fn drop_worker(&mut self, worker: WorkerId, address: Option<SocketAddr>) {
-        if let Some(line) = self.idle.get_mut(&worker) {
-            line.kept.retain(|kept| Some(kept.address) == address);
+    /// Drops the connections to a worker that do not lead to `address`: all of them where it is none.
+    pub fn evict_worker(&mut self, worker: WorkerId, address: Option<SocketAddr>) {
+        if let Some(pool) = self.by_worker.get_mut(&worker) {
+            pool.connections
+                .retain(|pooled| Some(pooled.address) == address);
         }
     }
 
-    /// When to call `reap` next.
-    pub fn next_reap(&self) -> Option<Nanos> {
-        self.reaps.front().copied()
+    /// When to call [`Pool::evict_expired`] next.
+    pub fn next_expiry(&self) -> Option<Nanos> {
+        self.expiries.front().copied()
     }
 
-    /// Drops what has been idle for too long.
-    pub fn reap(&mut self, now: Nanos) {
-        let keep = self.keep(now);
-        self.idle
-            .values_mut()
-            .for_each(|line| line.kept.retain(|kept| now < kept.since + keep));
-        self.idle.retain(|_, line| !line.kept.is_empty());
-        while self.reaps.front().is_some_and(|at| *at <= now) {
-            self.reaps.pop_front();
+    /// Drops connections that have been idle for too long.
+    pub fn evict_expired(&mut self, now: Nanos) {
+        let idle_timeout = self.current_idle_timeout(now);
+        for pool in self.by_worker.values_mut() {
+            pool.connections
+                .retain(|pooled| now < pooled.idle_since + idle_timeout);
+        }
+        self.by_worker
+            .retain(|_, pool| !pool.connections.is_empty());
+        while self.expiries.front().is_some_and(|at| *at <= now) {
+            self.expiries.pop_front();
         }
     }
 
-    /// Drops the one that has been idle longest, to make room; false if there is none.
-    pub fn evict(&mut self) -> bool {
-        let oldest = self.idle.values_mut().filter(|line| !line.kept.is_empty());
-        let oldest = oldest.min_by_key(|line| line.kept[0].since);
-        oldest.map(|line| line.kept.remove(0)).is_some()
+    /// Drops the connection that has been idle for longest, to free its descriptor; false if there is none.
+    pub fn evict_oldest(&mut self) -> bool {
+        self.by_worker
+            .values_mut()
+            .filter(|pool| !pool.connections.is_empty())
+            .min_by_key(|pool| pool.connections[0].idle_since)
+            .map(|pool| pool.connections.remove(0))
+            .is_some()
     }
 }
+
+fn three_fifths(time: Nanos) -> Nanos {
+    time / 5 * 3
+}
--- a/crates/engine/src/rate_limit.rs
+++ b/crates/engine/src/rate_limit.rs
@@ -17,7 +17,7 @@
     }
 
     /// Whether it may be done once more now.
-    pub fn allows(&mut self, now: Nanos) -> bool {
+    pub fn try_acquire(&mut self, now: Nanos) -> bool {
         let more = now.saturating_sub(self.at).min(1_000_000_000) * self.a_second / 1_000_000_000;
         if more > 0 {
             (self.left, self.at) = ((self.left + more).min(self.a_second), now);
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -1,7 +1,7 @@
 //! What is held, without a socket.
 use super::endpoints::{EndpointTable, id};
-use super::limits::{ResourceLimits, Waiter};
-use super::pool::{Idle, Pool, REST};
+use super::limits::{IdleClient, ResourceLimits};
+use super::pool::{Pool, REST_AFTER_ANSWER, Reusable, Taken};
 use rosewall::types::{EndpointState, Nanos};
 use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
 use std::rc::Rc;
@@ -82,23 +82,26 @@
 #[test]
 fn descriptors_are_given_back_and_leave_room_for_postings() {
     let limits = Rc::new(ResourceLimits::new(32 + 10, 192));
-    let clients: Vec<_> = std::iter::from_fn(|| limits.client()).collect();
-    let attempts: Vec<_> = std::iter::from_fn(|| limits.worker()).collect();
-    assert_eq!((clients.len(), attempts.len(), limits.clients()), (6, 4, 6));
+    let clients: Vec<_> = std::iter::from_fn(|| limits.acquire_client()).collect();
+    let attempts: Vec<_> = std::iter::from_fn(|| limits.acquire_worker()).collect();
+    assert_eq!(
+        (clients.len(), attempts.len(), limits.client_count()),
+        (6, 4, 6)
+    );
     drop(clients);
-    assert!(limits.client().is_some() && limits.worker().is_some());
-    assert_eq!(limits.clients(), 0);
+    assert!(limits.acquire_client().is_some() && limits.acquire_worker().is_some());
+    assert_eq!(limits.client_count(), 0);
 }
 
 #[test]
 fn a_lower_limit_holds_from_then_on() {
     let limits = Rc::new(ResourceLimits::new(1024, 192));
-    let clients: Vec<_> = (0..9).map_while(|_| limits.client()).collect();
-    limits.limit(32 + 10, 192);
-    assert!(limits.client().is_none());
+    let clients: Vec<_> = (0..9).map_while(|_| limits.acquire_client()).collect();
+    limits.set_limits(32 + 10, 192);
+    assert!(limits.acquire_client().is_none());
     drop(clients);
     assert_eq!(
-        std::iter::from_fn(|| limits.client())
+        std::iter::from_fn(|| limits.acquire_client())
             .collect::<Vec<_>>()
             .len(),
         6
@@ -117,17 +120,17 @@
     let waiting: Vec<_> = asked
         .iter()
         .map(|asked| {
-            limits.waits(
+            limits.register_idle(
                 7,
                 if *asked {
-                    Waiter::Known
+                    IdleClient::BetweenRequests
                 } else {
-                    Waiter::Stranger
+                    IdleClient::AwaitingFirstRequest
                 },
             )
         })
         .collect();
-    let closed = limits.close_waiting(7 + waited * 1_000_000);
+    let closed = limits.evict_idle_client(7 + waited * 1_000_000);
     let told: Vec<_> = waiting
         .iter()
         .map(|(_, closed)| closed.try_recv().is_ok())
@@ -142,38 +145,45 @@
 #[test]
 fn to_close_who_holds_no_place_makes_no_room() {
     let limits = Rc::new(ResourceLimits::new(1024, 192));
-    let _away = limits.waits(0, Waiter::Away);
-    assert!(!limits.anyone_waits() && !limits.close_waiting(SECOND));
+    let _away = limits.register_idle(0, IdleClient::Overflow);
+    assert!(!limits.has_evictable_client() && !limits.evict_idle_client(SECOND));
 }
 
 #[test]
 fn who_waits_no_longer_is_not_closed() {
     let limits = Rc::new(ResourceLimits::new(1024, 192));
-    drop(limits.waits(7, Waiter::Known));
-    assert!(!limits.close_waiting(7));
+    drop(limits.register_idle(7, IdleClient::BetweenRequests));
+    assert!(!limits.evict_idle_client(7));
 }
 
 /// Half of the memory is for four copies of what clients send.
 #[test]
 fn memory_bounds_what_clients_send() {
     let limits = Rc::new(ResourceLimits::new(1024, 16));
-    let (one, other) = (limits.client().unwrap(), limits.client().unwrap());
-    assert!(one.hold(1024 * 1024) && !other.hold(1024 * 1024 + 1) && other.hold(1024));
-    assert!(one.hold(1024 * 1024 - 2048) && other.hold(2048));
+    let (one, other) = (
+        limits.acquire_client().unwrap(),
+        limits.acquire_client().unwrap(),
+    );
+    assert!(
+        one.reserve_bytes(1024 * 1024)
+            && !other.reserve_bytes(1024 * 1024 + 1)
+            && other.reserve_bytes(1024)
+    );
+    assert!(one.reserve_bytes(1024 * 1024 - 2048) && other.reserve_bytes(2048));
     drop(one);
-    assert!(other.hold(2 * 1024 * 1024));
+    assert!(other.reserve_bytes(2 * 1024 * 1024));
 }
 
 #[test]
 fn memory_bounds_the_clients_too() {
     let limits = Rc::new(ResourceLimits::new(100_000, 16));
-    let clients: Vec<_> = std::iter::from_fn(|| limits.client()).collect();
+    let clients: Vec<_> = std::iter::from_fn(|| limits.acquire_client()).collect();
     assert_eq!(clients.len(), 128);
 }
 
 struct Sound(bool);
 
-impl Idle for Sound {
+impl Reusable for Sound {
     fn is_reusable(&self) -> bool {
         self.0
     }
@@ -193,9 +203,9 @@
     let mut pool = Pool::new(30 * SECOND);
     pool.put(now - idle * SECOND, id("a"), address, Sound(true));
     if let Some((age, ago)) = broke {
-        pool.broke(now - ago * SECOND, now - (ago + age) * SECOND);
+        pool.record_broken(now - ago * SECOND, now - (ago + age) * SECOND);
     }
-    pool.take(now, id("a")).0.is_some()
+    pool.take(now, id("a")).connection.is_some()
 }
 
 #[test]
@@ -204,8 +214,10 @@
     [true, false]
         .into_iter()
         .for_each(|sound| pool.put(SECOND, id("a"), address, Sound(sound)));
-    let (taken, stale) = pool.take(SECOND + REST, id("a"));
-    assert!(taken.is_some_and(|(conn, since)| conn.0 && since == SECOND) && stale == 1);
+    let Taken { connection, stale } = pool.take(SECOND + REST_AFTER_ANSWER, id("a"));
+    assert!(
+        connection.is_some_and(|idle| idle.connection.0 && idle.idle_since == SECOND) && stale == 1
+    );
 }
 
 /// Guards against a wait for a rest where another connection has had its own, and against one that is older than need be.
@@ -219,8 +231,8 @@
     ages.iter()
         .for_each(|age| pool.put(now - age * MS, id("a"), address, Sound(true)));
     pool.take(now, id("a"))
-        .0
-        .map(|(_, since)| (now - since) / MS)
+        .connection
+        .map(|idle| (now - idle.idle_since) / MS)
 }
 
 /// Guards against a wait before each attempt of a busy dispatcher, and against a connection more for one that posts twice now
@@ -234,7 +246,7 @@
     (0..postings as Nanos).all(|n| {
         let now = SECOND + n * apart * MS;
         pool.put(now, id("a"), address, Sound(true));
-        pool.take(now + MS, id("a")).0.is_some()
+        pool.take(now + MS, id("a")).connection.is_some()
     })
 }
 
@@ -245,8 +257,11 @@
     dials
         .into_iter()
         .for_each(|address| pool.put(SECOND, id("a"), address, Sound(true)));
-    pool.drop_worker(id("a"), Some(dials[0]));
-    assert!(pool.take(SECOND, id("a")).0.is_some() && pool.take(SECOND, id("a")).0.is_none());
+    pool.evict_worker(id("a"), Some(dials[0]));
+    assert!(
+        pool.take(SECOND, id("a")).connection.is_some()
+            && pool.take(SECOND, id("a")).connection.is_none()
+    );
 }
 
 /// A list with a lower number says nothing new of a process that is known to drain or to be gone.
@@ -278,11 +293,14 @@
 #[test]
 fn those_only_told_that_there_is_no_room_take_a_few_kept_back() {
     let limits = Rc::new(ResourceLimits::new(32 + 2, 192));
-    let all: Vec<_> = std::iter::from_fn(|| limits.worker()).collect();
-    let away: Vec<_> = std::iter::from_fn(|| limits.turned_away()).collect();
-    assert_eq!((all.len(), away.len(), limits.used()), (2, 8, 10));
+    let all: Vec<_> = std::iter::from_fn(|| limits.acquire_worker()).collect();
+    let away: Vec<_> = std::iter::from_fn(|| limits.acquire_overflow_client()).collect();
+    assert_eq!(
+        (all.len(), away.len(), limits.descriptors_used()),
+        (2, 8, 10)
+    );
     drop(away);
-    assert_eq!(limits.used(), 2);
+    assert_eq!(limits.descriptors_used(), 2);
 }
 
 /// Guards against the address of a process that is no more, told by a list from before its successor.
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -173,7 +173,7 @@
 
     fn take(&mut self, input: Input) {
         let mut effects = Vec::new();
-        self.engine.take(self.now, input, &mut effects);
+        self.engine.handle(self.now, input, &mut effects);
         self.carry_out(effects);
     }
 
@@ -192,7 +192,7 @@
                 );
             }
         }
-        if let Some(due) = self.engine.next_due() {
+        if let Some(due) = self.engine.next_timer() {
             self.push(due.saturating_sub(self.now), Next::Timers);
         }
     }
@@ -449,7 +449,7 @@
                     let delay = self.below(300) * MILLISECOND;
                     self.push(delay, Next::Disconnect(request_id));
                 }
-                self.take(Input::Arrived {
+                self.take(Input::RequestArrived {
                     request_id,
                     at: self.now,
                     request,
@@ -510,8 +510,8 @@
             if let Ok(Some((text, reusable))) = reader.feed(piece) {
                 add_numbers(&mut self.digest, &[41, u64::from(reusable)]);
                 match decode_endpoint_list(&text, &self.names) {
-                    Ok(list) => self.take(Input::List(list)),
-                    Err(_) => self.take(Input::ListFailed),
+                    Ok(list) => self.take(Input::EndpointList(list)),
+                    Err(_) => self.take(Input::EndpointListFailed),
                 }
             }
         }
@@ -553,10 +553,10 @@
 
     fn run_timers(&mut self) {
         let mut effects = Vec::new();
-        while self.engine.due(self.now, &mut effects) {}
+        while self.engine.fire_next_timer(self.now, &mut effects) {}
         if !effects.is_empty() {
             self.carry_out(effects);
-        } else if let Some(due) = self.engine.next_due().filter(|due| *due > self.now) {
+        } else if let Some(due) = self.engine.next_timer().filter(|due| *due > self.now) {
             self.push(due - self.now, Next::Timers);
         }
     }
@@ -568,7 +568,7 @@
             Next::Timers => self.run_timers(),
             Next::PeerReport => self.peer_report(),
             Next::PeerView => self.peer_view(),
-            Next::Disconnect(request) => self.take(Input::Left(request)),
+            Next::Disconnect(request) => self.take(Input::ClientDisconnected(request)),
             Next::Answer {
                 request,
                 attempt,
@@ -577,7 +577,7 @@
             } => {
                 self.answer(request, attempt, &bytes, closes);
             }
-            Next::Stop => self.take(Input::Stop(self.now + 2 * SECOND)),
+            Next::Stop => self.take(Input::ShutDown(self.now + 2 * SECOND)),
         }
     }
 
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -5,7 +5,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
-use rosewall_engine::limits::{Slot, Waiter};
+use rosewall_engine::limits::{DescriptorPermit, IdleClient};
 use rosewall_protocol::client::{self, Answer, ClientRequest, Heard, Intake};
 use std::io;
 use std::rc::Rc;
@@ -62,7 +62,7 @@
                 sleep(&context.runtime, PAUSE).await;
                 continue;
             }
-            let slot = match context.limits.client() {
+            let slot = match context.limits.acquire_client() {
                 Some(slot) => (slot, false),
                 // The one who makes room has its turn before the next look.
                 None if context.make_client_room() => {
@@ -73,7 +73,10 @@
                     let now = context.runtime.now();
                     let since = *full_since.get_or_insert(now);
                     let away = now >= since + nanos(ROOM_WITHIN);
-                    let Some(slot) = away.then(|| context.limits.turned_away()).flatten() else {
+                    let Some(slot) = away
+                        .then(|| context.limits.acquire_overflow_client())
+                        .flatten()
+                    else {
                         context.counters.accept_paused.add();
                         sleep(&context.runtime, PAUSE).await;
                         continue;
@@ -111,9 +114,13 @@
     // Who finds no more room is still told so.
     let late = context.runtime.now() + nanos(LAST_WITHIN);
     while context.runtime.now() < late {
-        let slot = context.limits.client().map(|slot| (slot, false));
-        let Some(slot) = slot.or_else(|| context.limits.turned_away().map(|slot| (slot, true)))
-        else {
+        let slot = context.limits.acquire_client().map(|slot| (slot, false));
+        let Some(slot) = slot.or_else(|| {
+            context
+                .limits
+                .acquire_overflow_client()
+                .map(|slot| (slot, true))
+        }) else {
             sleep(&context.runtime, PAUSE).await;
             continue;
         };
@@ -134,7 +141,7 @@
 fn take<R: Runtime>(
     context: &Rc<Context<R>>,
     stream: R::Stream,
-    (slot, away): (Slot, bool),
+    (slot, away): (DescriptorPermit, bool),
     from: Option<Nanos>,
 ) {
     context.counters.clients_accepted.add();
@@ -173,7 +180,7 @@
     over: bool,
     /// When it was accepted, and how long it may have waited for that.
     listener: (Nanos, Nanos),
-    slot: Slot,
+    slot: DescriptorPermit,
 }
 
 impl<R: Runtime> Link<R> {
@@ -181,11 +188,11 @@
         self.context.runtime.now()
     }
 
-    fn waiter(&self, asked: bool) -> Waiter {
+    fn waiter(&self, asked: bool) -> IdleClient {
         match (self.away, asked) {
-            (true, _) => Waiter::Away,
-            (false, true) => Waiter::Known,
-            (false, false) => Waiter::Stranger,
+            (true, _) => IdleClient::Overflow,
+            (false, true) => IdleClient::BetweenRequests,
+            (false, false) => IdleClient::AwaitingFirstRequest,
         }
     }
 
@@ -249,7 +256,7 @@
         let (waits, close) = self
             .context
             .limits
-            .waits(self.now(), self.waiter(self.asked));
+            .register_idle(self.now(), self.waiter(self.asked));
         let mut waits = Some(waits);
         loop {
             if let Some(heard) = self.intake.next(&self.context.names) {
@@ -292,7 +299,7 @@
                     return Err(error);
                 }
             }
-            if !self.slot.hold(self.intake.held()) {
+            if !self.slot.reserve_bytes(self.intake.held()) {
                 return Ok(Heard::Bad(503, "no memory is left for the request"));
             }
         }
@@ -303,11 +310,11 @@
     async fn room(&mut self) -> bool {
         let until = self.now() + nanos(ASKER_WITHIN);
         loop {
-            if let Some(slot) = self.context.limits.client() {
+            if let Some(slot) = self.context.limits.acquire_client() {
                 (self.slot, self.away) = (slot, false);
                 return true;
             }
-            if !self.context.limits.anyone_waits() || self.now() >= until {
+            if !self.context.limits.has_evictable_client() || self.now() >= until {
                 return false;
             }
             if self.context.make_client_room() {
@@ -352,14 +359,15 @@
         written.map(|()| keeps)
     }
 
-    /// Waits for the answer to a request of so many bytes, and meanwhile for the client to leave; none if it has. Whoever
+    /// IdleRegistration for the answer to a request of so many bytes, and meanwhile for the client to leave; none if it has. Whoever
     /// ends only its sending side has left too: the protocol knows no such client, and it looks like one that closes.
     /// What comes ahead of its turn is kept as far as there is room, and then passed over. Guards against a client that
     /// sends much and goes: its leave stands behind bytes that no one would read, and its request would still be posted.
     async fn answer(&mut self, answered: &Receiver<Answer>, bytes: usize) -> Option<Answer> {
         let mut passed = 0;
         loop {
-            self.over |= !self.intake.has_room() || !self.slot.hold(bytes + self.intake.held());
+            self.over |=
+                !self.intake.has_room() || !self.slot.reserve_bytes(bytes + self.intake.held());
             let (stream, buffer) = (&mut self.stream, &mut self.buffer);
             let answer = async { answered.recv().await.ok().map(Ok) };
             let read = async { Some(Err(stream.read(buffer).await.unwrap_or(0))) };
@@ -391,7 +399,10 @@
     /// needed. Guards against a reset that overtakes the answer.
     async fn part(&mut self) -> io::Result<()> {
         self.stream.shutdown_write()?;
-        let (_waits, close) = self.context.limits.waits(self.now(), self.waiter(true));
+        let (_waits, close) = self
+            .context
+            .limits
+            .register_idle(self.now(), self.waiter(true));
         let closed = async {
             let _ = close.recv().await;
             Ok(())
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -131,7 +131,7 @@
             let came = came.or(due).or(sooner).await;
             let now = runtime.now();
             if let Some(Ok((length, from))) = came {
-                if rate_limit.allows(now) {
+                if rate_limit.try_acquire(now) {
                     self.counters.member_datagrams_received.add();
                     self.act(|cluster, effects| cluster.feed(now, from, &bytes[..length], effects));
                 } else {
--- a/crates/runtime/src/context.rs
+++ b/crates/runtime/src/context.rs
@@ -5,8 +5,8 @@
 use async_channel::Sender;
 use rosewall::types::{FleetPosition, HealthChecked, Nanos, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::counters::Counters;
-use rosewall_engine::limits::{ResourceLimits, Slot};
-use rosewall_engine::pool::{Idle, Pool};
+use rosewall_engine::limits::{DescriptorPermit, ResourceLimits};
+use rosewall_engine::pool::{Pool, Reusable};
 use rosewall_protocol::client::{Answer, ClientRequest, Names};
 use rosewall_protocol::discovery::EndpointList;
 use rosewall_protocol::worker::AttemptProgress;
@@ -19,10 +19,10 @@
     pub stream: S,
     pub address: SocketAddr,
     /// Its place in the budget, for as long as it is open.
-    pub _slot: Slot,
+    pub _slot: DescriptorPermit,
 }
 
-impl<S: Stream> Idle for Conn<S> {
+impl<S: Stream> Reusable for Conn<S> {
     fn is_reusable(&self) -> bool {
         self.stream.readiness() == Readiness::Idle
     }
@@ -94,33 +94,37 @@
 
     /// A kept connection to a worker, if a sound one is there, and since when it is idle.
     pub fn pooled(&self, worker: WorkerId) -> Option<(Conn<R::Stream>, Nanos)> {
-        let (conn, stale) = self.pool.borrow_mut().take(self.runtime.now(), worker);
-        self.counters.pool_stale.more(stale);
-        conn
+        let taken = self.pool.borrow_mut().take(self.runtime.now(), worker);
+        self.counters.pool_stale.add_many(taken.stale);
+        taken
+            .connection
+            .map(|idle| (idle.connection, idle.idle_since))
     }
 
     /// A kept connection, idle since then, broke as it was used.
     pub fn broke(&self, since: Nanos) {
-        self.pool.borrow_mut().broke(self.runtime.now(), since);
+        self.pool
+            .borrow_mut()
+            .record_broken(self.runtime.now(), since);
         self.counters.pool_broken.add();
     }
 
     /// Makes room for one more descriptor: idle connections to workers go first, then idle clients.
     pub fn make_room(&self) -> bool {
-        if self.pool.borrow_mut().evict() {
+        if self.pool.borrow_mut().evict_oldest() {
             self.counters.pool_evicted.add();
             return true;
         }
-        self.limits.close_waiting(self.runtime.now())
+        self.limits.evict_idle_client(self.runtime.now())
     }
 
     /// Makes room for one more client. Guards against dropping the connections to workers where it is the clients that
     /// are too many.
     pub fn make_client_room(&self) -> bool {
-        if self.limits.has_client_room() {
+        if self.limits.has_client_capacity() {
             self.make_room()
         } else {
-            self.limits.close_waiting(self.runtime.now())
+            self.limits.evict_idle_client(self.runtime.now())
         }
     }
 
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -65,16 +65,16 @@
                 self.take(events);
             }
             let now = self.context.runtime.now();
-            if self.engine.due(now, &mut self.effects) {
+            if self.engine.fire_next_timer(now, &mut self.effects) {
                 self.carry_out();
                 continue;
             }
-            let reap = self.context.pool.borrow().next_reap();
+            let reap = self.context.pool.borrow().next_expiry();
             if reap.is_some_and(|at| at <= now) {
-                self.context.pool.borrow_mut().reap(now);
+                self.context.pool.borrow_mut().evict_expired(now);
                 continue;
             }
-            let next = self.engine.next_due().into_iter().chain(reap).min();
+            let next = self.engine.next_timer().into_iter().chain(reap).min();
             let timer = async {
                 match next {
                     Some(at) => self.context.runtime.sleep_until(at).await,
@@ -100,7 +100,7 @@
                 reply,
             } => {
                 self.replies.insert(request_id, reply);
-                Input::Arrived {
+                Input::RequestArrived {
                     request_id,
                     at,
                     request,
@@ -108,7 +108,7 @@
             }
             EngineEvent::Left(request_id) => {
                 self.replies.remove(&request_id);
-                Input::Left(request_id)
+                Input::ClientDisconnected(request_id)
             }
             EngineEvent::AttemptProgress {
                 request_id,
@@ -141,11 +141,11 @@
                 work,
                 until,
             },
-            EngineEvent::List(list) => Input::List(list),
-            EngineEvent::ListFailed => Input::ListFailed,
-            EngineEvent::Stop(by) => Input::Stop(by),
+            EngineEvent::List(list) => Input::EndpointList(list),
+            EngineEvent::ListFailed => Input::EndpointListFailed,
+            EngineEvent::Stop(by) => Input::ShutDown(by),
         };
-        self.engine.take(now, input, &mut self.effects);
+        self.engine.handle(now, input, &mut self.effects);
         self.carry_out();
     }
 
@@ -153,10 +153,10 @@
         let mut effects = std::mem::take(&mut self.effects);
         effects.drain(..).for_each(|effect| self.act(effect));
         self.effects = effects;
-        self.context.ready.set(self.engine.ready());
+        self.context.ready.set(self.engine.is_ready());
         self.context
             .active_requests
-            .set(self.engine.active_requests());
+            .set(self.engine.active_request_count());
     }
 
     fn act(&mut self, effect: Effect) {
@@ -216,7 +216,7 @@
                     .detach();
             }
             Effect::EvictIdle { worker, address } => {
-                context.pool.borrow_mut().drop_worker(worker, address)
+                context.pool.borrow_mut().evict_worker(worker, address)
             }
             Effect::SendPeerLoad { to, load } => {
                 let now = context.runtime.now();
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -193,7 +193,9 @@
                 "a new listen address, talk, cluster and settings act from the next start only"
             );
         }
-        self.context.limits.limit(config.sockets, config.memory_mb);
+        self.context
+            .limits
+            .set_limits(config.sockets, config.memory_mb);
         let _ = self.mover.try_send(config.discovery);
         log::info!("a new configuration: discovery at {}", config.discovery);
     }
@@ -211,14 +213,14 @@
         drop(self.end);
         self.accepting.await;
         let last = by + SPARE / 2;
-        while context.limits.clients() > 0 && context.runtime.now() < last {
-            while context.limits.close_waiting(context.runtime.now()) {}
+        while context.limits.client_count() > 0 && context.runtime.now() < last {
+            while context.limits.evict_idle_client(context.runtime.now()) {}
             let look = context.runtime.now() + nanos(LOOK);
             context.runtime.sleep_until(look).await;
         }
         log::info!(
             "{} clients were still connected at the end",
-            context.limits.clients()
+            context.limits.client_count()
         );
     }
 }
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -34,7 +34,7 @@
         let Some(peer) = self.peers.get(usize::from(to)) else {
             return counters.peer_loads_not_sent.add();
         };
-        let allowed = self.out.borrow_mut().allows(now);
+        let allowed = self.out.borrow_mut().try_acquire(now);
         if allowed && self.socket.send(&datagram(self.me, load), *peer).is_ok() {
             counters.peer_loads_sent.add();
         } else {
@@ -52,7 +52,7 @@
         let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; LENGTH + 1]);
         loop {
             let came = self.socket.receive(&mut bytes).await;
-            let line = came.ok().filter(|_| rate_limit.allows(runtime.now()));
+            let line = came.ok().filter(|_| rate_limit.try_acquire(runtime.now()));
             match line.and_then(|(length, sender)| read(&bytes[..length], sender, &self.peers).ok())
             {
                 Some((from, load)) => {
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -5,8 +5,8 @@
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{HealthChecked, Nanos, Outcome, Report, WorkerId};
 use rosewall_engine::engine::OutboundAttempt;
-use rosewall_engine::limits::Slot;
-use rosewall_engine::pool::REST;
+use rosewall_engine::limits::DescriptorPermit;
+use rosewall_engine::pool::REST_AFTER_ANSWER;
 use rosewall_protocol::worker::{AttemptProgress, Reply, Sounding, probe};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,10 +22,10 @@
 const READ: usize = 8 * 1024;
 
 /// A descriptor for a new connection, once there is one.
-async fn descriptor<R: Runtime>(context: &Context<R>) -> Slot {
+async fn descriptor<R: Runtime>(context: &Context<R>) -> DescriptorPermit {
     let mut short = false;
     loop {
-        if let Some(slot) = context.limits.worker() {
+        if let Some(slot) = context.limits.acquire_worker() {
             return slot;
         }
         if !std::mem::replace(&mut short, true) {
@@ -89,7 +89,9 @@
     }
     let answered = async { conn.stream.readable().await.is_ok() };
     let silent = async {
-        let rest = kept.map_or(0, |since| (since + REST).saturating_sub(runtime.now()));
+        let rest = kept.map_or(0, |since| {
+            (since + REST_AFTER_ANSWER).saturating_sub(runtime.now())
+        });
         sleep(runtime, ANSWERED_WITHIN.max(Duration::from_nanos(rest))).await;
         false
     };
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -726,7 +726,7 @@
                 ("tasks", place.tasks.get(), REST_TASKS),
                 ("timers", core.timers(place.machine), REST_TIMERS),
                 ("txns", shared.active_requests.get(), 0),
-                ("counted descriptors", shared.limits.used(), 0),
+                ("counted descriptors", shared.limits.descriptors_used(), 0),
             ];
             for (what, count, most) in holds {
                 if count > most {
