--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,4 +1,13 @@
-//! What the dispatcher is given at its start: the text of the file that `PROXY_CONFIG` names.
+//! The configuration of one dispatcher: the JSON file that `PROXY_CONFIG` names, as typed values.
+mod error;
+mod runtime_settings;
+mod settings_pairs;
+#[cfg(test)]
+mod tests;
+
+pub use error::ConfigError;
+pub use runtime_settings::{EndpointsMode, FINAL_ANSWERS_RESERVE, RuntimeSettings};
+
 use rosewall::pick;
 use rosewall::policy::Dispatcher;
 use rosewall::types::Nanos;
@@ -10,189 +19,203 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
+const PEER_LOAD_ALLOWED: &str = "peer_load.allowed";
+const WARM_UP_GRANTS: &str = "warm_up_grants";
+
+/// The file as it is written. Its keys are the operators'.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: String,
-    limits: Limits,
-    #[serde(default)]
-    known: Value,
-    talk: Option<Talk>,
-    /// The path of the file on the other dispatchers, where this one is to know them.
-    cluster: Option<String>,
+    limits: LimitsSection,
+    #[serde(default, rename = "known")]
+    cached_endpoints: Value,
+    #[serde(rename = "talk")]
+    peer_load: Option<PeerLoadConfig>,
+    #[serde(rename = "cluster")]
+    cluster_file: Option<String>,
     settings: Value,
 }
 
 #[derive(Deserialize)]
-struct Limits {
+struct LimitsSection {
     memory_mb: usize,
-    sockets: usize,
+    #[serde(rename = "sockets")]
+    max_descriptors: usize,
 }
 
-/// Where dispatchers tell each other what they have out; left out, they do not.
+/// Where dispatchers exchange load reports directly (`talk` in the file); without it they exchange none.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Talk {
+pub struct PeerLoadConfig {
+    /// The address to receive datagrams at.
     pub listen: SocketAddr,
-    /// The address of each dispatcher, in the order of their numbers.
+    /// The address of each dispatcher, in the order of their ranks.
     pub peers: Vec<SocketAddr>,
 }
 
+/// The configuration of one dispatcher.
 #[derive(Clone)]
 pub struct Config {
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where discovery serves the endpoint list.
     pub discovery: SocketAddr,
+    /// Seeds all random draws.
     pub seed: u64,
+    /// The memory that the process may use, in MiB.
     pub memory_mb: usize,
-    pub sockets: usize,
-    /// The list of workers as last known, in discovery's form.
-    pub known: Vec<u8>,
-    pub talk: Option<Talk>,
-    pub cluster: Option<String>,
-    /// What stands in that file, once it was read.
-    pub cluster_config: Option<ClusterConfig>,
-    pub map: Map,
+    /// How many descriptors the process may use.
+    pub max_descriptors: usize,
+    /// The endpoint list as last known, in discovery's form.
+    pub cached_endpoints: Vec<u8>,
+    /// Direct exchange of load reports, if it is configured.
+    pub peer_load: Option<PeerLoadConfig>,
+    /// The path of the cluster file, until the caller has read it.
+    pub cluster_file: Option<String>,
+    /// What the cluster file holds, once [`Config::join_cluster`] was called.
+    pub cluster: Option<ClusterConfig>,
+    /// The settings that engine and runtime use.
+    pub runtime: RuntimeSettings,
+    /// All settings under the code's names, for the decisions.
+    pub settings: Map,
 }
 
-/// Reads the file's text; an error says what cannot be used.
-pub fn parse(text: &[u8]) -> Result<Config, String> {
-    let file: File = serde_json::from_slice(text).map_err(|error| error.to_string())?;
-    let Limits { memory_mb, sockets } = file.limits;
-    let seed = u64::from_str_radix(&file.seed, 16)
-        .map_err(|_| format!("seed {:?} is no number", file.seed))?;
-    let mut pairs = Vec::new();
-    flatten("", &file.settings, &mut pairs);
-    let mut map = ours(
-        pairs
-            .iter()
-            .map(|(path, value)| (path.as_str(), value.as_str())),
-    );
-    if file.talk.is_none()
-        && file.cluster.is_none()
-        && map
-            .get("peer_load.allowed")
-            .is_some_and(|allowed| allowed != "false")
-    {
-        // Guards against decisions that tell what nothing here could carry.
-        log::warn!(
-            "no talk between dispatchers: the settings allow it, but the file gives no addresses for it"
-        );
-        map.insert("peer_load.allowed".into(), "false".into());
+impl Config {
+    /// Reads the text of the file.
+    ///
+    /// # Errors
+    ///
+    /// If it is not the expected JSON, or the seed is not a number.
+    pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
+        let file: ConfigFile = serde_json::from_slice(text)?;
+        let seed =
+            u64::from_str_radix(&file.seed, 16).map_err(|source| ConfigError::InvalidSeed {
+                value: file.seed.clone(),
+                source,
+            })?;
+        let mut settings = read_settings(&file.settings);
+        if file.peer_load.is_none() && file.cluster_file.is_none() {
+            disable_peer_load(&mut settings);
+        }
+        Ok(Config {
+            listen: file.listen,
+            discovery: file.discovery,
+            seed,
+            memory_mb: file.limits.memory_mb,
+            max_descriptors: file.limits.max_descriptors,
+            cached_endpoints: file.cached_endpoints.to_string().into_bytes(),
+            peer_load: file.peer_load,
+            cluster_file: file.cluster_file,
+            cluster: None,
+            runtime: RuntimeSettings::read(&settings),
+            settings,
+        })
     }
-    let (listen, discovery, known) = (
-        file.listen,
-        file.discovery,
-        file.known.to_string().into_bytes(),
-    );
-    let (talk, cluster, cluster_config) = (file.talk, file.cluster, None);
-    Ok(Config {
-        listen,
-        discovery,
-        seed,
-        memory_mb,
-        sockets,
-        known,
-        talk,
-        cluster,
-        cluster_config,
-        map,
-    })
-}
 
-impl Config {
-    /// Takes in how it joins the others. Cold workers are then sent to by rights, also where no keeper gives any: turns count
-    /// who runs, and one that is cut off would take itself for the only one.
-    pub fn join(&mut self, cluster_config: ClusterConfig) -> Result<(), ClusterError> {
-        if self.talk.is_some() {
+    /// Adds the configuration of the cluster that this dispatcher is a member of. Warming workers are then sent to by
+    /// warm-up grants, also where no quorum member issues any: a share of the budget by the number of running dispatchers
+    /// would be too large at a member that is cut off and takes itself for the only one.
+    ///
+    /// # Errors
+    ///
+    /// If the file also configures direct exchange of load reports.
+    pub fn join_cluster(&mut self, cluster: ClusterConfig) -> Result<(), ClusterError> {
+        if self.peer_load.is_some() {
             return Err(ClusterError::TalkAndCluster);
         }
-        self.map.insert("warm_up_grants".into(), "true".to_string());
-        self.cluster_config = Some(cluster_config);
+        self.settings
+            .insert(WARM_UP_GRANTS.into(), "true".to_string());
+        self.cluster = Some(cluster);
         Ok(())
     }
-}
 
-/// Whether the dispatcher can start with this; an error names what is wrong and its value.
-pub fn validate(config: &Config) -> Result<(), String> {
-    Dispatcher::start(0, config.seed, &config.map)?;
-    // Guards against a stop that goes on past the kill, where deadlines are shorter than those assumed in place of them.
-    for at in 0..pick::<usize>(&config.map, "class.count")? {
-        pick::<Nanos>(&config.map, &format!("class.{at}.deadline"))?;
+    /// Allows or forbids load reports to other dispatchers, whatever the file says.
+    pub fn set_peer_load_allowed(&mut self, allowed: bool) {
+        self.settings
+            .insert(PEER_LOAD_ALLOWED.into(), allowed.to_string());
     }
-    // Guards against lists that never come, or calls that cost others, where a word is not known.
-    let mode: String = pick(&config.map, "endpoints.mode")?;
-    if !["pushed", "polled"].contains(&mode.as_str()) {
-        return Err(format!("setting endpoints.mode cannot be read: {mode:?}"));
+
+    /// The names by which requests and endpoint lists refer to what the settings list.
+    pub fn names(&self) -> Names {
+        names(&self.settings)
     }
-    if let Some(talk) = &config.talk {
-        let (me, all) = (
-            pick::<usize>(&config.map, "me")?,
-            pick::<usize>(&config.map, "dispatchers")?,
-        );
-        if talk.peers.len() != all {
-            return Err(format!(
-                "talk.peers has {} addresses for {all} dispatchers",
-                talk.peers.len()
-            ));
-        }
-        if talk
-            .peers
-            .get(me)
-            .is_none_or(|own| own.port() != talk.listen.port())
-        {
-            return Err(format!(
-                "talk.listen {} is not the address of number {me} in talk.peers",
-                talk.listen
-            ));
+
+    /// Checks that a dispatcher can start with this configuration.
+    ///
+    /// # Errors
+    ///
+    /// Names the first setting that is missing, cannot be read or contradicts another.
+    pub fn validate(&self) -> Result<(), ConfigError> {
+        Dispatcher::start(0, self.seed, &self.settings)?;
+        self.validate_deadlines()?;
+        EndpointsMode::parse(&pick::<String>(&self.settings, "endpoints.mode")?)?;
+        match &self.peer_load {
+            Some(peer_load) => self.validate_peers(peer_load),
+            None => Ok(()),
         }
     }
-    Ok(())
-}
 
-/// The settings as path=value pairs: parts joined by points, a list of plain values by commas, a list of objects
-/// by its count and places. Spaces and commas inside a value become underlines.
-fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |name: &str| {
-        if path.is_empty() {
-            name.to_string()
-        } else {
-            format!("{path}.{name}")
+    /// The time for a shutdown follows from the deadlines, so that each class must have one.
+    fn validate_deadlines(&self) -> Result<(), ConfigError> {
+        let classes: usize = pick(&self.settings, "class.count")?;
+        for class in 0..classes {
+            pick::<Nanos>(&self.settings, &format!("class.{class}.deadline"))?;
         }
-    };
-    match value {
-        Value::Object(fields) => fields
-            .iter()
-            .for_each(|(name, value)| flatten(&below(name), value, pairs)),
-        Value::Array(values) if values.iter().any(Value::is_object) => {
-            pairs.push((below("count"), values.len().to_string()));
-            values
-                .iter()
-                .enumerate()
-                .for_each(|(at, value)| flatten(&below(&at.to_string()), value, pairs));
+        Ok(())
+    }
+
+    fn validate_peers(&self, peer_load: &PeerLoadConfig) -> Result<(), ConfigError> {
+        let rank: usize = pick(&self.settings, "me")?;
+        let dispatchers: usize = pick(&self.settings, "dispatchers")?;
+        let addresses = peer_load.peers.len();
+        if addresses != dispatchers {
+            return Err(ConfigError::PeerCount {
+                addresses,
+                dispatchers,
+            });
         }
-        Value::Array(values) => {
-            let plain: Vec<String> = values.iter().map(word).collect();
-            pairs.push((path.to_string(), plain.join(",")));
+        let own = peer_load.peers.get(rank);
+        if own.is_none_or(|own| own.port() != peer_load.listen.port()) {
+            return Err(ConfigError::PeerAddress {
+                listen: peer_load.listen,
+                rank,
+            });
         }
-        value => pairs.push((path.to_string(), word(value))),
+        Ok(())
     }
 }
 
-fn word(value: &Value) -> String {
-    let text = value
-        .as_str()
-        .map_or_else(|| value.to_string(), str::to_string);
-    text.replace([' ', ','], "_")
+fn read_settings(settings: &Value) -> Map {
+    let pairs = settings_pairs::flatten(settings);
+    ours(
+        pairs
+            .iter()
+            .map(|(path, value)| (path.as_str(), value.as_str())),
+    )
+}
+
+/// Load reports need addresses to go to; the decisions must not count on reports that are never sent.
+fn disable_peer_load(settings: &mut Map) {
+    let allowed = settings
+        .get(PEER_LOAD_ALLOWED)
+        .is_some_and(|allowed| allowed != "false");
+    if allowed {
+        log::warn!(
+            "no talk between dispatchers: the settings allow it, but the file gives no addresses for it"
+        );
+        settings.insert(PEER_LOAD_ALLOWED.into(), "false".into());
+    }
 }
 
-/// The names by which requests and lists speak of what the settings list.
-pub fn names(map: &Map) -> Names {
+fn names(settings: &Map) -> Names {
     let numbered = |list: &str| {
-        let name = |at: usize| map.get(&format!("{list}.{at}.name")).cloned();
+        let name = |index: usize| settings.get(&format!("{list}.{index}.name")).cloned();
         (0..).map_while(name).collect()
     };
     let listed = |name: &str| {
-        map.get(name)
+        settings
+            .get(name)
             .map(|text| text.split(',').map(str::to_string).collect())
     };
     Names {
@@ -202,16 +225,3 @@
         worker_types: listed("worker_types").unwrap_or_default(),
     }
 }
-
-/// The protocol: no kill sooner than the longest deadline, 3 s at most, and 0.7 s more.
-const LONGEST: Nanos = 3_000_000_000;
-const MORE: Nanos = 700_000_000;
-/// Of that, kept for deciding and writing the last answers.
-pub const SPARE: Nanos = 300_000_000;
-
-/// How long after the signal to stop all must be answered.
-pub fn shutdown_timeout(map: &Map) -> Nanos {
-    let deadline = |at: usize| pick::<Nanos>(map, &format!("class.{at}.deadline")).ok();
-    let longest = (0..).map_while(deadline).max().unwrap_or(LONGEST);
-    longest.min(LONGEST) + MORE - SPARE
-}
--- /dev/null
+++ b/crates/engine/src/config/error.rs
@@ -0,0 +1,51 @@
+//! Why a configuration cannot be used.
+use std::net::SocketAddr;
+use std::num::ParseIntError;
+use thiserror::Error;
+
+/// Why a configuration cannot be used. The messages name the key or setting, its value and what is expected.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The text is not JSON, or a key is missing, unknown or of the wrong form.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// The seed cannot be read.
+    #[error("seed {value:?} is no number: expected up to 16 hexadecimal digits")]
+    InvalidSeed {
+        /// The text that stands in its place.
+        value: String,
+        /// What is wrong with it.
+        source: ParseIntError,
+    },
+    /// A setting is missing, cannot be read or is out of range; the text names it and its value.
+    #[error("{0}")]
+    Setting(String),
+    /// The way in which endpoint lists come is not known.
+    #[error("setting endpoints.mode cannot be read: {value:?}, expected \"pushed\" or \"polled\"")]
+    EndpointsMode {
+        /// The unknown word.
+        value: String,
+    },
+    /// The list of peers does not cover the dispatchers.
+    #[error("talk.peers has {addresses} addresses for {dispatchers} dispatchers")]
+    PeerCount {
+        /// How many addresses it has.
+        addresses: usize,
+        /// How many dispatchers the settings name.
+        dispatchers: usize,
+    },
+    /// The dispatcher's own address in the list of peers differs from the one that it listens on.
+    #[error("talk.listen {listen} is not the address of number {rank} in talk.peers")]
+    PeerAddress {
+        /// Where it listens.
+        listen: SocketAddr,
+        /// Its rank, which is its place in the list.
+        rank: usize,
+    },
+}
+
+impl From<String> for ConfigError {
+    fn from(message: String) -> Self {
+        ConfigError::Setting(message)
+    }
+}
--- a/crates/engine/src/config_tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -1,10 +1,10 @@
-//! What is given at the start, without a file.
-use super::config::{names, parse, shutdown_timeout, validate};
-use crate::rate_limit::RateLimiter;
+//! Tests of the configuration file's text.
+use super::Config;
+use super::runtime_settings::shutdown_timeout;
 use rosewall_settings::ours;
 use test_case::test_case;
 
-const GIVEN: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ff","limits":{"memory_mb":192,"sockets":64},
+const CONFIG: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ff","limits":{"memory_mb":192,"sockets":64},
     "settings":{"Me":2,"Bounds":{"Probes":true},"Zones":["a b","c"],"Kinds":[],"Parties":[{"Name":"once"}],
     "FamilyInfo":{"ClassStretch":[2.0,1.5]},"Schemes":[{"Name":"thumb","Idempotency":"once"},{"Name":"x,y"}]}}"#;
 
@@ -16,13 +16,13 @@
 #[test_case("class.1.objective_stretch", "1.5"; "a value for each class")]
 #[test_case("tenant.0.name", "once"; "a name that is a word elsewhere")]
 fn settings_become_a_plain_map(name: &str, value: &str) {
-    let config = parse(GIVEN.as_bytes()).unwrap();
-    assert_eq!(config.map.get(name).map(String::as_str), Some(value));
+    let config = Config::parse(CONFIG.as_bytes()).unwrap();
+    assert_eq!(config.settings.get(name).map(String::as_str), Some(value));
 }
 
 #[test]
 fn names_are_found_in_their_order() {
-    let names = names(&parse(GIVEN.as_bytes()).unwrap().map);
+    let names = Config::parse(CONFIG.as_bytes()).unwrap().names();
     assert_eq!(
         (names.classes, names.tenants),
         (vec!["thumb".into(), "x_y".into()], vec!["once".to_string()])
@@ -34,7 +34,7 @@
 #[test_case("127.0.0.1:0", "here"; "an address without sense")]
 #[test_case("\"limits\"", "\"other\""; "no limits")]
 fn an_unusable_configuration_is_told(from: &str, to: &str) {
-    assert!(parse(GIVEN.replace(from, to).as_bytes()).is_err());
+    assert!(Config::parse(CONFIG.replace(from, to).as_bytes()).is_err());
 }
 
 /// The kill comes the longest deadline, 3 s at most, and 0.7 s after the signal, and not sooner.
@@ -53,7 +53,7 @@
     ))
 }
 
-const WHOLE: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ff","limits":{"memory_mb":192,"sockets":64},
+const CONFIG_WITH_PEERS: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ff","limits":{"memory_mb":192,"sockets":64},
     "talk":{"listen":"127.0.0.1:7001","peers":["127.0.0.1:7000","127.0.0.1:7001"]},
     "settings":{"Me":1,"Siblings":2,"Bounds":{"Peers":true,"MaxPostings":3,"RetryAfter":true,"MaxRetryAfterNs":1},
     "Contract":{"ColdFrom":0.2,"ColdNs":1,"FallMultiple":3.0,"FallNs":1},"FamilyInfo":{"TellsStart":true},
@@ -66,34 +66,26 @@
 #[test_case("\"ColdFrom\":0.2", "\"ColdFrom\":-1" => Err("setting slow_start.from is out of range: -1".into()); "below nothing")]
 #[test_case("\"ColdFrom\":0.2,", "" => Err("setting slow_start.from is missing".into()); "left out")]
 #[test_case("\"ExpiryNs\":1,", "" => Err("setting class.0.deadline is missing".into()); "no deadline, by which a stop goes")]
-#[test_case("\"pushed\"", "\"push\"" => Err("setting endpoints.mode cannot be read: \"push\"".into()); "a mode that is not known")]
+#[test_case("\"pushed\"", "\"push\"" => Err("setting endpoints.mode cannot be read: \"push\", expected \"pushed\" or \"polled\"".into()); "a mode that is not known")]
 #[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses for 2 dispatchers".into()); "a peer too many")]
 #[test_case("7001\",\"peers", "7009\",\"peers" => Err("talk.listen 127.0.0.1:7009 is not the address of number 1 in talk.peers".into()); "another's address")]
 fn a_configuration_is_checked(from: &str, to: &str) -> Result<(), String> {
-    validate(&parse(WHOLE.replacen(from, to, 1).as_bytes()).unwrap())
+    Config::parse(CONFIG_WITH_PEERS.replacen(from, to, 1).as_bytes())
+        .unwrap()
+        .validate()
+        .map_err(|error| error.to_string())
 }
 
 /// Guards against messages that nothing carries.
 #[test_case("talk" => "true"; "with addresses")]
 #[test_case("other" => "false"; "without")]
 fn talk_is_off_without_addresses(name: &str) -> String {
-    parse(WHOLE.replacen("talk", name, 1).as_bytes())
+    Config::parse(CONFIG_WITH_PEERS.replacen("talk", name, 1).as_bytes())
         .unwrap()
-        .map["peer_load.allowed"]
+        .settings["peer_load.allowed"]
         .clone()
 }
 
-#[test_case(&[0; 8] => 3; "no more than a second's at once")]
-#[test_case(&[0, 0, 0, 0, 500, 500, 500, 1_000] => 5; "more as time goes on")]
-#[test_case(&[0, 0, 0, 9_000, 8_000, 9_000, 9_000, 9_000] => 6; "a clock that goes back gives none")]
-fn what_a_pace_allows(at_ms: &[u64]) -> usize {
-    let mut rate_limit = RateLimiter::new(3);
-    at_ms
-        .iter()
-        .filter(|at| rate_limit.try_acquire((**at + 1) * 1_000_000))
-        .count()
-}
-
 /// Guards against turns that count who runs, by which one that is cut off takes itself for the only one.
 #[test_case(""; "no keeper gives any")]
 #[test_case("keepers = [\"a\"]"; "a keeper")]
@@ -101,7 +93,8 @@
     let text = "version = 1\ncluster = \"c\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseeds = []\n";
     let cluster_config =
         rosewall_cluster::config::parse("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
-    let mut config = parse(WHOLE.replacen("talk", "talkless", 1).as_bytes()).unwrap();
-    config.join(cluster_config).unwrap();
-    assert_eq!(config.map["warm_up_grants"], "true");
+    let mut config =
+        Config::parse(CONFIG_WITH_PEERS.replacen("talk", "talkless", 1).as_bytes()).unwrap();
+    config.join_cluster(cluster_config).unwrap();
+    assert_eq!(config.settings["warm_up_grants"], "true");
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -12,8 +12,6 @@
 pub mod pool;
 pub mod rate_limit;
 
-#[cfg(test)]
-mod config_tests;
 #[cfg(test)]
 mod engine_tests;
 #[cfg(test)]
--- a/crates/engine/src/rate_limit.rs
+++ b/crates/engine/src/rate_limit.rs
@@ -1,29 +1,42 @@
-//! A bound on how often something is done: so many at once, and so many a second.
+//! A bound on how often something may be done: a number per second, and as many at once.
 use rosewall::types::Nanos;
 
+#[cfg(test)]
+mod tests;
+
+const SECOND: Nanos = 1_000_000_000;
+
+/// A token bucket that holds the tokens of one second.
 pub struct RateLimiter {
-    a_second: u64,
-    left: u64,
-    at: Nanos,
+    per_second: u64,
+    tokens: u64,
+    refilled_at: Nanos,
 }
 
 impl RateLimiter {
-    pub fn new(a_second: u64) -> Self {
+    /// A limiter that allows `per_second` operations a second, and as many at once.
+    pub fn new(per_second: u64) -> Self {
         RateLimiter {
-            a_second,
-            left: a_second,
-            at: 0,
+            per_second,
+            tokens: per_second,
+            refilled_at: 0,
         }
     }
 
-    /// Whether it may be done once more now.
+    /// Takes a token; false if none is left at `now`.
     pub fn try_acquire(&mut self, now: Nanos) -> bool {
-        let more = now.saturating_sub(self.at).min(1_000_000_000) * self.a_second / 1_000_000_000;
-        if more > 0 {
-            (self.left, self.at) = ((self.left + more).min(self.a_second), now);
+        self.refill(now);
+        let acquired = self.tokens > 0;
+        self.tokens -= u64::from(acquired);
+        acquired
+    }
+
+    fn refill(&mut self, now: Nanos) {
+        let elapsed = now.saturating_sub(self.refilled_at).min(SECOND);
+        let new_tokens = elapsed * self.per_second / SECOND;
+        if new_tokens > 0 {
+            self.tokens = (self.tokens + new_tokens).min(self.per_second);
+            self.refilled_at = now;
         }
-        let allowed = self.left > 0;
-        self.left -= u64::from(allowed);
-        allowed
     }
 }
--- a/crates/rosewalld/src/life/start.rs
+++ b/crates/rosewalld/src/life/start.rs
@@ -6,7 +6,7 @@
 use futures_lite::{FutureExt, StreamExt};
 use rosewall_cluster::config as cluster_config;
 use rosewall_cluster::error::ClusterError;
-use rosewall_engine::config::{self, Config};
+use rosewall_engine::config::Config;
 use rosewall_runtime::context::Context;
 use rosewall_runtime::node::Node;
 use std::net::TcpListener;
@@ -25,26 +25,27 @@
 pub fn load(path: &str) -> Result<Config, String> {
     let text = std::fs::read(path)
         .map_err(|error| format!("cannot read the configuration {path}: {error}"))?;
-    let mut config = config::parse(&text)
+    let mut config = Config::parse(&text)
         .map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
-    if let Some(path) = config.cluster.take() {
+    if let Some(path) = config.cluster_file.take() {
         let cluster_config = std::fs::read_to_string(&path)
             .map_err(|source| ClusterError::Unreadable {
                 path: path.clone().into(),
                 source,
             })
             .and_then(|text| cluster_config::parse(Path::new(&path), &text))
-            .and_then(|cluster_config| config.join(cluster_config));
+            .and_then(|cluster_config| config.join_cluster(cluster_config));
         cluster_config.map_err(|fault| fault.line())?;
     }
-    config::validate(&config)
+    config
+        .validate()
         .map_err(|fault| format!("cannot use the configuration {path}: {fault}"))?;
     // Guards against a system that allows fewer descriptors than are told.
     let system = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    config.sockets = system
+    config.max_descriptors = system
         .and_then(|most| usize::try_from(most).ok())
         .unwrap_or(usize::MAX)
-        .min(config.sockets);
+        .min(config.max_descriptors);
     Ok(config)
 }
 
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -9,12 +9,10 @@
 use async_channel::Sender;
 use async_executor::Task;
 use futures_lite::FutureExt;
-use rosewall::pick;
 use rosewall::policy::Dispatcher;
-use rosewall::types::Nanos;
 use rosewall_cluster::cluster::Cluster;
 use rosewall_cluster::error::ClusterError;
-use rosewall_engine::config::{self, Config, SPARE, shutdown_timeout};
+use rosewall_engine::config::{Config, EndpointsMode, FINAL_ANSWERS_RESERVE};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::endpoints::EndpointTable;
 use rosewall_engine::engine::Engine;
@@ -45,9 +43,10 @@
 impl<R: Runtime> Node<R> {
     /// Starts to serve. An error names the setting that is missing or cannot be read.
     pub fn start(runtime: R, config: Config, listener: R::Listener) -> Result<Self, String> {
-        let (map, now) = (&config.map, runtime.now());
-        let names = config::names(map);
-        let kept = decode_endpoint_list(&config.known, &names).unwrap_or_else(|fault| {
+        let now = runtime.now();
+        let settings = &config.runtime;
+        let names = config.names();
+        let kept = decode_endpoint_list(&config.cached_endpoints, &names).unwrap_or_else(|fault| {
             log::warn!("no kept list of workers: {fault}");
             EndpointList {
                 version: 0,
@@ -55,22 +54,15 @@
                 endpoints: Vec::new(),
             }
         });
-        let dispatcher = Dispatcher::start(now, config.seed, map)?;
-        // What settings need not name: a common keep-alive time of servers, and a connect time for one data centre.
-        let idle = pick::<Nanos>(map, "connection.idle_timeout").unwrap_or(5_000_000_000);
-        let connect_within = pick::<Nanos>(map, "connect.timeout").unwrap_or(250_000_000);
-        let report = map
-            .get("report.wire_fields")
-            .map(String::as_str)
-            .unwrap_or_default();
-        let talk = match &config.talk {
+        let dispatcher = Dispatcher::start(now, config.seed, &config.settings)?;
+        let talk = match &config.peer_load {
             Some(talk) => {
                 let socket = runtime.bind_datagram_socket(talk.listen, None);
                 let socket =
                     socket.map_err(|error| format!("cannot listen on {}: {error}", talk.listen))?;
                 Some(PeerLoadExchange::new(
                     socket,
-                    pick(map, "me")?,
+                    settings.rank.ok_or("setting me is missing")?,
                     talk.peers.clone(),
                 ))
             }
@@ -78,7 +70,7 @@
         };
         let (tell, events) = async_channel::unbounded();
         let counters = Rc::new(Counters::default());
-        let cluster = match &config.cluster_config {
+        let cluster = match &config.cluster {
             Some(cluster_config) => {
                 let listen = cluster_config.listen;
                 let socket = runtime.bind_datagram_socket(listen, cluster_config.relay);
@@ -106,23 +98,22 @@
             }
             None => None,
         };
-        let workers = match &config.cluster_config {
+        let workers = match &config.cluster {
             Some(cluster_config) => EndpointTable::by_own_clock(
                 cluster_config.max_clock_skew,
-                pick(map, "slow_start.duration").unwrap_or(0),
+                settings.slow_start_duration,
             ),
             None => EndpointTable::default(),
         };
         let context = Rc::new(Context {
             runtime,
-            report: report
-                .split(',')
-                .filter(|word| !word.is_empty())
-                .map(str::to_string)
-                .collect(),
+            report: settings.report_fields.clone(),
             counters: counters.clone(),
-            limits: Rc::new(ResourceLimits::new(config.sockets, config.memory_mb)),
-            pool: RefCell::new(Pool::new(idle)),
+            limits: Rc::new(ResourceLimits::new(
+                config.max_descriptors,
+                config.memory_mb,
+            )),
+            pool: RefCell::new(Pool::new(settings.idle_timeout)),
             ready: Cell::new(false),
             stopping: Cell::new(false),
             active_requests: Cell::new(0),
@@ -133,11 +124,9 @@
             talk,
             cluster,
         });
-        let asked = map
-            .get("endpoints.mode")
-            .is_some_and(|mode| mode == "polled");
+        let asked = settings.endpoints_mode == EndpointsMode::Polled;
         let (leave, left) = async_channel::unbounded();
-        let engine = Engine::new(dispatcher, counters, connect_within, workers);
+        let engine = Engine::new(dispatcher, counters, settings.connect_timeout, workers);
         let mut engine = EngineDriver::new(context.clone(), events, engine, asked.then_some(leave));
         let from = (asked && !kept.endpoints.is_empty()).then_some(kept.version);
         engine.load_cached(kept);
@@ -183,9 +172,9 @@
         let as_started = |config: &Config| {
             (
                 config.listen,
-                config.talk.clone(),
-                config.cluster_config.clone(),
-                config.map.clone(),
+                config.peer_load.clone(),
+                config.cluster.clone(),
+                config.settings.clone(),
             )
         };
         if as_started(config) != as_started(&self.config) {
@@ -195,7 +184,7 @@
         }
         self.context
             .limits
-            .set_limits(config.sockets, config.memory_mb);
+            .set_limits(config.max_descriptors, config.memory_mb);
         let _ = self.mover.try_send(config.discovery);
         log::info!("a new configuration: discovery at {}", config.discovery);
     }
@@ -203,7 +192,7 @@
     /// The planned stop: all that was taken is answered, and no one is cut off who could still be served.
     pub async fn stop(self) {
         let context = &self.context;
-        let by = context.runtime.now() + shutdown_timeout(&self.config.map);
+        let by = context.runtime.now() + self.config.runtime.shutdown_timeout;
         context.stopping.set(true);
         if let Some(cluster) = &context.cluster {
             cluster.leave();
@@ -212,7 +201,7 @@
         sleep(&context.runtime, LISTEN_ON).await;
         drop(self.end);
         self.accepting.await;
-        let last = by + SPARE / 2;
+        let last = by + FINAL_ANSWERS_RESERVE / 2;
         while context.limits.client_count() > 0 && context.runtime.now() < last {
             while context.limits.evict_idle_client(context.runtime.now()) {}
             let look = context.runtime.now() + nanos(LOOK);
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -11,7 +11,7 @@
 use async_executor::{LocalExecutor, Task};
 use rosewall::types::{EndpointState, Nanos};
 use rosewall_cluster::config::ClusterConfig;
-use rosewall_engine::config::{self, Config};
+use rosewall_engine::config::Config;
 use rosewall_runtime::node::Node;
 use rosewall_runtime::traits::Runtime;
 use serde_json::{Value, json};
@@ -204,7 +204,8 @@
                 "Parties": [{"Name": "t"}], "Report": {"Fields": [], "How": "none"}, "Schemes": schemes,
             }
         });
-        let mut given = config::parse(text.to_string().as_bytes())?;
+        let mut given =
+            Config::parse(text.to_string().as_bytes()).map_err(|error| error.to_string())?;
         if let Some(members) = &self.scenario.members {
             let count = |most: usize| 0..most.min(*dispatchers);
             let cluster_config = ClusterConfig {
@@ -218,10 +219,10 @@
                 relay: None,
                 max_clock_skew: members.skew_ms * MS,
             };
+            given.set_peer_load_allowed(members.peers);
             given
-                .map
-                .insert("peer_load.allowed".into(), members.peers.to_string());
-            given.join(cluster_config).map_err(|fault| fault.line())?;
+                .join_cluster(cluster_config)
+                .map_err(|fault| fault.line())?;
         }
         Ok(given)
     }
