--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -4,7 +4,7 @@
 use rosewall::types::Nanos;
 use rosewall_cluster::config::ClusterConfig;
 use rosewall_cluster::error::ClusterError;
-use rosewall_protocol::client::Names;
+use rosewall_protocol::names::Names;
 use rosewall_settings::{Map, ours};
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -10,9 +10,13 @@
 use rosewall_engine::counters::Counters;
 use rosewall_engine::endpoints::EndpointTable;
 use rosewall_engine::engine::{Effect, Engine, Input};
-use rosewall_protocol::client::{Heard, Intake, Names, answer, message};
-use rosewall_protocol::discovery::{EndpointListReader, call, decode_endpoint_list};
-use rosewall_protocol::worker::{AttemptProgress, Reply};
+use rosewall_protocol::client::{ClientEvent, RequestReader, encode_answer, encode_response};
+use rosewall_protocol::discovery::{
+    EndpointListReader, Watch, decode_endpoint_list, encode_list_request,
+};
+use rosewall_protocol::http::CompleteResponse;
+use rosewall_protocol::names::Names;
+use rosewall_protocol::worker::{AttemptProgress, AttemptResponseReader};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -108,8 +112,8 @@
 struct Model {
     engine: Engine,
     names: Names,
-    intake: Intake,
-    replies: BTreeMap<(RequestId, u8), Reply>,
+    intake: RequestReader,
+    replies: BTreeMap<(RequestId, u8), AttemptResponseReader>,
     now: Nanos,
     queue: BTreeMap<(Nanos, u64), Next>,
     serial: u64,
@@ -133,7 +137,7 @@
                 EndpointTable::default(),
             ),
             names: names(),
-            intake: Intake::default(),
+            intake: RequestReader::default(),
             replies: BTreeMap::new(),
             now: SECOND,
             queue: BTreeMap::new(),
@@ -206,7 +210,7 @@
                 answer: config,
             } => {
                 add_numbers(digest, &[1, u64::from(*request_id)]);
-                add_bytes(digest, &answer(config, keeps_open));
+                add_bytes(digest, &encode_answer(config, keeps_open));
             }
             Effect::SendAttempt(attempt) => {
                 let (index, port) = (
@@ -274,8 +278,17 @@
             }
             Effect::WatchEndpoints => {
                 add_numbers(digest, &[11]);
-                add_bytes(digest, &call("10.2.0.1:8500", None));
-                add_bytes(digest, &call("10.2.0.1:8500", Some((self.list_number, 5))));
+                add_bytes(digest, &encode_list_request("10.2.0.1:8500", None));
+                add_bytes(
+                    digest,
+                    &encode_list_request(
+                        "10.2.0.1:8500",
+                        Some(Watch {
+                            version: self.list_number,
+                            wait_ms: 5,
+                        }),
+                    ),
+                );
             }
         }
     }
@@ -283,7 +296,7 @@
     /// A worker takes an attempt, and answers in the protocol's lines, or breaks off.
     fn work(&mut self, request: RequestId, attempt: u8, worker: WorkerId, id: String) {
         self.replies
-            .insert((request, attempt), Reply::new(id.clone()));
+            .insert((request, attempt), AttemptResponseReader::new(id.clone()));
         let hung = worker.port % 7 == 3;
         let start = (1 + self.below(40)) * MILLISECOND;
         let run = (1 + self.below(250)) * MILLISECOND;
@@ -366,12 +379,15 @@
         let mut told = Vec::new();
         for piece in bytes.chunks(piece) {
             reply.feed(piece);
-            told.extend(std::iter::from_fn(|| reply.told()));
+            told.extend(std::iter::from_fn(|| reply.next_progress()));
         }
         if closes {
-            told.extend(reply.closed());
+            told.extend(reply.connection_closed());
         }
-        let flags = [u64::from(reply.finished()), u64::from(reply.reusable())];
+        let flags = [
+            u64::from(reply.is_finished()),
+            u64::from(reply.is_reusable()),
+        ];
         add_numbers(&mut self.digest, &flags);
         self.replies.insert((request, attempt), reply);
         for told in told {
@@ -423,26 +439,31 @@
         let piece = 1 + self.below(90) as usize;
         for piece in bytes.chunks(piece) {
             self.intake.feed(piece);
-            while let Some(heard) = self.intake.next(&self.names) {
+            while let Some(heard) = self.intake.next_event(&self.names) {
                 self.hear(heard);
             }
         }
-        let flags = [u64::from(self.intake.idle()), self.intake.held() as u64];
+        let flags = [
+            u64::from(self.intake.is_idle()),
+            self.intake.buffered_bytes() as u64,
+        ];
         add_numbers(&mut self.digest, &flags);
     }
 
-    fn hear(&mut self, heard: Heard) {
+    fn hear(&mut self, heard: ClientEvent) {
         match heard {
-            Heard::Continue => add_numbers(&mut self.digest, &[31]),
-            Heard::Ready { keeps } => add_numbers(&mut self.digest, &[32, u64::from(keeps)]),
-            Heard::Bad(status, why) => {
+            ClientEvent::ContinueExpected => add_numbers(&mut self.digest, &[31]),
+            ClientEvent::ReadinessCheck { keep_alive } => {
+                add_numbers(&mut self.digest, &[32, u64::from(keep_alive)])
+            }
+            ClientEvent::Invalid { status, reason } => {
                 add_bytes(
                     &mut self.digest,
-                    &message(status, "", why.as_bytes(), false),
+                    &encode_response(status, "", reason.as_bytes(), false),
                 );
-                self.intake = Intake::default();
+                self.intake = RequestReader::default();
             }
-            Heard::Request(request) => {
+            ClientEvent::Request(request) => {
                 self.next_request += 1;
                 let request_id = self.next_request;
                 if self.below(25) == 0 {
@@ -507,7 +528,11 @@
         let piece = 1 + self.below(200) as usize;
         let mut reader = EndpointListReader::default();
         for piece in bytes.chunks(piece) {
-            if let Ok(Some((text, reusable))) = reader.feed(piece) {
+            if let Ok(Some(CompleteResponse {
+                body: text,
+                reusable,
+            })) = reader.feed(piece)
+            {
                 add_numbers(&mut self.digest, &[41, u64::from(reusable)]);
                 match decode_endpoint_list(&text, &self.names) {
                     Ok(list) => self.take(Input::List(list)),
--- /dev/null
+++ b/crates/protocol/src/http/buffer.rs
@@ -0,0 +1,52 @@
+//! Received bytes that no reader has used yet.
+use super::{HttpError, MAX_HEAD_BYTES};
+
+const END_OF_HEAD: &[u8] = b"\r\n\r\n";
+
+/// Bytes received and not yet consumed.
+#[derive(Default)]
+pub struct ReadBuffer {
+    /// The bytes, oldest first.
+    pub bytes: Vec<u8>,
+    /// How many of them were searched for the end of a head.
+    scanned: usize,
+}
+
+impl ReadBuffer {
+    /// The length of the head at the front, once it is complete.
+    ///
+    /// # Errors
+    /// [`HttpError::HeadTooLarge`] beyond [`MAX_HEAD_BYTES`].
+    pub fn head_length(&mut self) -> Result<Option<usize>, HttpError> {
+        // Only new bytes are searched, so that a head that arrives byte by byte costs linear time.
+        let start = self.scanned.saturating_sub(END_OF_HEAD.len() - 1);
+        let head_end = self.bytes[start..]
+            .windows(END_OF_HEAD.len())
+            .position(|window| window == END_OF_HEAD)
+            .map(|at| start + at + END_OF_HEAD.len());
+        self.scanned = self.bytes.len();
+        match head_end {
+            Some(end) if end <= MAX_HEAD_BYTES => Ok(Some(end)),
+            None if self.bytes.len() <= MAX_HEAD_BYTES => Ok(None),
+            _ => Err(HttpError::HeadTooLarge),
+        }
+    }
+
+    /// Removes bytes at the front.
+    pub fn consume(&mut self, count: usize) {
+        self.bytes.drain(..count);
+        self.scanned = 0;
+    }
+
+    /// Removes line ends at the front, which may precede a request.
+    pub fn skip_empty_lines(&mut self) {
+        let count = self
+            .bytes
+            .iter()
+            .take_while(|byte| matches!(byte, b'\r' | b'\n'))
+            .count();
+        if count > 0 {
+            self.consume(count);
+        }
+    }
+}
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,13 +1,21 @@
-//! What is spoken: state machines that are fed bytes and know no socket, no clock and nothing of who drives them.
-//! `http` is the framing that all sides share; `client`, `worker` and `discovery` are one side each,
-//! `talk` is what dispatchers tell each other.
+//! The protocols as state machines: values that are fed bytes and return typed messages. They know no socket, no clock
+//! and no caller, and keep nothing beyond one connection.
+//!
+//! - [`http`]: HTTP/1.1 framing, shared by all sides.
+//! - [`client`]: requests of clients and the answers to them.
+//! - [`worker`]: attempts and health checks sent to workers, and their answers.
+//! - [`discovery`]: the endpoint list of the discovery service.
+//! - [`peer_load`]: datagrams between dispatchers.
+//! - [`names`]: the names of classes, tenants, zones and worker types.
+#![warn(missing_docs)]
+
 pub mod client;
 pub mod discovery;
 pub mod http;
+pub mod names;
 pub mod peer_load;
+mod wire;
 pub mod worker;
 
-#[cfg(test)]
-mod cuts_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/protocol/src/cuts_tests.rs
+++ b/crates/protocol/src/tests/properties.rs
@@ -1,23 +1,25 @@
-//! Properties of every machine: however its bytes are cut it tells the same, and garbage neither fails it nor is hoarded.
-use crate::client::{Heard, Intake, Names};
+//! Properties of every reader: it returns the same however its bytes are split, and garbage neither makes it panic nor
+//! accumulates in it.
+use super::list_of;
+use crate::client::{ClientEvent, RequestReader};
 use crate::discovery::{EndpointListReader, decode_endpoint_list};
-use crate::http::{BODY_LIMIT, HEAD_LIMIT, Inlet, Whole};
-use crate::worker::{Reply, Sounding};
+use crate::http::{MAX_BODY_BYTES, MAX_HEAD_BYTES, ReadBuffer, ResponseReader};
+use crate::names::Names;
+use crate::worker::{AttemptResponseReader, HealthCheckReader};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 fn names() -> Names {
-    let words = |text: &str| text.split(',').map(str::to_string).collect();
     Names {
-        classes: words("thumb,charge"),
-        tenants: words("acme"),
-        zones: words("a"),
-        worker_types: words("m1"),
+        classes: list_of("thumb,charge"),
+        tenants: list_of("acme"),
+        zones: list_of("a"),
+        worker_types: list_of("m1"),
     }
 }
 
-/// The bytes in pieces that end at these places.
-fn pieces<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
+/// The bytes in pieces that end at these indices, each taken modulo the length.
+fn split_at<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
     ends.push(bytes.len());
     ends.sort_unstable();
@@ -27,51 +29,58 @@
         .collect()
 }
 
-fn heard(parts: &[&[u8]]) -> Vec<Heard> {
-    let (names, mut intake, mut all) = (names(), Intake::default(), Vec::new());
-    for part in parts {
-        intake.feed(part);
-        while let Some(heard) = intake.next(&names) {
-            // Leave to send a body is asked for only where the body did not come along.
-            all.extend((heard != Heard::Continue).then_some(heard));
+fn client_events(pieces: &[&[u8]]) -> Vec<ClientEvent> {
+    let names = names();
+    let mut reader = RequestReader::default();
+    let mut events = Vec::new();
+    for piece in pieces {
+        reader.feed(piece);
+        while let Some(event) = reader.next_event(&names) {
+            // Whether a client waits for leave depends on whether its body came along, and so on the split.
+            events.extend((event != ClientEvent::ContinueExpected).then_some(event));
         }
     }
-    all
+    events
 }
 
-fn told(parts: &[&[u8]]) -> String {
-    let mut reply = Reply::new("9b1f".to_string());
-    let mut all = Vec::new();
-    for part in parts {
-        reply.feed(part);
-        all.extend(std::iter::from_fn(|| reply.told()));
+fn attempt_summary(pieces: &[&[u8]]) -> String {
+    let mut reader = AttemptResponseReader::new("9b1f".to_string());
+    let mut progress = Vec::new();
+    for piece in pieces {
+        reader.feed(piece);
+        progress.extend(std::iter::from_fn(|| reader.next_progress()));
     }
-    let (finished, reusable) = (reply.finished(), reply.reusable());
-    format!("{all:?} {finished} {reusable} {:?}", reply.closed())
+    let (finished, reusable) = (reader.is_finished(), reader.is_reusable());
+    format!(
+        "{progress:?} {finished} {reusable} {:?}",
+        reader.connection_closed()
+    )
 }
 
-fn sounded(parts: &[&[u8]]) -> String {
+fn health_check_summary(pieces: &[&[u8]]) -> String {
     let fields = ["inflight".to_string()];
-    let mut sounding = Sounding::new(&fields);
-    let found = parts.iter().find_map(|part| sounding.feed(part));
-    format!("{:?}", found.map(|(outcome, report, _)| (outcome, report)))
+    let mut reader = HealthCheckReader::new(&fields);
+    let result = pieces.iter().find_map(|piece| reader.feed(piece));
+    format!("{:?}", result.map(|result| (result.outcome, result.report)))
 }
 
-fn listed(parts: &[&[u8]]) -> String {
+fn list_summary(pieces: &[&[u8]]) -> String {
     let mut reader = EndpointListReader::default();
-    for part in parts {
-        match reader.feed(part) {
+    for piece in pieces {
+        match reader.feed(piece) {
             Ok(None) => {}
-            Ok(Some((text, _))) => return format!("{:?}", decode_endpoint_list(&text, &names())),
+            Ok(Some(complete)) => {
+                return format!("{:?}", decode_endpoint_list(&complete.body, &names()));
+            }
             Err(_) => return "unreadable".to_string(),
         }
     }
-    format!("{:?}", reader.closed())
+    format!("{:?}", reader.connection_closed())
 }
 
 fn request() -> impl Strategy<Value = Vec<u8>> {
-    (vec(any::<u8>(), 0..300), any::<bool>(), 0..4_usize).prop_map(|(body, chunked, wrong)| {
-        let id = ["Request-Id: 9b1f\r\n", "", "Request-Id: 9b1f\r\n", "Request-Id: 9b1f\r\n"][wrong];
+    (vec(any::<u8>(), 0..300), any::<bool>(), 0..4_usize).prop_map(|(body, chunked, id_case)| {
+        let id = ["Request-Id: 9b1f\r\n", "", "Request-Id: 9b1f\r\n", "Request-Id: 9b1f\r\n"][id_case];
         let mut text = format!(
             "POST /api?x HTTP/1.1\r\n{id}Request-Class: thumb\r\nTenant: acme\r\nRequest-Timeout: 0.5\r\n"
         )
@@ -99,10 +108,15 @@
     let id = prop::sample::select(vec!["9b1f", "9b1f", "9b1f", "ffff"]);
     let status = prop::sample::select(vec!["200", "200", "200", "500", "503", "504", "400", "102"]);
     (status, vec((id, word, any::<bool>()), 0..5), any::<bool>()).prop_map(
-        |(status, lines, unrun)| {
-            let unrun = if unrun { "Not-Started: 1\r\n" } else { "" };
-            let mut text =
-                format!("HTTP/1.1 {status} X\r\n{unrun}Transfer-Encoding: chunked\r\n\r\n");
+        |(status, lines, did_not_run)| {
+            let not_started_line = if did_not_run {
+                "Not-Started: 1\r\n"
+            } else {
+                ""
+            };
+            let mut text = format!(
+                "HTTP/1.1 {status} X\r\n{not_started_line}Transfer-Encoding: chunked\r\n\r\n"
+            );
             for (id, word, result) in lines {
                 let result = if result { ",\"result\":\"r\"" } else { "" };
                 let line = format!("{{\"id\":\"{id}\",\"state\":\"{word}\"{result}}}\n");
@@ -165,40 +179,42 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_request_is_the_same_however_it_is_cut(one in request(), two in request(), cuts in vec(any::<usize>(), 0..20)) {
+    fn requests_are_the_same_however_their_bytes_are_split(one in request(), two in request(), cuts in vec(any::<usize>(), 0..20)) {
         let bytes = [one, two].concat();
-        prop_assert_eq!(heard(&pieces(&bytes, &cuts)), heard(&[&bytes]));
+        prop_assert_eq!(client_events(&split_at(&bytes, &cuts)), client_events(&[&bytes]));
     }
 
     #[test]
-    fn an_answer_is_the_same_however_it_is_cut(bytes in answer(), cuts in vec(any::<usize>(), 0..20)) {
-        prop_assert_eq!(told(&pieces(&bytes, &cuts)), told(&[&bytes]));
-        prop_assert_eq!(sounded(&pieces(&bytes, &cuts)), sounded(&[&bytes]));
+    fn an_answer_is_the_same_however_its_bytes_are_split(bytes in answer(), cuts in vec(any::<usize>(), 0..20)) {
+        prop_assert_eq!(attempt_summary(&split_at(&bytes, &cuts)), attempt_summary(&[&bytes]));
+        prop_assert_eq!(health_check_summary(&split_at(&bytes, &cuts)), health_check_summary(&[&bytes]));
     }
 
     #[test]
-    fn a_list_is_the_same_however_it_is_cut(bytes in list(), cuts in vec(any::<usize>(), 0..20)) {
-        prop_assert_eq!(listed(&pieces(&bytes, &cuts)), listed(&[&bytes]));
+    fn a_list_is_the_same_however_its_bytes_are_split(bytes in list(), cuts in vec(any::<usize>(), 0..20)) {
+        prop_assert_eq!(list_summary(&split_at(&bytes, &cuts)), list_summary(&[&bytes]));
     }
 
     #[test]
-    fn garbage_fails_no_machine_and_is_not_hoarded(bytes in garbage(), cuts in vec(any::<usize>(), 0..20)) {
-        let (names, mut intake) = (names(), Intake::default());
-        let (mut inlet, mut whole) = (Inlet::default(), Whole::default());
-        for part in pieces(&bytes, &cuts) {
-            // A driver reads on only while there is room, and ends a connection with the first fault.
-            if intake.has_room() {
-                intake.feed(part);
+    fn garbage_neither_panics_nor_accumulates(bytes in garbage(), cuts in vec(any::<usize>(), 0..20)) {
+        let names = names();
+        let mut reader = RequestReader::default();
+        let mut buffer = ReadBuffer::default();
+        let mut response = ResponseReader::default();
+        for piece in split_at(&bytes, &cuts) {
+            // The runtime reads on only while there is capacity, and ends a connection with the first error.
+            if reader.has_capacity() {
+                reader.feed(piece);
             }
-            while intake.next(&names).is_some() {}
-            prop_assert!(intake.held() <= HEAD_LIMIT + 2 * BODY_LIMIT + part.len());
-            inlet.bytes.extend_from_slice(part);
-            if inlet.head().is_err() || whole.feed(part, BODY_LIMIT).is_err() {
+            while reader.next_event(&names).is_some() {}
+            prop_assert!(reader.buffered_bytes() <= MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES + piece.len());
+            buffer.bytes.extend_from_slice(piece);
+            if buffer.head_length().is_err() || response.feed(piece, MAX_BODY_BYTES).is_err() {
                 break;
             }
         }
-        told(&pieces(&bytes, &cuts));
-        sounded(&pieces(&bytes, &cuts));
-        listed(&pieces(&bytes, &cuts));
+        attempt_summary(&split_at(&bytes, &cuts));
+        health_check_summary(&split_at(&bytes, &cuts));
+        list_summary(&split_at(&bytes, &cuts));
     }
 }
--- /dev/null
+++ b/crates/protocol/src/worker/attempt.rs
@@ -0,0 +1,255 @@
+//! One attempt: its request, and the answer that a worker streams line by line.
+use crate::client::ClientRequest;
+use crate::http::{
+    BodyReader, HttpError, MAX_BODY_BYTES, ReadBuffer, ResponseHead, UnframedBody,
+    parse_response_head, single_value,
+};
+use crate::wire::{attempt_state, header, value};
+use rosewall::types::{Nanos, Outcome};
+use serde::Deserialize;
+
+/// The most bytes of one answer, all of its lines together.
+const MAX_ANSWER_BYTES: usize = 16 * MAX_BODY_BYTES;
+
+/// What a worker reports of an attempt.
+#[derive(Debug, PartialEq)]
+pub enum AttemptProgress {
+    /// It runs.
+    Started,
+    /// It ended with this result.
+    Succeeded(Vec<u8>),
+    /// It ended in another way.
+    Ended(Outcome),
+}
+
+/// The bytes of an attempt. The idempotency key is forwarded as it came, as workers recognise repeats by it.
+pub fn encode_request(host: &str, request: &ClientRequest, timeout: Nanos) -> Vec<u8> {
+    let seconds = timeout as f64 / 1e9;
+    let idempotency_line = if request.idempotency_key.is_empty() {
+        String::new()
+    } else {
+        format!(
+            "{}: {}\r\n",
+            header::IDEMPOTENCY_KEY,
+            request.idempotency_key
+        )
+    };
+    let mut bytes = format!(
+        "POST {target} HTTP/1.1\r\nHost: {host}\r\n{id_name}: {id}\r\n{timeout_name}: {seconds:.3}\r\n\
+         {idempotency_line}{length_name}: {length}\r\n\r\n",
+        target = request.target,
+        id_name = header::REQUEST_ID,
+        id = request.id,
+        timeout_name = header::REQUEST_TIMEOUT,
+        length_name = header::CONTENT_LENGTH,
+        length = request.body.len(),
+    )
+    .into_bytes();
+    bytes.extend_from_slice(&request.body);
+    bytes
+}
+
+/// One line of an answer. Other fields are ignored.
+#[derive(Deserialize)]
+struct Line {
+    id: String,
+    state: String,
+    result: Option<String>,
+}
+
+/// What one step through the bytes came to.
+enum Step {
+    NeedMore,
+    Continue,
+    Report(AttemptProgress),
+}
+
+impl Step {
+    fn ended(outcome: Outcome) -> Step {
+        Step::Report(AttemptProgress::Ended(outcome))
+    }
+}
+
+/// The answer cannot be read any further.
+struct Unreadable;
+
+impl From<HttpError> for Unreadable {
+    fn from(_: HttpError) -> Self {
+        Unreadable
+    }
+}
+
+/// Reads the answer to one attempt, however its bytes are split.
+pub struct AttemptResponseReader {
+    /// The id of the request, which each line repeats.
+    id: String,
+    buffer: ReadBuffer,
+    /// Set once the final head was read.
+    body: Option<BodyReader>,
+    keep_alive: bool,
+    /// The part of the body that is not interpreted yet.
+    text: Vec<u8>,
+    /// Whether the body is a stream of lines.
+    has_lines: bool,
+    /// Whether the end of the attempt was reported.
+    ended: bool,
+    /// Whether the answer cannot be read any further.
+    broken: bool,
+    fed_bytes: usize,
+}
+
+impl AttemptResponseReader {
+    /// A reader for the answer to the attempt of the request with this id.
+    pub fn new(id: String) -> Self {
+        AttemptResponseReader {
+            id,
+            buffer: ReadBuffer::default(),
+            body: None,
+            keep_alive: false,
+            text: Vec::new(),
+            has_lines: false,
+            ended: false,
+            broken: false,
+            fed_bytes: 0,
+        }
+    }
+
+    /// Takes in bytes.
+    pub fn feed(&mut self, bytes: &[u8]) {
+        self.buffer.bytes.extend_from_slice(bytes);
+        self.fed_bytes += bytes.len();
+    }
+
+    /// Whether no more is to be read: the answer is complete or cannot be read any further.
+    pub fn is_finished(&self) -> bool {
+        self.broken || self.body.as_ref().is_some_and(BodyReader::is_complete)
+    }
+
+    /// Whether the next attempt may use the same connection.
+    pub fn is_reusable(&self) -> bool {
+        !self.broken && self.is_finished() && self.keep_alive && self.buffer.bytes.is_empty()
+    }
+
+    /// The next report in the bytes fed so far. Nothing follows the first one that ends the attempt.
+    pub fn next_progress(&mut self) -> Option<AttemptProgress> {
+        while !self.broken {
+            // The worker has the whole request by the time it answers, so the attempt may have run.
+            let step = self.step().unwrap_or_else(|Unreadable| {
+                self.broken = true;
+                Step::ended(Outcome::ConnectionLost)
+            });
+            match step {
+                Step::NeedMore => return None,
+                Step::Continue => {}
+                Step::Report(AttemptProgress::Started) if self.ended => {}
+                Step::Report(AttemptProgress::Started) => return Some(AttemptProgress::Started),
+                Step::Report(end) => {
+                    if !std::mem::replace(&mut self.ended, true) {
+                        return Some(end);
+                    }
+                }
+            }
+        }
+        None
+    }
+
+    /// What the end of the connection means for the attempt, unless its end was reported before.
+    pub fn connection_closed(&mut self) -> Option<AttemptProgress> {
+        let had_ended = std::mem::replace(&mut self.ended, true);
+        self.broken = true;
+        (!had_ended).then_some(AttemptProgress::Ended(Outcome::ConnectionLost))
+    }
+
+    fn step(&mut self) -> Result<Step, Unreadable> {
+        if self.fed_bytes > MAX_ANSWER_BYTES {
+            return Err(Unreadable);
+        }
+        let Some(body) = &mut self.body else {
+            return self.read_head();
+        };
+        let is_complete = body.advance(&mut self.buffer, &mut self.text, MAX_BODY_BYTES)?;
+        if !self.has_lines {
+            self.text.clear();
+            return Ok(Step::NeedMore);
+        }
+        let Some(line) = self.take_line(is_complete) else {
+            let ends_without_result = is_complete && !self.ended;
+            return Ok(if ends_without_result {
+                Step::ended(Outcome::ConnectionLost)
+            } else {
+                Step::NeedMore
+            });
+        };
+        self.interpret_line(&line)
+    }
+
+    fn read_head(&mut self) -> Result<Step, Unreadable> {
+        /// What the reader needs of a head.
+        struct Head {
+            status: u16,
+            keep_alive: bool,
+            body: Option<BodyReader>,
+            did_not_run: bool,
+        }
+        let head = parse_response_head(&mut self.buffer, |head: ResponseHead| {
+            let is_interim = (100..200).contains(&head.status);
+            let body = if is_interim {
+                None
+            } else {
+                Some(BodyReader::new(head.headers, UnframedBody::UntilClose)?)
+            };
+            let did_not_run =
+                single_value(head.headers, header::NOT_STARTED)? == Some(value::DID_NOT_RUN);
+            Ok(Head {
+                status: head.status,
+                keep_alive: head.keep_alive,
+                body,
+                did_not_run,
+            })
+        })?;
+        let Some(head) = head else {
+            return Ok(Step::NeedMore);
+        };
+        self.keep_alive = head.keep_alive;
+        self.body = head.body;
+        self.has_lines = head.status == 200;
+        Ok(match head.status {
+            // The final head follows an interim one, the first line a 200.
+            100..=200 => Step::Continue,
+            400..=499 => Step::ended(Outcome::InvalidRequest),
+            503 | 504 if head.did_not_run => Step::ended(Outcome::AtCapacity),
+            _ => Step::ended(Outcome::WorkerError),
+        })
+    }
+
+    /// The next complete line; the last one may lack its line end.
+    fn take_line(&mut self, is_complete: bool) -> Option<Vec<u8>> {
+        let length = match self.text.iter().position(|byte| *byte == b'\n') {
+            Some(line_end) => line_end + 1,
+            None if is_complete && !self.text.is_empty() => self.text.len(),
+            None => return None,
+        };
+        Some(self.text.drain(..length).collect())
+    }
+
+    fn interpret_line(&self, line: &[u8]) -> Result<Step, Unreadable> {
+        if line.trim_ascii().is_empty() {
+            return Ok(Step::Continue);
+        }
+        let line: Line = serde_json::from_slice(line).map_err(|_| Unreadable)?;
+        if line.id != self.id {
+            return Err(Unreadable);
+        }
+        Ok(match line.state.as_str() {
+            attempt_state::STARTED => Step::Report(AttemptProgress::Started),
+            attempt_state::DONE => {
+                let result = line.result.ok_or(Unreadable)?;
+                Step::Report(AttemptProgress::Succeeded(result.into_bytes()))
+            }
+            attempt_state::FAILED => Step::ended(Outcome::WorkerError),
+            attempt_state::RETURNED => Step::ended(Outcome::AtCapacity),
+            attempt_state::LOST => Step::ended(Outcome::ConnectionLost),
+            _ => Step::Continue,
+        })
+    }
+}
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -6,7 +6,10 @@
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
 use rosewall_engine::limits::{Slot, Waiter};
-use rosewall_protocol::client::{self, Answer, ClientRequest, Heard, Intake};
+use rosewall_protocol::client::{
+    Answer, CONTINUE_RESPONSE, ClientEvent, ClientRequest, RequestReader, encode_answer,
+    encode_response,
+};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -142,7 +145,7 @@
     let now = runtime.now();
     let listener = (now, now.saturating_sub(from.unwrap_or(now)));
     let serving = async move {
-        let (intake, buffer) = (Intake::default(), vec![0; READ]);
+        let (intake, buffer) = (RequestReader::default(), vec![0; READ]);
         let mut link = Link {
             context,
             stream,
@@ -163,7 +166,7 @@
 struct Link<R: Runtime> {
     context: Rc<Context<R>>,
     stream: R::Stream,
-    intake: Intake,
+    intake: RequestReader,
     buffer: Vec<u8>,
     /// Whether it has asked for something before.
     asked: bool,
@@ -193,31 +196,37 @@
         loop {
             let heard = self.hear().await?;
             let first = !self.asked;
-            self.asked |= matches!(heard, Heard::Ready { .. } | Heard::Request(_));
+            self.asked |= matches!(
+                heard,
+                ClientEvent::ReadinessCheck { .. } | ClientEvent::Request(_)
+            );
             match heard {
-                Heard::Continue => self.write(client::CONTINUE).await?,
-                Heard::Ready { keeps } => {
+                ClientEvent::ContinueExpected => self.write(CONTINUE_RESPONSE).await?,
+                ClientEvent::ReadinessCheck { keep_alive: keeps } => {
                     let ready = self.context.ready.get() && !self.context.stopping.get();
                     let (status, body) = if ready {
                         (200, "ready\n")
                     } else {
                         (503, "not ready\n")
                     };
-                    self.write(&client::message(status, "", body.as_bytes(), keeps))
+                    self.write(&encode_response(status, "", body.as_bytes(), keeps))
                         .await?;
                     if !keeps {
                         return self.part().await;
                     }
                     futures_lite::future::yield_now().await;
                 }
-                Heard::Bad(status, why) => {
+                ClientEvent::Invalid {
+                    status,
+                    reason: why,
+                } => {
                     self.context.turned_down(status, why);
                     let why = format!("{why}\n");
-                    self.write(&client::message(status, "", why.as_bytes(), false))
+                    self.write(&encode_response(status, "", why.as_bytes(), false))
                         .await?;
                     return self.part().await;
                 }
-                Heard::Request(request) => {
+                ClientEvent::Request(request) => {
                     // What was there at once had been sent before. Guards against an deadline that counts from when a
                     // full door let its client in, later than the client's own.
                     let (accepted, waited) = self.listener;
@@ -225,7 +234,7 @@
                     let at = self.now().saturating_sub(if sent { waited } else { 0 });
                     if self.away && !self.room().await {
                         self.context.counters.turned_away.add();
-                        self.write(&client::answer(&Answer::Rejected { retry_after: 0 }, false))
+                        self.write(&encode_answer(&Answer::Rejected { retry_after: 0 }, false))
                             .await?;
                         return self.part().await;
                     }
@@ -239,7 +248,7 @@
 
     /// Reads until something is heard. Who has asked before may be silent for long; else, and once a request has
     /// begun, it must be whole in time. Guards against clients that say nothing, trickle or fall silent in one.
-    async fn hear(&mut self) -> io::Result<Heard> {
+    async fn hear(&mut self) -> io::Result<ClientEvent> {
         let limit = match (self.away, self.asked) {
             (true, _) => TOLD_WITHIN,
             (false, true) => IDLE_WITHIN,
@@ -252,13 +261,16 @@
             .waits(self.now(), self.waiter(self.asked));
         let mut waits = Some(waits);
         loop {
-            if let Some(heard) = self.intake.next(&self.context.names) {
+            if let Some(heard) = self.intake.next_event(&self.context.names) {
                 return Ok(heard);
             }
             if self.over {
-                return Ok(Heard::Bad(503, "more came ahead than there is room for"));
+                return Ok(ClientEvent::Invalid {
+                    status: 503,
+                    reason: "more came ahead than there is room for",
+                });
             }
-            if self.asked && !self.intake.idle() && waits.take().is_some() {
+            if self.asked && !self.intake.is_idle() && waits.take().is_some() {
                 until = self.now() + nanos(REQUEST_WITHIN);
             }
             let closed = async {
@@ -281,10 +293,10 @@
                 }
                 Err(error) => {
                     let late = error.kind() == io::ErrorKind::TimedOut;
-                    if late && !self.intake.idle() {
+                    if late && !self.intake.is_idle() {
                         self.context.counters.requests_cut.add();
                         let text =
-                            client::message(408, "", b"the request did not come whole\n", false);
+                            encode_response(408, "", b"the request did not come whole\n", false);
                         self.write(&text).await?;
                     } else if late || error.kind() == io::ErrorKind::ConnectionAborted {
                         self.context.counters.clients_idle_closed.add();
@@ -292,8 +304,11 @@
                     return Err(error);
                 }
             }
-            if !self.slot.hold(self.intake.held()) {
-                return Ok(Heard::Bad(503, "no memory is left for the request"));
+            if !self.slot.hold(self.intake.buffered_bytes()) {
+                return Ok(ClientEvent::Invalid {
+                    status: 503,
+                    reason: "no memory is left for the request",
+                });
             }
         }
     }
@@ -322,7 +337,7 @@
     async fn carry(&mut self, at: Nanos, request: ClientRequest) -> io::Result<bool> {
         let (request_id, keeps, bytes) = (
             self.context.next_request_id(),
-            request.keeps,
+            request.keep_alive,
             request.body.len(),
         );
         let (reply, answered) = async_channel::bounded(1);
@@ -341,7 +356,7 @@
         if is_active(Mutation::DropAnswerAtShutdown) && self.context.stopping.get() {
             return Ok(false);
         }
-        let mut text = client::answer(&answer, keeps);
+        let mut text = encode_answer(&answer, keeps);
         if is_active(Mutation::TruncateAnswer) && request_id.is_multiple_of(32) {
             text.pop();
         }
@@ -359,7 +374,8 @@
     async fn answer(&mut self, answered: &Receiver<Answer>, bytes: usize) -> Option<Answer> {
         let mut passed = 0;
         loop {
-            self.over |= !self.intake.has_room() || !self.slot.hold(bytes + self.intake.held());
+            self.over |= !self.intake.has_capacity()
+                || !self.slot.hold(bytes + self.intake.buffered_bytes());
             let (stream, buffer) = (&mut self.stream, &mut self.buffer);
             let answer = async { answered.recv().await.ok().map(Ok) };
             let read = async { Some(Err(stream.read(buffer).await.unwrap_or(0))) };
--- a/crates/runtime/src/context.rs
+++ b/crates/runtime/src/context.rs
@@ -7,8 +7,9 @@
 use rosewall_engine::counters::Counters;
 use rosewall_engine::limits::{ResourceLimits, Slot};
 use rosewall_engine::pool::{Idle, Pool};
-use rosewall_protocol::client::{Answer, ClientRequest, Names};
+use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::EndpointList;
+use rosewall_protocol::names::Names;
 use rosewall_protocol::worker::AttemptProgress;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -5,7 +5,10 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
-use rosewall_protocol::discovery::{self, EndpointListReader};
+use rosewall_protocol::discovery::{
+    EndpointListReader, Watch, decode_endpoint_list, encode_list_request,
+};
+use rosewall_protocol::http::CompleteResponse;
 use std::convert::Infallible;
 use std::future::poll_fn;
 use std::io;
@@ -172,10 +175,13 @@
 ) -> Result<Infallible, Broken> {
     let (runtime, mut kept) = (&context.runtime, None);
     loop {
-        let wait = from.map(|seq| (seq, spans.wait_ms));
-        let text = discovery::call(&address.to_string(), wait);
-        let begin = wait.map_or(spans.is_snapshot, |(_, ms)| {
-            Duration::from_millis(ms) + spans.past
+        let wait = from.map(|version| Watch {
+            version,
+            wait_ms: spans.wait_ms,
+        });
+        let text = encode_list_request(&address.to_string(), wait);
+        let begin = wait.map_or(spans.is_snapshot, |watch| {
+            Duration::from_millis(watch.wait_ms) + spans.past
         });
         let call = |kept: Option<R::Stream>| exchange(runtime, address, kept, &text, begin);
         let answer = match kept.take() {
@@ -186,7 +192,7 @@
             fault: format!("no answer: {error}"),
             silent: error.kind() == io::ErrorKind::TimedOut,
         })?;
-        let list = discovery::decode_endpoint_list(&text, &context.names).map_err(|fault| {
+        let list = decode_endpoint_list(&text, &context.names).map_err(|fault| {
             // Passed over, and the whole list is fetched by a new watch.
             context.counters.lists_malformed.add();
             *from = None;
@@ -260,12 +266,18 @@
     let mut reader = EndpointListReader::default();
     let rest = async {
         while count > 0 {
-            if let Some((text, keeps)) = reader.feed(&buffer[..count]).map_err(io::Error::other)? {
+            if let Some(CompleteResponse {
+                body: text,
+                reusable: keeps,
+            }) = reader.feed(&buffer[..count]).map_err(io::Error::other)?
+            {
                 return Ok((stream, text, keeps));
             }
             count = stream.read(&mut buffer).await?;
         }
-        let text = reader.closed().ok_or(io::ErrorKind::UnexpectedEof)?;
+        let text = reader
+            .connection_closed()
+            .ok_or(io::ErrorKind::UnexpectedEof)?;
         Ok((stream, text, false))
     };
     with_timeout(runtime, REST, rest).await
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -4,7 +4,7 @@
 use rosewall::types::{Nanos, PeerLoad};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::rate_limit::RateLimiter;
-use rosewall_protocol::peer_load::{LENGTH, datagram, read};
+use rosewall_protocol::peer_load::{DATAGRAM_LENGTH, ReceivedLoad, decode, encode};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
@@ -35,7 +35,7 @@
             return counters.told_lost.add();
         };
         let allowed = self.out.borrow_mut().allows(now);
-        if allowed && self.socket.send(&datagram(self.me, load), *peer).is_ok() {
+        if allowed && self.socket.send(&encode(self.me, load), *peer).is_ok() {
             counters.told.add();
         } else {
             counters.told_lost.add();
@@ -49,13 +49,14 @@
         counters: &Counters,
         heard: impl Fn(u16, PeerLoad),
     ) {
-        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; LENGTH + 1]);
+        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; DATAGRAM_LENGTH + 1]);
         loop {
             let came = self.socket.receive(&mut bytes).await;
             let line = came.ok().filter(|_| rate_limit.allows(runtime.now()));
-            match line.and_then(|(length, sender)| read(&bytes[..length], sender, &self.peers).ok())
+            match line
+                .and_then(|(length, sender)| decode(&bytes[..length], sender, &self.peers).ok())
             {
-                Some((from, load)) => {
+                Some(ReceivedLoad { sender: from, load }) => {
                     counters.heard.add();
                     heard(from, load);
                 }
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -7,7 +7,10 @@
 use rosewall_engine::engine::OutboundAttempt;
 use rosewall_engine::limits::Slot;
 use rosewall_engine::pool::REST;
-use rosewall_protocol::worker::{AttemptProgress, Reply, Sounding, probe};
+use rosewall_protocol::worker::{
+    AttemptProgress, AttemptResponseReader, HealthCheckReader, HealthCheckResult,
+    HealthCheckTarget, encode_health_check,
+};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -180,7 +183,7 @@
             Err(outcome) => return tell(AttemptProgress::Ended(outcome)),
         };
     drop(message);
-    let mut reply = Reply::new(id);
+    let mut reply = AttemptResponseReader::new(id);
     let mut buffer = vec![0; READ];
     let (mut ended, mut heard) = (None, false);
     loop {
@@ -198,7 +201,7 @@
             if let Some(since) = kept.filter(|_| !heard) {
                 context.broke(since);
             }
-            reply.closed().into_iter().for_each(tell);
+            reply.connection_closed().into_iter().for_each(tell);
             if is_active(Mutation::LeakConnection) {
                 std::mem::forget(conn);
             }
@@ -206,19 +209,19 @@
         }
         heard = true;
         reply.feed(&buffer[..count]);
-        while let Some(told) = reply.told() {
+        while let Some(told) = reply.next_progress() {
             if told != AttemptProgress::Started && ended.is_none() {
                 ended = Some(context.runtime.now() + nanos(TAIL_WITHIN));
             }
             tell(told);
         }
-        if reply.finished() {
+        if reply.is_finished() {
             break;
         }
         // Guards against a worker that sends faster than is read, and leaves no one else a turn.
         futures_lite::future::yield_now().await;
     }
-    if reply.reusable() {
+    if reply.is_reusable() {
         context.tell(EngineEvent::Spare { worker, conn });
     }
 }
@@ -259,20 +262,32 @@
     };
     if conn
         .stream
-        .write_all(&probe(host, !context.report.is_empty()))
+        .write_all(&encode_health_check(
+            host,
+            if context.report.is_empty() {
+                HealthCheckTarget::Health
+            } else {
+                HealthCheckTarget::Load
+            },
+        ))
         .await
         .is_err()
     {
         return (Outcome::ConnectFailed, none);
     }
-    let mut sounding = Sounding::new(&context.report);
+    let mut sounding = HealthCheckReader::new(&context.report);
     let mut buffer = [0; 1024];
     loop {
         let count = conn.stream.read(&mut buffer).await.unwrap_or(0);
         if count == 0 {
             return (Outcome::ConnectionLost, none);
         }
-        if let Some((outcome, report, reusable)) = sounding.feed(&buffer[..count]) {
+        if let Some(HealthCheckResult {
+            outcome,
+            report,
+            reusable,
+        }) = sounding.feed(&buffer[..count])
+        {
             if reusable {
                 context.tell(EngineEvent::Spare { worker, conn });
             }
