--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -233,7 +233,7 @@
                     let sent = first && self.now() <= accepted + nanos(PAUSE);
                     let at = self.now().saturating_sub(if sent { waited } else { 0 });
                     if self.away && !self.room().await {
-                        self.context.counters.turned_away.add();
+                        self.context.counters.clients_rejected.add();
                         self.write(&encode_answer(&Answer::Rejected { retry_after: 0 }, false))
                             .await?;
                         return self.part().await;
@@ -294,7 +294,7 @@
                 Err(error) => {
                     let late = error.kind() == io::ErrorKind::TimedOut;
                     if late && !self.intake.is_idle() {
-                        self.context.counters.requests_cut.add();
+                        self.context.counters.requests_incomplete.add();
                         let text =
                             encode_response(408, "", b"the request did not come whole\n", false);
                         self.write(&text).await?;
@@ -362,7 +362,7 @@
         }
         let written = self.write(&text).await;
         if written.is_err() {
-            self.context.counters.answers_unsent.add();
+            self.context.counters.answers_undelivered.add();
         }
         written.map(|()| keeps)
     }
