--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,49 +1,64 @@
-//! Admission control: which requests are shed under overload.
+//! Admission control: which requests are rejected while the fleet is overloaded.
 use super::Dispatcher;
+use super::worker_selection::Selection;
 use crate::types::Nanos;
 
-/// No request is kept that would wait for so many times its time to spare: a class in this state loses no more by longer waits.
-pub(crate) const MAX_STRAIN: f64 = 1.5;
+#[cfg(test)]
+mod tests;
+
+/// The most that a wait strains another class, in times to spare: beyond it a class loses no more by longer waits.
+const MAX_STRAIN: f64 = 1.5;
+
+/// The strain at which all requests are rejected while starts are in time, and the factor by which late starts lower it.
+const CERTAIN_ADMISSION: f64 = 3.0;
+const STRAIN_SLOPE: f64 = 2.0;
+const LATE_STARTS_SLOPE: f64 = 3.0;
+
+/// The weight of the latest request in the rejected share, for each unit of rarity: the last seven to twenty count.
+const REJECTED_SHARE_WEIGHT: f64 = 0.05;
 
 impl Dispatcher {
-    /// Overload: a request with too little of its room left after waiting is turned away by chance, the cheaper
-    /// ones more often, and sooner the more of the last seven to twenty started too late. Guards against a
-    /// jam that keeps itself up, and, waits being guesses, against declines while all goes well.
-    pub(crate) fn admit(&mut self, now: Nanos, key: usize, wait: f64, strain: f64) -> bool {
-        let class = usize::from(self.requests[key].request.class);
-        let worth = self.classes[class].worth(self.weight_basis);
-        let most = self
+    /// Whether a request is sent. Under overload, a request that would spend much of its time to spare waiting is rejected
+    /// by chance: those of lower weight more often, and all sooner the more recent attempts have started too late. Waits
+    /// are estimates: without late starts little is rejected.
+    pub(super) fn admit(&mut self, now: Nanos, key: usize, selection: Selection) -> bool {
+        let class_index = usize::from(self.requests[key].request.class);
+        let weight = self.classes[class_index].weight_per_work(self.settings.weight_basis);
+        let max_weight = self
             .classes
             .iter()
-            .map(|class| class.worth(self.weight_basis))
+            .map(|class| class.weight_per_work(self.settings.weight_basis))
             .fold(0.0, f64::max);
         let late = self.start_delays.congestion(now, self.rarity).late;
-        let strain =
-            strain + self.rejected_share * self.strain_on_other_classes(class, wait, strain);
-        let fits = (3.0 - 2.0 * strain * (1.0 + 3.0 * late)).clamp(0.0, 1.0);
-        let kept = fits >= 1.0 || self.rng.unit() < fits.powf(most / worth);
-        if worth >= most {
-            self.rejected_share += 0.05 * self.rarity * (f64::from(!kept) - self.rejected_share);
+        let strain = selection.strain
+            + self.rejected_share
+                * self.strain_on_other_classes(class_index, selection.wait, selection.strain);
+        let probability = (CERTAIN_ADMISSION
+            - STRAIN_SLOPE * strain * (1.0 + LATE_STARTS_SLOPE * late))
+            .clamp(0.0, 1.0);
+        let is_admitted =
+            probability >= 1.0 || self.rng.unit() < probability.powf(max_weight / weight);
+        if weight >= max_weight {
+            self.rejected_share += REJECTED_SHARE_WEIGHT
+                * self.rarity
+                * (f64::from(!is_admitted) - self.rejected_share);
         }
-        kept
+        is_admitted
     }
 
-    /// How much more a wait strains another class than the one that would add to it, as far as the other is worth
-    /// as much. Guards against queues that only the class with the longest time to spare can bear: it alone was served.
-    pub(crate) fn strain_on_other_classes(&self, class: usize, wait: f64, strain: f64) -> f64 {
-        let worth = self.classes[class].worth(self.weight_basis);
-        let others = self
-            .classes
+    /// How much more a wait strains another class than the one that would add to it, by the other's relative weight.
+    /// Without it only the class with the most time to spare is served while queues are long.
+    fn strain_on_other_classes(&self, class_index: usize, wait: f64, strain: f64) -> f64 {
+        let basis = self.settings.weight_basis;
+        let weight = self.classes[class_index].weight_per_work(basis);
+        self.classes
             .iter()
             .enumerate()
-            .filter(|(at, other)| *at != class && other.seen > 0.0);
-        let strains = others.map(|(_, other)| {
-            let part = (other.worth(self.weight_basis) / worth).min(1.0);
-            part * ((wait / other.mean_time_to_spare()).min(MAX_STRAIN) - strain)
-        });
-        strains.fold(0.0, f64::max)
+            .filter(|(index, other)| *index != class_index && other.request_count > 0.0)
+            .map(|(_, other)| {
+                let relative_weight = (other.weight_per_work(basis) / weight).min(1.0);
+                relative_weight * ((wait / other.mean_time_to_spare()).min(MAX_STRAIN) - strain)
+            })
+            .fold(0.0, f64::max)
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -1,27 +1,27 @@
-use super::Dispatcher;
+use super::{Dispatcher, Selection};
 use crate::policy::test_support::{
-    MS, among, dispatcher, ended, handle, request, settings, starts_of_late, warm,
+    MS, among, dispatcher, ended, handle, overdue_request, request, settings, starts_of_late, warm,
 };
-use crate::state::ActiveRequest;
-use crate::state::Idempotency::Idempotent;
 use crate::time::SECOND;
 use crate::types::{Action, Event, Nanos, Outcome, Request, RequestId};
 use test_case::test_case;
 
+/// A worker at which a request would wait for so long, and for such a part of its time to spare.
+fn waiting(wait: f64, strain: f64) -> Selection {
+    Selection {
+        worker: 0,
+        wait,
+        strain,
+    }
+}
+
 #[test_case(0.5, 2 => true; "room to spare")]
 #[test_case(2.1, 2 => false; "would come late")]
 #[test_case(1.99, 0 => false; "cheap ones go first")]
 fn turned_away(strain: f64, class: u8) -> bool {
     let mut d = dispatcher(1);
-    let key = d.requests.insert(ActiveRequest::new(
-        request(1, class, MS, 0),
-        Idempotent,
-        1.0,
-        1.0,
-        1.0,
-        0,
-    ));
-    d.admit(0, key, 0.0, strain)
+    let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
+    d.admit(0, key, waiting(0.0, strain))
 }
 
 /// Guards against a jam that stays: between two rare starts the late ones were forgotten.
@@ -31,15 +31,8 @@
     let mut d = dispatcher(1);
     d.rarity = rarity;
     starts_of_late(&mut d, 10_000 * MS, 0.0, 32);
-    let key = d.requests.insert(ActiveRequest::new(
-        request(1, 2, MS, 0),
-        Idempotent,
-        1.0,
-        1.0,
-        1.0,
-        0,
-    ));
-    (0..20).all(|_| d.admit(13_000 * MS, key, 0.0, 0.6))
+    let key = d.requests.insert(overdue_request(request(1, 2, MS, 0)));
+    (0..20).all(|_| d.admit(13_000 * MS, key, waiting(0.0, 0.6)))
 }
 
 /// Guards against queues that long rooms can bear and in which nothing of more value can be in time.
@@ -48,18 +41,11 @@
 #[test_case(2, 0.9 => true; "itself the dearest")]
 fn the_room_of_dearer_schemes_counts(class: u8, rejected_share: f64) -> bool {
     let mut d = dispatcher(1);
-    (0..5).for_each(|_| d.classes[2].add(100e6));
+    (0..5).for_each(|_| d.classes[2].record_request(100e6));
     d.rejected_share = rejected_share;
-    let key = d.requests.insert(ActiveRequest::new(
-        request(1, class, MS, 0),
-        Idempotent,
-        1.0,
-        1.0,
-        1.0,
-        0,
-    ));
+    let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
     // A second's wait: half of its own room, two and a half times theirs.
-    d.admit(0, key, SECOND, 0.5)
+    d.admit(0, key, waiting(SECOND, 0.5))
 }
 
 /// Guards against a burst that fills all queues before the first start tells of them: each dispatcher tried all eight of its
@@ -93,19 +79,19 @@
         map.insert(name.into(), value.into());
     }
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
-    d.classes[0].add(1e8);
-    d.classes[2].add(1e9);
+    d.classes[0].record_request(1e8);
+    d.classes[2].record_request(1e9);
     d
 }
 
 /// How many of 100 requests of a class are kept that would wait for 0.8 s where all of the dearest are turned away.
 fn kept_of_100(mut d: Dispatcher, class: u8) -> usize {
     let room = if class == 2 { 4e9 } else { 4e8 };
-    let active = ActiveRequest::new(request(1, class, MS, 0), Idempotent, 1.0, 1.0, 1.0, 0);
+    let active = overdue_request(request(1, class, MS, 0));
     let key = d.requests.insert(active);
     let kept = |_: &usize| {
         d.rejected_share = 1.0;
-        d.admit(0, key, 0.8e9, 0.8e9 / room)
+        d.admit(0, key, waiting(0.8e9, 0.8e9 / room))
     };
     (0..100).filter(kept).count()
 }
@@ -123,7 +109,8 @@
 #[test_case("request", 1.0 => 0.9; "ten times the work for one request")]
 fn worth_goes_by_what_the_settings_reckon_by(basis: &str, short_value: f64) -> f64 {
     let d = short_beside_long(basis, short_value);
-    let ratio = d.classes[2].worth(d.weight_basis) / d.classes[0].worth(d.weight_basis);
+    let ratio = d.classes[2].weight_per_work(d.settings.weight_basis)
+        / d.classes[0].weight_per_work(d.settings.weight_basis);
     (ratio * 1e6).round() / 1e6
 }
 
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,150 +1,197 @@
-//! Attempts: sending them, and what their start, silence and end say of a worker.
+//! Attempts: how they are sent, and what their start, their delay and their end teach of a worker.
 use super::Dispatcher;
 use super::lifecycle::{classify_outcome, next};
+use super::outlier::{BUSY_WEIGHT, OVERRUN_WEIGHT, UNRESPONSIVE_WEIGHT};
+use super::peer_load::ReportReason;
+use super::worker_selection::Selection;
 use crate::start_delays::{AttemptId, Sent};
 use crate::state::RequestState::{Pending, PendingMayHaveRun};
-use crate::state::{ActiveRequest, Attempt, FailureScore, RequestInput, Worker};
+use crate::state::{Attempt, RequestInput, RunningMean, UncertainAttempt, Worker};
 use crate::time::{SECOND, decay};
-use crate::timers::token;
-use crate::types::{Action, AttemptEnded, Nanos, Outcome, Request, RequestId};
+use crate::timers::{attempt_of, attempt_timer};
+use crate::types::{Action, AttemptEnded, Nanos, Outcome, RequestId};
+
+/// How late a start may be before the worker is checked for life: a multiple of the expected wait, which counts up to
+/// a limit, and a constant.
+const START_TOLERANCE_MULTIPLE: f64 = 1.5;
+const MAX_TOLERATED_WAIT: f64 = 2.0 * SECOND;
+const START_TOLERANCE: f64 = 0.3 * SECOND;
+
+/// The service times after which an attempt is overdue where starts are not reported.
+const UNREPORTED_SERVICE_TIMES: f64 = 2.0;
+
+/// How long a started attempt may run before it counts as an overrun.
+const OVERRUN_MULTIPLE: f64 = 2.0;
+const OVERRUN_TOLERANCE: f64 = 0.5 * SECOND;
+
+/// The least time between two checks of an overdue attempt.
+const MIN_RECHECK_DELAY: Nanos = 300_000_000;
+
+/// The bounds of the service-time factor that one request shows, as hints are rough.
+const MIN_SAMPLE_FACTOR: f64 = 0.2;
+const MAX_SAMPLE_FACTOR: f64 = 10.0;
+
+/// The number of samples that the latest request's factor is averaged with.
+const MAX_FACTOR_SAMPLES: f64 = 9.0;
+
+/// The factor, relative to the worker's, above which a completed request is reported to peers at once.
+const SLOW_MULTIPLE: f64 = 2.0;
+
+impl Worker {
+    /// Learns the service-time factor of a completed request. The first ones at a warm worker count more; a warming one
+    /// is slow for another reason.
+    fn observe_service_time_factor(&mut self, now: Nanos, factor: f64, is_warm: bool) {
+        self.factor_samples = if is_warm {
+            (self.factor_samples + 1.0).min(MAX_FACTOR_SAMPLES)
+        } else {
+            MAX_FACTOR_SAMPLES
+        };
+        self.own_service_time_factor +=
+            (factor - self.own_service_time_factor) / (self.factor_samples + 1.0);
+        self.update_service_time_factor(now);
+    }
+}
 
 impl Dispatcher {
-    pub(crate) fn send_attempt(
+    /// Sends a request to the selected worker.
+    pub(super) fn send_attempt(
         &mut self,
         now: Nanos,
         key: usize,
-        at: usize,
-        cost: f64,
-        acts: &mut Vec<Action>,
+        selection: Selection,
+        actions: &mut Vec<Action>,
     ) {
-        let start_notes = self.says("start_notes") > 0.0;
-        let chosen = &self.workers[at];
-        let cold = self.warmth(chosen, now) < 1.0;
-        let from = now.saturating_sub(self.says("overload.window") as Nanos);
+        self.record_sent_work(now, selection.worker, self.requests[key].warm_up_work);
+        let worker = &self.workers[selection.worker];
         let active = &mut self.requests[key];
-        let worker = &mut self.workers[at];
-        worker.recent_work.retain(|(at, _)| *at >= from);
-        let own = if cold {
-            worker.consume_grants(now, active.warm_up_work)
-        } else {
-            active.warm_up_work
-        };
-        worker.recent_work.push_back((now, own));
-        let expected_wait = worker.queue(active.slots_required, worker.peer_load(now));
-        active.attempts[active.attempts_sent] = Attempt {
-            worker: at,
+        let request_id = active.request.id;
+        let attempt_index = active.attempts_sent;
+        let expected_wait = worker.queue_wait(active.demand.slots_required, worker.peer_load(now));
+        self.start_delays.sent(Sent {
+            id: AttemptId {
+                request: request_id,
+                number: attempt_index as u8,
+            },
+            at: now,
+            expected_wait,
+            time_to_spare: active.time_to_spare(now, worker.service_time_factor),
+            service_time: active.demand.service_time,
+        });
+        active.push_attempt(Attempt {
+            worker: selection.worker,
             sent_at: now,
             expected_wait,
             started_at: None,
             in_flight: true,
-        };
-        let token = token(active.request.id, active.attempts_sent);
-        let id = AttemptId {
-            request: active.request.id,
-            number: active.attempts_sent as u8,
-        };
-        let time_to_spare = active.time_to_spare(now, worker.service_time_factor);
-        self.start_delays.sent(Sent {
-            id,
-            at: now,
-            expected_wait,
-            time_to_spare,
-            service_time: active.service_time,
         });
-        active.attempts_sent += 1;
         active.state = next(active.state, RequestInput::AttemptSent, active.idempotency).0;
-        acts.push(Action::SendAttempt {
-            request_id: active.request.id,
+        actions.push(Action::SendAttempt {
+            request_id,
             worker: worker.id,
         });
-        // Overdue: a start later than expected by 300 ms, or without start notes by twice the run. Others'
-        // jobs there are, by the lanes, of like size: where none was heard of, one may be ahead. Guards
-        // against taking for hung, among many dispatchers, what is only busy with others' work.
-        let ahead =
-            self.unobserved_share * (1.0 - decay(1.0, worker.last_response_at, now, SECOND));
-        let run = if start_notes { ahead } else { 2.0 }
-            * active.service_time
-            * worker.service_time_factor;
-        let overdue = now + (cost.min(2.0 * SECOND) * 1.5 + run + 0.3 * SECOND) as Nanos;
-        acts.push(Action::SetTimer { at: overdue, token });
-        self.report_load_to_peers(now, at, false, false, acts);
+        actions.push(Action::SetTimer {
+            at: self.start_overdue_at(now, key, selection),
+            token: attempt_timer(request_id, attempt_index),
+        });
+        self.report_load(now, selection.worker, ReportReason::LoadChanged, actions);
+    }
+
+    /// When the start of an attempt is overdue. Another dispatcher's request of like size may be ahead at a worker that
+    /// was not heard of just before.
+    fn start_overdue_at(&self, now: Nanos, key: usize, selection: Selection) -> Nanos {
+        let worker = &self.workers[selection.worker];
+        let service_times = if self.settings.reports_starts {
+            self.unobserved_share * (1.0 - decay(1.0, worker.last_response_at, now, SECOND))
+        } else {
+            UNREPORTED_SERVICE_TIMES
+        };
+        let tolerance =
+            service_times * self.requests[key].demand.service_time * worker.service_time_factor;
+        let wait = selection.wait.min(MAX_TOLERATED_WAIT) * START_TOLERANCE_MULTIPLE;
+        now + (wait + tolerance + START_TOLERANCE) as Nanos
     }
 
-    pub(crate) fn started(
+    pub(super) fn on_attempt_started(
         &mut self,
         now: Nanos,
         request_id: RequestId,
         attempt_index: u8,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some((key, attempt)) = self.attempt(request_id, attempt_index) else {
+        let Some((key, attempt)) = self.attempt_in_flight(request_id, attempt_index) else {
             return;
         };
-        self.requests[key].attempts[usize::from(attempt_index)].started_at = Some(now);
+        let active = &mut self.requests[key];
+        active.attempts_mut()[usize::from(attempt_index)].started_at = Some(now);
         self.refresh_worker_loads(now);
         let worker = &mut self.workers[attempt.worker];
-        worker.record_response(now, 0.1);
-        worker.latest_started_sent_at = worker.latest_started_sent_at.max(if self.fifo_workers {
-            attempt.sent_at
-        } else {
-            0
-        });
-        if std::mem::take(&mut worker.unresponsive) {
-            worker.failure_score = FailureScore::default();
+        worker.record_start(now);
+        if self.settings.fifo_workers {
+            worker.latest_started_sent_at = worker.latest_started_sent_at.max(attempt.sent_at);
         }
-        (worker.start_delay, worker.start_delay_at) = (attempt.delay(now), now);
+        worker.set_start_delay(now, attempt.unexplained_delay(now));
         self.zone_delays.observe(worker.zone, worker.start_delay);
-        self.start_delays.started(
-            AttemptId {
-                request: request_id,
-                number: attempt_index,
-            },
-            now,
-        );
-        let active = &self.requests[key];
-        let run = 2.0 * active.service_time * worker.service_time_factor + 0.5 * SECOND;
-        acts.push(Action::SetTimer {
-            at: now + run as Nanos,
-            token: token(request_id, usize::from(attempt_index)),
+        let id = AttemptId {
+            request: request_id,
+            number: attempt_index,
+        };
+        self.start_delays.started(id, now);
+        let service_time = self.requests[key].demand.service_time;
+        let overrun_after =
+            OVERRUN_MULTIPLE * service_time * worker.service_time_factor + OVERRUN_TOLERANCE;
+        actions.push(Action::SetTimer {
+            at: now + overrun_after as Nanos,
+            token: attempt_timer(request_id, usize::from(attempt_index)),
         });
     }
 
-    /// A timer of one request: it is still held, or an attempt is overdue.
-    pub(crate) fn on_request_timer(&mut self, now: Nanos, token: u64, acts: &mut Vec<Action>) {
-        let (request_id, attempt_index) = (token as RequestId, (token >> 32) as usize);
+    /// Handles the timer of a request: it is dispatched again if it still waits, else its attempt is overdue.
+    pub(super) fn on_request_timer(&mut self, now: Nanos, token: u64, actions: &mut Vec<Action>) {
+        let (request_id, attempt_index) = attempt_of(token);
         let Some(&key) = self.request_keys.get(&request_id) else {
             return;
         };
         let active = &self.requests[key];
-        if matches!(active.state, Pending | PendingMayHaveRun)
-            && attempt_index == active.attempts_sent
-        {
-            return self.dispatch_request(now, key, acts);
+        let is_waiting = matches!(active.state, Pending | PendingMayHaveRun);
+        if is_waiting && attempt_index == active.attempts_sent {
+            return self.dispatch_request(now, key, actions);
         }
-        let Some((_, attempt)) = self.attempt(request_id, attempt_index as u8) else {
+        let Some((_, attempt)) = self.attempt_in_flight(request_id, attempt_index as u8) else {
             return;
         };
+        self.on_attempt_overdue(now, &attempt, actions);
+        let age = now - attempt.started_at.unwrap_or(attempt.sent_at);
+        actions.push(Action::SetTimer {
+            at: now + age.max(MIN_RECHECK_DELAY),
+            token,
+        });
+    }
+
+    fn on_attempt_overdue(&mut self, now: Nanos, attempt: &Attempt, actions: &mut Vec<Action>) {
         let worker = &mut self.workers[attempt.worker];
-        // A worker that has shown life since is only busy; one that has not may be hung.
-        let silent = attempt.started_at.is_none() && worker.last_response_at < attempt.sent_at;
-        let by = if silent {
-            0.8
+        let is_unresponsive =
+            attempt.started_at.is_none() && worker.last_response_at < attempt.sent_at;
+        let weight = if is_unresponsive {
+            UNRESPONSIVE_WEIGHT
+        } else if attempt.started_at.is_some() {
+            OVERRUN_WEIGHT
         } else {
-            f64::from(attempt.started_at.is_some()) * 0.15
+            BUSY_WEIGHT
         };
-        worker.failure_score.add(now, Worker::FAILURE_HALF_LIFE, by);
-        if silent {
+        worker.record_overdue_attempt(now, weight);
+        if is_unresponsive {
             worker.unresponsive = true;
-            self.report_load_to_peers(now, attempt.worker, true, true, acts);
+            let reason = ReportReason::UnresponsiveWorker;
+            self.report_load(now, attempt.worker, reason, actions);
         }
-        let age = now - attempt.started_at.unwrap_or(attempt.sent_at);
-        acts.push(Action::SetTimer {
-            at: now + age.max(300_000_000),
-            token,
-        });
     }
 
-    pub(crate) fn ended(&mut self, now: Nanos, end: AttemptEnded, acts: &mut Vec<Action>) {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Nanos,
+        end: AttemptEnded,
+        actions: &mut Vec<Action>,
+    ) {
         let AttemptEnded {
             request_id,
             attempt_index,
@@ -152,115 +199,127 @@
             complete,
             report,
         } = end;
-        let Some((key, attempt)) = self.attempt(request_id, attempt_index) else {
+        let Some((key, attempt)) = self.attempt_in_flight(request_id, attempt_index) else {
             return;
         };
         if outcome == Outcome::Succeeded {
-            self.learn_slots(now, key, attempt.worker);
+            self.observe_slots(now, key, attempt.worker);
         }
-        self.requests[key].attempts[usize::from(attempt_index)].in_flight = false;
+        self.requests[key].attempts_mut()[usize::from(attempt_index)].in_flight = false;
         self.start_delays.ended(AttemptId {
             request: request_id,
             number: attempt_index,
         });
-        self.read_report(now, attempt.worker, report);
-        let ActiveRequest {
-            service_time: run,
-            objective_deadline: due,
-            request: Request { class, hint, .. },
-            ..
-        } = self.requests[key];
-        let class = usize::from(class);
-        let warm = self.warmth(&self.workers[attempt.worker], now) >= 1.0;
-        let mut slow = false;
-        let worker = &mut self.workers[attempt.worker];
-        if outcome == Outcome::ConnectFailed {
-            worker.record_connect_failure(now);
-        }
-        if classify_outcome(outcome) == RequestInput::NotRun {
-            // Its wait is this request's whole room. Guards against a worker that is full, dead or drains
-            // unannounced: answering at once, it would look idle and draw all that waits.
-            (worker.start_delay, worker.start_delay_at) =
-                (worker.start_delay.max(due.saturating_sub(now) as f64), now);
-        }
-        match outcome {
-            Outcome::Succeeded => {
-                if let Some(from) = attempt.started_at {
-                    self.classes[class].observe_service_time(hint, (now - from) as f64);
-                    // One job tells little of a worker's pace (its hint may be off): a tenth at a time, the
-                    // first ones more. Guards against a slow worker to which each sends few jobs.
-                    let service_time_factor = ((now - from) as f64 / run).clamp(0.2, 10.0);
-                    // A cold one is slow for another reason: a tenth, and its kind is not told.
-                    worker.factor_samples = if warm {
-                        (worker.factor_samples + 1.0).min(9.0)
-                    } else {
-                        9.0
-                    };
-                    slow = service_time_factor > 2.0 * worker.service_time_factor;
-                    worker.own_service_time_factor += (service_time_factor
-                        - worker.own_service_time_factor)
-                        / (worker.factor_samples + 1.0);
-                    worker.update_service_time_factor(now);
-                    if warm {
-                        let worker_type = usize::from(worker.worker_type);
-                        self.worker_type_factors.resize(
-                            self.worker_type_factors.len().max(worker_type + 1),
-                            (1.0, 0.0),
-                        );
-                        let (mean, count) = &mut self.worker_type_factors[worker_type];
-                        *count = (*count + 1.0).min(50.0);
-                        *mean += (service_time_factor - *mean) / *count;
-                    }
-                }
-                worker.record_response(now, 0.2);
-                worker.class_failure_scores[class].add(now, 3.0 * Worker::FAILURE_HALF_LIFE, -0.2);
-            }
-            Outcome::WorkerError => {
-                worker
-                    .failure_score
-                    .add(now, Worker::FAILURE_HALF_LIFE, 0.5);
-                worker.class_failure_scores[class].add(now, 3.0 * Worker::FAILURE_HALF_LIFE, 0.3);
-            }
-            Outcome::TimedOut => worker
-                .failure_score
-                .add(now, Worker::FAILURE_HALF_LIFE, 0.5),
-            Outcome::ConnectFailed | Outcome::ConnectionLost => {
-                worker
-                    .failure_score
-                    .add(now, Worker::FAILURE_HALF_LIFE, 0.6)
-            }
-            Outcome::AtCapacity
-            | Outcome::InvalidRequest
-            | Outcome::Cancelled
-            | Outcome::NotSent => {}
-        }
-        self.report_load_to_peers(now, attempt.worker, slow, false, acts);
+        self.on_load_report(now, attempt.worker, report);
+        let reason = self.learn_from_outcome(now, key, &attempt, outcome);
+        self.report_load(now, attempt.worker, reason, actions);
         if outcome == Outcome::ConnectFailed {
-            self.select_subset(now);
+            self.select_subsets(now);
         }
         let input = if complete {
             RequestInput::Succeeded
         } else {
             classify_outcome(outcome)
         };
-        let active = &mut self.requests[key];
         if input == RequestInput::MayHaveRun {
-            active
-                .first_uncertain_attempt
-                .get_or_insert((attempt.worker, attempt.sent_at));
+            let uncertain = UncertainAttempt {
+                worker: attempt.worker,
+                sent_at: attempt.sent_at,
+            };
+            let first = &mut self.requests[key].first_uncertain_attempt;
+            first.get_or_insert(uncertain);
         }
-        self.apply_input(now, request_id, input, acts);
+        self.apply_input(now, request_id, input, actions);
     }
 
-    /// An attempt that is still out, and the place of its request.
-    pub(crate) fn attempt(
+    /// Learns what the end of an attempt says of its worker, and says why its load is to be reported.
+    fn learn_from_outcome(
+        &mut self,
+        now: Nanos,
+        key: usize,
+        attempt: &Attempt,
+        outcome: Outcome,
+    ) -> ReportReason {
+        let mut reason = ReportReason::LoadChanged;
+        if outcome == Outcome::Succeeded
+            && let Some(started_at) = attempt.started_at
+        {
+            reason = self.observe_service_time(now, key, attempt.worker, now - started_at);
+        }
+        let active = &self.requests[key];
+        let worker = &mut self.workers[attempt.worker];
+        if outcome == Outcome::ConnectFailed {
+            worker.record_connect_failure(now);
+        }
+        if classify_outcome(outcome) == RequestInput::NotRun {
+            // The worker answers at once: without this it would look idle and attract all requests.
+            let time_left = active.objective_deadline.saturating_sub(now) as f64;
+            worker.set_start_delay(now, worker.start_delay.max(time_left));
+        }
+        worker.record_outcome(now, usize::from(active.request.class), outcome);
+        reason
+    }
+
+    fn observe_service_time(
+        &mut self,
+        now: Nanos,
+        key: usize,
+        worker_index: usize,
+        service_time: Nanos,
+    ) -> ReportReason {
+        let service_time = service_time as f64;
+        let active = &self.requests[key];
+        let class = &mut self.classes[usize::from(active.request.class)];
+        class.observe_service_time(active.request.hint, service_time);
+        let factor =
+            (service_time / active.demand.service_time).clamp(MIN_SAMPLE_FACTOR, MAX_SAMPLE_FACTOR);
+        let is_warm = self.warmth(&self.workers[worker_index], now) >= 1.0;
+        let worker = &mut self.workers[worker_index];
+        let is_slow = factor > SLOW_MULTIPLE * worker.service_time_factor;
+        worker.observe_service_time_factor(now, factor, is_warm);
+        if is_warm {
+            let worker_type = usize::from(worker.worker_type);
+            self.observe_worker_type_factor(worker_type, factor);
+        }
+        if is_slow {
+            ReportReason::SlowWorker
+        } else {
+            ReportReason::LoadChanged
+        }
+    }
+
+    fn observe_worker_type_factor(&mut self, worker_type: usize, factor: f64) {
+        let known_types = self.worker_type_factors.len().max(worker_type + 1);
+        self.worker_type_factors
+            .resize(known_types, RunningMean::starting_at(1.0));
+        self.worker_type_factors[worker_type].observe(factor);
+    }
+
+    /// Updates the service-time factor of all workers. One that has run nothing for this dispatcher has its type's.
+    pub(super) fn update_service_time_factors(&mut self, now: Nanos) {
+        for worker in &mut self.workers {
+            let type_factor = self
+                .worker_type_factors
+                .get(usize::from(worker.worker_type));
+            if let Some(type_factor) = type_factor
+                && worker.factor_samples == 0.0
+            {
+                worker.own_service_time_factor = type_factor.mean;
+            }
+            worker.update_service_time_factor(now);
+        }
+    }
+
+    /// An attempt that is still in flight, and the key of its request.
+    fn attempt_in_flight(
         &self,
         request_id: RequestId,
         attempt_index: u8,
     ) -> Option<(usize, Attempt)> {
         let key = *self.request_keys.get(&request_id)?;
-        let active = &self.requests[key];
-        let attempt = active.attempts[..active.attempts_sent].get(usize::from(attempt_index))?;
+        let attempt = self.requests[key]
+            .attempts()
+            .get(usize::from(attempt_index))?;
         attempt.in_flight.then_some((key, *attempt))
     }
 }
--- a/src/policy/diffeqal.rs
+++ b/src/policy/diffeqal.rs
@@ -1,149 +1,203 @@
-//! DIFFEQAL: which part of the histogram each worker serves.
+//! DIFFEQAL: which interval of request sizes each worker serves.
+//!
+//! After N. Mi, Q. Zhang, A. Riska and E. Smirni, "Load Balancing for Performance Differentiation in Dual-Priority
+//! Clustered Servers". Step one shifts work from the first workers to the last by `R`; step two shifts each class again
+//! by its own `R^c`. `docs/design.md` says what differs from the paper.
 use super::Dispatcher;
-use crate::state::{ActiveRequest, BINS, Bins, work_below};
+use crate::state::{BINS, Bins, work_below};
 use crate::types::Nanos;
 
-/// The source's semi-geometric routine: `n` shifts that sum to 0, the first of them `-r`.
-pub(crate) fn shifts(n: usize, r: f64) -> impl Iterator<Item = f64> {
-    let (mut adjust, mut later) = (-r, 0.0);
-    (0..n).map(move |i| {
-        let left = n - 1 - i;
-        let p = if left > 0 { later + adjust } else { later };
-        later -= adjust / left.max(1) as f64;
-        adjust /= 2.0;
-        p
+#[cfg(test)]
+mod tests;
+
+/// The autocorrelation above which arrivals count as correlated.
+const CORRELATED_ABOVE: f64 = 0.1;
+
+/// The shift ratios of the paper.
+const SEMI_GEOMETRIC_SHIFT: f64 = 0.4;
+const LOW_PRIORITY_SHIFT: f64 = 0.4;
+const HIGH_PRIORITY_SHIFT: f64 = 0.2;
+
+/// The shift ratios `R`, `R^low` and `R^high`.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct ShiftRatios {
+    /// Of all work, in step one.
+    pub(super) all: f64,
+    /// Of low and high priority, in step two.
+    pub(super) low: f64,
+    pub(super) high: f64,
+}
+
+impl ShiftRatios {
+    /// The ratios by the autocorrelation of arrivals of low and of high priority.
+    pub(super) fn from_autocorrelation(low: f64, high: f64) -> Self {
+        let is_correlated = |estimate: f64| estimate > CORRELATED_ABOVE;
+        let all = if is_correlated(low) || is_correlated(high) {
+            SEMI_GEOMETRIC_SHIFT
+        } else {
+            0.0
+        };
+        if is_correlated(high) && high > low {
+            ShiftRatios {
+                all,
+                low: 0.0,
+                high: HIGH_PRIORITY_SHIFT,
+            }
+        } else {
+            ShiftRatios {
+                all,
+                low: LOW_PRIORITY_SHIFT,
+                high: 0.0,
+            }
+        }
+    }
+}
+
+/// The paper's semi-geometric routine: `count` shifts that sum to 0, the first of them `-ratio`.
+pub(super) fn semi_geometric_shifts(count: usize, ratio: f64) -> impl Iterator<Item = f64> {
+    let mut adjustment = -ratio;
+    let mut carried = 0.0;
+    (0..count).map(move |index| {
+        let following = count - 1 - index;
+        let shift = if following > 0 {
+            carried + adjustment
+        } else {
+            carried
+        };
+        carried -= adjustment / following.max(1) as f64;
+        adjustment /= 2.0;
+        shift
     })
 }
 
-/// Where each lane ends, as work of the class `own`: a lane that step one gives the part `targets[i]` of the
-/// work in `whole` keeps (1 + shift i) times what it then has of the class (step two).
-pub(crate) fn interval_bounds_into(
-    whole: &Bins,
-    own: &Bins,
-    interval_weights: &[f64],
-    shift: impl Iterator<Item = f64>,
-    interval_bounds: &mut Vec<f64>,
+/// The bounds of the intervals, as cumulative work of one class. `weights` are the parts of all work that step one gives
+/// to the workers; each keeps (1 + its class shift) times what it then has of the class.
+pub(super) fn compute_interval_bounds(
+    all_work: &Bins,
+    class_work: &Bins,
+    weights: &[f64],
+    class_shifts: impl Iterator<Item = f64>,
+    bounds: &mut Vec<f64>,
 ) {
-    let scale =
-        whole.iter().sum::<f64>() / interval_weights.iter().sum::<f64>().max(f64::MIN_POSITIVE);
-    let (mut bin, mut used, mut sum, mut end) = (0, 0.0, 0.0, 0.0);
-    interval_bounds.clear();
-    for (target, p) in interval_weights.iter().zip(shift) {
-        let mut left = target * scale;
-        while bin < BINS && whole[bin] - used <= left {
-            sum += own[bin] * (1.0 - used / whole[bin].max(f64::MIN_POSITIVE));
-            left -= whole[bin] - used;
-            (bin, used) = (bin + 1, 0.0);
+    let total_weight = weights.iter().sum::<f64>().max(f64::MIN_POSITIVE);
+    let work_per_weight = all_work.iter().sum::<f64>() / total_weight;
+    let mut bin = 0;
+    let mut used_of_bin = 0.0;
+    let mut interval_work = 0.0;
+    let mut bound = 0.0;
+    bounds.clear();
+    for (weight, shift) in weights.iter().zip(class_shifts) {
+        let mut left = weight * work_per_weight;
+        while bin < BINS && all_work[bin] - used_of_bin <= left {
+            interval_work +=
+                class_work[bin] * (1.0 - used_of_bin / all_work[bin].max(f64::MIN_POSITIVE));
+            left -= all_work[bin] - used_of_bin;
+            bin += 1;
+            used_of_bin = 0.0;
         }
         if bin < BINS {
-            used += left;
-            sum += own[bin] * left / whole[bin];
+            used_of_bin += left;
+            interval_work += class_work[bin] * left / all_work[bin];
         }
-        end += (1.0 + p) * std::mem::take(&mut sum);
-        interval_bounds.push(end);
-    }
-}
-
-/// R, then the shift of the low and of the high class, from both autocorrelations.
-pub(crate) fn shift_ratios(low: f64, high: f64) -> (f64, f64, f64) {
-    // Present above 0.1; shifts of 40, 40 and 20%: all from the design page.
-    let present = |estimate: f64| estimate > 0.1;
-    let r = if present(low) || present(high) {
-        0.4
-    } else {
-        0.0
-    };
-    if present(high) && high > low {
-        (r, 0.0, 0.2)
-    } else {
-        (r, 0.4, 0.0)
+        bound += (1.0 + shift) * std::mem::take(&mut interval_work);
+        bounds.push(bound);
     }
 }
 
 impl Dispatcher {
-    /// Draws a class's lanes anew.
-    pub(crate) fn recompute_intervals(&mut self, now: Nanos, at: usize) {
-        let (r, low, high) = shift_ratios(
-            self.inter_arrival_times[0].estimate,
-            self.inter_arrival_times[1].estimate,
+    /// Recomputes the intervals of a class.
+    fn recompute_intervals(&mut self, now: Nanos, class_index: usize) {
+        let [low, high] = &self.inter_arrival_times;
+        let ratios = ShiftRatios::from_autocorrelation(low.autocorrelation, high.autocorrelation);
+        let class_ratio = self.class_shift_ratio(class_index, ratios);
+        let all_work = self.work_of_worker_type(class_index);
+        let mut weights = std::mem::take(&mut self.interval_weights);
+        weights.clear();
+        let subset = &self.classes[class_index].subset;
+        weights.extend(
+            semi_geometric_shifts(subset.len(), ratios.all)
+                .zip(subset)
+                .map(|(shift, worker)| self.interval_weight(now, class_index, *worker, shift)),
         );
-        let lone = self
+        let class = &mut self.classes[class_index];
+        compute_interval_bounds(
+            &all_work,
+            &class.histogram,
+            &weights,
+            semi_geometric_shifts(weights.len(), class_ratio),
+            &mut class.interval_bounds,
+        );
+        self.interval_weights = weights;
+    }
+
+    /// The ratio of step two for a class. Without a second priority there is nothing to differentiate.
+    fn class_shift_ratio(&self, class_index: usize, ratios: ShiftRatios) -> f64 {
+        let has_one_priority = self
             .classes
             .iter()
             .all(|class| class.high_priority == self.classes[0].high_priority);
-        let mut whole = [0.0; BINS];
+        if has_one_priority {
+            0.0
+        } else if self.classes[class_index].high_priority {
+            ratios.high
+        } else {
+            ratios.low
+        }
+    }
+
+    /// The recent work of all classes that need the same worker type.
+    fn work_of_worker_type(&self, class_index: usize) -> Bins {
+        let worker_type = self.classes[class_index].settings.worker_type;
+        let mut sum = [0.0; BINS];
         for class in self
             .classes
             .iter()
-            .filter(|class| class.worker_type == self.classes[at].worker_type)
+            .filter(|class| class.settings.worker_type == worker_type)
         {
-            whole
-                .iter_mut()
-                .zip(&class.histogram)
-                .for_each(|(sum, work)| *sum += work);
+            for (sum, work) in sum.iter_mut().zip(&class.histogram) {
+                *sum += work;
+            }
         }
-        let idempotency = self.classes[at].idempotency;
-        let mut interval_weights = std::mem::take(&mut self.interval_weights);
-        interval_weights.clear();
-        interval_weights.extend(
-            shifts(self.classes[at].subset.len(), r)
-                .zip(&self.classes[at].subset)
-                .map(|(p, w)| {
-                    let (worker, warmth) = (&self.workers[*w], self.warmth(&self.workers[*w], now));
-                    // One that is sent to by turns has the whole of its part in its turn.
-                    let turn = if warmth < 1.0 {
-                        self.warm_up_turn(worker, now).1
-                    } else {
-                        1.0
-                    };
-                    let part = if self.uses_warm_up_grants && self.has_fleet_view {
-                        warmth
-                    } else {
-                        warmth.min(1.0) * turn
-                    };
-                    (1.0 + p)
-                        * worker.size
-                        * (1.0
-                            - worker.failure_score_for(
-                                now,
-                                self.mean_failure_score,
-                                at,
-                                idempotency,
-                            ))
-                        * part
-                }),
-        );
-        let class = &mut self.classes[at];
-        let shift = if lone {
-            0.0
+        sum
+    }
+
+    /// The part of all work that step one gives to a worker: by its shift, size, failures and warm-up.
+    fn interval_weight(
+        &self,
+        now: Nanos,
+        class_index: usize,
+        worker_index: usize,
+        shift: f64,
+    ) -> f64 {
+        let worker = &self.workers[worker_index];
+        let warmth = self.warmth(worker, now);
+        let warm_up_part = if self.settings.uses_warm_up_grants && self.has_fleet_view {
+            warmth
+        } else if warmth < 1.0 {
+            // Who has the turn at a warming worker serves all of its interval meanwhile.
+            warmth * self.warm_up_turn(worker, now).represented_dispatchers
         } else {
-            [low, high][usize::from(class.high_priority)]
+            warmth
         };
-        interval_bounds_into(
-            &whole,
-            &class.histogram,
-            &interval_weights,
-            shifts(interval_weights.len(), shift),
-            &mut class.interval_bounds,
-        );
-        self.interval_weights = interval_weights;
+        let idempotency = self.classes[class_index].settings.idempotency;
+        let failures =
+            worker.failure_score_for(now, self.mean_failure_score, class_index, idempotency);
+        (1.0 + shift) * worker.size * (1.0 - failures) * warm_up_part
     }
 
-    /// The place of a request among its class's lanes.
-    pub(crate) fn lane(&mut self, now: Nanos, key: usize) -> usize {
-        let ActiveRequest { request, work, .. } = self.requests[key];
-        self.recompute_intervals(now, usize::from(request.class));
-        let class = &self.classes[usize::from(request.class)];
-        // The request is itself in the histogram: one larger than all before falls on one of the lanes that its
-        // own work fills, not always on the last. Guards against a crowd at the end where few are seen each.
-        let place = work_below(&class.histogram, work) / class.histogram.iter().sum::<f64>();
+    /// The place in the class's subset of the worker whose interval a request falls into. The request is already in the
+    /// histogram, so that one larger than all before falls into any of the intervals that its own work fills.
+    pub(super) fn interval_of(&mut self, now: Nanos, key: usize) -> usize {
+        let active = &self.requests[key];
+        let class_index = usize::from(active.request.class);
+        let work = active.demand.work;
+        self.recompute_intervals(now, class_index);
+        let class = &self.classes[class_index];
+        let position = work_below(&class.histogram, work) / class.histogram.iter().sum::<f64>();
         let last = class.interval_bounds.last().copied().unwrap_or(0.0);
-        let lane = class
+        let interval = class
             .interval_bounds
-            .partition_point(|end| *end <= place * last);
-        lane.min(class.subset.len().saturating_sub(1))
+            .partition_point(|bound| *bound <= position * last);
+        interval.min(class.subset.len().saturating_sub(1))
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/policy/diffeqal/tests.rs
+++ b/src/policy/diffeqal/tests.rs
@@ -1,4 +1,4 @@
-use super::{interval_bounds_into, shift_ratios, shifts};
+use super::{ShiftRatios, compute_interval_bounds, semi_geometric_shifts};
 use crate::policy::test_support::{MS, dispatcher, handle, request};
 use crate::state::{BINS, bin_index};
 use crate::types::{Action, Event, Nanos};
@@ -8,16 +8,19 @@
 #[test_case(4, 0.2 => vec![-200, -33, 67, 167]; "twice the shift")]
 #[test_case(1, 0.4 => vec![0]; "one worker")]
 #[test_case(0, 0.4 => Vec::<i64>::new(); "no worker")]
-fn semi_geometric_shifts(n: usize, r: f64) -> Vec<i64> {
-    shifts(n, r).map(|p| (p * 1000.0).round() as i64).collect()
+fn shifts_sum_to_nothing_from_minus_the_ratio(count: usize, ratio: f64) -> Vec<i64> {
+    semi_geometric_shifts(count, ratio)
+        .map(|shift| (shift * 1000.0).round() as i64)
+        .collect()
 }
 
 #[test_case(0.0, 0.0 => (0.0, 0.4, 0.0); "neither")]
 #[test_case(0.3, 0.0 => (0.4, 0.4, 0.0); "low only")]
 #[test_case(0.2, 0.3 => (0.4, 0.0, 0.2); "high more")]
 #[test_case(0.3, 0.3 => (0.4, 0.4, 0.0); "alike")]
-fn corrections_by_autocorrelation(low: f64, high: f64) -> (f64, f64, f64) {
-    shift_ratios(low, high)
+fn shift_ratios_follow_the_autocorrelation(low: f64, high: f64) -> (f64, f64, f64) {
+    let ratios = ShiftRatios::from_autocorrelation(low, high);
+    (ratios.all, ratios.low, ratios.high)
 }
 
 #[test_case(&[1.0, 1.0], &[(10, 100.0), (20, 100.0)] => vec![100, 200]; "between two sizes")]
@@ -26,11 +29,11 @@
 fn lanes_end_at_their_part(interval_weights: &[f64], filled: &[(usize, f64)]) -> Vec<i64> {
     let (mut bins, mut interval_bounds) = ([0.0; BINS], Vec::new());
     filled.iter().for_each(|(bin, work)| bins[*bin] = *work);
-    interval_bounds_into(
+    compute_interval_bounds(
         &bins,
         &bins,
         interval_weights,
-        shifts(interval_weights.len(), 0.0),
+        semi_geometric_shifts(interval_weights.len(), 0.0),
         &mut interval_bounds,
     );
     interval_bounds
@@ -43,11 +46,11 @@
 fn a_class_keeps_its_work_over_the_shifted_lanes() {
     let (mut whole, mut own, mut interval_bounds) = ([0.0; BINS], [0.0; BINS], Vec::new());
     (8..40).for_each(|bin| (whole[bin], own[bin]) = (10.0, if bin < 24 { 5.0 } else { 1.0 }));
-    interval_bounds_into(
+    compute_interval_bounds(
         &whole,
         &own,
         &[1.0; 2],
-        shifts(2, 0.4),
+        semi_geometric_shifts(2, 0.4),
         &mut interval_bounds,
     );
     assert_eq!(
--- a/src/policy/dispatcher/tests.rs
+++ b/src/policy/dispatcher/tests.rs
@@ -3,7 +3,7 @@
 use crate::policy::test_support::{MS, among, dispatcher, entry, handle, id, request, warm};
 use crate::state::RequestInput;
 use crate::time::SECOND;
-use crate::timers::token;
+use crate::timers::attempt_timer;
 use crate::types::{
     Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, PeerLoad,
     Report, RequestId, WorkerId,
@@ -15,7 +15,13 @@
 fn no_worker_declines_only_when_it_can_no_longer_be_in_time() {
     let mut d = dispatcher(0);
     assert!(handle(&mut d, 0, Event::RequestArrived(request(1, 2, 100 * MS, 0))).is_empty());
-    let acts = handle(&mut d, 450 * MS, Event::TimerFired { token: token(1, 0) });
+    let acts = handle(
+        &mut d,
+        450 * MS,
+        Event::TimerFired {
+            token: attempt_timer(1, 0),
+        },
+    );
     assert!(matches!(acts[..], [Action::Reject { request_id: 1, .. }]));
 }
 
@@ -74,7 +80,7 @@
     let (mut dice, mut acts) = (Pcg::new(seed), Vec::new());
     let mut d = among(dispatchers, 0, warm(workers));
     d.exchanges_load = seed > 6;
-    d.select_subset(0);
+    d.select_subsets(0);
     let fleet = usize::from(workers);
     let (mut state, mut started) = (vec![EndpointState::Ready; fleet], vec![0; fleet]);
     let mut timers: Vec<(Nanos, u64)> = Vec::new();
@@ -208,7 +214,7 @@
                                 "outside group or window"
                             );
                         }
-                        let work = d.requests[d.request_keys[&request_id]].work;
+                        let work = d.requests[d.request_keys[&request_id]].demand.work;
                         // In hinted work a second, by the most that was ever believed: beliefs move meanwhile.
                         unit = unit.max(d.capacity_per_size);
                         cold.push((n, now, work));
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,104 +1,128 @@
-//! The endpoint list: its events and how it is polled.
+//! The endpoint list: when it is polled, and how snapshots and deltas change the workers.
 use super::Dispatcher;
 use crate::mutation::{Mutation, is_active};
-use crate::state::{FailureScore, Worker};
+use crate::state::{SentWork, Worker};
 use crate::time::SECOND;
 use crate::timers::{POLL_TIMER, TICK_INTERVAL, TICK_TIMER};
 use crate::types::{Action, Endpoint, EndpointState, ListScope, Nanos};
 
+#[cfg(test)]
+mod tests;
+
+/// The backoff after the first failed poll. It doubles with each failure in a row, up to three times.
+const POLL_BACKOFF: f64 = 0.5 * SECOND;
+const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 3;
+
+/// The least size that a worker counts as.
+const MIN_SIZE: f64 = 0.01;
+
 impl Dispatcher {
-    pub(crate) fn poll_endpoints(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        if self.polls_endpoints && !self.watching && now >= self.next_poll_at {
-            self.next_poll_at = Nanos::MAX; // until this call has failed
-            acts.push(Action::WatchEndpoints);
+    /// Asks for the endpoint list, where that is needed and due.
+    pub(super) fn poll_endpoints(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        if self.settings.polls_endpoints && !self.watching_endpoints && now >= self.next_poll_at {
+            // Not again until this poll has failed.
+            self.next_poll_at = Nanos::MAX;
+            actions.push(Action::WatchEndpoints);
         }
     }
 
-    pub(crate) fn apply_endpoint_list(
+    pub(super) fn on_endpoint_list(
         &mut self,
         now: Nanos,
         scope: ListScope,
         endpoints: &[Endpoint],
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match scope {
-            ListScope::Failed => {
-                // Twice as long after each failure up to 4 s, spread so that dispatchers do not call as one,
-                // and by a timer of its own, not on the beat, which all who started together share.
-                let wait = 0.5 * SECOND * f64::from(1 << self.poll_failures.min(3));
-                self.poll_failures += 1;
-                self.watching = false;
-                self.next_poll_at = now + (wait * (0.5 + self.rng.unit())) as Nanos;
-                acts.push(Action::SetTimer {
-                    at: self.next_poll_at,
-                    token: POLL_TIMER,
-                });
-                return;
-            }
-            ListScope::Cached => acts.push(Action::SetTimer {
+            ListScope::Failed => return self.schedule_poll(now, actions),
+            // The cached list is the first event of a dispatcher.
+            ListScope::Cached => actions.push(Action::SetTimer {
                 at: now + TICK_INTERVAL,
                 token: TICK_TIMER,
-            }), // the first event
+            }),
             ListScope::Delta | ListScope::Snapshot => {
-                (self.watching, self.poll_failures) = (true, 0)
+                self.watching_endpoints = true;
+                self.poll_failures = 0;
             }
         }
         if scope != ListScope::Delta {
-            // Whoever a whole list leaves out is gone.
-            self.workers
-                .iter_mut()
-                .for_each(|worker| worker.state = EndpointState::Removed);
-        }
-        for entry in endpoints {
-            let at = *self
-                .worker_indices
-                .entry(entry.worker)
-                .or_insert(self.workers.len());
-            if at == self.workers.len() {
-                self.workers
-                    .push(Worker::new(entry.worker, entry.started, self.classes.len()));
+            for worker in &mut self.workers {
+                worker.state = EndpointState::Removed;
             }
-            let worker = &mut self.workers[at];
-            if entry.started != worker.started_at {
-                // A new process: what was held against the old one is void, and it starts cold.
-                (
-                    worker.failure_score,
-                    worker.unresponsive,
-                    worker.start_delay,
-                ) = Default::default();
-                worker.class_failure_scores.fill(FailureScore::default());
-                // What went to it before its start was told of counts too.
-                worker.recent_work.retain(|(at, _)| *at >= entry.started);
-                (worker.connect_failures, worker.connect_retry_at) = (0, 0);
-                worker.started_at = entry.started;
-            }
-            (worker.state, worker.zone, worker.worker_type) =
-                (entry.state, entry.zone, entry.worker_type);
-            if entry.state == EndpointState::Draining && is_active(Mutation::IgnoreDraining) {
-                worker.state = EndpointState::Ready;
-            }
-            if scope == ListScope::Cached {
-                // What this turn's budget held may have been sent before a restart.
-                worker.recent_work.push_back((now, f64::INFINITY));
-            }
-            (worker.group, worker.size) = (entry.group, f64::from(entry.size).max(0.01));
         }
-        let mut order: Vec<usize> = (0..self.workers.len()).collect();
-        order.retain(|at| self.workers[*at].state == EndpointState::Ready);
-        order.sort_unstable_by_key(|at| self.workers[*at].id);
-        for class in &mut self.classes {
-            let fits = |w: &usize| {
-                class.worker_type < 0
-                    || i64::from(self.workers[*w].worker_type) == class.worker_type
-            };
-            class.eligible_workers = order.iter().copied().filter(fits).collect();
+        for endpoint in endpoints {
+            self.apply_endpoint(now, scope, endpoint);
         }
-        self.select_subset(now);
+        self.update_eligible_workers();
+        self.select_subsets(now);
         self.update_fleet_estimates(now);
-        self.update_warm_up_budgets(now, acts);
-        self.poll_endpoints(now, acts);
+        self.update_warm_up_budgets(now, actions);
+        self.poll_endpoints(now, actions);
+    }
+
+    /// Schedules the next poll after a failed one. It has a timer of its own and a random backoff, so that dispatchers that
+    /// started together do not poll together.
+    fn schedule_poll(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let doublings = self.poll_failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
+        let backoff = POLL_BACKOFF * f64::from(1 << doublings);
+        self.poll_failures += 1;
+        self.watching_endpoints = false;
+        self.next_poll_at = now + (backoff * (0.5 + self.rng.unit())) as Nanos;
+        actions.push(Action::SetTimer {
+            at: self.next_poll_at,
+            token: POLL_TIMER,
+        });
+    }
+
+    fn apply_endpoint(&mut self, now: Nanos, scope: ListScope, endpoint: &Endpoint) {
+        let next_index = self.workers.len();
+        let index = *self
+            .worker_indices
+            .entry(endpoint.worker)
+            .or_insert(next_index);
+        if index == next_index {
+            let worker = Worker::new(endpoint.worker, endpoint.started, self.classes.len());
+            self.workers.push(worker);
+        }
+        let worker = &mut self.workers[index];
+        if endpoint.started != worker.started_at {
+            worker.restart(endpoint.started);
+        }
+        worker.state = endpoint.state;
+        if endpoint.state == EndpointState::Draining && is_active(Mutation::IgnoreDraining) {
+            worker.state = EndpointState::Ready;
+        }
+        worker.zone = endpoint.zone;
+        worker.worker_type = endpoint.worker_type;
+        worker.group = endpoint.group;
+        worker.size = f64::from(endpoint.size).max(MIN_SIZE);
+        if scope == ListScope::Cached {
+            // A process of this dispatcher that ended just before may have used this window's allowance.
+            worker.recent_work.push_back(SentWork {
+                at: now,
+                work: f64::INFINITY,
+            });
+        }
+    }
+
+    /// Lists for each class the ready workers that may run its requests, by id.
+    fn update_eligible_workers(&mut self) {
+        let mut ready: Vec<usize> = (0..self.workers.len()).collect();
+        ready.retain(|index| self.workers[*index].state == EndpointState::Ready);
+        ready.sort_unstable_by_key(|index| self.workers[*index].id);
+        for class in &mut self.classes {
+            let accepts = |index: &usize| class.settings.accepts(self.workers[*index].worker_type);
+            class.eligible_workers = ready.iter().copied().filter(accepts).collect();
+        }
     }
 }
 
-#[cfg(test)]
-mod tests;
+impl Worker {
+    /// A new process runs in place of the one before. What was sent since its start may have gone to it and still counts.
+    fn restart(&mut self, started_at: Nanos) {
+        self.clear_failures();
+        self.start_delay = 0.0;
+        self.recent_work.retain(|sent| sent.at >= started_at);
+        self.started_at = started_at;
+    }
+}
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -1,135 +1,118 @@
-//! The state table of a request: what may follow each outcome.
+//! The life of a request: what may follow each outcome of an attempt, by the state of the request and by whether it
+//! may run again.
 use super::Dispatcher;
 use crate::mutation::{Mutation, is_active};
-use crate::state::Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
-use crate::state::RequestState::{Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight};
-use crate::state::{Idempotency, RequestInput, RequestState, RequestStep};
+use crate::settings::Idempotency::{self, Idempotent, IdempotentWithKey, NonIdempotent};
+use crate::state::RequestInput::{
+    self, AttemptSent, ClientGone, GivenUp, MayHaveRun, NotRun, Succeeded,
+};
+use crate::state::RequestState::{
+    self, Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight,
+};
+use crate::state::RequestStep::{self, Fail, Forward, Nothing, Reject};
 use crate::time::SECOND;
 use crate::types::{Action, Nanos, Outcome, RequestId};
 
-pub(crate) const ALL: &[Idempotency] = &[Idempotent, IdempotentWithKey, NonIdempotent];
+#[cfg(test)]
+mod tests;
 
-/// States, input, for which effects, next state, effect. What is not listed changes nothing.
-pub(crate) type Row = (
-    &'static [RequestState],
-    RequestInput,
-    &'static [Idempotency],
-    RequestState,
-    RequestStep,
-);
+/// How long a rejected client is asked to wait, where the settings allow as much: a usual request has then completed.
+const RETRY_AFTER: f64 = 0.5 * SECOND;
 
-pub(crate) const TABLE: &[Row] = &[
-    (
-        &[Pending],
-        RequestInput::AttemptSent,
-        ALL,
-        InFlight,
-        RequestStep::Nothing,
-    ),
-    (
+/// One row of the state table.
+struct Transition {
+    from: &'static [RequestState],
+    input: RequestInput,
+    idempotency: &'static [Idempotency],
+    to: RequestState,
+    step: RequestStep,
+}
+
+const fn transition(
+    from: &'static [RequestState],
+    input: RequestInput,
+    idempotency: &'static [Idempotency],
+    to: RequestState,
+    step: RequestStep,
+) -> Transition {
+    Transition {
+        from,
+        input,
+        idempotency,
+        to,
+        step,
+    }
+}
+
+const ANY: &[Idempotency] = &[Idempotent, IdempotentWithKey, NonIdempotent];
+const IN_FLIGHT: &[RequestState] = &[InFlight, RetryInFlight];
+const NOT_REJECTABLE: &[RequestState] = &[InFlight, PendingMayHaveRun, RetryInFlight];
+const ACTIVE: &[RequestState] = &[Pending, InFlight, PendingMayHaveRun, RetryInFlight];
+
+/// The state table. An input that has no row for a state changes nothing.
+const TRANSITIONS: &[Transition] = &[
+    transition(&[Pending], AttemptSent, ANY, InFlight, Nothing),
+    transition(
         &[PendingMayHaveRun],
-        RequestInput::AttemptSent,
-        ALL,
+        AttemptSent,
+        ANY,
         RetryInFlight,
-        RequestStep::Nothing,
-    ),
-    (
-        &[InFlight, RetryInFlight],
-        RequestInput::Succeeded,
-        ALL,
-        Completed,
-        RequestStep::Nothing,
-    ),
-    (
-        &[InFlight],
-        RequestInput::NotRun,
-        ALL,
-        Pending,
-        RequestStep::Forward,
+        Nothing,
     ),
-    (
-        &[RetryInFlight],
-        RequestInput::NotRun,
-        ALL,
-        PendingMayHaveRun,
-        RequestStep::Forward,
-    ),
-    (
-        &[InFlight],
-        RequestInput::MayHaveRun,
-        &[Idempotent],
-        Pending,
-        RequestStep::Forward,
-    ),
-    (
-        &[InFlight, RetryInFlight],
-        RequestInput::MayHaveRun,
+    transition(IN_FLIGHT, Succeeded, ANY, Completed, Nothing),
+    transition(&[InFlight], NotRun, ANY, Pending, Forward),
+    transition(&[RetryInFlight], NotRun, ANY, PendingMayHaveRun, Forward),
+    transition(&[InFlight], MayHaveRun, &[Idempotent], Pending, Forward),
+    transition(
+        IN_FLIGHT,
+        MayHaveRun,
         &[IdempotentWithKey],
         PendingMayHaveRun,
-        RequestStep::Forward,
-    ),
-    (
-        &[InFlight],
-        RequestInput::MayHaveRun,
-        &[NonIdempotent],
-        Completed,
-        RequestStep::Fail,
-    ),
-    (
-        &[Pending],
-        RequestInput::GivenUp,
-        ALL,
-        Completed,
-        RequestStep::Reject,
-    ),
-    (
-        &[InFlight, PendingMayHaveRun, RetryInFlight],
-        RequestInput::GivenUp,
-        ALL,
-        Completed,
-        RequestStep::Fail,
-    ),
-    (
-        &[Pending, InFlight, PendingMayHaveRun, RetryInFlight],
-        RequestInput::ClientGone,
-        ALL,
-        Completed,
-        RequestStep::Nothing,
+        Forward,
     ),
+    transition(&[InFlight], MayHaveRun, &[NonIdempotent], Completed, Fail),
+    transition(&[Pending], GivenUp, ANY, Completed, Reject),
+    transition(NOT_REJECTABLE, GivenUp, ANY, Completed, Fail),
+    transition(ACTIVE, ClientGone, ANY, Completed, Nothing),
 ];
 
-pub(crate) fn next(
+/// The next state of a request, and what has to be done.
+pub(super) fn next(
     state: RequestState,
     input: RequestInput,
     idempotency: Idempotency,
 ) -> (RequestState, RequestStep) {
-    let row = TABLE
+    TRANSITIONS
         .iter()
-        .find(|row| row.0.contains(&state) && row.1 == input && row.2.contains(&idempotency));
-    row.map_or((state, RequestStep::Nothing), |row| (row.3, row.4))
+        .find(|row| {
+            row.from.contains(&state)
+                && row.input == input
+                && row.idempotency.contains(&idempotency)
+        })
+        .map_or((state, Nothing), |row| (row.to, row.step))
 }
 
-/// An outcome counts as "not run" only where it proves it.
-pub(crate) fn classify_outcome(outcome: Outcome) -> RequestInput {
+/// What the outcome of an attempt means for its request. Only outcomes that prove it count as not run.
+pub(super) fn classify_outcome(outcome: Outcome) -> RequestInput {
     match outcome {
-        Outcome::Succeeded => RequestInput::Succeeded,
-        Outcome::AtCapacity | Outcome::ConnectFailed | Outcome::NotSent => RequestInput::NotRun,
-        // Nothing is proven, and no worker is to blame. Guards against clients that spoil trust.
-        Outcome::InvalidRequest => RequestInput::GivenUp,
+        Outcome::Succeeded => Succeeded,
+        Outcome::AtCapacity | Outcome::ConnectFailed | Outcome::NotSent => NotRun,
+        // Any other worker would find the same fault.
+        Outcome::InvalidRequest => GivenUp,
         Outcome::WorkerError | Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
-            RequestInput::MayHaveRun
+            MayHaveRun
         }
     }
 }
 
 impl Dispatcher {
-    /// Runs one input for a request through the table and carries out what follows.
-    pub(crate) fn apply_input(
+    /// Applies one input to a request and carries out what follows.
+    pub(super) fn apply_input(
         &mut self,
         now: Nanos,
         request_id: RequestId,
         input: RequestInput,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(&key) = self.request_keys.get(&request_id) else {
             return;
@@ -143,30 +126,23 @@
         let (state, step) = next(active.state, input, idempotency);
         active.state = state;
         match step {
-            RequestStep::Nothing => {}
-            RequestStep::Forward => return self.dispatch_request(now, key, acts),
-            RequestStep::Reject => {
-                // Come back when a usual job has had time to end.
-                let most = self.says("retry_after.allowed") * self.says("retry_after.max");
-                let retry_after = most.min(0.5 * SECOND) as Nanos;
-                acts.push(Action::Reject {
-                    request_id,
-                    retry_after,
-                });
-            }
-            RequestStep::Fail => acts.push(Action::Fail { request_id }),
+            Nothing => {}
+            Forward => return self.dispatch_request(now, key, actions),
+            Reject => actions.push(Action::Reject {
+                request_id,
+                retry_after: self.settings.max_retry_after.min(RETRY_AFTER) as Nanos,
+            }),
+            Fail => actions.push(Action::Fail { request_id }),
         }
+        self.remove_if_finished(key);
+    }
+
+    fn remove_if_finished(&mut self, key: usize) {
         let active = &self.requests[key];
-        if active.state == Completed
-            && active.attempts[..active.attempts_sent]
-                .iter()
-                .all(|attempt| !attempt.in_flight)
-        {
-            self.request_keys.remove(&request_id);
+        let in_flight = active.attempts().iter().any(|attempt| attempt.in_flight);
+        if active.state == Completed && !in_flight {
+            self.request_keys.remove(&active.request.id);
             self.requests.remove(key);
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/policy/lifecycle/tests.rs
+++ b/src/policy/lifecycle/tests.rs
@@ -1,9 +1,9 @@
-use crate::policy::lifecycle::next;
+use super::next;
 use crate::policy::test_support::{MS, dispatcher, handle, request};
-use crate::state::Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
+use crate::settings::Idempotency::{self, Idempotent, IdempotentWithKey, NonIdempotent};
 use crate::state::RequestState::{Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight};
-use crate::state::{Idempotency, RequestInput, RequestState, RequestStep};
-use crate::timers::token;
+use crate::state::{RequestInput, RequestState, RequestStep};
+use crate::timers::attempt_timer;
 use crate::types::{Action, AttemptEnded, Event, Outcome, Report};
 use test_case::test_case;
 
@@ -50,7 +50,9 @@
             complete: false,
             report: Report::default(),
         }),
-        false => Event::TimerFired { token: token(1, 0) },
+        false => Event::TimerFired {
+            token: attempt_timer(1, 0),
+        },
     };
     let word = |act: &Action| match act {
         Action::Reject { .. } => "decline",
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -1,137 +1,192 @@
-//! Load at the workers: by their reports and by this dispatcher's own attempts.
+//! The load at the workers: by their own reports and by this dispatcher's attempts.
 use super::Dispatcher;
-use crate::state::{ActiveRequest, Attempt};
+use crate::state::{ActiveRequest, Attempt, Overruns, Worker};
 use crate::time::{SECOND, decay};
-use crate::types::{Nanos, Report};
+use crate::types::{Action, Nanos, Report};
+
+#[cfg(test)]
+mod tests;
+
+/// Values of load reports from here on are invalid: no worker has as many slots or requests.
+const REPORT_VALUE_LIMIT: f32 = 1e4;
+
+/// How far free slots must exceed the known slots to count, and how much of the way they raise them: reports are noisy,
+/// and their maximum would be the noisiest.
+const FREE_SLOTS_TOLERANCE: f64 = 0.25;
+const FREE_SLOTS_WEIGHT: f64 = 0.2;
+
+/// The weight of one report in the mean of the slots that others use.
+const OTHER_SLOTS_WEIGHT: f64 = 0.1;
+
+/// The times for which a started request surely runs, in its expected service time.
+const SURELY_RUNNING: std::ops::RangeInclusive<f64> = 0.25..=2.0;
+
+/// The least part of its age that a request which has outrun its expectation is expected to run on.
+const OVERRUN_REMAINING_PART: f64 = 0.3;
+
+/// The least service time and the most overrun that count in the service-time factor.
+const MIN_SERVICE_TIME: f64 = 1e6;
+const MAX_OVERRUN: f64 = 10.0;
+
+impl Worker {
+    /// Adds an attempt in flight to the load. What it has outrun its expectation by counts as an overrun where
+    /// `counts_overruns`.
+    fn add_attempt_load(
+        &mut self,
+        now: Nanos,
+        active: &ActiveRequest,
+        attempt: &Attempt,
+        counts_overruns: bool,
+    ) {
+        // A lost attempt would make the worker look full until its deadline.
+        if self.was_overtaken(attempt) {
+            return;
+        }
+        let service_time = active.demand.service_time;
+        let slots = active.demand.slots_required;
+        let age = now.saturating_sub(attempt.started_at.unwrap_or(now)) as f64;
+        self.slots_in_use += slots;
+        self.remaining_work += slots
+            * (service_time * self.service_time_factor - age).max(OVERRUN_REMAINING_PART * age);
+        let Some(started_at) = attempt.started_at else {
+            let delay = attempt.unexplained_delay(now);
+            if delay > decay(self.start_delay, self.start_delay_at, now, SECOND) {
+                self.set_start_delay(now, delay);
+            }
+            return;
+        };
+        let factor = (age / service_time.max(MIN_SERVICE_TIME)).min(MAX_OVERRUN);
+        if counts_overruns && factor > self.own_service_time_factor {
+            self.overruns.sum += factor;
+            self.overruns.count += 1.0;
+        }
+        // What an earlier process of the worker had started is lost.
+        if started_at >= self.started_at {
+            self.slots_running += f64::from(active.request.slots);
+        }
+    }
+}
 
 impl Dispatcher {
-    pub(crate) fn read_report(&mut self, now: Nanos, at: usize, report: Report) {
-        // No worker holds so many; what is not a number, or below none, counts as not reported.
-        let sane = |value: &f32| (0.0..1e4).contains(value);
+    /// Recomputes the load at the workers from the attempts in flight.
+    pub(super) fn refresh_worker_loads(&mut self, now: Nanos) {
+        for index in self.workers_in_use.drain(..) {
+            let worker = &mut self.workers[index];
+            worker.slots_in_use = 0.0;
+            worker.slots_running = 0.0;
+            worker.remaining_work = 0.0;
+            worker.overruns = Overruns::default();
+        }
+        // One overrun alone says little, as hints are rough; those of several dispatchers do.
+        let counts_overruns = self.exchanges_load;
+        for (_, active) in &self.requests {
+            for attempt in active.attempts().iter().filter(|attempt| attempt.in_flight) {
+                self.workers_in_use.push(attempt.worker);
+                let worker = &mut self.workers[attempt.worker];
+                worker.add_attempt_load(now, active, attempt, counts_overruns);
+            }
+        }
+    }
+
+    /// Takes up a worker's load report.
+    pub(super) fn on_load_report(&mut self, now: Nanos, worker_index: usize, report: Report) {
+        let is_valid = |value: &f32| (0.0..REPORT_VALUE_LIMIT).contains(value);
         let values = &report.values[..report.count.min(report.values.len())];
-        self.invalid_report_values += values.iter().filter(|value| !sane(value)).count() as u64;
-        let value = |at: Option<usize>| {
+        self.invalid_report_values += values.iter().filter(|value| !is_valid(value)).count() as u64;
+        let value = |position: Option<usize>| {
             values
-                .get(at?)
-                .filter(|value| sane(value))
-                .map(|v| f64::from(*v))
+                .get(position?)
+                .filter(|value| is_valid(value))
+                .map(|value| f64::from(*value))
         };
-        let [free, inflight] = self.report_positions.map(value);
-        if free.is_none() && inflight.is_none() {
+        let free_slots = value(self.settings.report_fields.free_slots);
+        let in_flight = value(self.settings.report_fields.in_flight);
+        if free_slots.is_none() && in_flight.is_none() {
             return;
         }
         self.refresh_worker_loads(now);
-        // Free slots come with noise, of which the most seen would be the worst: a fifth of the way each.
-        let (worker_type, slots) = (self.workers[at].worker_type, self.workers[at].slots);
-        if let Some(free) = free.filter(|free| *free > slots + 0.25) {
-            self.raise_slots(worker_type, slots + 0.2 * (free - slots));
+        if let Some(free_slots) = free_slots {
+            self.observe_free_slots(worker_index, free_slots);
         }
-        let worker = &mut self.workers[at];
-        let by_slots = free.map(|free| worker.slots - free - worker.slots_running);
-        worker.other_slots = inflight
-            .map(|all| all - worker.slots_in_use)
-            .or(by_slots)
+        let worker = &mut self.workers[worker_index];
+        let by_free_slots = free_slots.map(|free| worker.slots - free - worker.slots_running);
+        worker.other_slots = in_flight
+            .map(|in_flight| in_flight - worker.slots_in_use)
+            .or(by_free_slots)
             .unwrap_or(0.0)
             .max(0.0);
-        // Reports are late: a lone dispatcher would take its own newest jobs for others'.
+        // Peers report others' load sooner. A single dispatcher would take its own newest requests for others'.
         worker.other_slots *= if self.exchanges_load {
             0.0
         } else {
             self.unobserved_share
         };
         worker.other_slots_at = now;
-        self.mean_other_slots += 0.1 * (worker.other_slots - self.mean_other_slots);
+        self.mean_other_slots += OTHER_SLOTS_WEIGHT * (worker.other_slots - self.mean_other_slots);
+    }
+
+    fn observe_free_slots(&mut self, worker_index: usize, free_slots: f64) {
+        let worker = &self.workers[worker_index];
+        let (worker_type, slots) = (worker.worker_type, worker.slots);
+        if free_slots > slots + FREE_SLOTS_TOLERANCE {
+            self.raise_slots(
+                worker_type,
+                slots + FREE_SLOTS_WEIGHT * (free_slots - slots),
+            );
+        }
     }
 
-    /// Workers of one kind have as many seats as any of them was seen to fill.
-    pub(crate) fn raise_slots(&mut self, worker_type: u8, seen: f64) {
+    /// Raises the slots of all workers of a type to what one of them was seen to use.
+    fn raise_slots(&mut self, worker_type: u8, slots: f64) {
         for worker in self
             .workers
             .iter_mut()
-            .filter(|worker| worker.worker_type == worker_type && worker.slots < seen)
+            .filter(|worker| worker.worker_type == worker_type && worker.slots < slots)
         {
-            worker.slots = seen;
+            worker.slots = slots;
         }
     }
 
-    /// A request settled at a worker: its kind has seats for the jobs that ran there together, as far as that is sure, for a
-    /// quarter of their time at least and for twice it at most. Guards against a cold worker pushed over where starts are told
-    /// sooner than the ends before them, and by jobs that were lost or never began.
-    pub(crate) fn learn_slots(&mut self, now: Nanos, settled: usize, at: usize) {
-        let worker = &self.workers[at];
-        let sure = |key: usize, active: &ActiveRequest, attempt: &Attempt| {
-            let Some(from) = attempt.started_at.filter(|from| {
-                attempt.worker == at && attempt.in_flight && *from >= worker.started_at
-            }) else {
+    /// Learns the slots of a worker's type from a request that has just completed and those that surely ran beside it.
+    /// Starts may be reported before the ends that made place for them, and lost requests do not end.
+    pub(super) fn observe_slots(&mut self, now: Nanos, completed_key: usize, worker_index: usize) {
+        let worker = &self.workers[worker_index];
+        let surely_ran = |key: usize, active: &ActiveRequest, attempt: &Attempt| {
+            let started_at = attempt.started_at.filter(|started_at| {
+                attempt.worker == worker_index
+                    && attempt.in_flight
+                    && *started_at >= worker.started_at
+            });
+            let Some(started_at) = started_at else {
                 return false;
             };
-            let (age, run) = (
-                (now - from) as f64,
-                active.service_time * worker.service_time_factor,
-            );
-            key == settled || (0.25 * run..=2.0 * run).contains(&age)
+            let age = (now - started_at) as f64;
+            let service_time = active.demand.service_time * worker.service_time_factor;
+            let earliest = SURELY_RUNNING.start() * service_time;
+            let latest = SURELY_RUNNING.end() * service_time;
+            key == completed_key || (earliest..=latest).contains(&age)
         };
-        let slots_running = self.requests.iter().filter(|(key, active)| {
-            active.attempts[..active.attempts_sent]
-                .iter()
-                .any(|attempt| sure(*key, active, attempt))
-        });
-        let slots_running = slots_running
+        let slots_running = self
+            .requests
+            .iter()
+            .filter(|(key, active)| {
+                active
+                    .attempts()
+                    .iter()
+                    .any(|attempt| surely_ran(*key, active, attempt))
+            })
             .map(|(_, active)| f64::from(active.request.slots))
             .sum();
         self.raise_slots(worker.worker_type, slots_running);
     }
 
-    /// Brings up to date what follows from the attempts out and from the clock.
-    pub(crate) fn refresh_worker_loads(&mut self, now: Nanos) {
-        for at in self.workers_in_use.drain(..) {
-            let worker = &mut self.workers[at];
-            (
-                worker.slots_in_use,
-                worker.slots_running,
-                worker.remaining_work,
-                worker.overruns,
-            ) = (0.0, 0.0, 0.0, (0.0, 0.0));
-        }
-        for (_, active) in &self.requests {
-            for attempt in active.attempts[..active.attempts_sent]
-                .iter()
-                .filter(|attempt| attempt.in_flight)
-            {
-                self.workers_in_use.push(attempt.worker);
-                let worker = &mut self.workers[attempt.worker];
-                // Guards against a worker that lost one job and is then taken for full until that expires.
-                if worker.was_overtaken(attempt) {
-                    continue;
-                }
-                let age = now.saturating_sub(attempt.started_at.unwrap_or(now)) as f64;
-                worker.slots_in_use += active.slots_required;
-                // A job past its hint has, as such sizes go, about a third of its age still to run.
-                worker.remaining_work += active.slots_required
-                    * (active.service_time * worker.service_time_factor - age).max(0.3 * age);
-                if let Some(started) = attempt.started_at {
-                    let over = (age / active.service_time.max(1e6)).min(10.0);
-                    // Hints are rough: one that runs long tells little alone, many do, where others tell theirs.
-                    if self.exchanges_load && over > worker.own_service_time_factor {
-                        worker.overruns = (worker.overruns.0 + over, worker.overruns.1 + 1.0);
-                    }
-                    // What an earlier process ran is lost. Guards against taking its jobs for more seats.
-                    let lives = started >= worker.started_at;
-                    worker.slots_running += if lives {
-                        f64::from(active.request.slots)
-                    } else {
-                        0.0
-                    };
-                } else {
-                    let delay = attempt.delay(now);
-                    if delay > decay(worker.start_delay, worker.start_delay_at, now, SECOND) {
-                        (worker.start_delay, worker.start_delay_at) = (delay, now);
-                    }
-                }
-            }
+    /// Logs how many invalid values load reports held, if any.
+    pub(super) fn log_invalid_reports(&mut self, actions: &mut Vec<Action>) {
+        let count = std::mem::take(&mut self.invalid_report_values);
+        if count > 0 {
+            actions.push(Action::Log(format!(
+                "{count} invalid values in load reports"
+            )));
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/policy/load_report/tests.rs
+++ b/src/policy/load_report/tests.rs
@@ -17,7 +17,7 @@
         count: 2,
         values: [0.0, 2.0, 0.0, 0.0],
     };
-    d.read_report(MS, 0, report);
+    d.on_load_report(MS, 0, report);
     assert_eq!(d.workers[0].slots, 2.0);
 }
 
@@ -72,7 +72,7 @@
         count: 9,
         values: [values[0], values[1], 0.0, 0.0],
     };
-    d.read_report(MS, 0, report);
+    d.on_load_report(MS, 0, report);
     let worker = &d.workers[0];
     assert_eq!(
         (worker.slots, worker.other_slots, worker.other_slots_at),
@@ -80,7 +80,7 @@
     );
     let acts = handle(&mut d, MS, Event::TimerFired { token: TICK_TIMER });
     assert!(
-        acts.contains(&Action::Log("2 absurd figures in reports".into())),
+        acts.contains(&Action::Log("2 invalid values in load reports".into())),
         "{acts:?}"
     );
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,38 +1,161 @@
-//! Failure scores: which workers are outliers.
-use crate::state::Idempotency::{self, NonIdempotent};
-use crate::state::Worker;
-use crate::types::Nanos;
+//! Outlier detection: the failure score of a worker, and which workers are outliers by it.
+use super::Dispatcher;
+use crate::settings::Idempotency::{self, NonIdempotent};
+use crate::state::{FailureScore, Worker};
+use crate::time::SECOND;
+use crate::types::{Action, EndpointState, Nanos, Outcome};
+
+#[cfg(test)]
+mod tests;
+
+/// The half-life of failure scores: several times the time between two attempts at one worker in low traffic.
+pub(super) const FAILURE_HALF_LIFE: f64 = 5.0 * SECOND;
+
+/// The half-life of a class's failure score at a worker, for which only requests of that class make up.
+pub(super) const CLASS_FAILURE_HALF_LIFE: f64 = 3.0 * FAILURE_HALF_LIFE;
+
+/// The most that a worker's score above the fleet's mean counts.
+const MAX_RELATIVE_SCORE: f64 = 0.95;
+
+/// By how much each failure raises the score.
+const ERROR_WEIGHT: f64 = 0.5;
+const CLASS_ERROR_WEIGHT: f64 = 0.3;
+const TIMEOUT_WEIGHT: f64 = 0.5;
+const CONNECTION_WEIGHT: f64 = 0.6;
+pub(super) const UNRESPONSIVE_WEIGHT: f64 = 0.8;
+pub(super) const OVERRUN_WEIGHT: f64 = 0.15;
+/// A worker that starts other requests meanwhile is only busy.
+pub(super) const BUSY_WEIGHT: f64 = 0.0;
+
+/// By how much each sign of health lowers the score.
+const START_CREDIT: f64 = 0.1;
+const SUCCESS_CREDIT: f64 = 0.2;
+const CLASS_SUCCESS_CREDIT: f64 = 0.2;
+
+/// The scores at which a worker is logged as an outlier, and as one no longer.
+const LOG_ABOVE: f64 = 0.5;
+const LOG_RECOVERED_BELOW: f64 = 0.1;
+
+/// How long a worker that fails to connect is replaced in the subset, doubled with each failure in a row.
+const CONNECT_RETRY_DELAY: Nanos = 1_000_000_000;
+const MAX_CONNECT_RETRY_DOUBLINGS: u32 = 4;
 
 impl Worker {
-    /// Distrust above the fleet's mean: when all look bad at once, no one is worse than another. Or what
-    /// errors of the class left, for which starts do not make up; of any, for what cannot be posted again.
-    /// Guards against a worker that starts all and fails most, or one class.
-    pub(crate) fn failure_score_for(
+    /// The failure score that counts for a request: how far it lies above the fleet's mean, as what affects all workers
+    /// makes none an outlier; or the score of the request's class, which starts alone do not lower. A request that must
+    /// not run twice goes by the worst of all classes.
+    pub(super) fn failure_score_for(
         &self,
         now: Nanos,
-        mean: f64,
-        class: usize,
+        fleet_mean: f64,
+        class_index: usize,
         idempotency: Idempotency,
     ) -> f64 {
-        let all = (self.failure_score.now(now, Worker::FAILURE_HALF_LIFE) - mean).clamp(0.0, 0.95);
-        let of = self
-            .class_failure_scores
+        let relative = (self.failure_score.now(now, FAILURE_HALF_LIFE) - fleet_mean)
+            .clamp(0.0, MAX_RELATIVE_SCORE);
+        self.class_failure_scores
             .iter()
             .enumerate()
-            .filter(|(at, _)| *at == class || idempotency == NonIdempotent);
-        of.map(|(_, failure_score)| failure_score.now(now, 3.0 * Worker::FAILURE_HALF_LIFE))
-            .fold(all, f64::max)
+            .filter(|(index, _)| *index == class_index || idempotency == NonIdempotent)
+            .map(|(_, score)| score.now(now, CLASS_FAILURE_HALF_LIFE))
+            .fold(relative, f64::max)
     }
 
-    /// It took no connection: for 1 s, and twice as long each time that it does so again, it has no lane.
-    pub(crate) fn record_connect_failure(&mut self, now: Nanos) {
+    /// Replaces the worker in the subset for a while.
+    pub(super) fn record_connect_failure(&mut self, now: Nanos) {
         if !self.is_unreachable(now) {
-            let wait = 1_000_000_000 << self.connect_failures.min(4);
-            (self.connect_failures, self.connect_retry_at) =
-                (self.connect_failures + 1, now + wait);
+            let doublings = self.connect_failures.min(MAX_CONNECT_RETRY_DOUBLINGS);
+            self.connect_failures += 1;
+            self.connect_retry_at = now + (CONNECT_RETRY_DELAY << doublings);
+        }
+    }
+
+    /// Notes a sign of health.
+    pub(super) fn record_response(&mut self, now: Nanos, credit: f64) {
+        self.connect_failures = 0;
+        self.connect_retry_at = 0;
+        self.failure_score.lower(now, FAILURE_HALF_LIFE, credit);
+        self.last_response_at = now;
+    }
+
+    /// Notes that the worker has started a request.
+    pub(super) fn record_start(&mut self, now: Nanos) {
+        self.record_response(now, START_CREDIT);
+        if std::mem::take(&mut self.unresponsive) {
+            self.failure_score = FailureScore::default();
         }
     }
+
+    /// Notes how an attempt ended. What only the request or the dispatcher caused does not count.
+    pub(super) fn record_outcome(&mut self, now: Nanos, class_index: usize, outcome: Outcome) {
+        let class_score = &mut self.class_failure_scores[class_index];
+        let weight = match outcome {
+            Outcome::Succeeded => {
+                class_score.lower(now, CLASS_FAILURE_HALF_LIFE, CLASS_SUCCESS_CREDIT);
+                return self.record_response(now, SUCCESS_CREDIT);
+            }
+            Outcome::WorkerError => {
+                class_score.raise(now, CLASS_FAILURE_HALF_LIFE, CLASS_ERROR_WEIGHT);
+                ERROR_WEIGHT
+            }
+            Outcome::TimedOut => TIMEOUT_WEIGHT,
+            Outcome::ConnectFailed | Outcome::ConnectionLost => CONNECTION_WEIGHT,
+            Outcome::AtCapacity
+            | Outcome::InvalidRequest
+            | Outcome::Cancelled
+            | Outcome::NotSent => return,
+        };
+        self.failure_score.raise(now, FAILURE_HALF_LIFE, weight);
+    }
+
+    /// Notes that an attempt has not started, or not ended, in time.
+    pub(super) fn record_overdue_attempt(&mut self, now: Nanos, weight: f64) {
+        self.failure_score.raise(now, FAILURE_HALF_LIFE, weight);
+    }
+
+    /// Forgets all failures, as a new process runs in place of the old one.
+    pub(super) fn clear_failures(&mut self) {
+        self.failure_score = FailureScore::default();
+        self.class_failure_scores.fill(FailureScore::default());
+        self.unresponsive = false;
+        self.connect_failures = 0;
+        self.connect_retry_at = 0;
+    }
 }
 
-#[cfg(test)]
-mod tests;
+impl Dispatcher {
+    pub(super) fn update_mean_failure_score(&mut self, now: Nanos) {
+        let ready = || {
+            self.workers
+                .iter()
+                .filter(|worker| worker.state == EndpointState::Ready)
+        };
+        let sum = ready()
+            .map(|worker| worker.failure_score.now(now, FAILURE_HALF_LIFE))
+            .sum::<f64>();
+        self.mean_failure_score = sum / ready().count().max(1) as f64;
+    }
+
+    /// Logs which workers have become outliers, and which have recovered.
+    pub(super) fn log_outliers(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        for worker in &mut self.workers {
+            let score = worker.failure_score_for(now, self.mean_failure_score, 0, NonIdempotent);
+            let limit = if worker.logged_as_outlier {
+                LOG_RECOVERED_BELOW
+            } else {
+                LOG_ABOVE
+            };
+            let is_outlier = score > limit;
+            if worker.logged_as_outlier == is_outlier {
+                continue;
+            }
+            worker.logged_as_outlier = is_outlier;
+            let change = if is_outlier {
+                "is an outlier by its failure score"
+            } else {
+                "has recovered"
+            };
+            actions.push(Action::Log(format!("worker {}: {change}", worker.id)));
+        }
+    }
+}
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -1,8 +1,8 @@
+use super::{CLASS_FAILURE_HALF_LIFE, FAILURE_HALF_LIFE};
 use crate::policy::test_support::{MS, dispatcher, ended, handle, request};
-use crate::state::Idempotency::Idempotent;
-use crate::state::Worker;
+use crate::settings::Idempotency::Idempotent;
 use crate::time::SECOND;
-use crate::timers::token;
+use crate::timers::attempt_timer;
 use crate::types::{Action, AttemptEnded, Event, Nanos, Outcome, Report};
 use test_case::test_case;
 
@@ -49,7 +49,13 @@
             },
         );
     }
-    handle(&mut d, 600 * MS, Event::TimerFired { token: token(1, 0) });
+    handle(
+        &mut d,
+        600 * MS,
+        Event::TimerFired {
+            token: attempt_timer(1, 0),
+        },
+    );
     d.refresh_worker_loads(600 * MS);
     (
         d.workers[0].failure_score_for(600 * MS, 0.0, 0, Idempotent) > 0.25,
@@ -101,18 +107,16 @@
     let mut d = dispatcher(3);
     d.workers
         .iter_mut()
-        .for_each(|worker| worker.failure_score.add(0, Worker::FAILURE_HALF_LIFE, 0.8));
-    d.tick(0, &mut Vec::new());
+        .for_each(|worker| worker.failure_score.raise(0, FAILURE_HALF_LIFE, 0.8));
+    d.on_tick(0, &mut Vec::new());
     assert!(d.workers.iter().all(|worker| worker.failure_score_for(
         0,
         d.mean_failure_score,
         0,
         Idempotent
     ) == 0.0));
-    d.workers[1]
-        .failure_score
-        .add(0, Worker::FAILURE_HALF_LIFE, 0.9);
-    d.tick(0, &mut Vec::new());
+    d.workers[1].failure_score.raise(0, FAILURE_HALF_LIFE, 0.9);
+    d.on_tick(0, &mut Vec::new());
     let doubts = [1, 0]
         .map(|at: usize| d.workers[at].failure_score_for(0, d.mean_failure_score, 0, Idempotent));
     assert!(doubts[0] > 0.1 && doubts[1] == 0.0);
@@ -143,7 +147,7 @@
 #[test_case(1, 1_000 => true; "another class that may be repeated")]
 fn goes_where_another_scheme_has_failed(class: u8, after: Nanos) -> bool {
     let mut d = dispatcher(2);
-    d.workers[0].class_failure_scores[0].add(0, 3.0 * Worker::FAILURE_HALF_LIFE, 0.6);
+    d.workers[0].class_failure_scores[0].raise(0, CLASS_FAILURE_HALF_LIFE, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
         let acts = handle(
--- a/src/policy/peer_load.rs
+++ b/src/policy/peer_load.rs
@@ -1,94 +1,133 @@
-//! Gossip of loads between dispatchers.
+//! Gossip between dispatchers: what each reports of its load at a worker, and what is made of others' reports.
+//!
+//! Each dispatcher sees only its own requests. Without reports it would take for free what another has just filled, and
+//! would find out with requests of its own which worker is slow.
 use super::Dispatcher;
-use crate::state::{PeerLoadEstimate, RequestClass, Worker};
+use super::outlier::FAILURE_HALF_LIFE;
+use crate::state::{Load, PeerLoadEstimate, RequestClass, Worker};
 use crate::types::{Action, Nanos, PeerLoad};
 
-/// What is out is told again where others would take it for this part of a mean job more or less than it is
-/// (a fifth and a half did worse), and each 4 s: it counts for 10 s, should two messages be lost.
-pub(crate) const PEER_LOAD_TOLERANCE: f64 = 0.3;
+#[cfg(test)]
+mod tests;
+
+/// A load is reported again once peers would be wrong by this part of a mean request's work.
+const REPORT_TOLERANCE: f64 = 0.3;
 
-pub(crate) const PEER_LOAD_REFRESH: Nanos = 4_000_000_000;
+/// A load is reported again after this time at the latest, so that two lost messages do not let it expire.
+const REPORT_INTERVAL: Nanos = 4_000_000_000;
+
+/// By how much a peer's report that a worker is unresponsive raises its failure score.
+const PEER_UNRESPONSIVE_WEIGHT: f64 = 0.8;
+
+/// A worker that has responded within this time is not taken for unresponsive, whatever a peer reports.
+const RECENT_RESPONSE: Nanos = 300_000_000;
+
+/// Why a load is reported to peers.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum ReportReason {
+    /// It may have changed, and is reported if peers would be wrong.
+    LoadChanged,
+    /// The worker proved much slower than expected.
+    SlowWorker,
+    /// The worker does not respond.
+    UnresponsiveWorker,
+}
+
+impl Worker {
+    /// Whether peers have to be told anew, as they reduce what was reported by themselves.
+    fn needs_load_report(&self, now: Nanos, mean_work: f64) -> bool {
+        let assumed = self.last_sent_load.remaining(now, self.slots).work;
+        let is_accurate = (self.remaining_work - assumed).abs() <= REPORT_TOLERANCE * mean_work;
+        let is_recent = now < self.last_sent_load.reported_at + REPORT_INTERVAL;
+        !is_accurate || (self.slots_in_use != 0.0 && !is_recent)
+    }
+
+    /// The report of this dispatcher's load there.
+    fn load_report(&self, reason: ReportReason) -> PeerLoad {
+        let observed = self.observed_service_time_factor();
+        let speed_code = if reason == ReportReason::UnresponsiveWorker {
+            PeerLoad::SPEED_SILENT
+        } else if observed.samples > 0.0 {
+            PeerLoad::encode_speed(observed.factor)
+        } else {
+            PeerLoad::SPEED_UNKNOWN
+        };
+        PeerLoad::new(self.id, self.slots_in_use, self.remaining_work, speed_code)
+    }
+}
 
 impl Dispatcher {
-    /// Tells those who keep to a worker what this dispatcher has out there and how it runs, as far as they
-    /// would be wrong: they let go on by themselves what they were told. Guards against what a partial view
-    /// costs: each takes for free what another has just filled, and finds out by itself who is slow.
-    pub(crate) fn report_load_to_peers(
+    /// Takes up what another dispatcher reports of a worker.
+    pub(super) fn on_peer_load(&mut self, now: Nanos, from: u16, load: PeerLoad) {
+        let Some(&index) = self.worker_indices.get(&load.worker) else {
+            return;
+        };
+        let worker = &mut self.workers[index];
+        worker.record_peer_load(now, from, load);
+        let is_unresponsive = load.speed_code == PeerLoad::SPEED_SILENT;
+        if is_unresponsive && worker.last_response_at + RECENT_RESPONSE < now {
+            worker
+                .failure_score
+                .raise(now, FAILURE_HALF_LIFE, PEER_UNRESPONSIVE_WEIGHT);
+        }
+    }
+
+    /// Reports the load at all workers that are in use, as far as that is due.
+    pub(super) fn report_loads_in_use(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        if !self.exchanges_load {
+            return;
+        }
+        for index in 0..self.workers.len() {
+            if self.workers[index].slots_in_use > 0.0 {
+                self.report_load(now, index, ReportReason::LoadChanged, actions);
+            }
+        }
+    }
+
+    /// Reports the load at a worker to the dispatchers that use it.
+    pub(super) fn report_load(
         &mut self,
         now: Nanos,
-        at: usize,
-        due: bool,
-        silent: bool,
-        acts: &mut Vec<Action>,
+        worker_index: usize,
+        reason: ReportReason,
+        actions: &mut Vec<Action>,
     ) {
         if !self.exchanges_load {
             return;
         }
         self.refresh_worker_loads(now);
-        let worker = &mut self.workers[at];
-        let Worker {
-            id,
-            slots_in_use: out,
-            remaining_work: ahead,
-            last_sent_load,
-            ..
-        } = *worker;
-        let right = (ahead - last_sent_load.remaining(now, worker.slots).1).abs()
-            <= PEER_LOAD_TOLERANCE * self.mean_work;
-        if !due && right && (out == 0.0 || now < last_sent_load.at + PEER_LOAD_REFRESH) {
+        let mean_work = self.mean_work;
+        let worker = &mut self.workers[worker_index];
+        if reason == ReportReason::LoadChanged && !worker.needs_load_report(now, mean_work) {
             return;
         }
         worker.last_sent_load = PeerLoadEstimate {
-            slots: out,
-            work: ahead,
-            at: now,
-            ..last_sent_load
-        };
-        let (service_time_factor, jobs) = worker.observed_service_time_factor();
-        let known = if jobs > 0.0 {
-            PeerLoad::encode_speed(service_time_factor)
-        } else {
-            PeerLoad::SPEED_UNKNOWN
-        };
-        let speed_code = if silent {
-            PeerLoad::SPEED_SILENT
-        } else {
-            known
-        };
-        let load = PeerLoad {
-            worker: id,
-            half_slots: (2.0 * out).ceil() as u8,
-            work: (ahead / 16e6) as u16,
-            speed_code,
+            load: Load {
+                slots: worker.slots_in_use,
+                work: worker.remaining_work,
+            },
+            reported_at: now,
+            ..worker.last_sent_load
         };
-        let (me, all) = (self.rank, self.dispatchers as usize);
-        let place = |s: &RequestClass| {
-            Some((
-                s.eligible_workers.iter().position(|worker| *worker == at)?,
-                s.eligible_workers.len(),
-            ))
-        };
-        let Some((place, n)) = self.classes.iter().find_map(place) else {
+        let load = worker.load_report(reason);
+        let send = |to: u16| Action::SendPeerLoad { to, load };
+        let Some((place, eligible)) = self.eligible_place(worker_index) else {
             return;
         };
-        let m = self.subset_size(n);
+        let size = self.subset_size(eligible);
         if self.has_fleet_view {
-            return acts.extend(
-                self.ranked_peers(place, n, m)
-                    .map(|to| Action::SendPeerLoad { to, load }),
-            );
+            actions.extend(self.ranked_peers(place, eligible, size).map(send));
+        } else {
+            actions.extend(self.configured_peers(place, eligible, size).map(send));
         }
-        let lane = (0..m).rfind(|lane| lane * n / m <= place).unwrap_or(0);
-        // By the turns of `select_subset` one of each `len` dispatchers in a row.
-        let (from, len) = (lane * n / m, (lane + 1) * n / m - lane * n / m);
-        let of = |row: usize| row * len + (place - from + len - lane * row % len) % len;
-        let others = (0..=all / len).map(of).filter(|to| *to < all && *to != me);
-        acts.extend(others.map(|to| Action::SendPeerLoad {
-            to: to as u16,
-            load,
-        }));
     }
-}
 
-#[cfg(test)]
-mod tests;
+    /// The place of a worker among those eligible for the first class that it serves, and their number.
+    fn eligible_place(&self, worker_index: usize) -> Option<(usize, usize)> {
+        self.classes.iter().find_map(|class: &RequestClass| {
+            let mut eligible = class.eligible_workers.iter();
+            let place = eligible.position(|worker| *worker == worker_index)?;
+            Some((place, class.eligible_workers.len()))
+        })
+    }
+}
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -85,7 +85,7 @@
         },
     );
     d.refresh_worker_loads((age + 1) * MS);
-    (d.workers[0].observed_service_time_factor().0 * 100.0).round() as i64
+    (d.workers[0].observed_service_time_factor().factor * 100.0).round() as i64
 }
 
 /// Whom a dispatcher tells of so many halves of a seat.
@@ -124,7 +124,7 @@
         MS,
         Event::RequestArrived(request(1, 2, 100 * MS, 0)),
     );
-    let at = d.requests[0].attempts[0].worker;
+    let at = d.requests[0].attempts()[0].worker;
     let keep =
         (0..40).filter(|me| *me != 7 && numbered(*me, 40, 30).classes[0].subset.contains(&at));
     assert_eq!(
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,108 +1,142 @@
 //! Slow start: how much work a warming worker gets.
+//!
+//! A worker that has just started fails when all dispatchers together send it too much within the overload window.
+//! Without warm-up grants the dispatchers take turns at it, by a schedule that follows from the settings and the clock
+//! alone. With warm-up grants its budget has two parts: one is granted by one issuer at a time to whoever requests it
+//! (`rosewall-cluster`), the other is reserved for two dispatchers by their configured ranks, for when no message
+//! arrives.
 use super::Dispatcher;
 use super::subset::MAX_DISPATCHERS_PER_WORKER;
-use crate::state::Worker;
-use crate::timers::token;
+use crate::state::{SentWork, WarmUpGrant, Worker};
+use crate::timers::attempt_timer;
 use crate::types::{Action, EndpointState, Nanos, WorkerId};
 
-/// Of what a cold worker bears, in any window: what is given out, what those who have met others keep between them, and
-/// what those keep who never heard of any. Given and kept make 0.65, under the two thirds that those told of a start may
-/// send whoever else sends; given and the last 0.95: also where none of them has met another, it bears the sum.
-pub(crate) const GRANTED_SHARE: f64 = 0.5;
+#[cfg(test)]
+mod tests;
+
+/// The part of a warming worker's capacity in any window that grants may use.
+const GRANTED_SHARE: f64 = 0.5;
+
+/// The part reserved in total for dispatchers that know others. With the granted share it stays under two thirds, so that
+/// a third is left for those that have not heard of the worker's start.
+const RESERVED_SHARE: f64 = 0.15;
+
+/// The part reserved in total for dispatchers that have never had a view of the fleet.
+const RESERVED_SHARE_WITHOUT_VIEW: f64 = 0.45;
+
+/// How many dispatchers divide the reserved share of one worker: each part must hold a request.
+const RESERVING_DISPATCHERS: f64 = 2.0;
 
-pub(crate) const KEPT: f64 = 0.15;
+/// How long a request waits for a grant: ten times the round trip inside a data centre.
+const GRANT_WAIT: Nanos = 5_000_000;
 
-pub(crate) const RESERVED_SHARE_WITHOUT_VIEW: f64 = 0.45;
+/// How long after its warm-up a worker's budget is still set to 0.
+const BUDGET_CLEARED_FOR: Nanos = 5_000_000_000;
 
-/// So many hold what is kept of one worker: a part of it must hold a job.
-pub(crate) const RESERVING_DISPATCHERS: f64 = 2.0;
+/// The part of a warming worker's capacity that turns may use. The rest is for dispatchers that have not heard of its
+/// start and for requests that run longer than expected.
+const TURN_SHARE: f64 = 0.5;
 
-/// How long a request waits for a right: ten times the way there and back inside a data centre.
-pub(crate) const GRANT_WAIT: Nanos = 5_000_000;
+/// The number of dispatchers that have a turn at once at a worker that has just started.
+const INITIAL_CONCURRENT_TURNS: f64 = 2.0;
+
+/// The length of a turn in overload windows. The first is a pause, as the turn before may have filled it.
+const WINDOWS_PER_TURN: u64 = 4;
+
+/// What a dispatcher may send to a warming worker without a grant.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct WarmUpTurn {
+    /// The work in any overload window, in nanoseconds.
+    pub(super) allowance: f64,
+    /// The number of dispatchers on whose behalf it sends; 0 where it is not its turn.
+    pub(super) represented_dispatchers: f64,
+}
+
+/// A number that spreads the schedules of workers.
+fn schedule_offset(worker: WorkerId) -> u64 {
+    let [a, b, c, d] = worker.addr.map(u64::from);
+    a + b + c + d + u64::from(worker.port)
+}
 
 impl Worker {
-    /// What its rights still allow.
-    pub(crate) fn unused_grants(&self, now: Nanos) -> f64 {
+    /// The work that grants still allow.
+    fn unused_grants(&self, now: Nanos) -> f64 {
         self.warm_up_grants
             .iter()
-            .filter(|(until, _)| now < *until)
-            .map(|(_, work)| work)
+            .filter(|grant| now < grant.expires_at)
+            .map(|grant| grant.unused_work)
             .sum()
     }
 
-    /// Takes work out of the rights, those first that end first; what they do not cover is left.
-    pub(crate) fn consume_grants(&mut self, now: Nanos, mut work: f64) -> f64 {
+    /// Takes work out of the grants, those that expire first before others, and returns what they do not cover.
+    fn consume_grants(&mut self, now: Nanos, mut work: f64) -> f64 {
         self.warm_up_grants
-            .retain(|(until, left)| now < *until && *left > 0.0);
-        for (_, left) in &mut self.warm_up_grants {
-            let used = left.min(work);
-            (*left, work) = (*left - used, work - used);
+            .retain(|grant| now < grant.expires_at && grant.unused_work > 0.0);
+        for grant in &mut self.warm_up_grants {
+            let used = grant.unused_work.min(work);
+            grant.unused_work -= used;
+            work -= used;
         }
         work
     }
 }
 
 impl Dispatcher {
-    pub(crate) fn update_fleet_estimates(&mut self, now: Nanos) {
+    /// The part of its full capacity that a worker has by the settings' slowest warm-up.
+    pub(super) fn warmth(&self, worker: &Worker, now: Nanos) -> f64 {
+        if worker.started_at == 0 {
+            return 1.0;
+        }
+        let age = now.saturating_sub(worker.started_at) as f64;
+        let initial = self.settings.slow_start_initial;
+        let duration = self.settings.slow_start_duration.max(1.0);
+        (initial + (1.0 - initial) * age / duration).min(1.0)
+    }
+
+    /// Estimates the capacity of a fully warm worker for each unit of its size: the lower quartile of what workers show,
+    /// of the warm ones where there are some. A minimum would fall as the fleet grows.
+    pub(super) fn update_capacity_per_size(&mut self, now: Nanos) {
         let ready = || {
             self.workers
                 .iter()
                 .filter(|worker| worker.state == EndpointState::Ready)
         };
-        self.mean_failure_score = ready()
-            .map(|w| w.failure_score.now(now, Worker::FAILURE_HALF_LIFE))
-            .sum::<f64>()
-            / ready().count().max(1) as f64;
-        // Full capacity by what is known of the fleet: seats at their pace for their size, the least fourth
-        // of the warm where there are some. Guards against a figure that falls with their number, as of many
-        // one is slow, and against a mean of large and small.
-        let some = ready().any(|w| self.warmth(w, now) >= 1.0);
-        let full = ready().filter(|w| !some || self.warmth(w, now) >= 1.0);
-        // And none is taken to be faster than hints say, as the cold one may be the slow one. Only its own
-        // jobs tell of it here: a kind's mean for all not yet seen left cold workers idle.
-        let service_time_factor = |w: &Worker| {
-            if w.factor_samples > 0.0 {
-                w.service_time_factor.max(1.0)
+        let has_warm = ready().any(|worker| self.warmth(worker, now) >= 1.0);
+        // Only own requests count: with their type's factor, workers not yet used would be left idle as they warm up.
+        let factor = |worker: &Worker| {
+            if worker.factor_samples > 0.0 {
+                worker.service_time_factor.max(1.0)
             } else {
                 1.0
             }
         };
-        let mut units: Vec<f64> = full
-            .map(|w| w.slots / service_time_factor(w) / w.size)
+        let mut capacities: Vec<f64> = ready()
+            .filter(|worker| !has_warm || self.warmth(worker, now) >= 1.0)
+            .map(|worker| worker.slots / factor(worker) / worker.size)
             .collect();
-        units.sort_unstable_by(f64::total_cmp);
-        self.capacity_per_size = units
-            .get(units.len().saturating_sub(1) / 4)
+        capacities.sort_unstable_by(f64::total_cmp);
+        self.capacity_per_size = capacities
+            .get(capacities.len().saturating_sub(1) / 4)
             .copied()
             .unwrap_or(0.0);
     }
 
-    /// The part of its full capacity that a worker surely has: the settings' slowest way up.
-    pub(crate) fn warmth(&self, worker: &Worker, now: Nanos) -> f64 {
-        if worker.started_at == 0 {
-            return 1.0;
+    /// This dispatcher's part in what a warming worker gets.
+    pub(super) fn warm_up_turn(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
+        if self.settings.uses_warm_up_grants {
+            self.reserved_allowance(worker, now)
+        } else {
+            self.scheduled_turn(worker, now)
         }
-        let (age, from) = (
-            now.saturating_sub(worker.started_at) as f64,
-            self.says("slow_start.from"),
-        );
-        (from + (1.0 - from) * age / self.says("slow_start.duration").max(1.0)).min(1.0)
     }
 
-    /// What one dispatcher may send to a cold worker in any window, and for how many of those that keep to it
-    /// this one stands: none where it is not its turn. All clocks are one, and numbers next to each other
-    /// take different workers of a stretch. Guards against parts in which no job fits.
-    pub(crate) fn warm_up_turn(&self, worker: &Worker, now: Nanos) -> (f64, f64) {
-        if self.uses_warm_up_grants {
-            return self.reserved_allowance(worker, now);
-        }
-        let (warmth, window) = (
-            self.warmth(worker, now),
-            self.says("overload.window").max(1.0),
-        );
-        // Half of what is allowed: a third may come from those not told of its start, the rest is for hints.
-        let most = 0.5
-            * self.says("overload.multiple")
+    /// The turn by the schedule. Dispatchers of neighbouring ranks use different workers, so one in `turns` stands for all
+    /// that use this one. More have a turn at once as the worker warms up; the allowance of each stays the same.
+    fn scheduled_turn(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
+        let warmth = self.warmth(worker, now);
+        let window = self.settings.overload_window.max(1.0);
+        let total_allowance = TURN_SHARE
+            * self.settings.overload_multiple
             * self.capacity_per_size
             * worker.size
             * warmth
@@ -113,133 +147,173 @@
             MAX_DISPATCHERS_PER_WORKER
         }
         .min(self.dispatchers);
-        // Two have a turn at once, and more as it warms, as one has few requests in a window; the part of each
-        // stays what it is at the start. All count alike, by what the list and the settings tell.
-        let at_once = (2.0 * warmth / self.says("slow_start.from").max(0.01))
+        let initial = self.settings.slow_start_initial.max(0.01);
+        let concurrent_turns = (INITIAL_CONCURRENT_TURNS * warmth / initial)
             .floor()
             .clamp(1.0, turns);
-        let place = (self.says("me") * turns / self.dispatchers) as u64;
-        let [a, b, c, d] = worker.id.addr.map(u64::from);
-        let of = a + b + c + d + u64::from(worker.id.port);
-        // A turn lasts four windows, of which the first is a rest: those before may have filled it.
-        let at = now / window as u64 + of;
-        let mine = !at.is_multiple_of(4) && (at / 4 + of + place) % (turns as u64) < at_once as u64;
-        (most / at_once, if mine { turns / at_once } else { 0.0 })
+        let own_turn = (self.settings.rank * turns / self.dispatchers) as u64;
+        let offset = schedule_offset(worker.id);
+        let window_number = now / window as u64 + offset;
+        let is_pause = window_number.is_multiple_of(WINDOWS_PER_TURN);
+        let turn = (window_number / WINDOWS_PER_TURN + offset + own_turn) % (turns as u64);
+        let has_turn = !is_pause && turn < concurrent_turns as u64;
+        WarmUpTurn {
+            allowance: total_allowance / concurrent_turns,
+            represented_dispatchers: if has_turn {
+                turns / concurrent_turns
+            } else {
+                0.0
+            },
+        }
     }
 
-    /// What this dispatcher may still send to a cold worker now.
-    pub(crate) fn warm_up_allowance(&self, worker: &Worker, now: Nanos) -> f64 {
-        let (most, part) = self.warm_up_turn(worker, now);
-        let from = now.saturating_sub(self.says("overload.window") as Nanos);
-        let recent_work = worker
-            .recent_work
-            .iter()
-            .filter(|(at, _)| *at >= from)
-            .map(|(_, work)| work);
-        let own = if part > 0.0 {
-            most - recent_work.sum::<f64>()
+    /// What this dispatcher may still send to a warming worker now.
+    pub(super) fn warm_up_allowance(&self, worker: &Worker, now: Nanos) -> f64 {
+        let turn = self.warm_up_turn(worker, now);
+        let own = if turn.represented_dispatchers > 0.0 {
+            let window_start = self.overload_window_start(now);
+            let sent = worker
+                .recent_work
+                .iter()
+                .filter(|sent| sent.at >= window_start)
+                .map(|sent| sent.work)
+                .sum::<f64>();
+            turn.allowance - sent
         } else {
             0.0
         };
-        if self.uses_warm_up_grants {
+        if self.settings.uses_warm_up_grants {
             own.max(0.0) + worker.unused_grants(now)
         } else {
             own
         }
     }
 
-    pub(crate) fn add_warm_up_grant(&mut self, worker: WorkerId, work: Nanos, until: Nanos) {
-        if let Some(&at) = self.worker_indices.get(&worker) {
-            let rights = &mut self.workers[at].warm_up_grants;
-            let place = rights.partition_point(|(end, _)| *end <= until);
-            rights.insert(place, (until, work as f64));
+    /// Counts an attempt against what may be sent to its worker.
+    pub(super) fn record_sent_work(&mut self, now: Nanos, worker_index: usize, work: f64) {
+        let window_start = self.overload_window_start(now);
+        let is_warming = self.warmth(&self.workers[worker_index], now) < 1.0;
+        let worker = &mut self.workers[worker_index];
+        worker.recent_work.retain(|sent| sent.at >= window_start);
+        let work = if is_warming {
+            worker.consume_grants(now, work)
+        } else {
+            work
+        };
+        worker.recent_work.push_back(SentWork { at: now, work });
+    }
+
+    fn overload_window_start(&self, now: Nanos) -> Nanos {
+        now.saturating_sub(self.settings.overload_window as Nanos)
+    }
+
+    pub(super) fn add_warm_up_grant(&mut self, worker: WorkerId, work: Nanos, until: Nanos) {
+        if let Some(&index) = self.worker_indices.get(&worker) {
+            let grants = &mut self.workers[index].warm_up_grants;
+            let place = grants.partition_point(|grant| grant.expires_at <= until);
+            grants.insert(
+                place,
+                WarmUpGrant {
+                    expires_at: until,
+                    unused_work: work as f64,
+                },
+            );
         }
     }
 
-    /// What a cold worker bears in any window that has begun by now: by what it could do at the window's start.
-    pub(crate) fn warm_up_capacity(&self, worker: &Worker, now: Nanos) -> f64 {
-        let window = self.says("overload.window").max(1.0);
+    /// What a warming worker can take from all dispatchers in any window that has begun by now.
+    fn warm_up_capacity(&self, worker: &Worker, now: Nanos) -> f64 {
+        let window = self.settings.overload_window.max(1.0);
         let warmth = self.warmth(worker, now.saturating_sub(window as Nanos));
-        self.says("overload.multiple") * self.capacity_per_size * worker.size * warmth * window
+        self.settings.overload_multiple * self.capacity_per_size * worker.size * warmth * window
     }
 
-    /// What this one may send a cold worker in any window without asking, and for how many it stands there: the two whose
-    /// numbers come first after the worker's own have it, as long as it is cold.
-    pub(crate) fn reserved_allowance(&self, worker: &Worker, now: Nanos) -> (f64, f64) {
-        let part = if self.has_fleet_view {
-            KEPT
+    /// What this dispatcher may send to a warming worker without a grant. The two dispatchers whose configured ranks
+    /// follow the worker's offset may, but not in the first window of a process, as its predecessor may have.
+    fn reserved_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
+        let share = if self.has_fleet_view {
+            RESERVED_SHARE
         } else {
             RESERVED_SHARE_WITHOUT_VIEW
         };
-        let holders = RESERVING_DISPATCHERS.min(self.configured_dispatchers);
-        let [a, b, c, d] = worker.id.addr.map(u64::from);
-        let of = a + b + c + d + u64::from(worker.id.port);
-        let (me, slots) = (self.says("me") as u64, self.configured_dispatchers as u64);
-        let mine = me < slots && (me + slots - of % slots) % slots < holders as u64;
-        // What a process before this one sent may still count.
-        let fresh_peer_loads = now < self.started_at + self.says("overload.window") as Nanos;
-        (
-            part * self.warm_up_capacity(worker, now) / holders,
-            if mine && !fresh_peer_loads {
-                self.configured_dispatchers / holders
+        let dispatchers = self.settings.dispatchers;
+        let holders = RESERVING_DISPATCHERS.min(dispatchers);
+        let is_holder = self
+            .distance_after(schedule_offset(worker.id))
+            .is_some_and(|distance| distance < holders as u64);
+        let is_first_window = now < self.started_at + self.settings.overload_window as Nanos;
+        WarmUpTurn {
+            allowance: share * self.warm_up_capacity(worker, now) / holders,
+            represented_dispatchers: if is_holder && !is_first_window {
+                dispatchers / holders
             } else {
                 0.0
             },
-        )
+        }
+    }
+
+    /// How far the configured rank lies after an offset, counted around all configured dispatchers; none for a rank beyond
+    /// them.
+    fn distance_after(&self, offset: u64) -> Option<u64> {
+        let rank = self.settings.rank as u64;
+        let dispatchers = self.settings.dispatchers as u64;
+        (rank < dispatchers).then(|| (rank + dispatchers - offset % dispatchers) % dispatchers)
     }
 
-    /// Whether a request waits for a right to a cold worker that it would have gone to. Once, and not for long: where none
-    /// comes, as all are given or no one answers, it goes on as if there were none. Guards against rights that come when
-    /// their request has gone elsewhere, which were half of all.
-    pub(crate) fn waits_for_grant(
+    /// Whether a request waits for a grant to the warming worker that it would have gone to. It waits once and briefly:
+    /// without an answer it is dispatched as if there were no grants.
+    pub(super) fn waits_for_grant(
         &mut self,
         now: Nanos,
         key: usize,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
-        let active = &mut self.requests[key];
-        let Some(at) = self.missing_grant_for.filter(|_| {
-            self.uses_warm_up_grants
-                && self.has_fleet_view
-                && !active.grant_requested
-                && active.attempts_sent == 0
-        }) else {
+        let Some(worker_index) = self.missing_grant_for else {
             return false;
         };
+        let active = &mut self.requests[key];
+        let may_request = self.settings.uses_warm_up_grants
+            && self.has_fleet_view
+            && !active.grant_requested
+            && active.attempts_sent == 0;
+        if !may_request {
+            return false;
+        }
         active.grant_requested = true;
-        acts.push(Action::RequestWarmUpGrant {
-            worker: self.workers[at].id,
+        actions.push(Action::RequestWarmUpGrant {
+            worker: self.workers[worker_index].id,
             work: active.warm_up_work as Nanos,
         });
-        acts.push(Action::SetTimer {
+        actions.push(Action::SetTimer {
             at: now + GRANT_WAIT,
-            token: token(active.request.id, 0),
+            token: attempt_timer(active.request.id, 0),
         });
         true
     }
 
-    /// Says what all together may be given for each cold worker; 0 for one that has just become warm.
-    pub(crate) fn update_warm_up_budgets(&self, now: Nanos, acts: &mut Vec<Action>) {
-        let window = self.says("overload.window") as Nanos;
-        for worker in self.workers.iter().filter(|_| self.uses_warm_up_grants) {
-            let cold = worker.state == EndpointState::Ready && self.warmth(worker, now) < 1.0;
-            let lately =
-                worker.started_at + self.says("slow_start.duration") as Nanos + 5_000_000_000 > now;
-            if cold || (worker.started_at > 0 && lately) {
-                let work = if cold {
-                    GRANTED_SHARE * self.warm_up_capacity(worker, now)
-                } else {
-                    0.0
-                };
-                acts.push(Action::SetWarmUpBudget {
-                    worker: worker.id,
-                    work: work as Nanos,
-                    window,
-                });
-            }
+    /// States the budget that may be granted for each warming worker, and 0 for those that have just become warm.
+    pub(super) fn update_warm_up_budgets(&self, now: Nanos, actions: &mut Vec<Action>) {
+        if !self.settings.uses_warm_up_grants {
+            return;
+        }
+        let window = self.settings.overload_window as Nanos;
+        let duration = self.settings.slow_start_duration as Nanos;
+        for worker in &self.workers {
+            let is_warming = worker.state == EndpointState::Ready && self.warmth(worker, now) < 1.0;
+            let started_recently =
+                worker.started_at > 0 && worker.started_at + duration + BUDGET_CLEARED_FOR > now;
+            let work = if is_warming {
+                GRANTED_SHARE * self.warm_up_capacity(worker, now)
+            } else if started_recently {
+                0.0
+            } else {
+                continue;
+            };
+            actions.push(Action::SetWarmUpBudget {
+                worker: worker.id,
+                work: work as Nanos,
+                window,
+            });
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -4,9 +4,9 @@
     MS, among, dispatcher, ended, entry, grant_dispatcher, handle, id, numbered, request, set_view,
     settings, starts_of_late, warm,
 };
-use crate::state::Idempotency::Idempotent;
+use crate::settings::Idempotency::Idempotent;
 use crate::state::RequestState::InFlight;
-use crate::state::{ActiveRequest, Attempt};
+use crate::state::{ActiveRequest, Attempt, RequestDemand, RunningMean, SentWork};
 use crate::time::SECOND;
 use crate::types::{
     Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, Report,
@@ -14,6 +14,13 @@
 };
 use test_case::test_case;
 
+fn sent_work(at_ms: Nanos, work: f64) -> SentWork {
+    SentWork {
+        at: at_ms * MS,
+        work,
+    }
+}
+
 /// Guards against a cold worker pushed over by all together, and against parts of its budget in which no job fits.
 #[test_case(0, 0, 2_000 => 20; "a warm worker takes all")]
 #[test_case(100, 0, 2_000 => 1; "a cold one what fits into this one's part")]
@@ -22,7 +29,7 @@
 #[test_case(100, 3, 7_000 => 1; "more take turns at once as it warms")]
 fn budget_of_a_cold_worker(started: Nanos, me: u32, at: Nanos) -> usize {
     let mut d = among(12, me, Vec::new());
-    d.classes[0].latency_objective = 90.0 * SECOND;
+    d.classes[0].settings.latency_objective = 90.0 * SECOND;
     let endpoints = vec![entry(0, EndpointState::Ready, started * MS)];
     handle(
         &mut d,
@@ -97,7 +104,7 @@
             Pcg::new(u64::from(me)),
         );
         let mut hint = || (20.0 + dice.unit() * 140.0) as Nanos * MS;
-        (0..60).for_each(|_| d.classes[0].add(hint() as f64));
+        (0..60).for_each(|_| d.classes[0].record_request(hint() as f64));
         handle(
             &mut d,
             started,
@@ -193,15 +200,14 @@
         in_flight: true,
         ..Attempt::default()
     };
-    let mut active = ActiveRequest::new(
-        request(1, 0, 100 * MS, 0),
-        Idempotent,
-        1e8,
-        1e8,
-        1.0,
-        500 * MS,
-    );
-    (active.state, active.attempts_sent, active.attempts[0]) = (InFlight, 1, attempt);
+    let demand = RequestDemand {
+        work: 1e8,
+        service_time: 1e8,
+        slots_required: 1.0,
+    };
+    let mut active = ActiveRequest::new(request(1, 0, 100 * MS, 0), Idempotent, demand, 500 * MS);
+    active.state = InFlight;
+    active.push_attempt(attempt);
     let key = d.requests.insert(active);
     d.request_keys.insert(1, key);
     handle(&mut d, 400 * MS, ended(1, 0, Outcome::Succeeded));
@@ -242,7 +248,7 @@
     d.workers[0]
         .recent_work
         .iter()
-        .filter(|(at, work)| *at == attempts_sent * MS && *work == 1e8)
+        .filter(|sent| **sent == sent_work(attempts_sent, 1e8))
         .count()
 }
 
@@ -251,7 +257,7 @@
 fn a_cold_worker_that_is_born_again_keeps_what_it_got_since() {
     let mut d = dispatcher(1);
     d.workers[0].started_at = 90 * MS;
-    d.workers[0].recent_work = [(95 * MS, 1e8), (500 * MS, 2e8)].into();
+    d.workers[0].recent_work = [sent_work(95, 1e8), sent_work(500, 2e8)].into();
     let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
         &mut d,
@@ -261,7 +267,7 @@
             endpoints,
         },
     );
-    assert_eq!(d.workers[0].recent_work, [(500 * MS, 2e8)]);
+    assert_eq!(d.workers[0].recent_work, [sent_work(500, 2e8)]);
 }
 
 /// Guards against cold workers left idle: a kind's pace for workers not yet seen is no sign of less capacity.
@@ -285,7 +291,11 @@
 #[test_case(None => 1; "of none, taken for as much")]
 fn a_cold_worker_gets_fewer_of_unknown_size(hint: Option<Nanos>) -> usize {
     let mut d = among(12, 0, Vec::new());
-    (d.classes[0].latency_objective, d.classes[0].service_times) = (90.0 * SECOND, (1e8, 1.0));
+    d.classes[0].settings.latency_objective = 90.0 * SECOND;
+    d.classes[0].service_times = RunningMean {
+        mean: 1e8,
+        samples: 1.0,
+    };
     let endpoints = vec![entry(0, EndpointState::Ready, 100 * MS)];
     handle(
         &mut d,
@@ -323,8 +333,13 @@
                     set_view(&mut d, Some((0, 1 + me)));
                 }
                 let worker = &d.workers[at];
-                let (part, mine) = d.reserved_allowance(worker, now);
-                sum += if mine > 0.0 { part } else { 0.0 } / d.warm_up_capacity(worker, now);
+                let turn = d.reserved_allowance(worker, now);
+                let part = if turn.represented_dispatchers > 0.0 {
+                    turn.allowance
+                } else {
+                    0.0
+                };
+                sum += part / d.warm_up_capacity(worker, now);
             }
         }
         assert!(sum > 0.0 && sum + GRANTED_SHARE <= most + 1e-9, "{sum}");
@@ -337,7 +352,7 @@
         (0..4).any(|me| {
             grant_dispatcher(4, me, 1, 1)
                 .reserved_allowance(&grant_dispatcher(4, me, 1, 1).workers[0], at)
-                .1
+                .represented_dispatchers
                 > 0.0
         })
     };
@@ -410,7 +425,11 @@
 fn a_request_waits_once_for_a_right_to_a_cold_worker(comes: bool) -> bool {
     let mut d = (0..4)
         .map(|me| grant_dispatcher(4, me, 1, 1))
-        .find(|d| d.reserved_allowance(&d.workers[0], 2_000 * MS).1 == 0.0)
+        .find(|d| {
+            d.reserved_allowance(&d.workers[0], 2_000 * MS)
+                .represented_dispatchers
+                == 0.0
+        })
         .unwrap();
     set_view(&mut d, Some((1, 4)));
     let now = 2_000 * MS;
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,83 +1,40 @@
-//! Subset selection: which workers this dispatcher uses.
+//! Subset selection: which workers this dispatcher uses, and which other dispatchers use a worker.
+//!
+//! The eligible workers of a class are divided by id into as many parts as the subset has places, and a dispatcher uses
+//! one worker of each part. So a worker serves about the same interval of sizes whoever sends to it.
 use super::Dispatcher;
 use crate::types::{FleetPosition, Nanos};
 
-/// Each dispatcher keeps to so many workers that at most twelve share each: few enough to hear of them and
-/// reuse connections, enough that uneven traffic evens out.
-pub(crate) const MAX_DISPATCHERS_PER_WORKER: f64 = 12.0;
+#[cfg(test)]
+mod tests;
 
-/// So few share a worker at least, where there are that many; each then sees enough of it to know its queue.
-pub(crate) const MIN_DISPATCHERS_PER_WORKER: f64 = 4.0;
+/// The most dispatchers that use one worker, where they do not exchange their load: each still sees enough of it.
+pub(super) const MAX_DISPATCHERS_PER_WORKER: f64 = 12.0;
 
-impl Dispatcher {
-    /// Into how many stretches so many workers are cut, for each dispatcher to keep to one of each. Eight, as
-    /// long as four to twelve share a worker: fewer lanes are heard of more often, and by more the chance of
-    /// who sends how much evens out. Those who tell each other hear from however many share.
-    pub(crate) fn subset_size(&self, n: usize) -> usize {
-        let each = n as f64 / self.octave_dispatchers();
-        let most = if self.exchanges_load {
-            f64::INFINITY
-        } else {
-            MAX_DISPATCHERS_PER_WORKER * each
-        };
-        (8.0_f64
-            .max(MIN_DISPATCHERS_PER_WORKER * each)
-            .min(most)
-            .ceil() as usize)
-            .min(n)
-    }
+/// The fewest dispatchers that use one worker, where there are as many. Each sees enough of it to know its queue.
+pub(super) const MIN_DISPATCHERS_PER_WORKER: f64 = 4.0;
 
-    /// Which workers each class's lanes are: one of each stretch of ids, by turns over the dispatchers.
-    pub(crate) fn select_subset(&mut self, now: Nanos) {
-        self.dispatchers_per_worker = 1.0;
-        for at in 0..self.classes.len() {
-            let (me, all) = (self.rank, &self.classes[at].eligible_workers);
-            let n = all.len();
-            let m = self.subset_size(n);
-            let pick = |lane: usize| {
-                let among = &all[lane * n / m..(lane + 1) * n / m];
-                let (len, block) = (among.len(), me / among.len());
-                let turn = (me + lane * block) % len;
-                // In place of one that takes no connection another of its stretch, each block of dispatchers
-                // its own, but none that is cold: its turns count on who keeps to it. Guards against lanes
-                // that lead nowhere for as long as no one tells that their workers are gone.
-                let other = |step: usize| (turn + 1 + (block + step) % (len - 1)) % len;
-                let others = (0..len - 1).map(|step| among[other(step)]);
-                let warm = others.filter(|at| self.warmth(&self.workers[*at], now) >= 1.0);
-                let mut all = std::iter::once(among[turn]).chain(warm);
-                all.find(|at| !self.workers[*at].is_unreachable(now))
-                    .unwrap_or(among[turn])
-            };
-            let subset = if self.has_fleet_view {
-                self.ranked_subset(now, all, m)
-            } else {
-                (0..m).map(pick).collect()
-            };
-            self.classes[at].subset = subset;
-            self.dispatchers_per_worker = f64::max(
-                self.dispatchers_per_worker,
-                self.dispatchers * m as f64 / (n as f64).max(1.0),
-            );
-        }
-    }
+/// The size of a subset between these bounds: enough workers that uneven traffic evens out.
+const SUBSET_SIZE: f64 = 8.0;
 
-    /// Its place among those that run, in place of the settings'.
-    pub(crate) fn set_fleet_position(&mut self, now: Nanos, position: Option<FleetPosition>) {
+impl Dispatcher {
+    /// Takes up the number and the rank of the dispatchers that run; without them those of the settings count.
+    pub(super) fn set_fleet_position(&mut self, now: Nanos, position: Option<FleetPosition>) {
         let configured = FleetPosition {
-            rank: self.says("me") as u16,
-            dispatchers: self.configured_dispatchers as u16,
+            rank: self.settings.rank as u16,
+            dispatchers: self.settings.dispatchers as u16,
         };
         let FleetPosition { rank, dispatchers } = position.unwrap_or(configured);
         self.rank = usize::from(rank);
         self.dispatchers = f64::from(dispatchers).max(1.0);
         self.unobserved_share = 1.0 - 1.0 / self.dispatchers;
         self.has_fleet_view |= position.is_some();
-        self.select_subset(now);
+        self.select_subsets(now);
     }
 
-    /// For how many dispatchers workers are shared out: where they come and go the same for a whole octave, as a hand of
-    /// another size at each would move all lanes.
-    pub(crate) fn octave_dispatchers(&self) -> f64 {
+    /// The number of dispatchers that subset sizes follow. Where dispatchers come and go it is rounded up to a power of
+    /// two, so that most changes move no subset.
+    fn nominal_dispatchers(&self) -> f64 {
         if self.has_fleet_view {
             self.dispatchers.log2().ceil().exp2()
         } else {
@@ -85,43 +42,131 @@
         }
     }
 
-    /// The workers that this one keeps to, where dispatchers come and go: one of each `m`th part of the ids, so that a
-    /// worker is the same lane, and gets the same sizes, whoever sends; which one of a part moves on by a lane's width from one
-    /// place to the next. So on each way round every worker is kept to once more: the keepers of two differ by one at most,
-    /// whoever runs, and one's lanes follow from its own place alone. In place of one that takes no connection the next
-    /// beyond it that is warm.
-    pub(crate) fn ranked_subset(&self, now: Nanos, all: &[usize], m: usize) -> Vec<usize> {
-        let n = all.len();
-        let place = |lane: usize| (lane * n + self.rank * m % n) / m;
-        let sound = |place: usize| !self.workers[all[place]].is_unreachable(now);
-        let warm = |place: usize| self.warmth(&self.workers[all[place]], now) >= 1.0;
-        let mut active: Vec<usize> = (0..m).map(place).collect();
-        for lane in 0..m {
-            if !sound(active[lane]) {
-                let mut others = (1..n).map(|step| (active[lane] + step) % n);
-                let other =
-                    others.find(|place| sound(*place) && warm(*place) && !active.contains(place));
-                active[lane] = other.unwrap_or(active[lane]);
+    /// How many of its eligible workers a class uses here.
+    pub(super) fn subset_size(&self, eligible: usize) -> usize {
+        let workers_per_dispatcher = eligible as f64 / self.nominal_dispatchers();
+        let max_size = if self.exchanges_load {
+            f64::INFINITY
+        } else {
+            MAX_DISPATCHERS_PER_WORKER * workers_per_dispatcher
+        };
+        let size = SUBSET_SIZE
+            .max(MIN_DISPATCHERS_PER_WORKER * workers_per_dispatcher)
+            .min(max_size);
+        (size.ceil() as usize).min(eligible)
+    }
+
+    /// Selects the subset of each class.
+    pub(super) fn select_subsets(&mut self, now: Nanos) {
+        self.dispatchers_per_worker = 1.0;
+        for class_index in 0..self.classes.len() {
+            let eligible = &self.classes[class_index].eligible_workers;
+            let size = self.subset_size(eligible.len());
+            let per_worker = self.dispatchers * size as f64 / (eligible.len() as f64).max(1.0);
+            let subset = if self.has_fleet_view {
+                self.ranked_subset(now, eligible, size)
+            } else {
+                self.configured_subset(now, eligible, size)
+            };
+            self.classes[class_index].subset = subset;
+            self.dispatchers_per_worker = f64::max(self.dispatchers_per_worker, per_worker);
+        }
+    }
+
+    /// The subset by the settings' rank, which no member of the fleet coordinates.
+    fn configured_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
+        let count = eligible.len();
+        (0..size)
+            .map(|part| {
+                let workers = &eligible[part * count / size..(part + 1) * count / size];
+                self.configured_worker(now, workers, part)
+            })
+            .collect()
+    }
+
+    /// The worker of one part. Instead of an unreachable one it is a reachable other one of the part, a different one
+    /// for each block of dispatchers. None that is warming up replaces another, as its allowance is divided by who
+    /// regularly uses it.
+    fn configured_worker(&self, now: Nanos, workers: &[usize], part: usize) -> usize {
+        let count = workers.len();
+        let block = self.rank / count;
+        let regular = (self.rank + part * block) % count;
+        let replacement = |step: usize| (regular + 1 + (block + step) % (count - 1)) % count;
+        let replacements = (0..count - 1)
+            .map(|step| workers[replacement(step)])
+            .filter(|worker| self.is_warm(now, *worker));
+        std::iter::once(workers[regular])
+            .chain(replacements)
+            .find(|worker| !self.workers[*worker].is_unreachable(now))
+            .unwrap_or(workers[regular])
+    }
+
+    /// The subset by rank, where dispatchers come and go. The worker of a part moves on from one rank to the next, so
+    /// that the numbers of dispatchers that use two workers differ by one at most, and a subset depends on the own rank
+    /// alone. Instead of an unreachable worker it holds the next reachable one that is warm.
+    fn ranked_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
+        let count = eligible.len();
+        let is_reachable = |place: usize| !self.workers[eligible[place]].is_unreachable(now);
+        let mut places: Vec<usize> = (0..size)
+            .map(|part| (part * count + self.rank * size % count) / size)
+            .collect();
+        for part in 0..size {
+            if is_reachable(places[part]) {
+                continue;
             }
+            let replacement = (1..count)
+                .map(|step| (places[part] + step) % count)
+                .find(|place| {
+                    is_reachable(*place)
+                        && self.is_warm(now, eligible[*place])
+                        && !places.contains(place)
+                });
+            places[part] = replacement.unwrap_or(places[part]);
         }
-        active.sort_unstable();
-        active.into_iter().map(|place| all[place]).collect()
+        places.sort_unstable();
+        places.into_iter().map(|place| eligible[place]).collect()
     }
 
-    /// The other dispatchers that keep to the worker at a place.
-    pub(crate) fn ranked_peers(
+    /// The ranks of the other dispatchers that use the eligible worker at a place, where dispatchers come and go.
+    pub(super) fn ranked_peers(
         &self,
         place: usize,
-        n: usize,
-        m: usize,
+        eligible: usize,
+        size: usize,
     ) -> impl Iterator<Item = u16> {
-        let (me, all) = (self.rank, self.dispatchers as usize);
-        let keeps = move |to: usize| (to * m % n + n - place * m % n) % n < m;
-        (0..all)
-            .filter(move |to| *to != me && keeps(*to))
-            .map(|to| to as u16)
+        let own_rank = self.rank;
+        let uses = move |rank: usize| {
+            (rank * size % eligible + eligible - place * size % eligible) % eligible < size
+        };
+        (0..self.dispatchers as usize)
+            .filter(move |rank| *rank != own_rank && uses(*rank))
+            .map(|rank| rank as u16)
     }
-}
 
-#[cfg(test)]
-mod tests;
+    /// The same by the ranks of the settings: one of each block of dispatchers, as [`Self::configured_worker`] selects.
+    pub(super) fn configured_peers(
+        &self,
+        place: usize,
+        eligible: usize,
+        size: usize,
+    ) -> impl Iterator<Item = u16> {
+        let own_rank = self.rank;
+        let dispatchers = self.dispatchers as usize;
+        let part = (0..size)
+            .rfind(|part| part * eligible / size <= place)
+            .unwrap_or(0);
+        let start = part * eligible / size;
+        let count = (part + 1) * eligible / size - start;
+        let in_block = move |block: usize| {
+            block * count + (place - start + count - part * block % count) % count
+        };
+        (0..=dispatchers / count)
+            .map(in_block)
+            .filter(move |rank| *rank < dispatchers && *rank != own_rank)
+            .map(|rank| rank as u16)
+    }
+
+    fn is_warm(&self, now: Nanos, worker: usize) -> bool {
+        self.warmth(&self.workers[worker], now) >= 1.0
+    }
+}
--- a/src/policy/subset/tests.rs
+++ b/src/policy/subset/tests.rs
@@ -7,10 +7,10 @@
     let mut d = among(100, 3, warm(60));
     let first = d.classes[0].subset[2];
     (0..2).for_each(|_| d.workers[first].record_connect_failure(0));
-    d.select_subset(0);
+    d.select_subsets(0);
     let other = d.classes[0].subset[2];
     assert!(first != other && d.classes[0].subset.len() == 8);
-    d.select_subset(1_000 * MS);
+    d.select_subsets(1_000 * MS);
     assert_eq!(d.classes[0].subset[2], first);
     // Twice as long each time in a row, until it gives a sign of life.
     d.workers[first].record_connect_failure(1_000 * MS);
@@ -26,7 +26,7 @@
         .enumerate()
         .filter(|(at, _)| *at != first)
         .for_each(|(_, w)| w.started_at = 1);
-    d.select_subset(2_000 * MS);
+    d.select_subsets(2_000 * MS);
     assert_eq!(d.classes[0].subset[2], first);
 }
 
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -1,7 +1,8 @@
 //! Fixtures of the tests of the decisions.
 use super::Dispatcher;
-use crate::settings::Map;
+use crate::settings::{Idempotency, Map};
 use crate::start_delays::{AttemptId, Sent};
+use crate::state::{ActiveRequest, RequestDemand};
 use crate::time::SECOND;
 use crate::types::{
     Action, AttemptEnded, Endpoint, EndpointState, Event, FleetPosition, ListScope, Nanos, Outcome,
@@ -186,9 +187,9 @@
 /// One that tells the others, by its number.
 pub(crate) fn numbered(me: u32, dispatchers: u32, workers: u8) -> Dispatcher {
     let mut d = sharing(dispatchers, workers);
-    d.figures.insert("me", f64::from(me));
+    d.settings.rank = f64::from(me);
     d.rank = me as usize;
-    d.select_subset(0);
+    d.select_subsets(0);
     d
 }
 
@@ -235,3 +236,13 @@
     let position = place.map(|(rank, dispatchers)| FleetPosition { rank, dispatchers });
     d.handle(2 * MS, Event::FleetView(position), &mut Vec::new());
 }
+
+/// A tiny request that can no longer meet its latency objective.
+pub(crate) fn overdue_request(request: Request) -> ActiveRequest {
+    let demand = RequestDemand {
+        work: 1.0,
+        service_time: 1.0,
+        slots_required: 1.0,
+    };
+    ActiveRequest::new(request, Idempotency::Idempotent, demand, 0)
+}
--- a/src/policy/worker_selection.rs
+++ b/src/policy/worker_selection.rs
@@ -1,149 +1,278 @@
 //! Worker selection: which worker gets a request.
+//!
+//! It is the worker whose interval holds the request's size, or the nearest by id that can start it soon enough; failing
+//! that, the one of least cost.
 use super::Dispatcher;
 use super::subset::{MAX_DISPATCHERS_PER_WORKER, MIN_DISPATCHERS_PER_WORKER};
 use crate::mutation::{Mutation, is_active};
+use crate::settings::Idempotency::IdempotentWithKey;
+use crate::settings::RetryScope;
 use crate::start_delays::Congestion;
-use crate::state::ActiveRequest;
-use crate::state::Idempotency::IdempotentWithKey;
+use crate::state::{ActiveRequest, FleetMeans, RequestClass, UncertainAttempt, Worker};
 use crate::types::Nanos;
 
-/// What passing over all lanes costs where most share a worker, in mean waits: one of eight costs a fifth.
-pub(crate) const SUBSET_DISTANCE_COST: f64 = 1.6;
+#[cfg(test)]
+mod tests;
+
+/// The cost of passing over a whole subset, in mean waits of the fleet, where the most dispatchers use a worker.
+const SUBSET_DISTANCE_COST: f64 = 1.6;
+
+/// The part of the time to spare below which a wait is within the error of the estimates.
+const NEGLIGIBLE_STRAIN: f64 = 0.05;
+
+/// The failure score from which on a worker is not taken without comparing costs.
+const MAX_FAILURE_SCORE: f64 = 0.25;
+
+/// How fast the service-time factor of a worker counts for admission as starts get late.
+const LATE_FACTOR_SLOPE: f64 = 3.0;
+
+/// The worker selected for a request.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Selection {
+    /// The index of the worker.
+    pub(super) worker: usize,
+    /// The expected wait there, in nanoseconds.
+    pub(super) wait: f64,
+    /// The wait as a part of the request's time to spare.
+    pub(super) strain: f64,
+}
+
+/// A worker that may take the request, and what it would cost.
+struct Candidate {
+    selection: Selection,
+    cost: f64,
+    /// Whether the request can start about at once, at a worker that is no outlier.
+    is_suitable: bool,
+}
+
+/// What is the same for all workers that are considered for a request.
+struct SelectionContext<'a> {
+    active: &'a ActiveRequest,
+    class: &'a RequestClass,
+    /// The attempt to whose retry scope the request is bound.
+    bound_to: Option<UncertainAttempt>,
+    mean_work: f64,
+    /// The fleet's delay of starts in times to spare, as far as other dispatchers cause it.
+    fleet_delay: f64,
+    late_starts: f64,
+    /// The cost of each place between a worker and the request's interval.
+    cost_per_place: f64,
+}
+
+impl SelectionContext<'_> {
+    /// Whether the request is bound to a retry scope and window that do not allow this worker now.
+    fn forbids_worker(&self, now: Nanos, workers: &[Worker], index: usize) -> bool {
+        let Some(bound_to) = self.bound_to else {
+            return false;
+        };
+        let first = &workers[bound_to.worker];
+        let worker = &workers[index];
+        let is_in_scope = match self.class.settings.retry_scope {
+            RetryScope::All => true,
+            RetryScope::Zone => first.zone == worker.zone,
+            RetryScope::Group => first.group == worker.group,
+        };
+        !is_in_scope || now >= bound_to.sent_at + self.class.settings.retry_window
+    }
+}
+
+/// The places of a subset by their distance from one of them: itself, then the next above and below by turns.
+fn places_outward(from: usize, count: usize) -> impl Iterator<Item = (usize, usize)> {
+    (0..2 * count).filter_map(move |step| {
+        let distance = step.div_ceil(2);
+        let place = if step % 2 == 1 {
+            from.checked_add(distance)
+        } else {
+            from.checked_sub(distance)
+        };
+        place
+            .filter(|place| *place < count)
+            .map(|place| (place, distance))
+    })
+}
 
 impl Dispatcher {
-    /// The worker for a request, and how long it would wait there: its lane's, or the nearest id neighbour that
-    /// can start it soon enough; failing that, the one with the least to wait.
-    pub(crate) fn select_worker(
+    /// Selects the worker for a request whose size falls into `interval`; none where no worker may take it now.
+    pub(super) fn select_worker(
         &mut self,
         now: Nanos,
         key: usize,
-        mine: usize,
-    ) -> Option<(usize, f64, f64)> {
+        interval: usize,
+    ) -> Option<Selection> {
         self.refresh_worker_loads(now);
-        let active = &self.requests[key];
-        let ActiveRequest {
-            request,
-            idempotency,
-            warm_up_work: most,
-            slots_required,
-            first_uncertain_attempt: doubt,
-            ..
-        } = *active;
-        let class = &self.classes[usize::from(request.class)];
-        // Where a repeat is bound to a group, its workers may be any in the list.
-        let bound = doubt.filter(|_| {
-            idempotency == IdempotentWithKey && !is_active(Mutation::IgnoreRetryWindow)
-        });
-        let (subset, mean) = (
-            if bound.is_some() {
-                &class.eligible_workers
-            } else {
-                &class.subset
-            },
-            class.mean(),
-        );
-        let Congestion { delay, late } = self.start_delays.congestion(now, self.rarity);
-        let fleet = self.unobserved_share * delay;
-        // Guards against lanes that hold all sizes once the whole fleet has queues of which each sees little.
-        let unknown = ((self.dispatchers_per_worker - MIN_DISPATCHERS_PER_WORKER)
-            / (MAX_DISPATCHERS_PER_WORKER - MIN_DISPATCHERS_PER_WORKER))
-            .clamp(0.0, 1.0);
-        let each_lane = SUBSET_DISTANCE_COST * unknown * fleet / subset.len().max(1) as f64;
-        let (mut least, mut best) = (f64::INFINITY, None);
-        self.missing_grant_for = None;
-        for step in 0..2 * subset.len() {
-            let far = step.div_ceil(2);
-            let lane = if step % 2 == 1 {
-                mine.checked_add(far)
-            } else {
-                mine.checked_sub(far)
-            };
-            let Some(&at) = lane.and_then(|lane| subset.get(lane)) else {
+        let context = self.selection_context(now, key);
+        // A retry that is bound to a scope may have to leave the subset.
+        let workers = if context.bound_to.is_some() {
+            &context.class.eligible_workers
+        } else {
+            &context.class.subset
+        };
+        let mut missing_grant_for = None;
+        let mut least_cost = f64::INFINITY;
+        let mut selected = None;
+        for (place, distance) in places_outward(interval, workers.len()) {
+            let index = workers[place];
+            if context.forbids_worker(now, &self.workers, index) {
                 continue;
-            };
-            if let Some((first, since)) = bound {
-                let (a, b) = (&self.workers[first], &self.workers[at]);
-                let drops = match class.group.as_str() {
-                    "all" => true,
-                    "zone" => a.zone == b.zone,
-                    _ => a.group == b.group,
-                };
-                if !drops || now >= since + class.window {
-                    continue;
-                }
             }
-            let worker = &self.workers[at];
-            // One's part of the seats, which a job as large may have alone, less what others told of.
-            let (sharing, all) = (
-                if self.exchanges_load {
-                    1.0
-                } else {
-                    self.dispatchers
-                },
-                worker.slots.round(),
-            );
-            let (part, told) = ((all / sharing).max(1.0), worker.peer_load(now).0);
-            let seat = worker.slots_in_use + told + slots_required.min(part) <= part;
-            let doubt = worker.failure_score_for(
-                now,
-                self.mean_failure_score,
-                usize::from(request.class),
-                idempotency,
-            );
-            let cold = self.warmth(worker, now) < 1.0;
-            if cold
-                && self.warm_up_allowance(worker, now) < most
-                && !is_active(Mutation::IgnoreSlowStart)
-            {
-                self.missing_grant_for = self.missing_grant_for.or(seat.then_some(at));
+            if self.exceeds_warm_up_allowance(now, &context, index) {
+                if missing_grant_for.is_none() && self.has_free_slot(now, &context, index) {
+                    missing_grant_for = Some(index);
+                }
                 continue;
             }
-            let room = active
-                .time_to_spare(now, worker.service_time_factor)
-                .max(1.0);
-            // Who is sent to by turns and within a budget is not as busy as the rest.
-            let others = if cold {
-                (0.0, 0.0)
-            } else {
-                (fleet * room, self.mean_other_slots)
-            };
-            let wait = worker.wait(now, slots_required, mean, others);
-            let strain = wait / room + self.zone_delays.part(worker.zone, room);
-            // Taken when there is a seat for it in this dispatcher's part, the worker is not distrusted, and
-            // it would start about at once: a twentieth of the room before the SLA time is within error.
-            if seat && doubt < 0.25 && strain < 0.05 {
-                return Some((at, wait, wait / room));
+            let candidate = self.candidate(now, &context, index, distance);
+            if candidate.is_suitable {
+                selected = Some(candidate.selection);
+                break;
             }
-            // Own jobs in flight, and their work, weigh again: what others see and do is alike. A job that
-            // fails loses all, one that waits out its room a part. And it failed there before.
-            let failed = active.attempts[..active.attempts_sent]
-                .iter()
-                .any(|attempt| attempt.worker == at);
-            let held = (worker.remaining_work / room + worker.slots_in_use) / worker.slots;
-            let apart = if bound.is_some() {
+            if candidate.cost < least_cost {
+                least_cost = candidate.cost;
+                selected = Some(candidate.selection);
+            }
+        }
+        self.missing_grant_for = missing_grant_for;
+        selected
+    }
+
+    fn selection_context(&self, now: Nanos, key: usize) -> SelectionContext<'_> {
+        let active = &self.requests[key];
+        let class = &self.classes[usize::from(active.request.class)];
+        let bound_to = active.first_uncertain_attempt.filter(|_| {
+            active.idempotency == IdempotentWithKey && !is_active(Mutation::IgnoreRetryWindow)
+        });
+        let workers = if bound_to.is_some() {
+            class.eligible_workers.len()
+        } else {
+            class.subset.len()
+        };
+        let Congestion { delay, late } = self.start_delays.congestion(now, self.rarity);
+        let fleet_delay = self.unobserved_share * delay;
+        // The more dispatchers use a worker the less is known of it, and the more a request keeps to its interval.
+        let uncertainty = ((self.dispatchers_per_worker - MIN_DISPATCHERS_PER_WORKER)
+            / (MAX_DISPATCHERS_PER_WORKER - MIN_DISPATCHERS_PER_WORKER))
+            .clamp(0.0, 1.0);
+        let cost_per_place =
+            SUBSET_DISTANCE_COST * uncertainty * fleet_delay / workers.max(1) as f64;
+        SelectionContext {
+            active,
+            class,
+            bound_to,
+            mean_work: class.mean_work(),
+            fleet_delay,
+            late_starts: late,
+            cost_per_place: if bound_to.is_some() {
                 0.0
             } else {
-                each_lane * far as f64
+                cost_per_place
+            },
+        }
+    }
+
+    fn exceeds_warm_up_allowance(
+        &self,
+        now: Nanos,
+        context: &SelectionContext,
+        index: usize,
+    ) -> bool {
+        let worker = &self.workers[index];
+        self.warmth(worker, now) < 1.0
+            && self.warm_up_allowance(worker, now) < context.active.warm_up_work
+            && !is_active(Mutation::IgnoreSlowStart)
+    }
+
+    /// Whether this dispatcher's part of a worker's slots, less what peers use, has place for the request. A larger
+    /// request may have all of the part.
+    fn has_free_slot(&self, now: Nanos, context: &SelectionContext, index: usize) -> bool {
+        let worker = &self.workers[index];
+        let sharing = if self.exchanges_load {
+            1.0
+        } else {
+            self.dispatchers
+        };
+        let part = (worker.slots.round() / sharing).max(1.0);
+        let slots_required = context.active.demand.slots_required;
+        worker.slots_in_use + worker.peer_load(now).slots + slots_required.min(part) <= part
+    }
+
+    fn candidate(
+        &self,
+        now: Nanos,
+        context: &SelectionContext,
+        index: usize,
+        distance: usize,
+    ) -> Candidate {
+        let active = context.active;
+        let worker = &self.workers[index];
+        let class_index = usize::from(active.request.class);
+        let failures = worker.failure_score_for(
+            now,
+            self.mean_failure_score,
+            class_index,
+            active.idempotency,
+        );
+        let time_to_spare = active
+            .time_to_spare(now, worker.service_time_factor)
+            .max(1.0);
+        let fleet = self.fleet_means(now, context, index, time_to_spare);
+        let wait = worker.expected_wait(now, active.demand.slots_required, fleet);
+        let strain = wait / time_to_spare + self.zone_delays.part(worker.zone, time_to_spare);
+        let is_suitable = failures < MAX_FAILURE_SCORE
+            && strain < NEGLIGIBLE_STRAIN
+            && self.has_free_slot(now, context, index);
+        if is_suitable {
+            return Candidate {
+                selection: Selection {
+                    worker: index,
+                    wait,
+                    strain: wait / time_to_spare,
+                },
+                cost: 0.0,
+                is_suitable,
             };
-            let cost = strain + held + doubt + f64::from(failed) + apart;
-            if cost < least {
-                // Turned away is by the queue: that a worker is slow shortens its room, but is no overload,
-                // and counts only as far as starts are late.
-                let service_time_factor =
-                    1.0 + (worker.service_time_factor - 1.0) * (3.0 * late).min(1.0);
-                (least, best) = (
-                    cost,
-                    Some((
-                        at,
-                        wait,
-                        wait / active.time_to_spare(now, service_time_factor).max(1.0),
-                    )),
-                );
-            }
         }
-        best
+        let has_failed_there = active
+            .attempts()
+            .iter()
+            .any(|attempt| attempt.worker == index);
+        // Own attempts count once more than in the wait, as other dispatchers see and do the same.
+        let own_load = (worker.remaining_work / time_to_spare + worker.slots_in_use) / worker.slots;
+        let distance_cost = context.cost_per_place * distance as f64;
+        let cost = strain + own_load + failures + f64::from(has_failed_there) + distance_cost;
+        // That a worker is slow is no overload. It counts for admission only as far as starts are late.
+        let factor = 1.0
+            + (worker.service_time_factor - 1.0)
+                * (LATE_FACTOR_SLOPE * context.late_starts).min(1.0);
+        Candidate {
+            selection: Selection {
+                worker: index,
+                wait,
+                strain: wait / active.time_to_spare(now, factor).max(1.0),
+            },
+            cost,
+            is_suitable,
+        }
     }
-}
 
-#[cfg(test)]
-mod tests;
+    /// The means of the fleet for a worker. A warming worker is not as busy as the rest, as its load is limited.
+    fn fleet_means(
+        &self,
+        now: Nanos,
+        context: &SelectionContext,
+        index: usize,
+        time_to_spare: f64,
+    ) -> FleetMeans {
+        let means = FleetMeans {
+            work: context.mean_work,
+            ..FleetMeans::default()
+        };
+        if self.warmth(&self.workers[index], now) < 1.0 {
+            return means;
+        }
+        FleetMeans {
+            start_delay: context.fleet_delay * time_to_spare,
+            other_slots: self.mean_other_slots,
+            ..means
+        }
+    }
+}
--- a/src/policy/worker_selection/tests.rs
+++ b/src/policy/worker_selection/tests.rs
@@ -2,7 +2,7 @@
 use crate::policy::test_support::{
     MS, among, dispatcher, handle, one_of_a_large_fleet, request, starts_of_late, warm,
 };
-use crate::state::{Worker, bin_index};
+use crate::state::{FleetMeans, Worker, bin_index};
 use crate::time::SECOND;
 use crate::types::{Action, AttemptEnded, Event, Nanos, Outcome, Report, Request, RequestId};
 use test_case::test_case;
@@ -15,9 +15,19 @@
         start_delay_at: 0,
         ..Worker::default()
     };
-    assert!(worker.wait(10_000 * MS, 1.0, 0.0, (SECOND, 0.0)) > 0.9 * SECOND);
-    (worker.other_slots, worker.other_slots_at) = (0.0, 0);
-    assert!(worker.wait(10_000 * MS, 1.0, SECOND, (0.0, 4.0)) > SECOND);
+    let late_starts = FleetMeans {
+        start_delay: SECOND,
+        ..FleetMeans::default()
+    };
+    assert!(worker.expected_wait(10_000 * MS, 1.0, late_starts) > 0.9 * SECOND);
+    worker.other_slots = 0.0;
+    worker.other_slots_at = 0;
+    let busy_slots = FleetMeans {
+        other_slots: 4.0,
+        work: SECOND,
+        ..FleetMeans::default()
+    };
+    assert!(worker.expected_wait(10_000 * MS, 1.0, busy_slots) > SECOND);
 }
 
 /// Guards against a worker that is full or dead: answering at once, it looked idle and drew all that waited.
@@ -81,10 +91,10 @@
     starts_of_late(&mut d, now, 0.3, 0);
     d.classes[0].histogram[bin_index(1e7)] = 1e7;
     d.classes[2].histogram[bin_index(2e9)] = 2e10;
-    (d.classes[0].seen, d.classes[2].seen) = (1.0, 10.0);
+    (d.classes[0].request_count, d.classes[2].request_count) = (1.0, 10.0);
     let last = *d.classes[0].subset.last().unwrap();
     // Wanted within its SLA time and twice its run.
-    let room = d.classes[0].latency_objective + 10e6;
+    let room = d.classes[0].settings.latency_objective + 10e6;
     (d.workers[last].start_delay, d.workers[last].start_delay_at) =
         (part * 0.3 * d.unobserved_share * room, now);
     let acts = handle(
@@ -219,7 +229,7 @@
     assert!(matches!(acts[..], [Action::SendAttempt { .. }]), "{acts:?}");
     let active = &d.requests[d.request_keys[&1]];
     assert_eq!(
-        (active.service_time, active.time_to_spare(now, 1.0)),
+        (active.demand.service_time, active.time_to_spare(now, 1.0)),
         (750e6, 2_250e6)
     );
 }
@@ -241,7 +251,7 @@
             ..request(id, class, 0, now)
         };
         drop(handle(&mut d, now, Event::RequestArrived(request)));
-        let run = d.requests[d.request_keys[&id]].service_time / MS as f64;
+        let run = d.requests[d.request_keys[&id]].demand.service_time / MS as f64;
         drop(handle(
             &mut d,
             now,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,29 +1,278 @@
-//! The settings map and the typed settings of the decisions.
+//! The settings map, and the typed settings that the decisions are made by.
 use std::collections::BTreeMap;
 use std::str::FromStr;
+use thiserror::Error;
 
-/// Settings under our names; the decisions and the programs pick from it what they need.
+#[cfg(test)]
+mod tests;
+
+/// Settings by name; the decisions and the programs read from it what they need.
 pub type Map = BTreeMap<String, String>;
 
+/// A setting that cannot be used. The message names the setting.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub enum SettingsError {
+    /// A required setting is absent.
+    #[error("setting {name} is missing")]
+    Missing {
+        /// The setting.
+        name: String,
+    },
+    /// The value is not of the setting's type, or none of its words.
+    #[error("setting {name} cannot be read: {value:?}")]
+    Unreadable {
+        /// The setting.
+        name: String,
+        /// Its value as given.
+        value: String,
+    },
+    /// The value is below 0 or not a usable number.
+    #[error("setting {name} is out of range: {value}")]
+    OutOfRange {
+        /// The setting.
+        name: &'static str,
+        /// Its value.
+        value: f64,
+    },
+    /// Dispatchers that exchange their load need ranks below their number.
+    #[error("setting me is out of range: {rank} of {dispatchers} dispatchers")]
+    RankOutOfRange {
+        /// The rank as given.
+        rank: f64,
+        /// How many dispatchers there are.
+        dispatchers: f64,
+    },
+}
+
+impl From<SettingsError> for String {
+    fn from(error: SettingsError) -> Self {
+        error.to_string()
+    }
+}
+
 /// Reads one setting.
-pub fn pick<T: FromStr>(map: &Map, name: &str) -> Result<T, String> {
-    let value = map
-        .get(name)
-        .ok_or_else(|| format!("setting {name} is missing"))?;
-    value
-        .parse()
-        .map_err(|_| format!("setting {name} cannot be read: {value:?}"))
+///
+/// # Errors
+/// When the setting is missing or its value is not of the type.
+pub fn pick<T: FromStr>(map: &Map, name: &str) -> Result<T, SettingsError> {
+    let value = map.get(name).ok_or_else(|| SettingsError::Missing {
+        name: name.to_string(),
+    })?;
+    value.parse().map_err(|_| unreadable(name, value))
 }
 
 /// Reads one setting that may be left out.
-pub(crate) fn pick_or<T: FromStr>(map: &Map, name: &str, other: T) -> Result<T, String> {
+fn pick_or<T: FromStr>(map: &Map, name: &str, default: T) -> Result<T, SettingsError> {
     if map.contains_key(name) {
         pick(map, name)
     } else {
-        Ok(other)
+        Ok(default)
+    }
+}
+
+/// Reads a number that is not negative; `true` counts as 1 and `false` as 0.
+fn pick_quantity(map: &Map, name: &'static str) -> Result<f64, SettingsError> {
+    let value = match pick::<bool>(map, name) {
+        Ok(flag) => f64::from(flag),
+        Err(_) => pick::<f64>(map, name)?,
+    };
+    if (0.0..1e18).contains(&value) {
+        Ok(value)
+    } else {
+        Err(SettingsError::OutOfRange { name, value })
+    }
+}
+
+fn unreadable(name: &str, value: &str) -> SettingsError {
+    SettingsError::Unreadable {
+        name: name.to_string(),
+        value: value.to_string(),
     }
 }
 
-/// The settings without which nothing can be decided; a missing one ends the start.
-pub(crate) const FIGURES: &str = "me retry_after.allowed retry_after.max start_notes \
-    slow_start.from slow_start.duration overload.multiple overload.window";
+/// The unit to which the priority weights of the settings refer.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) enum WeightBasis {
+    /// Each unit of work of a class has the same weight.
+    #[default]
+    Work,
+    /// Each request of a class has the same weight, however much work it is.
+    Request,
+}
+
+impl WeightBasis {
+    const NAME: &str = "priority_weight.basis";
+
+    fn read(map: &Map) -> Result<Self, SettingsError> {
+        match pick_or(map, Self::NAME, "work".to_string())?.as_str() {
+            "work" => Ok(WeightBasis::Work),
+            "request" => Ok(WeightBasis::Request),
+            other => Err(unreadable(Self::NAME, other)),
+        }
+    }
+}
+
+/// Whether a request of a class may run more than once.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Idempotency {
+    /// Running it again is harmless.
+    Idempotent,
+    /// Running it again is harmless within its retry scope and retry window.
+    IdempotentWithKey,
+    /// It must not run twice.
+    NonIdempotent,
+}
+
+/// The workers among which the idempotency key of a request is known.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum RetryScope {
+    /// All workers.
+    All,
+    /// The workers of one zone.
+    Zone,
+    /// The workers of one group of the endpoint list.
+    Group,
+}
+
+/// The settings of one request class.
+#[derive(Clone, Debug)]
+pub(crate) struct ClassSettings {
+    pub(crate) idempotency: Idempotency,
+    pub(crate) retry_scope: RetryScope,
+    /// How long an idempotency key is known, in nanoseconds.
+    pub(crate) retry_window: u64,
+    /// The latency objective beside the stretch, in nanoseconds.
+    pub(crate) latency_objective: f64,
+    /// Service times that the latency objective is extended by.
+    pub(crate) objective_stretch: f64,
+    pub(crate) priority_weight: f64,
+    /// The worker type that requests of the class need; below 0 for any.
+    pub(crate) worker_type: i64,
+}
+
+impl ClassSettings {
+    fn read(map: &Map, class_index: usize) -> Result<Self, SettingsError> {
+        let name = |part: &str| format!("class.{class_index}.{part}");
+        let latency_objective = pick(map, &name("latency_objective"))?;
+        let idempotency = match pick::<String>(map, &name("idempotency"))?.as_str() {
+            "idempotent" => Idempotency::Idempotent,
+            "idempotent-with-key" => Idempotency::IdempotentWithKey,
+            "non-idempotent" => Idempotency::NonIdempotent,
+            other => return Err(unreadable(&name("idempotency"), other)),
+        };
+        let retry_scope = match pick::<String>(map, &name("retry_scope"))?.as_str() {
+            "all" => RetryScope::All,
+            "zone" => RetryScope::Zone,
+            _ => RetryScope::Group,
+        };
+        Ok(ClassSettings {
+            idempotency,
+            retry_scope,
+            retry_window: pick(map, &name("retry_window"))?,
+            latency_objective,
+            objective_stretch: pick_or(map, &name("objective_stretch"), 0.0)?,
+            priority_weight: pick(map, &name("priority_weight"))?,
+            worker_type: pick_or(map, &name("worker_type"), -1)?,
+        })
+    }
+
+    /// Whether workers of the type may run requests of the class.
+    pub(crate) fn accepts(&self, worker_type: u8) -> bool {
+        self.worker_type < 0 || i64::from(worker_type) == self.worker_type
+    }
+}
+
+/// The positions of the values in a load report that the decisions use.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct ReportFields {
+    pub(crate) free_slots: Option<usize>,
+    pub(crate) in_flight: Option<usize>,
+}
+
+impl ReportFields {
+    fn read(map: &Map) -> Result<Self, SettingsError> {
+        let fields: String = pick(map, "report.fields")?;
+        let position = |name: &str| fields.split(',').position(|field| field == name);
+        Ok(ReportFields {
+            free_slots: position("free-slots"),
+            in_flight: position("inflight"),
+        })
+    }
+}
+
+/// The settings of one dispatcher, beside those of its classes. Times are in nanoseconds.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Settings {
+    /// How many dispatchers there are, 1 at least.
+    pub(crate) dispatchers: f64,
+    /// The rank of this dispatcher, from 0.
+    pub(crate) rank: f64,
+    pub(crate) zone: u16,
+    pub(crate) max_attempts: usize,
+    /// The longest time that a rejected client may be asked to wait; 0 where none may be stated.
+    pub(crate) max_retry_after: f64,
+    /// Whether workers report that a request has started.
+    pub(crate) reports_starts: bool,
+    /// The part of its capacity that a worker has when it starts.
+    pub(crate) slow_start_initial: f64,
+    pub(crate) slow_start_duration: f64,
+    /// A worker fails when it gets more than this multiple of its capacity within the overload window.
+    pub(crate) overload_multiple: f64,
+    pub(crate) overload_window: f64,
+    /// Whether the endpoint list has to be asked for.
+    pub(crate) polls_endpoints: bool,
+    /// Whether dispatchers send each other their load.
+    pub(crate) exchanges_load: bool,
+    /// Whether workers start requests in the order of their arrival.
+    pub(crate) fifo_workers: bool,
+    /// Whether a grant issuer divides the warm-up budgets.
+    pub(crate) uses_warm_up_grants: bool,
+    pub(crate) report_fields: ReportFields,
+    pub(crate) weight_basis: WeightBasis,
+}
+
+impl Settings {
+    /// Reads and checks the settings of a dispatcher.
+    pub(crate) fn read(map: &Map) -> Result<Self, SettingsError> {
+        let settings = Settings {
+            rank: pick_quantity(map, "me")?,
+            max_retry_after: pick_quantity(map, "retry_after.allowed")?
+                * pick_quantity(map, "retry_after.max")?,
+            reports_starts: pick_quantity(map, "start_notes")? > 0.0,
+            slow_start_initial: pick_quantity(map, "slow_start.from")?,
+            slow_start_duration: pick_quantity(map, "slow_start.duration")?,
+            overload_multiple: pick_quantity(map, "overload.multiple")?,
+            overload_window: pick_quantity(map, "overload.window")?,
+            report_fields: ReportFields::read(map)?,
+            dispatchers: pick::<f64>(map, "dispatchers")?.max(1.0),
+            exchanges_load: pick_or(map, "peer_load.allowed", false)?,
+            uses_warm_up_grants: pick_or(map, "warm_up_grants", false)?,
+            max_attempts: pick(map, "attempts.max")?,
+            polls_endpoints: pick::<String>(map, "endpoints.mode")? == "polled",
+            fifo_workers: pick_or(map, "queue.order", "fifo".to_string())? == "fifo",
+            weight_basis: WeightBasis::read(map)?,
+            zone: pick_or(map, "zone", 0)?,
+        };
+        settings.check_rank()?;
+        Ok(settings)
+    }
+
+    /// Reads the settings of all classes.
+    pub(crate) fn read_classes(map: &Map) -> Result<Vec<ClassSettings>, SettingsError> {
+        let count: usize = pick(map, "class.count")?;
+        (0..count)
+            .map(|class_index| ClassSettings::read(map, class_index))
+            .collect()
+    }
+
+    fn check_rank(&self) -> Result<(), SettingsError> {
+        let fits = self.dispatchers <= 65_535.0 && self.rank < self.dispatchers;
+        if self.exchanges_load && !fits {
+            return Err(SettingsError::RankOutOfRange {
+                rank: self.rank,
+                dispatchers: self.dispatchers,
+            });
+        }
+        Ok(())
+    }
+}
--- a/src/state/class.rs
+++ b/src/state/class.rs
@@ -1,159 +1,122 @@
 //! What is known of one request class.
 use super::histogram::{BINS, Bins, FIRST_BIN_START, bin_index, bin_start};
-use super::request::Idempotency;
-use crate::settings::{Map, pick, pick_or};
+use super::running_mean::RunningMean;
+use crate::settings::{ClassSettings, WeightBasis};
 use crate::types::Nanos;
 
-/// By what the settings reckon the worth of requests.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum WeightBasis {
-    /// Each unit of work of a class is worth the same.
-    #[default]
-    Work,
-    /// Each request of a class is worth the same, however much work it is.
-    Request,
-}
-
-impl WeightBasis {
-    /// Reads the setting; without it, worth goes by work.
-    pub(crate) fn read(map: &Map) -> Result<Self, String> {
-        match pick_or(map, "priority_weight.basis", "work".to_string())?.as_str() {
-            "work" => Ok(WeightBasis::Work),
-            "request" => Ok(WeightBasis::Request),
-            other => Err(format!(
-                "setting priority_weight.basis cannot be read: {other:?}"
-            )),
-        }
-    }
-}
+/// The largest part of its clients' patience that a class is assumed to run for before any of its requests has
+/// completed. The rest is left for queues, so that the first request is sent.
+const MAX_UNKNOWN_SERVICE_SHARE: f64 = 0.25;
 
-/// A class of which none has run is taken to run for so much of the time that its clients wait, at most: three quarters are
-/// left for the queue, so that the first is sent.
-pub(crate) const MAX_UNKNOWN_SERVICE_SHARE: f64 = 0.25;
+/// A weight below which a class counts as one of this weight, so that weights can be divided by.
+const MIN_WEIGHT: f64 = 1e-9;
 
-pub struct RequestClass {
-    pub idempotency: Idempotency,
-    pub group: String,
-    pub window: Nanos,
-    pub latency_objective: f64,
-    pub objective_stretch: f64,
-    pub value: f64,
-    pub worker_type: i64,
-    pub high_priority: bool,
-    pub histogram: Bins,
-    pub seen: f64,
-    /// Whether its requests come with hints, and else how long those settled ran: the mean, and of how many. Until one has
-    /// settled the mean is the SLA time, as users want short jobs sooner than long ones. Guards against classes that all
-    /// look alike at a dispatcher that sees few of each: their short requests then queue behind long ones.
-    pub has_hints: bool,
-    pub service_times: (f64, f64),
-    /// All ready workers that may take it, and those of them that this dispatcher keeps to, in id order.
-    pub eligible_workers: Vec<usize>,
-    pub subset: Vec<usize>,
-    /// The work of this class at which each lane ends.
-    pub interval_bounds: Vec<f64>,
+/// One request class: its settings, its recent requests and the workers that serve it.
+pub(crate) struct RequestClass {
+    pub(crate) settings: ClassSettings,
+    /// Whether the class is above the median priority weight.
+    pub(crate) high_priority: bool,
+    /// Recent work by size.
+    pub(crate) histogram: Bins,
+    /// How many recent requests the histogram holds.
+    pub(crate) request_count: f64,
+    pub(crate) has_hints: bool,
+    /// Service times of completed requests without hints. Starts at the latency objective: classes that have not
+    /// been seen to run are told apart by what their clients expect, so that short requests do not queue behind
+    /// long ones.
+    pub(crate) service_times: RunningMean,
+    /// All ready workers that may run its requests, by id.
+    pub(crate) eligible_workers: Vec<usize>,
+    /// Those of them that this dispatcher uses, by id.
+    pub(crate) subset: Vec<usize>,
+    /// For each worker of the subset, the work of this class at which its interval ends.
+    pub(crate) interval_bounds: Vec<f64>,
 }
 
 impl RequestClass {
-    pub(crate) fn read(map: &Map, at: usize) -> Result<Self, String> {
-        let name = |part: &str| format!("class.{at}.{part}");
-        let latency_objective = pick::<f64>(map, &name("latency_objective"))?;
-        Ok(RequestClass {
-            idempotency: match pick::<String>(map, &name("idempotency"))?.as_str() {
-                "idempotent" => Idempotency::Idempotent,
-                "idempotent-with-key" => Idempotency::IdempotentWithKey,
-                "non-idempotent" => Idempotency::NonIdempotent,
-                other => {
-                    return Err(format!(
-                        "setting {} cannot be read: {other:?}",
-                        name("idempotency")
-                    ));
-                }
-            },
-            group: pick(map, &name("retry_scope"))?,
-            window: pick(map, &name("retry_window"))?,
-            latency_objective,
-            objective_stretch: pick_or(map, &name("objective_stretch"), 0.0)?,
-            value: pick(map, &name("priority_weight"))?,
-            worker_type: pick_or(map, &name("worker_type"), -1)?,
+    pub(crate) fn new(settings: ClassSettings) -> Self {
+        let initial_service_time = settings
+            .latency_objective
+            .max(FIRST_BIN_START)
+            .min(bin_start(BINS));
+        RequestClass {
+            settings,
             high_priority: false,
             histogram: [0.0; BINS],
-            seen: 0.0,
+            request_count: 0.0,
             has_hints: false,
-            service_times: (
-                latency_objective.max(FIRST_BIN_START).min(bin_start(BINS)),
-                0.0,
-            ),
+            service_times: RunningMean::starting_at(initial_service_time),
             eligible_workers: Vec::new(),
             subset: Vec::new(),
             interval_bounds: Vec::new(),
-        })
+        }
     }
 
-    pub(crate) fn add(&mut self, work: f64) {
+    /// Adds a request to the histogram.
+    pub(crate) fn record_request(&mut self, work: f64) {
         self.histogram[bin_index(work).min(BINS - 1)] += work;
-        self.seen += 1.0;
+        self.request_count += 1.0;
     }
 
-    pub(crate) fn age(&mut self, keep: f64) {
-        self.histogram.iter_mut().for_each(|work| *work *= keep);
-        self.seen *= keep;
+    /// Reduces the weight of all earlier requests to `factor` of what it is.
+    pub(crate) fn decay_histogram(&mut self, factor: f64) {
+        self.histogram.iter_mut().for_each(|work| *work *= factor);
+        self.request_count *= factor;
     }
 
-    /// How long a request is taken to run: as it hints, else as those like it did. Guards against users who give no hints, for
-    /// whom a figure out of the air has each worker look slow or fast by what it happened to run.
+    /// How long a request is expected to run: as its hint says, else as earlier requests of the class did.
     pub(crate) fn expected_service_time(
         &mut self,
         hint: Option<Nanos>,
         slots: f64,
-        waits: Nanos,
+        time_to_deadline: Nanos,
     ) -> f64 {
         self.has_hints |= hint.is_some();
-        let (ran, count) = self.service_times;
-        // Guards against requests declined until one has run, where the SLA time is near the time that clients wait.
-        let ran = if count > 0.0 {
-            ran
+        let observed = if self.service_times.samples > 0.0 {
+            self.service_times.mean
         } else {
-            ran.min(MAX_UNKNOWN_SERVICE_SHARE * waits as f64)
+            // The latency objective may be close to the deadline, which would leave no time for any queue.
+            self.service_times
+                .mean
+                .min(MAX_UNKNOWN_SERVICE_SHARE * time_to_deadline as f64)
         };
         let mean = if self.has_hints {
-            self.mean() / slots
+            self.mean_work() / slots
         } else {
-            ran
+            observed
         };
         hint.map_or(mean, |hint| hint as f64)
     }
 
-    /// One ran so long. The last few dozen without a hint tell: the mix moves in minutes.
+    /// Learns from a completed request, if it had no hint.
     pub(crate) fn observe_service_time(&mut self, hint: Option<Nanos>, service_time: f64) {
-        let (mean, count) = &mut self.service_times;
         if hint.is_none() {
-            *count = (*count + 1.0).min(50.0);
-            *mean += (service_time - *mean) / *count;
+            self.service_times.observe(service_time);
         }
     }
 
-    /// What a request is worth for each unit that the settings reckon by: per unit of work, a short one of the same value is
-    /// worth more, as it takes less of the capacity.
-    pub(crate) fn worth(&self, basis: WeightBasis) -> f64 {
-        let value = self.value.max(1e-9);
+    /// The priority weight for each unit of work. Where the settings state weights by request, a short request weighs
+    /// more than a long one, as it takes less of the capacity.
+    pub(crate) fn weight_per_work(&self, basis: WeightBasis) -> f64 {
+        let weight = self.settings.priority_weight.max(MIN_WEIGHT);
         match basis {
-            WeightBasis::Work => value,
-            WeightBasis::Request => value / self.mean().max(1.0),
+            WeightBasis::Work => weight,
+            WeightBasis::Request => weight / self.mean_work().max(1.0),
         }
     }
 
-    /// How long a request of mean work may wait and still be in time.
+    /// How long a request of mean work may wait and still meet its latency objective.
     pub(crate) fn mean_time_to_spare(&self) -> f64 {
-        (self.latency_objective + (self.objective_stretch - 1.0).max(0.0) * self.mean()).max(1.0)
+        let stretch = (self.settings.objective_stretch - 1.0).max(0.0);
+        (self.settings.latency_objective + stretch * self.mean_work()).max(1.0)
     }
 
-    /// The mean work of late.
-    pub(crate) fn mean(&self) -> f64 {
-        if self.seen > 0.0 {
-            self.histogram.iter().sum::<f64>() / self.seen
+    /// The mean work of recent requests.
+    pub(crate) fn mean_work(&self) -> f64 {
+        if self.request_count > 0.0 {
+            self.histogram.iter().sum::<f64>() / self.request_count
         } else {
-            self.service_times.0
+            self.service_times.mean
         }
     }
 }
--- a/src/state/failure_score.rs
+++ b/src/state/failure_score.rs
@@ -2,27 +2,38 @@
 use crate::time::decay;
 use crate::types::Nanos;
 
-/// Distrust, as of a moment.
+/// A failure score between 0 and 1, as of a moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FailureScore {
-    pub value: f64,
-    pub at: Nanos,
+pub(crate) struct FailureScore {
+    pub(crate) value: f64,
+    updated_at: Nanos,
 }
 
 impl FailureScore {
-    /// What is left of it now, if it halves in `half`.
-    pub(crate) fn now(&self, now: Nanos, half: f64) -> f64 {
-        // Mostly there is none; then nothing need be worked out.
+    /// The score now, if it halves in `half_life`.
+    pub(crate) fn now(&self, now: Nanos, half_life: f64) -> f64 {
+        // Most scores are 0: the decay need not be computed.
         if self.value > 0.0 {
-            decay(self.value, self.at, now, half)
+            decay(self.value, self.updated_at, now, half_life)
         } else {
             0.0
         }
     }
 
-    /// Moves it so far of the way to the most, or to none where `by` is below 0.
-    pub(crate) fn add(&mut self, now: Nanos, half: f64, by: f64) {
-        let d = self.now(now, half);
-        (self.value, self.at) = (d + by * if by > 0.0 { 1.0 - d } else { d }, now);
+    /// Raises the score by the part `weight` of its distance to 1.
+    pub(crate) fn raise(&mut self, now: Nanos, half_life: f64, weight: f64) {
+        let score = self.now(now, half_life);
+        self.set(now, score + weight * (1.0 - score));
+    }
+
+    /// Lowers the score by the part `weight` of itself.
+    pub(crate) fn lower(&mut self, now: Nanos, half_life: f64, weight: f64) {
+        let score = self.now(now, half_life);
+        self.set(now, score + -weight * score);
+    }
+
+    fn set(&mut self, now: Nanos, value: f64) {
+        self.value = value;
+        self.updated_at = now;
     }
 }
--- a/src/state/inter_arrival.rs
+++ b/src/state/inter_arrival.rs
@@ -1,51 +1,58 @@
-//! Statistics of the times between arrivals.
+//! The autocorrelation of the times between arrivals.
 use crate::time::SECOND;
 use crate::types::Nanos;
 
-/// The gaps between arrivals of one priority class, for their lag-one autocorrelation.
+#[cfg(test)]
+mod tests;
+
+/// The shortest time over which an estimate is made, and the fewest inter-arrival times that it needs.
+const MIN_MEASUREMENT: Nanos = 5_000_000_000;
+const MIN_INTERVALS: f64 = 100.0;
+
+/// Sums over the inter-arrival times of one priority class, for their lag-one autocorrelation.
 #[derive(Default)]
-pub struct InterArrivalTimes {
-    pub from: Nanos,
-    pub last: Option<Nanos>,
-    pub before: f64,
-    pub count: f64,
-    pub sum: f64,
-    pub squares: f64,
-    pub products: f64,
-    pub estimate: f64,
+pub(crate) struct InterArrivalTimes {
+    measured_from: Nanos,
+    last_arrival: Option<Nanos>,
+    previous: f64,
+    count: f64,
+    sum: f64,
+    sum_of_squares: f64,
+    sum_of_lag_one_products: f64,
+    /// The latest estimate of the autocorrelation.
+    pub(crate) autocorrelation: f64,
 }
 
 impl InterArrivalTimes {
-    pub(crate) fn arrival(&mut self, now: Nanos) {
-        if let Some(last) = self.last {
-            let gap = (now - last) as f64 / SECOND;
+    pub(crate) fn record_arrival(&mut self, now: Nanos) {
+        if let Some(last) = self.last_arrival {
+            let interval = (now - last) as f64 / SECOND;
             self.count += 1.0;
-            self.sum += gap;
-            self.squares += gap * gap;
-            self.products += gap * self.before;
-            self.before = gap;
+            self.sum += interval;
+            self.sum_of_squares += interval * interval;
+            self.sum_of_lag_one_products += interval * self.previous;
+            self.previous = interval;
         }
-        self.last = Some(now);
+        self.last_arrival = Some(now);
     }
 
-    /// The design page's figures: over 5 s, and the last estimate stays until 100 gaps exist.
-    pub(crate) fn measure(&mut self, now: Nanos) {
-        if now - self.from < 5_000_000_000 || self.count < 100.0 {
+    /// Makes a new estimate once there are enough arrivals for it; until then the last one stays.
+    pub(crate) fn update_estimate(&mut self, now: Nanos) {
+        if now - self.measured_from < MIN_MEASUREMENT || self.count < MIN_INTERVALS {
             return;
         }
         *self = InterArrivalTimes {
-            from: now,
-            last: self.last,
-            estimate: self.autocorrelation(),
+            measured_from: now,
+            last_arrival: self.last_arrival,
+            autocorrelation: self.lag_one_autocorrelation(),
             ..InterArrivalTimes::default()
         };
     }
 
-    /// The lag-one autocorrelation of the gaps counted.
-    pub(crate) fn autocorrelation(&self) -> f64 {
+    fn lag_one_autocorrelation(&self) -> f64 {
         let mean = self.sum / self.count;
-        let variance = self.squares / self.count - mean * mean;
-        let covariance = self.products / (self.count - 1.0) - mean * mean;
+        let variance = self.sum_of_squares / self.count - mean * mean;
+        let covariance = self.sum_of_lag_one_products / (self.count - 1.0) - mean * mean;
         if variance > 0.0 {
             covariance / variance
         } else {
@@ -53,6 +60,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/state/inter_arrival/tests.rs
+++ b/src/state/inter_arrival/tests.rs
@@ -15,8 +15,8 @@
         } else {
             90 * MS
         };
-        inter_arrival_times.arrival(now);
+        inter_arrival_times.record_arrival(now);
     }
-    inter_arrival_times.measure(now);
-    inter_arrival_times.estimate > 0.1
+    inter_arrival_times.update_estimate(now);
+    inter_arrival_times.autocorrelation > 0.1
 }
--- a/src/state/peer_load_estimate.rs
+++ b/src/state/peer_load_estimate.rs
@@ -1,25 +1,37 @@
-//! What another dispatcher reported of its load at a worker.
+//! The load of another dispatcher at a worker, between two of its reports.
 use crate::types::Nanos;
 
-/// What another dispatcher told that it has out at a worker, and when it did.
+/// An amount of load at a worker.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PeerLoadEstimate {
-    pub from: u16,
-    pub slots: f64,
-    pub work: f64,
-    /// The pace at which it runs that dispatcher's jobs, if known.
-    pub service_time_factor: Option<f64>,
-    pub at: Nanos,
+pub(crate) struct Load {
+    pub(crate) slots: f64,
+    /// Work, in nanoseconds of one slot.
+    pub(crate) work: f64,
+}
+
+/// What a dispatcher last reported of its load at a worker.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct PeerLoadEstimate {
+    /// The rank of the dispatcher.
+    pub(crate) from: u16,
+    pub(crate) load: Load,
+    /// The service-time factor of that dispatcher's requests, if known.
+    pub(crate) service_time_factor: Option<f64>,
+    pub(crate) reported_at: Nanos,
 }
 
 impl PeerLoadEstimate {
-    /// The seats and work that are still there by now, at a worker with so many seats.
-    pub(crate) fn remaining(&self, now: Nanos, slots: f64) -> (f64, f64) {
-        let done = now.saturating_sub(self.at) as f64 * self.slots.min(slots);
-        if self.work > done {
-            (self.slots, self.work - done)
+    /// The load that is left by now at a worker with so many slots.
+    pub(crate) fn remaining(&self, now: Nanos, worker_slots: f64) -> Load {
+        let Load { slots, work } = self.load;
+        let done = now.saturating_sub(self.reported_at) as f64 * slots.min(worker_slots);
+        if work > done {
+            Load {
+                slots,
+                work: work - done,
+            }
         } else {
-            (0.0, 0.0)
+            Load::default()
         }
     }
 }
