--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,116 +1,159 @@
 //! Active requests and their attempts.
+use crate::settings::Idempotency;
 use crate::types::{Nanos, Request};
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Idempotency {
-    Idempotent,
-    IdempotentWithKey,
-    NonIdempotent,
-}
+/// The largest number of attempts that is made for one request, whatever the settings allow.
+pub(crate) const MAX_ATTEMPTS: usize = 6;
+
+/// How much more a request without a hint counts at a warming worker, as it may run longer than most.
+const UNHINTED_WARM_UP_MULTIPLE: f64 = 2.0;
 
+/// The state of a request. The state table in `policy::lifecycle` says how it changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestState {
-    /// Nothing out, and nothing that forbids a decline.
+pub(crate) enum RequestState {
+    /// No attempt is in flight, and none may have run.
     Pending,
-    /// One attempt out; all before it are harmless.
+    /// One attempt is in flight; none before it may have run, or running again is harmless.
     InFlight,
-    /// Nothing out; an earlier attempt may have run.
+    /// No attempt is in flight; an earlier one may have run.
     PendingMayHaveRun,
-    /// One attempt out; an earlier one may have run.
+    /// One attempt is in flight; an earlier one may have run.
     RetryInFlight,
-    /// The final answer is given; attempts may still be out.
+    /// The final answer is given; attempts may still be in flight.
     Completed,
 }
 
+/// What happens to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestInput {
+pub(crate) enum RequestInput {
+    /// An attempt was sent.
     AttemptSent,
+    /// An attempt succeeded.
     Succeeded,
+    /// An attempt ended and did not run.
     NotRun,
+    /// An attempt ended and may have run.
     MayHaveRun,
+    /// No further attempt is made.
     GivenUp,
+    /// The client has disconnected, or its answer has begun.
     ClientGone,
 }
 
+/// What follows from an input.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestStep {
+pub(crate) enum RequestStep {
+    /// Nothing.
     Nothing,
+    /// The request is dispatched again.
     Forward,
+    /// The client is told that nothing ran.
     Reject,
+    /// The client is told that the request failed.
     Fail,
 }
 
+/// One attempt of a request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Attempt {
-    pub worker: usize,
-    pub sent_at: Nanos,
-    /// The wait that this dispatcher's earlier attempts were to cause.
-    pub expected_wait: f64,
-    pub started_at: Option<Nanos>,
-    pub in_flight: bool,
+pub(crate) struct Attempt {
+    /// The index of its worker.
+    pub(crate) worker: usize,
+    pub(crate) sent_at: Nanos,
+    /// The wait that this dispatcher's earlier attempts were expected to cause.
+    pub(crate) expected_wait: f64,
+    pub(crate) started_at: Option<Nanos>,
+    pub(crate) in_flight: bool,
 }
 
 impl Attempt {
-    /// How much longer it has waited, for a start now, than this dispatcher's own work explains.
-    pub(crate) fn delay(&self, now: Nanos) -> f64 {
+    /// How much longer it has waited by now than this dispatcher's own work explains.
+    pub(crate) fn unexplained_delay(&self, now: Nanos) -> f64 {
         ((now - self.sent_at) as f64 - self.expected_wait).max(0.0)
     }
 }
 
-/// Attempts kept for one request; where more are allowed, no more than these are made.
-pub const MAX_ATTEMPTS: usize = 6;
+/// The attempt after which it is uncertain whether the request has run.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct UncertainAttempt {
+    /// The index of its worker.
+    pub(crate) worker: usize,
+    pub(crate) sent_at: Nanos,
+}
+
+/// What a request is expected to take of a worker.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RequestDemand {
+    /// Service time multiplied by slots.
+    pub(crate) work: f64,
+    pub(crate) service_time: f64,
+    /// Concurrency slots, or units of memory if these are more.
+    pub(crate) slots_required: f64,
+}
 
+/// A request that is not completed, or has attempts in flight.
 #[derive(Debug)]
-pub struct ActiveRequest {
-    pub request: Request,
-    pub idempotency: Idempotency,
-    pub state: RequestState,
-    /// Hint times slots, and what counts for a cold worker: of one without a hint twice as much. Guards against a cold
-    /// worker pushed over by those that run longer than most; half as many go there meanwhile.
-    pub work: f64,
-    pub warm_up_work: f64,
-    /// The hint, and the seats the job takes.
-    pub service_time: f64,
-    pub slots_required: f64,
-    pub objective_deadline: Nanos,
-    pub attempts: [Attempt; MAX_ATTEMPTS],
-    pub attempts_sent: usize,
-    /// The first attempt that may have run: its worker and when it was sent.
-    pub first_uncertain_attempt: Option<(usize, Nanos)>,
-    /// Whether it has waited for a right.
-    pub grant_requested: bool,
+pub(crate) struct ActiveRequest {
+    pub(crate) request: Request,
+    pub(crate) idempotency: Idempotency,
+    pub(crate) state: RequestState,
+    pub(crate) demand: RequestDemand,
+    /// The work that counts against the allowance of a warming worker.
+    pub(crate) warm_up_work: f64,
+    /// The moment until which a completion meets the latency objective; the deadline at the latest.
+    pub(crate) objective_deadline: Nanos,
+    attempts: [Attempt; MAX_ATTEMPTS],
+    pub(crate) attempts_sent: usize,
+    pub(crate) first_uncertain_attempt: Option<UncertainAttempt>,
+    /// Whether a warm-up grant was requested for it.
+    pub(crate) grant_requested: bool,
 }
 
 impl ActiveRequest {
     pub(crate) fn new(
         request: Request,
         idempotency: Idempotency,
-        work: f64,
-        service_time: f64,
-        slots_required: f64,
+        demand: RequestDemand,
         objective_deadline: Nanos,
     ) -> Self {
-        let attempts = [Attempt::default(); MAX_ATTEMPTS];
-        let warm_up_work = work * if request.hint.is_some() { 1.0 } else { 2.0 };
+        let warm_up_multiple = if request.hint.is_some() {
+            1.0
+        } else {
+            UNHINTED_WARM_UP_MULTIPLE
+        };
         ActiveRequest {
             request,
             idempotency,
             state: RequestState::Pending,
-            work,
-            warm_up_work,
-            service_time,
-            slots_required,
+            demand,
+            warm_up_work: demand.work * warm_up_multiple,
             objective_deadline,
-            attempts,
+            attempts: [Attempt::default(); MAX_ATTEMPTS],
             attempts_sent: 0,
             first_uncertain_attempt: None,
             grant_requested: false,
         }
     }
 
-    /// The time to spare before it is due, from a moment on, at a worker of such a pace.
+    /// The attempts sent so far.
+    pub(crate) fn attempts(&self) -> &[Attempt] {
+        &self.attempts[..self.attempts_sent]
+    }
+
+    /// The attempts sent so far.
+    pub(crate) fn attempts_mut(&mut self) -> &mut [Attempt] {
+        &mut self.attempts[..self.attempts_sent]
+    }
+
+    /// Adds an attempt. There must be fewer than [`MAX_ATTEMPTS`].
+    pub(crate) fn push_attempt(&mut self, attempt: Attempt) {
+        self.attempts[self.attempts_sent] = attempt;
+        self.attempts_sent += 1;
+    }
+
+    /// How long it may wait from a moment on and still meet its latency objective, at a worker of this service-time
+    /// factor. Negative where it cannot.
     pub(crate) fn time_to_spare(&self, from: Nanos, service_time_factor: f64) -> f64 {
         self.objective_deadline.saturating_sub(from) as f64
-            - self.service_time * service_time_factor
+            - self.demand.service_time * service_time_factor
     }
 }
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,14 +1,21 @@
 //! The tokens of the timers that the decisions set.
 use crate::types::{Nanos, RequestId};
 
-/// The timers of the beat, each second, and of the next call for the list; others carry a request's id and attempt.
+/// The timer of the periodic tick.
 pub(crate) const TICK_TIMER: u64 = u64::MAX;
 
+/// The timer of the next poll of the endpoint list.
 pub(crate) const POLL_TIMER: u64 = u64::MAX - 1;
 
+/// The time between two ticks.
 pub(crate) const TICK_INTERVAL: Nanos = 1_000_000_000;
 
-/// The timer of one attempt of a request.
-pub(crate) fn token(request_id: RequestId, attempt_index: usize) -> u64 {
+/// The timer of one attempt of a request, or of the request while it waits for that attempt.
+pub(crate) fn attempt_timer(request_id: RequestId, attempt_index: usize) -> u64 {
     u64::from(request_id) | (attempt_index as u64) << 32
 }
+
+/// The request and the attempt index that an attempt's timer stands for.
+pub(crate) fn attempt_of(token: u64) -> (RequestId, usize) {
+    (token as RequestId, (token >> 32) as usize)
+}
--- a/src/types.rs
+++ b/src/types.rs
@@ -89,30 +89,65 @@
     pub report: Report,
 }
 
-/// What one dispatcher has out at one worker: the seats and the work, as told to the others.
+/// The load of one dispatcher at one worker, as it is reported to others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerLoad {
+    /// The worker.
     pub worker: WorkerId,
-    /// In halves of a seat.
+    /// The concurrency slots in use, in halves of a slot.
     pub half_slots: u8,
-    /// In units of 16 ms.
+    /// The work left, in units of [`PeerLoad::WORK_UNIT`].
     pub work: u16,
-    /// How it runs the teller's own jobs: `Share::UNKNOWN`, `Share::SILENT`, else its pace in 32nds of an
-    /// octave around 128.
+    /// How the worker runs the sender's own requests: [`PeerLoad::SPEED_UNKNOWN`], [`PeerLoad::SPEED_SILENT`], else the
+    /// service-time factor in 32nds of an octave around 128.
     pub speed_code: u8,
 }
 
 impl PeerLoad {
+    /// Nothing is known of the worker's speed.
     pub const SPEED_UNKNOWN: u8 = 0;
+    /// The worker does not respond.
     pub const SPEED_SILENT: u8 = 1;
+    /// The unit of `work`, in nanoseconds of one slot.
+    pub const WORK_UNIT: f64 = 16e6;
+
+    const SPEED_CODE_OF_ONE: f64 = 128.0;
+    const SPEED_CODES_PER_OCTAVE: f64 = 32.0;
+
+    /// A report of slots and of work in nanoseconds, rounded to what it can carry.
+    pub fn new(worker: WorkerId, slots: f64, work: f64, speed_code: u8) -> Self {
+        PeerLoad {
+            worker,
+            half_slots: (2.0 * slots).ceil() as u8,
+            work: (work / PeerLoad::WORK_UNIT) as u16,
+            speed_code,
+        }
+    }
+
+    /// The code of a service-time factor.
+    pub fn encode_speed(service_time_factor: f64) -> u8 {
+        (PeerLoad::SPEED_CODE_OF_ONE
+            + PeerLoad::SPEED_CODES_PER_OCTAVE * service_time_factor.log2())
+        .clamp(2.0, 255.0) as u8
+    }
+
+    /// The service-time factor, if it is known.
+    pub fn service_time_factor(&self) -> Option<f64> {
+        (self.speed_code > PeerLoad::SPEED_SILENT).then(|| {
+            ((f64::from(self.speed_code) - PeerLoad::SPEED_CODE_OF_ONE)
+                / PeerLoad::SPEED_CODES_PER_OCTAVE)
+                .exp2()
+        })
+    }
 
-    pub fn encode_speed(pace: f64) -> u8 {
-        (128.0 + 32.0 * pace.log2()).clamp(2.0, 255.0) as u8
+    /// The concurrency slots in use.
+    pub fn slots(&self) -> f64 {
+        f64::from(self.half_slots) / 2.0
     }
 
-    pub fn pace(&self) -> Option<f64> {
-        (self.speed_code > PeerLoad::SPEED_SILENT)
-            .then(|| ((f64::from(self.speed_code) - 128.0) / 32.0).exp2())
+    /// The work left, in nanoseconds of one slot.
+    pub fn work(&self) -> f64 {
+        f64::from(self.work) * PeerLoad::WORK_UNIT
     }
 }
 
