--- a/crates/engine/src/config/error.rs
+++ b/crates/engine/src/config/error.rs
@@ -1,4 +1,5 @@
 //! Why a configuration cannot be used.
+use rosewall::SettingsError;
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 use thiserror::Error;
@@ -18,8 +19,8 @@
         source: ParseIntError,
     },
     /// A setting is missing, cannot be read or is out of range; the text names it and its value.
-    #[error("{0}")]
-    Setting(String),
+    #[error(transparent)]
+    Setting(#[from] SettingsError),
     /// The way in which endpoint lists come is not known.
     #[error("setting endpoints.mode cannot be read: {value:?}, expected \"pushed\" or \"polled\"")]
     EndpointsMode {
@@ -43,9 +44,3 @@
         rank: usize,
     },
 }
-
-impl From<String> for ConfigError {
-    fn from(message: String) -> Self {
-        ConfigError::Setting(message)
-    }
-}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,4 +10,4 @@
 pub mod types;
 mod zones;
 
-pub use settings::{Map, pick};
+pub use settings::{Map, SettingsError, pick};
