--- a/crates/cluster-testbed/src/scale/dispatchers.rs
+++ b/crates/cluster-testbed/src/scale/dispatchers.rs
@@ -39,7 +39,8 @@
             Sockets::new(self.ex.clone()),
             given,
             SocketListener(listener),
-        )?;
+        )
+        .map_err(|error| error.to_string())?;
         self.nodes.borrow_mut()[at] = Some(node);
         Ok(())
     }
--- a/crates/protocol/src/client/answer.rs
+++ b/crates/protocol/src/client/answer.rs
@@ -1,5 +1,5 @@
 //! Encoding the answers to clients.
-use crate::wire::{body, header, value};
+use crate::wire::{body, header, reason, value};
 use rosewall::types::Nanos;
 
 /// The final answer to a request.
@@ -54,6 +54,25 @@
     bytes
 }
 
+/// The response to a readiness check.
+pub fn encode_readiness(ready: bool, keep_alive: bool) -> Vec<u8> {
+    if ready {
+        encode_response(200, "", body::READY, keep_alive)
+    } else {
+        encode_response(503, "", body::NOT_READY, keep_alive)
+    }
+}
+
+/// The response to an invalid request. The connection ends after it.
+pub fn encode_refusal(status: u16, reason: &str) -> Vec<u8> {
+    encode_response(status, "", format!("{reason}\n").as_bytes(), false)
+}
+
+/// The response to a request that did not arrive whole in time. The connection ends after it.
+pub fn encode_incomplete_request() -> Vec<u8> {
+    encode_refusal(408, reason::REQUEST_INCOMPLETE)
+}
+
 /// The response that carries an answer.
 pub fn encode_answer(answer: &Answer, keep_alive: bool) -> Vec<u8> {
     match answer {
--- a/crates/protocol/src/client/mod.rs
+++ b/crates/protocol/src/client/mod.rs
@@ -3,9 +3,13 @@
 mod request_head;
 mod request_reader;
 
-pub use answer::{Answer, CONTINUE_RESPONSE, encode_answer, encode_response};
+pub use answer::{
+    Answer, CONTINUE_RESPONSE, encode_answer, encode_incomplete_request, encode_readiness,
+    encode_refusal, encode_response,
+};
 pub use request_reader::RequestReader;
 
+use crate::wire::reason;
 use rosewall::types::Nanos;
 
 /// A request as it came over HTTP.
@@ -55,3 +59,16 @@
         reason: &'static str,
     },
 }
+
+impl ClientEvent {
+    /// The client has sent more requests ahead of their turn than are stored.
+    pub const SENT_TOO_FAR_AHEAD: ClientEvent = ClientEvent::Invalid {
+        status: 503,
+        reason: reason::SENT_TOO_FAR_AHEAD,
+    };
+    /// The memory for requests of clients is used up.
+    pub const OUT_OF_MEMORY: ClientEvent = ClientEvent::Invalid {
+        status: 503,
+        reason: reason::OUT_OF_MEMORY,
+    };
+}
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -48,6 +48,8 @@
     pub const REJECTED: &[u8] = b"declined\n";
     pub const FAILED: &[u8] = b"reversed\n";
     pub const DUPLICATE_ID: &[u8] = b"the Request-Id is not new\n";
+    pub const READY: &[u8] = b"ready\n";
+    pub const NOT_READY: &[u8] = b"not ready\n";
 }
 
 /// The `state` of a line in a worker's answer.
@@ -67,7 +69,7 @@
     pub const REMOVED: &str = "gone";
 }
 
-/// Why a message is malformed; the client side sends them as bodies.
+/// Why a request is refused or a message malformed; the client side sends them as bodies.
 pub(crate) mod reason {
     pub const BODY_TOO_LARGE: &str = "the body is too large";
     pub const CHUNK_SIZE: &str = "a chunk without a size";
@@ -89,6 +91,9 @@
     pub const INFO_WITHOUT_VALUE: &str = "a figure without a value";
     pub const LENGTH_NOT_A_NUMBER: &str = "a length that is no number";
     pub const METHOD_NOT_ALLOWED: &str = "all jobs come by POST";
+    pub const OUT_OF_MEMORY: &str = "no memory is left for the request";
+    pub const REQUEST_INCOMPLETE: &str = "the request did not come whole";
+    pub const SENT_TOO_FAR_AHEAD: &str = "more came ahead than there is room for";
     pub const TENANT_MISSING: &str = "no Tenant";
     pub const TENANT_UNKNOWN: &str = "an unknown Tenant";
     pub const TIMEOUT_MISSING: &str = "no Request-Timeout";
--- a/crates/rosewalld/src/life/start.rs
+++ b/crates/rosewalld/src/life/start.rs
@@ -59,7 +59,8 @@
         .get_ref()
         .local_addr()
         .map_err(|error| error.to_string())?;
-    let mut node = Node::start(Sockets::new(ex), config, SocketListener(listener))?;
+    let mut node = Node::start(Sockets::new(ex), config, SocketListener(listener))
+        .map_err(|error| error.to_string())?;
     log::info!("listening on {listening}");
     let context: Rc<Context<Sockets>> = node.context.clone();
     loop {
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Drives what this dispatcher is to the others: datagrams in and out, and what is due.
+//! The task of the cluster's state machine: it sends and receives its datagrams and wakes it at its time-outs.
 use crate::traits::{DatagramSocket, Runtime};
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
@@ -11,129 +11,111 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Datagrams a second that are heard: several times what a thousand members send to one that gives rights.
-const A_SECOND: u64 = 20_000;
+/// Datagrams received a second; what is beyond is dropped and counted. Several times what a thousand members send to one
+/// that issues warm-up grants.
+const MAX_DATAGRAMS_PER_SECOND: u64 = 20_000;
 
-/// What the decisions are to hear.
-pub enum Heard {
+/// What the cluster reports to the engine.
+pub enum ClusterEvent {
+    /// This dispatcher's position among those that run, if it is known.
     FleetView(Option<FleetPosition>),
+    /// Work may be sent to a worker that is warming up.
     WarmUpGranted {
+        /// The worker.
         worker: WorkerId,
+        /// How much work.
         work: Nanos,
+        /// Until when.
         until: Nanos,
     },
+    /// Another dispatcher reports its load on a worker.
     PeerLoad {
+        /// The rank of the dispatcher.
         from: u16,
+        /// The report.
         load: PeerLoad,
     },
 }
 
-pub struct ClusterDriver<M> {
-    socket: M,
+/// The state machine, its socket, and where its events go.
+pub struct ClusterDriver<S> {
+    socket: S,
     cluster: RefCell<Cluster>,
     counters: Rc<Counters>,
-    heard: Box<dyn Fn(Heard)>,
-    /// Wakes the one that waits for what is due, where that is sooner than it was.
-    sooner: (Sender<()>, Receiver<()>),
-    waits: Cell<Nanos>,
+    on_event: Box<dyn Fn(ClusterEvent)>,
+    /// Wakes the task where a time-out is sooner than the one it sleeps to.
+    wake: Sender<()>,
+    woken: Receiver<()>,
+    /// The time-out that the task sleeps to.
+    sleeps_until: Cell<Nanos>,
 }
 
-impl<M: DatagramSocket> ClusterDriver<M> {
+impl<S: DatagramSocket> ClusterDriver<S> {
+    /// A driver of a state machine over a socket.
     pub fn new(
-        socket: M,
+        socket: S,
         cluster: Cluster,
         counters: Rc<Counters>,
-        heard: impl Fn(Heard) + 'static,
+        on_event: impl Fn(ClusterEvent) + 'static,
     ) -> Self {
-        let sooner = async_channel::bounded(1);
-        let (cluster, waits) = (RefCell::new(cluster), Cell::new(0));
+        let (wake, woken) = async_channel::bounded(1);
         ClusterDriver {
             socket,
-            cluster,
+            cluster: RefCell::new(cluster),
             counters,
-            heard: Box::new(heard),
-            sooner,
-            waits,
-        }
-    }
-
-    /// Lets the machine act and carries out what it says.
-    fn act(&self, act: impl FnOnce(&mut Cluster, &mut Vec<Effect>)) {
-        let mut effects = Vec::new();
-        act(&mut self.cluster.borrow_mut(), &mut effects);
-        for effect in effects {
-            match effect {
-                Effect::Send { to, bytes } => match self.socket.send(&bytes, to) {
-                    Ok(()) => self.counters.member_datagrams_sent.add(),
-                    Err(_) => self.counters.member_datagrams_lost.add(),
-                },
-                Effect::FleetView(place) => (self.heard)(Heard::FleetView(place)),
-                Effect::WarmUpGranted {
-                    worker,
-                    work,
-                    until,
-                } => {
-                    self.counters.warm_up_grants_received.add();
-                    (self.heard)(Heard::WarmUpGranted {
-                        worker,
-                        work,
-                        until,
-                    });
-                }
-                Effect::PeerLoad { from, load } => {
-                    self.counters.peer_loads_received.add();
-                    (self.heard)(Heard::PeerLoad { from, load });
-                }
-                Effect::Log(LogLine::Info(text)) => log::info!("{text}"),
-                Effect::Log(LogLine::Error(text)) => log::error!("{text}"),
-            }
-        }
-        if self.cluster.borrow().next_timeout() < self.waits.get() {
-            let _ = self.sooner.0.try_send(());
+            on_event: Box::new(on_event),
+            wake,
+            woken,
+            sleeps_until: Cell::new(0),
         }
     }
 
+    /// Sends a load report to the dispatcher with a rank.
     pub fn send_load(&self, now: Nanos, to: u16, load: PeerLoad) {
         self.counters.peer_loads_sent.add();
-        self.act(|cluster, _| cluster.send_load(now, to, load));
+        self.with_cluster(|cluster, _| cluster.send_load(now, to, load));
     }
 
+    /// Requests a grant to send work to a worker that is warming up.
     pub fn request_grant(&self, now: Nanos, worker: WorkerId, work: Nanos) {
         self.counters.warm_up_grants_requested.add();
-        self.act(|cluster, effects| cluster.request_grant(now, worker, work, effects));
+        self.with_cluster(|cluster, effects| cluster.request_grant(now, worker, work, effects));
     }
 
+    /// Sets how much work all dispatchers together may send to a warming worker in a window.
     pub fn set_warm_up_budget(&self, worker: WorkerId, work: Nanos, window: Nanos) {
-        log::debug!("joint worker={worker} work={work} window={window}");
-        self.act(|cluster, _| cluster.set_warm_up_budget(worker, work, window));
+        log::debug!("warm-up budget: worker={worker} work={work} window={window}");
+        self.with_cluster(|cluster, _| cluster.set_warm_up_budget(worker, work, window));
     }
 
+    /// Leaves the cluster.
     pub fn leave(&self) {
-        self.act(|cluster, effects| cluster.leave(effects));
+        self.with_cluster(|cluster, effects| cluster.leave(effects));
     }
 
-    /// Hears and does what is due, for ever.
+    /// Receives datagrams and handles time-outs, for ever.
     pub async fn run<R: Runtime>(&self, runtime: &R) {
-        // Room for one byte more than is allowed, so that one too long is seen to be.
-        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; MAX_DATAGRAM_BYTES + 1]);
+        let mut receive_limit = RateLimiter::new(MAX_DATAGRAMS_PER_SECOND);
+        // One byte more than a datagram may have, so that a longer one is recognised.
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let next = self.cluster.borrow().next_timeout();
-            self.waits.set(next);
-            let came = async { Some(self.socket.receive(&mut bytes).await) };
-            let due = async {
-                runtime.sleep_until(next).await;
+            let next_timeout = self.cluster.borrow().next_timeout();
+            self.sleeps_until.set(next_timeout);
+            let received = async { Some(self.socket.receive(&mut bytes).await) };
+            let timed_out = async {
+                runtime.sleep_until(next_timeout).await;
                 None
             };
-            let sooner = async {
-                let _ = self.sooner.1.recv().await;
+            let woken = async {
+                let _ = self.woken.recv().await;
                 None
             };
-            let came = came.or(due).or(sooner).await;
+            let received = received.or(timed_out).or(woken).await;
             let now = runtime.now();
-            if let Some(Ok((length, from))) = came {
-                if rate_limit.try_acquire(now) {
+            if let Some(Ok((length, from))) = received {
+                if receive_limit.try_acquire(now) {
                     self.counters.member_datagrams_received.add();
-                    self.act(|cluster, effects| {
+                    self.with_cluster(|cluster, effects| {
                         cluster.handle_datagram(now, from, &bytes[..length], effects)
                     });
                 } else {
@@ -141,27 +123,68 @@
                 }
             }
             if self.cluster.borrow().next_timeout() <= now {
-                self.act(|cluster, effects| cluster.handle_timeout(now, effects));
+                self.with_cluster(|cluster, effects| cluster.handle_timeout(now, effects));
             }
-            // Guards against a flood of them that leaves no one else a turn.
+            // A flood of datagrams must not keep the executor from the other tasks.
             yield_now().await;
         }
     }
+
+    /// Calls the state machine and carries out its effects.
+    fn with_cluster(&self, call: impl FnOnce(&mut Cluster, &mut Vec<Effect>)) {
+        let mut effects = Vec::new();
+        call(&mut self.cluster.borrow_mut(), &mut effects);
+        for effect in effects {
+            self.carry_out(effect);
+        }
+        if self.cluster.borrow().next_timeout() < self.sleeps_until.get() {
+            let _ = self.wake.try_send(());
+        }
+    }
+
+    fn carry_out(&self, effect: Effect) {
+        match effect {
+            Effect::Send { to, bytes } => match self.socket.send(&bytes, to) {
+                Ok(()) => self.counters.member_datagrams_sent.add(),
+                Err(_) => self.counters.member_datagrams_lost.add(),
+            },
+            Effect::FleetView(position) => (self.on_event)(ClusterEvent::FleetView(position)),
+            Effect::WarmUpGranted {
+                worker,
+                work,
+                until,
+            } => {
+                self.counters.warm_up_grants_received.add();
+                (self.on_event)(ClusterEvent::WarmUpGranted {
+                    worker,
+                    work,
+                    until,
+                });
+            }
+            Effect::PeerLoad { from, load } => {
+                self.counters.peer_loads_received.add();
+                (self.on_event)(ClusterEvent::PeerLoad { from, load });
+            }
+            Effect::Log(LogLine::Info(text)) => log::info!("{text}"),
+            Effect::Log(LogLine::Error(text)) => log::error!("{text}"),
+        }
+    }
 }
 
-/// For the log, beside the counters.
-impl<M> std::fmt::Display for ClusterDriver<M> {
+/// One line for the log; `docs/cluster.md` explains its fields.
+impl<S> std::fmt::Display for ClusterDriver<S> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let cluster = self.cluster.borrow();
-        let (members, counts) = (cluster.membership(), cluster.counts);
+        let membership = cluster.membership();
+        let counts = cluster.counts;
         let (rank, count) = cluster
             .view()
             .map_or((0, 0), |view| (view.rank, view.dispatchers));
         write!(
             f,
             "members: rank={rank} count={count} digest={:08x} incarnation={}",
-            members.digest(),
-            members.me.incarnation
+            membership.digest(),
+            membership.me.incarnation
         )?;
         write!(
             f,
@@ -176,16 +199,16 @@
         write!(
             f,
             " suspected={} refuted={}",
-            members.counts.suspected, members.counts.refuted
+            membership.counts.suspected, membership.counts.refuted
         )?;
         write!(
             f,
-            " rights_given={} rights_short={}",
+            " grants_issued={} grants_refused={}",
             cluster.grant_issuer.issued, cluster.grant_issuer.refused
         )?;
         write!(
             f,
-            " rights_late={} words_bounded={}",
+            " grants_expired={} silence_reports_ignored={}",
             cluster.grant_holder.expired, cluster.load_receiver.ignored_silence
         )
     }
--- /dev/null
+++ b/crates/runtime/src/discovery/watch.rs
@@ -0,0 +1,82 @@
+//! One watch on the list: a snapshot, or the changes since a version that is known, and then change after change.
+use super::exchange::{ListAnswer, exchange, first_answer};
+use super::follow::Follower;
+use crate::event::EngineEvent;
+use crate::traits::Runtime;
+use rosewall_protocol::discovery::{
+    EndpointListError, Watch, decode_endpoint_list, encode_list_request,
+};
+use std::io;
+use std::time::Duration;
+
+/// Why a watch ended.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum WatchError {
+    #[error("no answer: {0}")]
+    NoAnswer(#[source] io::Error),
+    #[error("malformed list: {0}")]
+    Malformed(#[source] EndpointListError),
+}
+
+impl WatchError {
+    /// Whether the service only fell silent.
+    pub(super) fn is_silence(&self) -> bool {
+        matches!(self, WatchError::NoAnswer(error) if error.kind() == io::ErrorKind::TimedOut)
+    }
+}
+
+impl<R: Runtime> Follower<'_, R> {
+    /// Watches the list until that fails.
+    pub(super) async fn watch(&mut self) -> WatchError {
+        self.has_list = false;
+        let mut connection = None;
+        loop {
+            let answer = match self.request_list(connection.take()).await {
+                Ok(answer) => answer,
+                Err(error) => return WatchError::NoAnswer(error),
+            };
+            let list = match decode_endpoint_list(&answer.body, &self.context.names) {
+                Ok(list) => list,
+                Err(error) => {
+                    // The next watch starts with a snapshot.
+                    self.context.counters.lists_malformed.add();
+                    self.version = None;
+                    return WatchError::Malformed(error);
+                }
+            };
+            // A service that has lost its count is asked for a snapshot.
+            let lost_count =
+                self.version.is_some_and(|known| list.version < known) && !list.is_snapshot;
+            self.has_list = true;
+            self.version = (!lost_count).then_some(list.version);
+            self.context.counters.lists.add();
+            self.context.report(EngineEvent::EndpointList(list));
+            let _ = self.on_list.try_send(());
+            connection = answer.reusable.then_some(answer.stream);
+        }
+    }
+
+    async fn request_list(
+        &self,
+        connection: Option<R::Stream>,
+    ) -> io::Result<ListAnswer<R::Stream>> {
+        let runtime = &self.context.runtime;
+        let watch = self.version.map(|version| Watch {
+            version,
+            wait_ms: self.timing.wait_ms,
+        });
+        let request = encode_list_request(&self.address.to_string(), watch);
+        let begin_timeout = watch.map_or(self.timing.snapshot_timeout, |watch| {
+            Duration::from_millis(watch.wait_ms) + self.timing.answer_delay
+        });
+        let call = |connection: Option<R::Stream>| {
+            exchange(runtime, self.address, connection, &request, begin_timeout)
+        };
+        match connection {
+            None if watch.is_none() => {
+                first_answer(runtime, self.timing.snapshot_retry, || call(None)).await
+            }
+            connection => call(connection).await,
+        }
+    }
+}
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -1,99 +1,119 @@
-//! Drives the hub: hands it what came in and what is due, and carries out what it says.
-use crate::context::{Context, EngineEvent};
+//! The task that owns the engine: it passes events and timers to it and carries out its effects.
+use crate::context::Context;
+use crate::event::EngineEvent;
 use crate::traits::Runtime;
-use crate::worker;
+use crate::worker::{AttemptConnection, check_health, send_attempt};
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use futures_lite::FutureExt;
-use rosewall::types::RequestId;
-use rosewall_engine::engine::{Effect, Engine, Input};
+use rosewall::types::{PeerLoad, RequestId};
+use rosewall_engine::engine::{Effect, Engine, Input, OutboundAttempt};
 use rosewall_protocol::client::Answer;
 use rosewall_protocol::discovery::EndpointList;
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A attempt that is out; dropping it closes its connection.
-struct Out {
+/// Identifies an attempt.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct AttemptKey {
+    request_id: RequestId,
+    attempt_index: u8,
+}
+
+/// An attempt that is under way; dropping it closes its connection.
+struct RunningAttempt {
     task: Task<()>,
-    /// Whether it was called off.
-    off: Rc<Cell<bool>>,
+    /// Set where it is not to be sent any more.
+    cancelled: Rc<Cell<bool>>,
 }
 
+/// The engine and what its effects act on.
 pub struct EngineDriver<R: Runtime> {
-    pub context: Rc<Context<R>>,
-    pub events: Receiver<EngineEvent<R>>,
-    pub engine: Engine,
-    /// Where leave is given to follow the list.
-    pub leave: Option<Sender<()>>,
-    /// Where the answer goes, for each request that is owed one.
+    context: Rc<Context<R>>,
+    events: Receiver<EngineEvent<R>>,
+    engine: Engine,
+    /// Permits each watch on a polled endpoint list.
+    watch_permits: Option<Sender<()>>,
+    /// Where the answer goes, for each request without one.
     replies: FxHashMap<RequestId, Sender<Answer>>,
-    out: FxHashMap<(RequestId, u8), Out>,
+    attempts: FxHashMap<AttemptKey, RunningAttempt>,
+    /// Reused between calls.
     effects: Vec<Effect>,
 }
 
 impl<R: Runtime> EngineDriver<R> {
+    /// A driver of an engine; `watch_permits` where the endpoint list is polled.
     pub fn new(
         context: Rc<Context<R>>,
         events: Receiver<EngineEvent<R>>,
         engine: Engine,
-        leave: Option<Sender<()>>,
+        watch_permits: Option<Sender<()>>,
     ) -> Self {
-        let (replies, out) = (FxHashMap::default(), FxHashMap::default());
         EngineDriver {
             context,
             events,
             engine,
-            leave,
-            replies,
-            out,
+            watch_permits,
+            replies: FxHashMap::default(),
+            attempts: FxHashMap::default(),
             effects: Vec::new(),
         }
     }
 
-    /// The list as it was kept, before anything else.
+    /// Starts from a cached endpoint list.
     pub fn load_cached(&mut self, list: EndpointList) {
         let now = self.context.runtime.now();
         self.engine.load_cached(now, list, &mut self.effects);
-        self.carry_out();
+        self.carry_out_effects();
     }
 
-    /// Serves for ever; the caller ends it.
+    /// Serves until the task is dropped.
     pub async fn run(mut self) {
         loop {
-            while let Ok(events) = self.events.try_recv() {
-                self.take(events);
+            while let Ok(event) = self.events.try_recv() {
+                self.handle(event);
             }
             let now = self.context.runtime.now();
             if self.engine.fire_next_timer(now, &mut self.effects) {
-                self.carry_out();
+                self.carry_out_effects();
                 continue;
             }
-            let reap = self.context.pool.borrow().next_expiry();
-            if reap.is_some_and(|at| at <= now) {
+            let next_expiry = self.context.pool.borrow().next_expiry();
+            if next_expiry.is_some_and(|at| at <= now) {
                 self.context.pool.borrow_mut().evict_expired(now);
                 continue;
             }
-            let next = self.engine.next_timer().into_iter().chain(reap).min();
+            let next_timer = self.engine.next_timer();
+            let wake_at = next_timer.into_iter().chain(next_expiry).min();
             let timer = async {
-                match next {
+                match wake_at {
                     Some(at) => self.context.runtime.sleep_until(at).await,
                     None => std::future::pending().await,
                 }
                 None
             };
-            let heard = async { self.events.recv().await.ok() };
-            let heard = heard.or(timer).await;
-            if let Some(events) = heard {
-                self.take(events);
+            let event = async { self.events.recv().await.ok() };
+            let event = event.or(timer).await;
+            if let Some(event) = event {
+                self.handle(event);
             }
         }
     }
 
-    fn take(&mut self, events: EngineEvent<R>) {
+    fn handle(&mut self, event: EngineEvent<R>) {
         let now = self.context.runtime.now();
-        let input = match events {
-            EngineEvent::Arrived {
+        let Some(input) = self.input_from(event) else {
+            return;
+        };
+        self.engine.handle(now, input, &mut self.effects);
+        self.carry_out_effects();
+    }
+
+    /// What the engine is to be told of an event; none where it does not concern the engine.
+    fn input_from(&mut self, event: EngineEvent<R>) -> Option<Input> {
+        Some(match event {
+            EngineEvent::RequestArrived {
                 request_id,
                 at,
                 request,
@@ -106,32 +126,32 @@
                     request,
                 }
             }
-            EngineEvent::Left(request_id) => {
+            EngineEvent::ClientDisconnected(request_id) => {
                 self.replies.remove(&request_id);
                 Input::ClientDisconnected(request_id)
             }
             EngineEvent::AttemptProgress {
                 request_id,
                 attempt_index,
-                told,
+                progress,
             } => Input::AttemptProgress {
                 request_id,
                 attempt_index,
-                told,
+                told: progress,
             },
-            EngineEvent::Spare { worker, conn } => {
-                // One that leads elsewhere by now is of no use.
-                if self.engine.address_of(worker) == Some(conn.address) {
-                    self.context
-                        .pool
-                        .borrow_mut()
-                        .put(now, worker, conn.address, conn);
+            EngineEvent::ConnectionIdle { worker, connection } => {
+                // The worker may have another address by now.
+                if self.engine.address_of(worker) == Some(connection.address) {
+                    let now = self.context.runtime.now();
+                    let address = connection.address;
+                    let mut pool = self.context.pool.borrow_mut();
+                    pool.put(now, worker, address, connection);
                 }
-                return;
+                return None;
             }
-            EngineEvent::HealthChecked(probed) => Input::HealthChecked(probed),
+            EngineEvent::HealthChecked(checked) => Input::HealthChecked(checked),
             EngineEvent::PeerLoad { from, load } => Input::PeerLoad { from, load },
-            EngineEvent::FleetView(place) => Input::FleetView(place),
+            EngineEvent::FleetView(position) => Input::FleetView(position),
             EngineEvent::WarmUpGranted {
                 worker,
                 work,
@@ -141,17 +161,17 @@
                 work,
                 until,
             },
-            EngineEvent::List(list) => Input::EndpointList(list),
-            EngineEvent::ListFailed => Input::EndpointListFailed,
-            EngineEvent::Stop(by) => Input::ShutDown(by),
-        };
-        self.engine.handle(now, input, &mut self.effects);
-        self.carry_out();
+            EngineEvent::EndpointList(list) => Input::EndpointList(list),
+            EngineEvent::WatchFailed => Input::EndpointListFailed,
+            EngineEvent::ShutDown(deadline) => Input::ShutDown(deadline),
+        })
     }
 
-    fn carry_out(&mut self) {
+    fn carry_out_effects(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
-        effects.drain(..).for_each(|effect| self.act(effect));
+        for effect in effects.drain(..) {
+            self.carry_out(effect);
+        }
         self.effects = effects;
         self.context.ready.set(self.engine.is_ready());
         self.context
@@ -159,73 +179,45 @@
             .set(self.engine.active_request_count());
     }
 
-    fn act(&mut self, effect: Effect) {
+    fn carry_out(&mut self, effect: Effect) {
         let context = &self.context;
         match effect {
-            Effect::Answer { request_id, answer } => {
-                if let Some(reply) = self.replies.remove(&request_id) {
-                    let _ = reply.try_send(answer);
-                }
-            }
-            Effect::SendAttempt(attempt) => {
-                let ready = context.pooled(attempt.worker);
-                if ready.is_some() {
-                    context.counters.attempts_on_reused_connection.add()
-                } else {
-                    context.counters.attempts_on_new_connection.add()
-                }
-                let place = (attempt.request_id, attempt.attempt_index);
-                let off = Rc::new(Cell::new(false));
-                let task = context.runtime.spawn(worker::post(
-                    context.clone(),
-                    attempt,
-                    ready,
-                    off.clone(),
-                ));
-                self.out.insert(place, Out { task, off });
-            }
+            Effect::Answer { request_id, answer } => self.send_answer(request_id, answer),
+            Effect::SendAttempt(attempt) => self.spawn_attempt(attempt),
             Effect::CancelUnsent {
                 request_id,
                 attempt_index,
-            } => {
-                if let Some(out) = self.out.get(&(request_id, attempt_index)) {
-                    out.off.set(true);
-                }
-            }
+            } => self.cancel_attempt(AttemptKey {
+                request_id,
+                attempt_index,
+            }),
             Effect::Abort {
                 request_id,
                 attempt_index,
-            } => drop(self.out.remove(&(request_id, attempt_index))),
+            } => self.abort_attempt(AttemptKey {
+                request_id,
+                attempt_index,
+            }),
             Effect::Finished {
                 request_id,
                 attempt_index,
-            } => {
-                if let Some(out) = self.out.remove(&(request_id, attempt_index)) {
-                    out.task.detach();
-                }
-            }
+            } => self.detach_attempt(AttemptKey {
+                request_id,
+                attempt_index,
+            }),
             Effect::CheckHealth {
                 worker,
                 address,
                 host,
                 limit,
             } => {
-                context
-                    .runtime
-                    .spawn(worker::sound(context.clone(), worker, address, host, limit))
-                    .detach();
+                let check = check_health(context.clone(), worker, address, host, limit);
+                context.runtime.spawn(check).detach();
             }
             Effect::EvictIdle { worker, address } => {
-                context.pool.borrow_mut().evict_worker(worker, address)
-            }
-            Effect::SendPeerLoad { to, load } => {
-                let now = context.runtime.now();
-                match (&context.cluster, &context.talk) {
-                    (Some(cluster), _) => cluster.send_load(now, to, load),
-                    (None, Some(talk)) => talk.tell(now, &context.counters, to, &load),
-                    (None, None) => context.counters.peer_loads_not_sent.add(),
-                }
+                context.pool.borrow_mut().evict_worker(worker, address);
             }
+            Effect::SendPeerLoad { to, load } => self.send_peer_load(to, load),
             Effect::RequestWarmUpGrant { worker, work } => {
                 if let Some(cluster) = &context.cluster {
                     cluster.request_grant(context.runtime.now(), worker, work);
@@ -240,11 +232,74 @@
                     cluster.set_warm_up_budget(worker, work, window);
                 }
             }
-            Effect::WatchEndpoints => {
-                if let Some(leave) = &self.leave {
-                    let _ = leave.try_send(());
-                }
-            }
+            Effect::WatchEndpoints => self.permit_watch(),
+        }
+    }
+
+    fn send_answer(&mut self, request_id: RequestId, answer: Answer) {
+        if let Some(reply) = self.replies.remove(&request_id) {
+            let _ = reply.try_send(answer);
+        }
+    }
+
+    fn spawn_attempt(&mut self, attempt: OutboundAttempt) {
+        let context = &self.context;
+        let pooled = context.take_idle_connection(attempt.worker);
+        if pooled.is_some() {
+            context.counters.attempts_on_reused_connection.add();
+        } else {
+            context.counters.attempts_on_new_connection.add();
+        }
+        let key = AttemptKey {
+            request_id: attempt.request_id,
+            attempt_index: attempt.attempt_index,
+        };
+        let cancelled = Rc::new(Cell::new(false));
+        let over = AttemptConnection {
+            pooled,
+            cancelled: cancelled.clone(),
+        };
+        let task = context
+            .runtime
+            .spawn(send_attempt(context.clone(), attempt, over));
+        self.attempts
+            .insert(key, RunningAttempt { task, cancelled });
+    }
+
+    /// An attempt that was not written to its last byte is not sent.
+    fn cancel_attempt(&self, key: AttemptKey) {
+        if let Some(attempt) = self.attempts.get(&key) {
+            attempt.cancelled.set(true);
+        }
+    }
+
+    /// Closes the connection of an attempt.
+    fn abort_attempt(&mut self, key: AttemptKey) {
+        drop(self.attempts.remove(&key));
+    }
+
+    /// An attempt that has ended may still read the rest of its answer, which makes its connection reusable.
+    fn detach_attempt(&mut self, key: AttemptKey) {
+        if let Some(attempt) = self.attempts.remove(&key) {
+            attempt.task.detach();
+        }
+    }
+
+    fn send_peer_load(&self, to: u16, load: PeerLoad) {
+        let context = &self.context;
+        let now = context.runtime.now();
+        if let Some(cluster) = &context.cluster {
+            cluster.send_load(now, to, load);
+        } else if let Some(exchange) = &context.peer_loads {
+            exchange.send(now, &context.counters, to, &load);
+        } else {
+            context.counters.peer_loads_not_sent.add();
+        }
+    }
+
+    fn permit_watch(&self) {
+        if let Some(permits) = &self.watch_permits {
+            let _ = permits.try_send(());
         }
     }
 }
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -1,183 +1,139 @@
-//! One dispatcher, put together from its parts: started, given new limits, stopped in order.
-use crate::client;
-use crate::cluster::{ClusterDriver, Heard};
-use crate::context::{Context, EngineEvent};
-use crate::discovery;
+//! One dispatcher, put together from its parts: start, reload and shutdown.
+use crate::client::accept_connections;
+use crate::cluster::{ClusterDriver, ClusterEvent};
+use crate::context::{Context, ContextParts};
+use crate::discovery::{FollowedList, follow};
 use crate::engine::EngineDriver;
+use crate::event::EngineEvent;
 use crate::peer_load::PeerLoadExchange;
 use crate::traits::{Runtime, nanos, sleep};
 use async_channel::Sender;
 use async_executor::Task;
 use futures_lite::FutureExt;
+use rosewall::SettingsError;
 use rosewall::policy::Dispatcher;
+use rosewall::types::Nanos;
+
 use rosewall_cluster::cluster::Cluster;
 use rosewall_cluster::error::ClusterError;
 use rosewall_engine::config::{Config, EndpointsMode, FINAL_ANSWERS_RESERVE};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::endpoints::EndpointTable;
 use rosewall_engine::engine::Engine;
-use rosewall_engine::limits::ResourceLimits;
-use rosewall_engine::pool::Pool;
 use rosewall_protocol::discovery::{EndpointList, decode_endpoint_list};
-use std::cell::{Cell, RefCell};
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// New connections go on coming for up to 0.4 s after the signal; a tenth more is for their requests.
-const LISTEN_ON: Duration = Duration::from_millis(500);
+/// How long connections are accepted after the signal: up to 0.4 s by the protocol, and a tenth for their requests.
+const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(500);
 /// How often to look whether the last clients have gone.
-const LOOK: Duration = Duration::from_millis(5);
+const LAST_CLIENTS_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Why a dispatcher does not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// A setting is missing or cannot be used.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// Load reports are exchanged by rank, and the settings give none.
+    #[error(
+        "setting me is missing: it is this dispatcher's number among the addresses of talk.peers"
+    )]
+    MissingRank,
+    /// The socket for load reports cannot be opened.
+    #[error("cannot listen on {listen} (talk.listen): {source}")]
+    PeerLoadSocket {
+        /// Its address.
+        listen: SocketAddr,
+        /// What is wrong with it.
+        source: io::Error,
+    },
+    /// The cluster cannot be joined.
+    #[error("{}", .0.line())]
+    Cluster(#[source] ClusterError),
+}
 
+/// A dispatcher that runs. Dropping it ends all of its tasks.
 pub struct Node<R: Runtime> {
+    /// What its tasks share.
     pub context: Rc<Context<R>>,
     config: Config,
     engine: Task<()>,
-    list: Task<()>,
+    follower: Task<()>,
     accepting: Task<()>,
-    _hearing: Task<()>,
-    end: Sender<()>,
-    mover: Sender<SocketAddr>,
+    _receiving: Task<()>,
+    /// Dropping it ends the accepting of connections.
+    stop_accepting: Sender<()>,
+    discovery_addresses: Sender<SocketAddr>,
 }
 
 impl<R: Runtime> Node<R> {
-    /// Starts to serve. An error names the setting that is missing or cannot be read.
-    pub fn start(runtime: R, config: Config, listener: R::Listener) -> Result<Self, String> {
+    /// Starts to serve.
+    ///
+    /// # Errors
+    /// Where a setting is missing or a socket cannot be opened.
+    pub fn start(runtime: R, config: Config, listener: R::Listener) -> Result<Self, StartError> {
         let now = runtime.now();
-        let settings = &config.runtime;
-        let names = config.names();
-        let kept = decode_endpoint_list(&config.cached_endpoints, &names).unwrap_or_else(|fault| {
-            log::warn!("no kept list of workers: {fault}");
-            EndpointList {
-                version: 0,
-                is_snapshot: true,
-                endpoints: Vec::new(),
-            }
-        });
+        let cached_list = cached_list(&config);
         let dispatcher = Dispatcher::start(now, config.seed, &config.settings)?;
-        let talk = match &config.peer_load {
-            Some(talk) => {
-                let socket = runtime.bind_datagram_socket(talk.listen, None);
-                let socket =
-                    socket.map_err(|error| format!("cannot listen on {}: {error}", talk.listen))?;
-                Some(PeerLoadExchange::new(
-                    socket,
-                    settings.rank.ok_or("setting me is missing")?,
-                    talk.peers.clone(),
-                ))
-            }
-            None => None,
-        };
-        let (tell, events) = async_channel::unbounded();
+        let peer_loads = open_peer_loads(&runtime, &config)?;
+        let (event_sender, events) = async_channel::unbounded();
         let counters = Rc::new(Counters::default());
-        let cluster = match &config.cluster {
-            Some(cluster_config) => {
-                let listen = cluster_config.listen;
-                let socket = runtime.bind_datagram_socket(listen, cluster_config.relay);
-                let socket =
-                    socket.map_err(|source| ClusterError::Listen { listen, source }.line())?;
-                let cluster = Cluster::new(cluster_config, now, config.seed ^ now);
-                let tell: Sender<EngineEvent<R>> = tell.clone();
-                let heard = move |heard| {
-                    // The hub outlives the members' driver but for the very end.
-                    let _ = tell.try_send(match heard {
-                        Heard::FleetView(place) => EngineEvent::FleetView(place),
-                        Heard::WarmUpGranted {
-                            worker,
-                            work,
-                            until,
-                        } => EngineEvent::WarmUpGranted {
-                            worker,
-                            work,
-                            until,
-                        },
-                        Heard::PeerLoad { from, load } => EngineEvent::PeerLoad { from, load },
-                    });
-                };
-                Some(ClusterDriver::new(socket, cluster, counters.clone(), heard))
-            }
-            None => None,
-        };
-        let workers = match &config.cluster {
-            Some(cluster_config) => EndpointTable::by_own_clock(
-                cluster_config.max_clock_skew,
-                settings.slow_start_duration,
-            ),
-            None => EndpointTable::default(),
-        };
-        let context = Rc::new(Context {
+        let cluster = join_cluster(&runtime, now, &config, &counters, &event_sender)?;
+        let parts = ContextParts {
             runtime,
-            report: settings.report_fields.clone(),
             counters: counters.clone(),
-            limits: Rc::new(ResourceLimits::new(
-                config.max_descriptors,
-                config.memory_mb,
-            )),
-            pool: RefCell::new(Pool::new(settings.idle_timeout)),
-            ready: Cell::new(false),
-            stopping: Cell::new(false),
-            active_requests: Cell::new(0),
-            serial: Cell::new(0),
-            bad_told: Cell::new(0),
-            events: tell,
-            names,
-            talk,
+            events: event_sender,
+            peer_loads,
             cluster,
-        });
-        let asked = settings.endpoints_mode == EndpointsMode::Polled;
-        let (leave, left) = async_channel::unbounded();
-        let engine = Engine::new(dispatcher, counters, settings.connect_timeout, workers);
-        let mut engine = EngineDriver::new(context.clone(), events, engine, asked.then_some(leave));
-        let from = (asked && !kept.endpoints.is_empty()).then_some(kept.version);
-        engine.load_cached(kept);
+        };
+        let context = Rc::new(Context::new(parts, &config));
+        let connect_timeout = config.runtime.connect_timeout;
+        let endpoints = endpoint_table(&config);
+        let engine = Engine::new(dispatcher, counters, connect_timeout, endpoints);
+        let is_polled = config.runtime.endpoints_mode == EndpointsMode::Polled;
+        let (permit_sender, permits) = async_channel::unbounded();
+        let watch_permits = is_polled.then_some(permit_sender);
+        let mut engine = EngineDriver::new(context.clone(), events, engine, watch_permits);
+        let known_version =
+            (is_polled && !cached_list.endpoints.is_empty()).then_some(cached_list.version);
+        engine.load_cached(cached_list);
         let engine = context.runtime.spawn(engine.run());
-        let (mover, moves) = async_channel::unbounded();
-        let leave = asked.then_some(left);
-        let list = discovery::follow(context.clone(), config.discovery, moves, leave, from);
-        let list = context.runtime.spawn(list);
-        let hears = context.clone();
-        let hearing = context.runtime.spawn(async move {
-            if let Some(cluster) = &hears.cluster {
-                cluster.run(&hears.runtime).await;
-            } else if let Some(talk) = &hears.talk {
-                let tell = |from, load| hears.tell(EngineEvent::PeerLoad { from, load });
-                talk.hear(&hears.runtime, &hears.counters, tell).await;
-            }
-        });
-        let (end, ended) = async_channel::bounded(1);
-        let accepting = context
-            .runtime
-            .spawn(client::accept(context.clone(), listener, ended));
+        let (discovery_addresses, new_addresses) = async_channel::unbounded();
+        let list = FollowedList {
+            address: config.discovery,
+            new_addresses,
+            permits: is_polled.then_some(permits),
+            known_version,
+        };
+        let follower = context.runtime.spawn(follow(context.clone(), list));
+        let receiving = context.runtime.spawn(receive_datagrams(context.clone()));
+        let (stop_accepting, stopped) = async_channel::bounded(1);
+        let accepting = accept_connections(context.clone(), listener, stopped);
+        let accepting = context.runtime.spawn(accepting);
         Ok(Node {
             context,
             config,
             engine,
-            list,
+            follower,
             accepting,
-            _hearing: hearing,
-            end,
-            mover,
+            _receiving: receiving,
+            stop_accepting,
+            discovery_addresses,
         })
     }
 
-    /// Ends when the hub or the watch on the list does. Neither does by itself. Guards against a program that still
-    /// accepts after a fault in one of them.
+    /// Ends when the engine's task or the follower of the endpoint list does, which neither does by itself: a program
+    /// without one of them must not go on accepting.
     pub async fn fault(&mut self) {
-        (&mut self.engine).or(&mut self.list).await;
+        (&mut self.engine).or(&mut self.follower).await;
     }
 
-    /// Takes in the configuration anew: where discovery is, and the limits. Guards against an end of the program at the
-    /// signal, and against a list of workers that no longer changes.
+    /// Applies a new configuration, as far as that is possible without a restart: the address of discovery, and the limits.
     pub fn reload(&self, config: &Config) {
-        let as_started = |config: &Config| {
-            (
-                config.listen,
-                config.peer_load.clone(),
-                config.cluster.clone(),
-                config.settings.clone(),
-            )
-        };
-        if as_started(config) != as_started(&self.config) {
+        if needs_restart(&self.config, config) {
             log::warn!(
                 "a new listen address, talk, cluster and settings act from the next start only"
             );
@@ -185,27 +141,28 @@
         self.context
             .limits
             .set_limits(config.max_descriptors, config.memory_mb);
-        let _ = self.mover.try_send(config.discovery);
+        let _ = self.discovery_addresses.try_send(config.discovery);
         log::info!("a new configuration: discovery at {}", config.discovery);
     }
 
-    /// The planned stop: all that was taken is answered, and no one is cut off who could still be served.
+    /// Shuts down: all requests that were accepted are answered, and connections are accepted for as long as clients may
+    /// still send to this dispatcher.
     pub async fn stop(self) {
         let context = &self.context;
-        let by = context.runtime.now() + self.config.runtime.shutdown_timeout;
+        let deadline = context.runtime.now() + self.config.runtime.shutdown_timeout;
         context.stopping.set(true);
         if let Some(cluster) = &context.cluster {
             cluster.leave();
         }
-        context.tell(EngineEvent::Stop(by));
-        sleep(&context.runtime, LISTEN_ON).await;
-        drop(self.end);
+        context.report(EngineEvent::ShutDown(deadline));
+        sleep(&context.runtime, ACCEPT_AFTER_SIGNAL).await;
+        drop(self.stop_accepting);
         self.accepting.await;
-        let last = by + FINAL_ANSWERS_RESERVE / 2;
-        while context.limits.client_count() > 0 && context.runtime.now() < last {
+        let exit_at = deadline + FINAL_ANSWERS_RESERVE / 2;
+        while context.limits.client_count() > 0 && context.runtime.now() < exit_at {
             while context.limits.evict_idle_client(context.runtime.now()) {}
-            let look = context.runtime.now() + nanos(LOOK);
-            context.runtime.sleep_until(look).await;
+            let next_look = context.runtime.now() + nanos(LAST_CLIENTS_POLL_INTERVAL);
+            context.runtime.sleep_until(next_look).await;
         }
         log::info!(
             "{} clients were still connected at the end",
@@ -213,3 +170,100 @@
         );
     }
 }
+
+/// The endpoint list that the configuration carries, or an empty one.
+fn cached_list(config: &Config) -> EndpointList {
+    decode_endpoint_list(&config.cached_endpoints, &config.names()).unwrap_or_else(|error| {
+        log::warn!("no cached list of workers: {error}");
+        EndpointList {
+            version: 0,
+            is_snapshot: true,
+            endpoints: Vec::new(),
+        }
+    })
+}
+
+fn open_peer_loads<R: Runtime>(
+    runtime: &R,
+    config: &Config,
+) -> Result<Option<PeerLoadExchange<R::DatagramSocket>>, StartError> {
+    let Some(peer_load) = &config.peer_load else {
+        return Ok(None);
+    };
+    let listen = peer_load.listen;
+    let socket = runtime
+        .bind_datagram_socket(listen, None)
+        .map_err(|source| StartError::PeerLoadSocket { listen, source })?;
+    let rank = config.runtime.rank.ok_or(StartError::MissingRank)?;
+    let peers = peer_load.peers.clone();
+    Ok(Some(PeerLoadExchange::new(socket, rank, peers)))
+}
+
+fn join_cluster<R: Runtime>(
+    runtime: &R,
+    now: Nanos,
+    config: &Config,
+    counters: &Rc<Counters>,
+    events: &Sender<EngineEvent<R>>,
+) -> Result<Option<ClusterDriver<R::DatagramSocket>>, StartError> {
+    let Some(cluster_config) = &config.cluster else {
+        return Ok(None);
+    };
+    let listen = cluster_config.listen;
+    let socket = runtime
+        .bind_datagram_socket(listen, cluster_config.relay)
+        .map_err(|source| StartError::Cluster(ClusterError::Listen { listen, source }))?;
+    let cluster = Cluster::new(cluster_config, now, config.seed ^ now);
+    let events = events.clone();
+    let on_event = move |event| {
+        // The engine's task outlives the cluster's but for the end of the program.
+        let _ = events.try_send(match event {
+            ClusterEvent::FleetView(position) => EngineEvent::FleetView(position),
+            ClusterEvent::WarmUpGranted {
+                worker,
+                work,
+                until,
+            } => EngineEvent::WarmUpGranted {
+                worker,
+                work,
+                until,
+            },
+            ClusterEvent::PeerLoad { from, load } => EngineEvent::PeerLoad { from, load },
+        });
+    };
+    Ok(Some(ClusterDriver::new(
+        socket,
+        cluster,
+        counters.clone(),
+        on_event,
+    )))
+}
+
+fn endpoint_table(config: &Config) -> EndpointTable {
+    match &config.cluster {
+        Some(cluster) => {
+            EndpointTable::by_own_clock(cluster.max_clock_skew, config.runtime.slow_start_duration)
+        }
+        None => EndpointTable::default(),
+    }
+}
+
+/// Receives from other dispatchers, as far as that is configured.
+async fn receive_datagrams<R: Runtime>(context: Rc<Context<R>>) {
+    if let Some(cluster) = &context.cluster {
+        cluster.run(&context.runtime).await;
+    } else if let Some(exchange) = &context.peer_loads {
+        let on_load = |from, load| context.report(EngineEvent::PeerLoad { from, load });
+        exchange
+            .receive(&context.runtime, &context.counters, on_load)
+            .await;
+    }
+}
+
+/// Whether a configuration differs in what acts from the next start only.
+fn needs_restart(running: &Config, new: &Config) -> bool {
+    new.listen != running.listen
+        || new.peer_load != running.peer_load
+        || new.cluster != running.cluster
+        || new.settings != running.settings
+}
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -1,4 +1,4 @@
-//! Carries what dispatchers tell each other, where the configuration gives addresses for it.
+//! Exchange of load reports with other dispatchers, where the configuration gives their addresses.
 use crate::traits::{DatagramSocket, Runtime};
 use futures_lite::future::yield_now;
 use rosewall::types::{Nanos, PeerLoad};
@@ -8,61 +8,69 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// Datagrams a second, each way: ten times what the busiest of a hundred dispatchers sent in simulated days. What is
-/// beyond it is dropped and counted.
-const A_SECOND: u64 = 5_000;
+/// Datagrams a second, each way; what is beyond is dropped and counted. Ten times the load of a busy fleet of a hundred.
+const MAX_DATAGRAMS_PER_SECOND: u64 = 5_000;
 
-pub struct PeerLoadExchange<M> {
-    socket: M,
-    me: u16,
+/// The exchange of one dispatcher.
+pub struct PeerLoadExchange<S> {
+    socket: S,
+    /// This dispatcher's number.
+    own_number: u16,
+    /// The addresses of all dispatchers, in the order of their numbers.
     peers: Vec<SocketAddr>,
-    out: RefCell<RateLimiter>,
+    send_limit: RefCell<RateLimiter>,
 }
 
-impl<M: DatagramSocket> PeerLoadExchange<M> {
-    pub fn new(socket: M, me: u16, peers: Vec<SocketAddr>) -> Self {
+impl<S: DatagramSocket> PeerLoadExchange<S> {
+    /// An exchange over a socket.
+    pub fn new(socket: S, own_number: u16, peers: Vec<SocketAddr>) -> Self {
         PeerLoadExchange {
             socket,
-            me,
+            own_number,
             peers,
-            out: RefCell::new(RateLimiter::new(A_SECOND)),
+            send_limit: RefCell::new(RateLimiter::new(MAX_DATAGRAMS_PER_SECOND)),
         }
     }
 
-    /// To one peer. What cannot be sent is lost, as any datagram may be.
-    pub fn tell(&self, now: Nanos, counters: &Counters, to: u16, load: &PeerLoad) {
+    /// Sends a report to the dispatcher with a number. What cannot be sent is dropped, as any datagram may be.
+    pub fn send(&self, now: Nanos, counters: &Counters, to: u16, load: &PeerLoad) {
         let Some(peer) = self.peers.get(usize::from(to)) else {
             return counters.peer_loads_not_sent.add();
         };
-        let allowed = self.out.borrow_mut().try_acquire(now);
-        if allowed && self.socket.send(&encode(self.me, load), *peer).is_ok() {
+        let is_allowed = self.send_limit.borrow_mut().try_acquire(now);
+        let datagram = encode(self.own_number, load);
+        if is_allowed && self.socket.send(&datagram, *peer).is_ok() {
             counters.peer_loads_sent.add();
         } else {
             counters.peer_loads_not_sent.add();
         }
     }
 
-    /// Hears for ever; each line goes to `heard` with its teller.
-    pub async fn hear<R: Runtime>(
+    /// Receives for ever; each report goes to `on_load` with the number of its sender.
+    pub async fn receive<R: Runtime>(
         &self,
         runtime: &R,
         counters: &Counters,
-        heard: impl Fn(u16, PeerLoad),
+        on_load: impl Fn(u16, PeerLoad),
     ) {
-        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; DATAGRAM_LENGTH + 1]);
+        let mut receive_limit = RateLimiter::new(MAX_DATAGRAMS_PER_SECOND);
+        // One byte more than a datagram has, so that a longer one is recognised.
+        let mut bytes = [0; DATAGRAM_LENGTH + 1];
         loop {
-            let came = self.socket.receive(&mut bytes).await;
-            let line = came.ok().filter(|_| rate_limit.try_acquire(runtime.now()));
-            match line
-                .and_then(|(length, sender)| decode(&bytes[..length], sender, &self.peers).ok())
-            {
-                Some(ReceivedLoad { sender: from, load }) => {
+            let received = self.socket.receive(&mut bytes).await;
+            let received = received
+                .ok()
+                .filter(|_| receive_limit.try_acquire(runtime.now()));
+            let load = received
+                .and_then(|(length, from)| decode(&bytes[..length], from, &self.peers).ok());
+            match load {
+                Some(ReceivedLoad { sender, load }) => {
                     counters.peer_loads_received.add();
-                    heard(from, load);
+                    on_load(sender, load);
                 }
                 None => counters.peer_loads_dropped.add(),
             }
-            // Guards against a flood of them that leaves no one else a turn.
+            // A flood of datagrams must not keep the executor from the other tasks.
             yield_now().await;
         }
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -256,7 +256,7 @@
                     ahead,
                 };
                 let door = Net::listen(core, machine, door(place), 128);
-                let node = Node::start(ground, given, door)?;
+                let node = Node::start(ground, given, door).map_err(|error| error.to_string())?;
                 let mut places = self.places.borrow_mut();
                 let address = places[place].address;
                 places[place] = Place {
