--- a/crates/cluster-testbed/src/scale/dispatchers.rs
+++ b/crates/cluster-testbed/src/scale/dispatchers.rs
@@ -2,13 +2,12 @@
 //! port for datagrams and a watch on discovery. What they do not have: a process, a log and an executor of their own, and clients.
 use crate::scale::child::Asked;
 use async_executor::LocalExecutor;
-use async_io::{Async, Timer};
+use async_io::Timer;
 use rosewall_runtime::node::Node;
-use rosewalld::life::start::load;
+use rosewalld::config_file;
 use rosewalld::sockets::{SocketListener, Sockets};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
-use std::net::TcpListener;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,16 +30,11 @@
 
 impl Crowd {
     fn start(&self, at: usize) -> Result<(), String> {
-        let given = load(&self.files[at])?;
-        let listener = TcpListener::bind(given.listen)
-            .and_then(Async::new)
+        let given =
+            config_file::load(Path::new(&self.files[at])).map_err(|error| error.to_string())?;
+        let listener = SocketListener::bind(given.listen).map_err(|error| error.to_string())?;
+        let node = Node::start(Sockets::new(self.ex.clone()), given, listener)
             .map_err(|error| error.to_string())?;
-        let node = Node::start(
-            Sockets::new(self.ex.clone()),
-            given,
-            SocketListener(listener),
-        )
-        .map_err(|error| error.to_string())?;
         self.nodes.borrow_mut()[at] = Some(node);
         Ok(())
     }
--- a/crates/rosewalld/src/lib.rs
+++ b/crates/rosewalld/src/lib.rs
@@ -1,4 +1,12 @@
-//! The dispatcher on sockets: `ground` is what its drivers stand on, `life` its start, signals, log and end. A library, so
-//! that the rig can run many dispatchers of the same text in one process.
-pub mod life;
+//! The dispatcher on sockets. It is a library, so that the testbed can run many dispatchers in one process.
+//!
+//! - [`daemon`]: start, signals and end of the program.
+//! - [`config_file`]: reading the configuration.
+//! - [`sockets`]: the runtime of `rosewall-runtime` over sockets and the system's clock.
+//! - [`logger`]: the log on standard error.
+#![warn(missing_docs)]
+
+pub mod config_file;
+pub mod daemon;
+pub mod logger;
 pub mod sockets;
--- a/crates/rosewalld/src/main.rs
+++ b/crates/rosewalld/src/main.rs
@@ -1,4 +1,4 @@
 //! The dispatcher on sockets.
 fn main() -> std::process::ExitCode {
-    rosewalld::life::run()
+    rosewalld::daemon::run()
 }
--- a/crates/rosewalld/src/sockets.rs
+++ b/crates/rosewalld/src/sockets.rs
@@ -1,4 +1,4 @@
-//! The ground of sockets: async-io's reactor under the executor of this thread, and the system's monotonic clock,
+//! The runtime over sockets: async-io's reactor under the executor of this thread, and the system's monotonic clock,
 //! anchored once to Unix time.
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -12,59 +12,69 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// For tests: the environment variable with the milliseconds by which the wall clock is off.
+const CLOCK_SKEW_VARIABLE: &str = "ROSEWALL_SKEW_MS";
+
+/// Sockets and the system's clock.
 pub struct Sockets {
-    ex: Rc<LocalExecutor<'static>>,
-    base: Instant,
-    unix: Nanos,
+    executor: Rc<LocalExecutor<'static>>,
+    started: Instant,
+    /// Unix time at that instant.
+    started_unix: Nanos,
 }
 
 impl Sockets {
-    pub fn new(ex: Rc<LocalExecutor<'static>>) -> Self {
-        let unix = SystemTime::now()
+    /// A runtime that spawns its tasks on an executor.
+    pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let unix = u64::try_from(unix.as_nanos()).unwrap_or_default();
-        // For tests: a wall clock that is off by so many ms.
-        let skew = std::env::var("ROSEWALL_SKEW_MS")
-            .ok()
-            .and_then(|ms| ms.parse::<i32>().ok())
-            .unwrap_or(0);
-        let unix = unix.saturating_add_signed(i64::from(skew) * 1_000_000);
+        let unix_time = u64::try_from(unix_time.as_nanos()).unwrap_or_default();
+        let started_unix = unix_time.saturating_add_signed(clock_skew());
         Sockets {
-            ex,
-            base: Instant::now(),
-            unix,
+            executor,
+            started: Instant::now(),
+            started_unix,
         }
     }
 }
 
+/// By how many nanoseconds the wall clock is off.
+fn clock_skew() -> i64 {
+    let skew_ms = std::env::var(CLOCK_SKEW_VARIABLE)
+        .ok()
+        .and_then(|ms| ms.parse::<i32>().ok())
+        .unwrap_or(0);
+    i64::from(skew_ms) * 1_000_000
+}
+
 impl Runtime for Sockets {
     type Stream = Socket;
     type Listener = SocketListener;
     type DatagramSocket = Datagrams;
 
     fn now(&self) -> Nanos {
-        self.unix + u64::try_from(self.base.elapsed().as_nanos()).unwrap_or(u64::MAX / 2)
+        let elapsed = self.started.elapsed().as_nanos();
+        self.started_unix + u64::try_from(elapsed).unwrap_or(u64::MAX / 2)
     }
 
     async fn sleep_until(&self, at: Nanos) {
-        // The reactor's clock may be a little ahead of what was read here: it is never too early by more.
-        Timer::at(self.base + Duration::from_nanos(at.saturating_sub(self.unix).min(u64::MAX / 4)))
-            .await;
+        let since_start = at.saturating_sub(self.started_unix).min(u64::MAX / 4);
+        Timer::at(self.started + Duration::from_nanos(since_start)).await;
     }
 
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> Task<()> {
-        self.ex.spawn(work)
+        self.executor.spawn(work)
     }
 
     fn bind_datagram_socket(
         &self,
-        at: SocketAddr,
-        through: Option<SocketAddr>,
+        address: SocketAddr,
+        relay: Option<SocketAddr>,
     ) -> io::Result<Datagrams> {
         Ok(Datagrams {
-            socket: Async::<UdpSocket>::bind(at)?,
-            through,
+            socket: Async::<UdpSocket>::bind(address)?,
+            relay,
         })
     }
 
@@ -73,49 +83,50 @@
     }
 }
 
+/// A socket for datagrams.
 pub struct Datagrams {
     socket: Async<UdpSocket>,
-    /// A relay, to which the other side's address goes before each datagram, and from which it comes so.
-    through: Option<SocketAddr>,
+    /// Where all datagrams go through, if there is one: with the other side's address before each, in both directions.
+    relay: Option<SocketAddr>,
 }
 
-/// An IPv4 address and a port, as they stand before a datagram.
-const PREFIX: usize = 6;
+/// The bytes of an IPv4 address and a port, as they stand before a relayed datagram.
+const RELAY_PREFIX_BYTES: usize = 6;
 
 impl DatagramSocket for Datagrams {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let socket = self.socket.get_ref();
-        let Some(relay) = self.through else {
+        let Some(relay) = self.relay else {
             return socket.send_to(bytes, to).map(drop);
         };
         let IpAddr::V4(ip) = to.ip() else {
             return Err(ErrorKind::Unsupported.into());
         };
-        let mut whole = Vec::with_capacity(PREFIX + bytes.len());
-        whole.extend(ip.octets());
-        whole.extend(to.port().to_be_bytes());
-        whole.extend(bytes);
-        socket.send_to(&whole, relay).map(drop)
+        let mut datagram = Vec::with_capacity(RELAY_PREFIX_BYTES + bytes.len());
+        datagram.extend(ip.octets());
+        datagram.extend(to.port().to_be_bytes());
+        datagram.extend(bytes);
+        socket.send_to(&datagram, relay).map(drop)
     }
 
     async fn receive(&self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
-        if self.through.is_none() {
+        if self.relay.is_none() {
             return self.socket.recv_from(bytes).await;
         }
-        let mut whole = vec![0; PREFIX + bytes.len()];
-        let (length, _) = self.socket.recv_from(&mut whole).await?;
-        let Some((&[a, b, c, d, x, y], rest)) = whole[..length].split_first_chunk::<PREFIX>()
+        let mut datagram = vec![0; RELAY_PREFIX_BYTES + bytes.len()];
+        let (length, _) = self.socket.recv_from(&mut datagram).await?;
+        let Some((prefix, payload)) = datagram[..length].split_first_chunk::<RELAY_PREFIX_BYTES>()
         else {
             return Err(ErrorKind::InvalidData.into());
         };
-        bytes[..rest.len()].copy_from_slice(rest);
-        Ok((
-            rest.len(),
-            ([a, b, c, d], u16::from_be_bytes([x, y])).into(),
-        ))
+        let &[a, b, c, d, port_high, port_low] = prefix;
+        let sender = ([a, b, c, d], u16::from_be_bytes([port_high, port_low])).into();
+        bytes[..payload.len()].copy_from_slice(payload);
+        Ok((payload.len(), sender))
     }
 }
 
+/// One connection.
 pub struct Socket(Async<TcpStream>);
 
 impl Socket {
@@ -171,7 +182,27 @@
     }
 }
 
-pub struct SocketListener(pub Async<TcpListener>);
+/// A listener for connections.
+pub struct SocketListener(Async<TcpListener>);
+
+impl SocketListener {
+    /// Listens on an address.
+    ///
+    /// # Errors
+    /// Where the system refuses it.
+    pub fn bind(address: SocketAddr) -> io::Result<Self> {
+        let listener = TcpListener::bind(address).and_then(Async::new)?;
+        Ok(SocketListener(listener))
+    }
+
+    /// The address it listens on, with the port that the system chose for port 0.
+    ///
+    /// # Errors
+    /// Where the system does not say.
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
+        self.0.get_ref().local_addr()
+    }
+}
 
 impl Listener for SocketListener {
     type Stream = Socket;
