--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -221,7 +221,7 @@
             Part::PeerLoad { load, age } => {
                 self.worker(load.worker);
                 self.0.push(load.half_slots);
-                self.bytes(&load.work.to_be_bytes());
+                self.bytes(&load.work_units.to_be_bytes());
                 self.bytes(&[load.speed_code, *age]);
             }
         }
@@ -350,7 +350,7 @@
                 let load = PeerLoad {
                     worker,
                     half_slots,
-                    work: body.u16()?,
+                    work_units: body.u16()?,
                     speed_code: body.u8()?,
                 };
                 Part::PeerLoad {
--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -97,7 +97,7 @@
     pub fn line(&mut self, now: Nanos, from: &Name, mut load: PeerLoad, age: u8) -> PeerLoad {
         self.heard += 1;
         let gone = Nanos::from(age) * AGE * Nanos::from(load.half_slots) / 2 / (16 * MS);
-        load.work = load.work.saturating_sub(gone.min(65_535) as u16);
+        load.work_units = load.work_units.saturating_sub(gone.min(65_535) as u16);
         let word = self.words.entry(from.clone()).or_default();
         word.workers.retain(|_, (at, _)| now < *at + MEMORY);
         let silent = load.speed_code == PeerLoad::SPEED_SILENT;
--- a/crates/cluster/src/tests.rs
+++ b/crates/cluster/src/tests.rs
@@ -40,7 +40,7 @@
     let load = PeerLoad {
         worker: worker(1),
         half_slots: 3,
-        work: 500,
+        work_units: 500,
         speed_code: 140,
     };
     let parts = vec![
@@ -199,7 +199,7 @@
     let load = |at: u8| PeerLoad {
         worker: worker(at),
         half_slots: 2,
-        work: 10,
+        work_units: 10,
         speed_code: PeerLoad::SPEED_SILENT,
     };
     let believed = (0..40)
@@ -216,12 +216,12 @@
     let load = PeerLoad {
         worker: worker(1),
         half_slots: 4,
-        work: 100,
+        work_units: 100,
         speed_code: 140,
     };
     let line = LoadReceiver::default().line(1, &"n1".into(), load, 100);
     // 400 ms at two seats are 800 ms, in units of 16 ms.
-    assert_eq!(line.work, 50);
+    assert_eq!(line.work_units, 50);
 }
 
 #[test]
@@ -230,7 +230,7 @@
     let (name, load) = (Name::from("n1"), |at, work| PeerLoad {
         worker: worker(at),
         half_slots: 2,
-        work,
+        work_units: work,
         speed_code: 140,
     });
     load_sender.send_load(0, &name, load(1, 5));
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -155,7 +155,7 @@
             Effect::PeerLoad { from, load } => {
                 let numbers = [
                     u64::from(load.half_slots),
-                    u64::from(load.work),
+                    u64::from(load.work_units),
                     u64::from(load.speed_code),
                 ];
                 add_numbers(
@@ -219,7 +219,7 @@
                 let load = PeerLoad {
                     worker: id,
                     half_slots: 3,
-                    work: (work / (16 * MILLISECOND)) as u16,
+                    work_units: (work / (16 * MILLISECOND)) as u16,
                     speed_code: 130,
                 };
                 self.act(at, |cluster, now, _| cluster.send_load(now, to, load));
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -256,7 +256,7 @@
             Effect::SendPeerLoad { to, load } => {
                 let numbers = [
                     u64::from(load.half_slots),
-                    u64::from(load.work),
+                    u64::from(load.work_units),
                     u64::from(load.speed_code),
                 ];
                 add_numbers(digest, &[8, u64::from(*to), worker_number(&load.worker)]);
@@ -524,7 +524,7 @@
         let load = PeerLoad {
             worker,
             half_slots: self.below(9) as u8,
-            work: self.below(100) as u16,
+            work_units: self.below(100) as u16,
             speed_code: 100 + self.below(50) as u8,
         };
         let from = self.below(12) as u16;
--- a/crates/protocol/src/peer_load.rs
+++ b/crates/protocol/src/peer_load.rs
@@ -22,7 +22,7 @@
     let ([a, b], [c, d], [e, f]) = (
         from.to_be_bytes(),
         load.worker.port.to_be_bytes(),
-        load.work.to_be_bytes(),
+        load.work_units.to_be_bytes(),
     );
     let [x, y] = MARK;
     let [i, j, k, l] = load.worker.addr;
@@ -90,7 +90,7 @@
         PeerLoad {
             worker,
             half_slots,
-            work: u16::from_be_bytes([e, f]),
+            work_units: u16::from_be_bytes([e, f]),
             speed_code,
         },
     ))
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -343,7 +343,7 @@
     let load = PeerLoad {
         worker,
         half_slots: 5,
-        work: 600,
+        work_units: 600,
         speed_code: 7,
     };
     let mut bytes = super::peer_load::datagram(0, &load).to_vec();
@@ -393,7 +393,7 @@
     let load = PeerLoad {
         worker,
         half_slots: 3,
-        work: 40,
+        work_units: 40,
         speed_code: PeerLoad::SPEED_UNKNOWN,
     };
     assert_eq!(
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -90,7 +90,7 @@
         .ok()
         .unwrap();
     matches!(incoming, translate::Incoming::For(rosewall::types::Event::PeerLoad { from: 3, load })
-        if load.half_slots == 4 && load.work == 8)
+        if load.half_slots == 4 && load.work_units == 8)
 }
 
 #[test_case("Bounds.Peers", "true", "peer_load.allowed"; "messages between dispatchers")]
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -183,7 +183,7 @@
     let load = PeerLoad {
         worker: worker(f)?,
         half_slots: f.u8()?,
-        work: f.u16()?,
+        work_units: f.u16()?,
         speed_code: f.u8()?,
     };
     Ok(Some(Event::PeerLoad { from, load }))
@@ -229,7 +229,7 @@
                 PeerLoad {
                     worker,
                     half_slots,
-                    work,
+                    work_units: work,
                     speed_code,
                 },
         } => {
--- a/src/policy/dispatcher/tests.rs
+++ b/src/policy/dispatcher/tests.rs
@@ -126,7 +126,7 @@
             let load = PeerLoad {
                 worker: id(n as u8),
                 half_slots: half_slots as u8,
-                work,
+                work_units: work,
                 speed_code: speed_code as u8,
             };
             events.push(Event::PeerLoad { from, load });
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -32,7 +32,7 @@
             let load = PeerLoad {
                 worker,
                 half_slots,
-                work,
+                work_units: work,
                 speed_code: PeerLoad::SPEED_UNKNOWN,
             };
             handle(&mut d, 950 * MS, Event::PeerLoad { from: 1, load });
@@ -51,7 +51,7 @@
     let load = PeerLoad {
         worker: id(0),
         half_slots: 2,
-        work: 10,
+        work_units: 10,
         speed_code,
     };
     handle(&mut d, 900 * MS, Event::PeerLoad { from: 1, load });
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -167,7 +167,7 @@
             [
                 worker(&s.worker),
                 u64::from(s.half_slots),
-                u64::from(s.work),
+                u64::from(s.work_units),
                 u64::from(s.speed_code),
             ]
         };
@@ -306,7 +306,7 @@
         let load = PeerLoad {
             worker: self.workers[at].worker,
             half_slots: self.below(12) as u8,
-            work: self.below(200) as u16,
+            work_units: self.below(200) as u16,
             speed_code: if self.below(10) == 0 {
                 self.below(3) as u8
             } else {
