--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -5,8 +5,11 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
-use rosewall_engine::limits::{Slot, Waiter};
-use rosewall_protocol::client::{self, Answer, ClientRequest, Heard, Intake};
+use rosewall_engine::limits::{DescriptorPermit, IdleClient};
+use rosewall_protocol::client::{
+    Answer, CONTINUE_RESPONSE, ClientEvent, ClientRequest, RequestReader, encode_answer,
+    encode_response,
+};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -62,7 +65,7 @@
                 sleep(&context.runtime, PAUSE).await;
                 continue;
             }
-            let slot = match context.limits.client() {
+            let slot = match context.limits.acquire_client() {
                 Some(slot) => (slot, false),
                 // The one who makes room has its turn before the next look.
                 None if context.make_client_room() => {
@@ -73,7 +76,10 @@
                     let now = context.runtime.now();
                     let since = *full_since.get_or_insert(now);
                     let away = now >= since + nanos(ROOM_WITHIN);
-                    let Some(slot) = away.then(|| context.limits.turned_away()).flatten() else {
+                    let Some(slot) = away
+                        .then(|| context.limits.acquire_overflow_client())
+                        .flatten()
+                    else {
                         context.counters.accept_paused.add();
                         sleep(&context.runtime, PAUSE).await;
                         continue;
@@ -111,9 +117,13 @@
     // Who finds no more room is still told so.
     let late = context.runtime.now() + nanos(LAST_WITHIN);
     while context.runtime.now() < late {
-        let slot = context.limits.client().map(|slot| (slot, false));
-        let Some(slot) = slot.or_else(|| context.limits.turned_away().map(|slot| (slot, true)))
-        else {
+        let slot = context.limits.acquire_client().map(|slot| (slot, false));
+        let Some(slot) = slot.or_else(|| {
+            context
+                .limits
+                .acquire_overflow_client()
+                .map(|slot| (slot, true))
+        }) else {
             sleep(&context.runtime, PAUSE).await;
             continue;
         };
@@ -134,7 +144,7 @@
 fn take<R: Runtime>(
     context: &Rc<Context<R>>,
     stream: R::Stream,
-    (slot, away): (Slot, bool),
+    (slot, away): (DescriptorPermit, bool),
     from: Option<Nanos>,
 ) {
     context.counters.clients_accepted.add();
@@ -142,7 +152,7 @@
     let now = runtime.now();
     let listener = (now, now.saturating_sub(from.unwrap_or(now)));
     let serving = async move {
-        let (intake, buffer) = (Intake::default(), vec![0; READ]);
+        let (intake, buffer) = (RequestReader::default(), vec![0; READ]);
         let mut link = Link {
             context,
             stream,
@@ -163,7 +173,7 @@
 struct Link<R: Runtime> {
     context: Rc<Context<R>>,
     stream: R::Stream,
-    intake: Intake,
+    intake: RequestReader,
     buffer: Vec<u8>,
     /// Whether it has asked for something before.
     asked: bool,
@@ -173,7 +183,7 @@
     over: bool,
     /// When it was accepted, and how long it may have waited for that.
     listener: (Nanos, Nanos),
-    slot: Slot,
+    slot: DescriptorPermit,
 }
 
 impl<R: Runtime> Link<R> {
@@ -181,11 +191,11 @@
         self.context.runtime.now()
     }
 
-    fn waiter(&self, asked: bool) -> Waiter {
+    fn waiter(&self, asked: bool) -> IdleClient {
         match (self.away, asked) {
-            (true, _) => Waiter::Away,
-            (false, true) => Waiter::Known,
-            (false, false) => Waiter::Stranger,
+            (true, _) => IdleClient::Overflow,
+            (false, true) => IdleClient::BetweenRequests,
+            (false, false) => IdleClient::AwaitingFirstRequest,
         }
     }
 
@@ -193,39 +203,45 @@
         loop {
             let heard = self.hear().await?;
             let first = !self.asked;
-            self.asked |= matches!(heard, Heard::Ready { .. } | Heard::Request(_));
+            self.asked |= matches!(
+                heard,
+                ClientEvent::ReadinessCheck { .. } | ClientEvent::Request(_)
+            );
             match heard {
-                Heard::Continue => self.write(client::CONTINUE).await?,
-                Heard::Ready { keeps } => {
+                ClientEvent::ContinueExpected => self.write(CONTINUE_RESPONSE).await?,
+                ClientEvent::ReadinessCheck { keep_alive: keeps } => {
                     let ready = self.context.ready.get() && !self.context.stopping.get();
                     let (status, body) = if ready {
                         (200, "ready\n")
                     } else {
                         (503, "not ready\n")
                     };
-                    self.write(&client::message(status, "", body.as_bytes(), keeps))
+                    self.write(&encode_response(status, "", body.as_bytes(), keeps))
                         .await?;
                     if !keeps {
                         return self.part().await;
                     }
                     futures_lite::future::yield_now().await;
                 }
-                Heard::Bad(status, why) => {
+                ClientEvent::Invalid {
+                    status,
+                    reason: why,
+                } => {
                     self.context.turned_down(status, why);
                     let why = format!("{why}\n");
-                    self.write(&client::message(status, "", why.as_bytes(), false))
+                    self.write(&encode_response(status, "", why.as_bytes(), false))
                         .await?;
                     return self.part().await;
                 }
-                Heard::Request(request) => {
+                ClientEvent::Request(request) => {
                     // What was there at once had been sent before. Guards against an deadline that counts from when a
                     // full door let its client in, later than the client's own.
                     let (accepted, waited) = self.listener;
                     let sent = first && self.now() <= accepted + nanos(PAUSE);
                     let at = self.now().saturating_sub(if sent { waited } else { 0 });
                     if self.away && !self.room().await {
-                        self.context.counters.turned_away.add();
-                        self.write(&client::answer(&Answer::Rejected { retry_after: 0 }, false))
+                        self.context.counters.clients_rejected.add();
+                        self.write(&encode_answer(&Answer::Rejected { retry_after: 0 }, false))
                             .await?;
                         return self.part().await;
                     }
@@ -239,7 +255,7 @@
 
     /// Reads until something is heard. Who has asked before may be silent for long; else, and once a request has
     /// begun, it must be whole in time. Guards against clients that say nothing, trickle or fall silent in one.
-    async fn hear(&mut self) -> io::Result<Heard> {
+    async fn hear(&mut self) -> io::Result<ClientEvent> {
         let limit = match (self.away, self.asked) {
             (true, _) => TOLD_WITHIN,
             (false, true) => IDLE_WITHIN,
@@ -249,16 +265,19 @@
         let (waits, close) = self
             .context
             .limits
-            .waits(self.now(), self.waiter(self.asked));
+            .register_idle(self.now(), self.waiter(self.asked));
         let mut waits = Some(waits);
         loop {
-            if let Some(heard) = self.intake.next(&self.context.names) {
+            if let Some(heard) = self.intake.next_event(&self.context.names) {
                 return Ok(heard);
             }
             if self.over {
-                return Ok(Heard::Bad(503, "more came ahead than there is room for"));
+                return Ok(ClientEvent::Invalid {
+                    status: 503,
+                    reason: "more came ahead than there is room for",
+                });
             }
-            if self.asked && !self.intake.idle() && waits.take().is_some() {
+            if self.asked && !self.intake.is_idle() && waits.take().is_some() {
                 until = self.now() + nanos(REQUEST_WITHIN);
             }
             let closed = async {
@@ -281,10 +300,10 @@
                 }
                 Err(error) => {
                     let late = error.kind() == io::ErrorKind::TimedOut;
-                    if late && !self.intake.idle() {
-                        self.context.counters.requests_cut.add();
+                    if late && !self.intake.is_idle() {
+                        self.context.counters.requests_incomplete.add();
                         let text =
-                            client::message(408, "", b"the request did not come whole\n", false);
+                            encode_response(408, "", b"the request did not come whole\n", false);
                         self.write(&text).await?;
                     } else if late || error.kind() == io::ErrorKind::ConnectionAborted {
                         self.context.counters.clients_idle_closed.add();
@@ -292,8 +311,11 @@
                     return Err(error);
                 }
             }
-            if !self.slot.hold(self.intake.held()) {
-                return Ok(Heard::Bad(503, "no memory is left for the request"));
+            if !self.slot.reserve_bytes(self.intake.buffered_bytes()) {
+                return Ok(ClientEvent::Invalid {
+                    status: 503,
+                    reason: "no memory is left for the request",
+                });
             }
         }
     }
@@ -303,11 +325,11 @@
     async fn room(&mut self) -> bool {
         let until = self.now() + nanos(ASKER_WITHIN);
         loop {
-            if let Some(slot) = self.context.limits.client() {
+            if let Some(slot) = self.context.limits.acquire_client() {
                 (self.slot, self.away) = (slot, false);
                 return true;
             }
-            if !self.context.limits.anyone_waits() || self.now() >= until {
+            if !self.context.limits.has_evictable_client() || self.now() >= until {
                 return false;
             }
             if self.context.make_client_room() {
@@ -322,7 +344,7 @@
     async fn carry(&mut self, at: Nanos, request: ClientRequest) -> io::Result<bool> {
         let (request_id, keeps, bytes) = (
             self.context.next_request_id(),
-            request.keeps,
+            request.keep_alive,
             request.body.len(),
         );
         let (reply, answered) = async_channel::bounded(1);
@@ -341,25 +363,28 @@
         if is_active(Mutation::DropAnswerAtShutdown) && self.context.stopping.get() {
             return Ok(false);
         }
-        let mut text = client::answer(&answer, keeps);
+        let mut text = encode_answer(&answer, keeps);
         if is_active(Mutation::TruncateAnswer) && request_id.is_multiple_of(32) {
             text.pop();
         }
         let written = self.write(&text).await;
         if written.is_err() {
-            self.context.counters.answers_unsent.add();
+            self.context.counters.answers_undelivered.add();
         }
         written.map(|()| keeps)
     }
 
-    /// Waits for the answer to a request of so many bytes, and meanwhile for the client to leave; none if it has. Whoever
+    /// IdleRegistration for the answer to a request of so many bytes, and meanwhile for the client to leave; none if it has. Whoever
     /// ends only its sending side has left too: the protocol knows no such client, and it looks like one that closes.
     /// What comes ahead of its turn is kept as far as there is room, and then passed over. Guards against a client that
     /// sends much and goes: its leave stands behind bytes that no one would read, and its request would still be posted.
     async fn answer(&mut self, answered: &Receiver<Answer>, bytes: usize) -> Option<Answer> {
         let mut passed = 0;
         loop {
-            self.over |= !self.intake.has_room() || !self.slot.hold(bytes + self.intake.held());
+            self.over |= !self.intake.has_capacity()
+                || !self
+                    .slot
+                    .reserve_bytes(bytes + self.intake.buffered_bytes());
             let (stream, buffer) = (&mut self.stream, &mut self.buffer);
             let answer = async { answered.recv().await.ok().map(Ok) };
             let read = async { Some(Err(stream.read(buffer).await.unwrap_or(0))) };
@@ -391,7 +416,10 @@
     /// needed. Guards against a reset that overtakes the answer.
     async fn part(&mut self) -> io::Result<()> {
         self.stream.shutdown_write()?;
-        let (_waits, close) = self.context.limits.waits(self.now(), self.waiter(true));
+        let (_waits, close) = self
+            .context
+            .limits
+            .register_idle(self.now(), self.waiter(true));
         let closed = async {
             let _ = close.recv().await;
             Ok(())
