--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -1,23 +1,25 @@
-//! PCG-XSH-RR 64/32 (M. E. O'Neill, 2014): the only source of chance in the decisions.
+//! PCG-XSH-RR 64/32 (M. E. O'Neill, 2014): the only source of randomness in the decisions.
 
+const MULTIPLIER: u64 = 6364136223846793005;
+const INCREMENT: u64 = 1442695040888963407;
+
+/// A pseudo-random generator. The same seed always leads to the same numbers.
 #[derive(Clone, Debug, Default)]
 pub struct Pcg {
     state: u64,
 }
 
-const MULTIPLIER: u64 = 6364136223846793005;
-const INCREMENT: u64 = 1442695040888963407;
-
 impl Pcg {
+    /// A generator that starts from `seed`.
     pub fn new(seed: u64) -> Self {
         let mut pcg = Self {
             state: seed.wrapping_add(INCREMENT),
         };
-        pcg.draw();
+        pcg.next_u32();
         pcg
     }
 
-    fn draw(&mut self) -> u32 {
+    fn next_u32(&mut self) -> u32 {
         let old = self.state;
         self.state = old.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT);
         ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
@@ -25,6 +27,6 @@
 
     /// A number from 0 up to, but not including, 1.
     pub fn unit(&mut self) -> f64 {
-        f64::from(self.draw()) / (f64::from(u32::MAX) + 1.0)
+        f64::from(self.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -4,7 +4,7 @@
 use super::outlier::{BUSY_WEIGHT, OVERRUN_WEIGHT, UNRESPONSIVE_WEIGHT};
 use super::peer_load::ReportReason;
 use super::worker_selection::Selection;
-use crate::start_delays::{AttemptId, Sent};
+use crate::start_delays::{AttemptId, SentAttempt};
 use crate::state::RequestState::{Pending, PendingMayHaveRun};
 use crate::state::{Attempt, RequestInput, RunningMean, UncertainAttempt, Worker};
 use crate::time::{SECOND, decay};
@@ -67,12 +67,12 @@
         let request_id = active.request.id;
         let attempt_index = active.attempts_sent;
         let expected_wait = worker.queue_wait(active.demand.slots_required, worker.peer_load(now));
-        self.start_delays.sent(Sent {
+        self.start_delays.record_sent(SentAttempt {
             id: AttemptId {
-                request: request_id,
-                number: attempt_index as u8,
+                request_id: request_id,
+                attempt_index: attempt_index as u8,
             },
-            at: now,
+            sent_at: now,
             expected_wait,
             time_to_spare: active.time_to_spare(now, worker.service_time_factor),
             service_time: active.demand.service_time,
@@ -132,10 +132,10 @@
         worker.set_start_delay(now, attempt.unexplained_delay(now));
         self.zone_delays.observe(worker.zone, worker.start_delay);
         let id = AttemptId {
-            request: request_id,
-            number: attempt_index,
+            request_id: request_id,
+            attempt_index: attempt_index,
         };
-        self.start_delays.started(id, now);
+        self.start_delays.record_start(id, now);
         let service_time = self.requests[key].demand.service_time;
         let overrun_after =
             OVERRUN_MULTIPLE * service_time * worker.service_time_factor + OVERRUN_TOLERANCE;
@@ -206,9 +206,9 @@
             self.observe_slots(now, key, attempt.worker);
         }
         self.requests[key].attempts_mut()[usize::from(attempt_index)].in_flight = false;
-        self.start_delays.ended(AttemptId {
-            request: request_id,
-            number: attempt_index,
+        self.start_delays.record_end(AttemptId {
+            request_id: request_id,
+            attempt_index: attempt_index,
         });
         self.on_load_report(now, attempt.worker, report);
         let reason = self.learn_from_outcome(now, key, &attempt, outcome);
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -1,7 +1,7 @@
 //! Fixtures of the tests of the decisions.
 use super::Dispatcher;
 use crate::settings::{Idempotency, Map};
-use crate::start_delays::{AttemptId, Sent};
+use crate::start_delays::{AttemptId, SentAttempt};
 use crate::state::{ActiveRequest, RequestDemand};
 use crate::time::SECOND;
 use crate::types::{
@@ -99,8 +99,8 @@
     let wait = 2.0 * SECOND;
     for request in 0..32 {
         let id = AttemptId {
-            request: 1_000_000 + request,
-            number: 0,
+            request_id: 1_000_000 + request,
+            attempt_index: 0,
         };
         let time_to_spare = if request >= 32 - late {
             0.5 * wait
@@ -108,14 +108,14 @@
             1.25 * wait
         };
         let expected_wait = wait - delay * time_to_spare;
-        d.start_delays.sent(Sent {
+        d.start_delays.record_sent(SentAttempt {
             id,
-            at: now - wait as Nanos,
+            sent_at: now - wait as Nanos,
             expected_wait,
             time_to_spare,
             service_time: 0.0,
         });
-        d.start_delays.started(id, now);
+        d.start_delays.record_start(id, now);
     }
 }
 
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -1,150 +1,174 @@
-//! How late attempts start of late over the whole fleet, as one dispatcher's own attempts show.
+//! The delay of starts over the whole fleet, as this dispatcher's own attempts show it.
 //!
-//! Attempts count in the order in which they were sent, not in the order of their starts. One that has not started yet counts
-//! as if it started now: its delay is at least its age, so it can raise the estimate and never lower it. Guards against a
-//! queue that is noticed only once it has been worked off: starts alone tell how long the queue was when they were sent.
+//! Attempts count in the order in which they were sent, not in that of their starts. One that has not started yet counts
+//! as if it started now: it can raise the estimate and never lowers it. Starts alone would tell of a queue only once it
+//! has been worked off.
 use crate::time::{SECOND, decay};
 use crate::types::{Nanos, RequestId};
 use std::collections::VecDeque;
 
-/// The newest attempt weighs a fifth of all. In a large fleet a dispatcher sends one to five a second, and a burst fills
-/// all queues within one to two seconds; a tenth was too slow there, though as good or slightly better on calm days.
-const NEWEST: f64 = 0.2;
-/// The newest weighs so much of all in the part that started too late, for each unit of rarity: seven to twenty attempts tell.
-const NEWEST_LATE: f64 = 0.05;
-/// So many attempts are kept: the others would weigh less than a thousandth.
-const KEPT: usize = 32;
-/// Longer delays count as this, in times to spare: no request is sent that would wait longer.
-const LONGEST: f64 = 1.5;
+#[cfg(test)]
+mod tests;
+
+/// The weight of the newest attempt in the mean delay. A dispatcher of a large fleet sends one to five a second, and a
+/// burst fills all queues within two.
+const DELAY_WEIGHT: f64 = 0.2;
+
+/// The weight of the newest attempt in the part that starts late, for each unit of rarity: seven to twenty count.
+const LATE_WEIGHT: f64 = 0.05;
+
+/// The number of attempts that are kept. Others would weigh less than a thousandth.
+const MAX_ATTEMPTS: usize = 32;
+
+/// The longest delay that counts, in times to spare: no request is sent that would wait longer.
+const MAX_DELAY: f64 = 1.5;
+
+/// The least time to spare that a delay is measured by, in service times.
+const MIN_TIME_TO_SPARE: f64 = 0.25;
 
 /// One attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptId {
-    pub request: RequestId,
-    pub number: u8,
+pub(crate) struct AttemptId {
+    pub(crate) request_id: RequestId,
+    pub(crate) attempt_index: u8,
 }
 
 /// An attempt as it is sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
-    pub id: AttemptId,
-    pub at: Nanos,
+pub(crate) struct SentAttempt {
+    pub(crate) id: AttemptId,
+    pub(crate) sent_at: Nanos,
     /// The wait that this dispatcher's own earlier attempts explain.
-    pub expected_wait: f64,
-    /// How long it may wait and still be in time; not above 0 where it is late even at an idle worker.
-    pub time_to_spare: f64,
-    /// How long it is taken to run.
-    pub service_time: f64,
+    pub(crate) expected_wait: f64,
+    /// How long it may wait and still meet its latency objective; not above 0 where it cannot at an idle worker.
+    pub(crate) time_to_spare: f64,
+    /// How long it is expected to run.
+    pub(crate) service_time: f64,
 }
 
-impl Sent {
-    /// How much longer than expected it has waited by `now`, in times to spare.
+impl SentAttempt {
+    /// How much longer than expected it has waited by now, in times to spare.
     fn delay(&self, now: Nanos) -> f64 {
-        let waited = (now.saturating_sub(self.at) as f64 - self.expected_wait).max(0.0);
-        // Guards against tiny times to spare, in which any delay is endless.
-        let room = self.time_to_spare.max(0.25 * self.service_time).max(1.0);
-        (waited / room).min(LONGEST)
+        let delay = (self.age(now) - self.expected_wait).max(0.0);
+        let time_to_spare = self
+            .time_to_spare
+            .max(MIN_TIME_TO_SPARE * self.service_time)
+            .max(1.0);
+        (delay / time_to_spare).min(MAX_DELAY)
     }
 
-    /// Whether a start at `now` is too late because of its wait. What an idle worker would make late tells nothing of queues.
+    /// Whether a start now is too late because of its wait. What would be late at an idle worker says nothing of queues.
     fn is_late(&self, now: Nanos) -> bool {
-        self.time_to_spare > 0.0 && now.saturating_sub(self.at) as f64 > self.time_to_spare
+        self.time_to_spare > 0.0 && self.age(now) > self.time_to_spare
+    }
+
+    fn age(&self, now: Nanos) -> f64 {
+        now.saturating_sub(self.sent_at) as f64
     }
 }
 
-/// What is known of how an attempt's wait ended.
+/// How an attempt's wait ended.
 #[derive(Clone, Copy, Debug)]
-struct Waited {
-    until: Nanos,
+struct Start {
+    at: Nanos,
+    /// In times to spare.
     delay: f64,
-    late: bool,
+    is_late: bool,
+}
+
+/// An attempt and its start, if it has started.
+#[derive(Clone, Copy, Debug)]
+struct ObservedAttempt {
+    sent: SentAttempt,
+    start: Option<Start>,
 }
 
 /// The state of the whole fleet's queues.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Congestion {
+pub(crate) struct Congestion {
     /// The mean delay of a start, in times to spare.
-    pub delay: f64,
+    pub(crate) delay: f64,
     /// The part of the attempts that start too late.
-    pub late: f64,
+    pub(crate) late: f64,
 }
 
 /// The latest attempts, in the order in which they were sent.
 #[derive(Debug)]
-pub struct StartDelays {
-    attempts: VecDeque<(Sent, Option<Waited>)>,
+pub(crate) struct StartDelays {
+    attempts: VecDeque<ObservedAttempt>,
 }
 
 impl Default for StartDelays {
     fn default() -> Self {
         StartDelays {
-            attempts: VecDeque::with_capacity(KEPT),
+            attempts: VecDeque::with_capacity(MAX_ATTEMPTS),
         }
     }
 }
 
 impl StartDelays {
-    /// An attempt was sent.
-    pub fn sent(&mut self, sent: Sent) {
-        if self.attempts.len() == KEPT {
+    /// Adds an attempt that was sent.
+    pub(crate) fn record_sent(&mut self, sent: SentAttempt) {
+        if self.attempts.len() == MAX_ATTEMPTS {
             self.attempts.pop_front();
         }
-        self.attempts.push_back((sent, None));
+        self.attempts
+            .push_back(ObservedAttempt { sent, start: None });
     }
 
-    /// An attempt has started.
-    pub fn started(&mut self, id: AttemptId, now: Nanos) {
-        if let Some(at) = self.waiting(id) {
-            let (sent, waited) = &mut self.attempts[at];
-            *waited = Some(Waited {
-                until: now,
+    /// Notes that an attempt has started.
+    pub(crate) fn record_start(&mut self, id: AttemptId, now: Nanos) {
+        if let Some(index) = self.waiting_index(id) {
+            let ObservedAttempt { sent, start } = &mut self.attempts[index];
+            *start = Some(Start {
+                at: now,
                 delay: sent.delay(now),
-                late: sent.is_late(now),
+                is_late: sent.is_late(now),
             });
         }
     }
 
-    /// An attempt has ended. One that never started is forgotten: that its worker was full, silent or gone tells of that
-    /// worker alone.
-    pub fn ended(&mut self, id: AttemptId) {
-        if let Some(at) = self.waiting(id) {
-            self.attempts.remove(at);
+    /// Notes that an attempt has ended. One that never started is forgotten: that its worker was full, unresponsive or
+    /// gone says nothing of others.
+    pub(crate) fn record_end(&mut self, id: AttemptId) {
+        if let Some(index) = self.waiting_index(id) {
+            self.attempts.remove(index);
         }
     }
 
-    /// The estimate as of now. `rarity` is 1 where many attempts are seen and higher where few are: what is known is then
-    /// forgotten later, half of it in so many seconds, and each attempt tells more.
-    pub fn congestion(&self, now: Nanos, rarity: f64) -> Congestion {
-        let newest_late = NEWEST_LATE * rarity;
+    /// The estimate as of now. `rarity` is 1 where many attempts are seen and higher where few are: starts then lose their
+    /// weight more slowly, with a half-life of so many seconds, and each attempt counts for more.
+    pub(crate) fn congestion(&self, now: Nanos, rarity: f64) -> Congestion {
+        let late_weight = LATE_WEIGHT * rarity;
         let mut estimate = Congestion::default();
-        for (sent, waited) in &self.attempts {
-            let (delay, late) = match waited {
-                Some(Waited { until, delay, late }) => {
-                    let left = decay(1.0, *until, now, SECOND * rarity);
-                    (left * delay, left * f64::from(*late))
+        for ObservedAttempt { sent, start } in &self.attempts {
+            let observed = match start {
+                Some(start) => {
+                    let left = decay(1.0, start.at, now, SECOND * rarity);
+                    Congestion {
+                        delay: left * start.delay,
+                        late: left * f64::from(start.is_late),
+                    }
                 }
-                None => {
-                    let late = if sent.is_late(now) {
+                None => Congestion {
+                    delay: sent.delay(now).max(estimate.delay),
+                    late: if sent.is_late(now) {
                         1.0
                     } else {
                         estimate.late
-                    };
-                    (sent.delay(now).max(estimate.delay), late)
-                }
+                    },
+                },
             };
-            estimate.delay += NEWEST * (delay - estimate.delay);
-            estimate.late += newest_late * (late - estimate.late);
+            estimate.delay += DELAY_WEIGHT * (observed.delay - estimate.delay);
+            estimate.late += late_weight * (observed.late - estimate.late);
         }
         estimate
     }
 
-    /// The place of an attempt that neither started nor ended.
-    fn waiting(&self, id: AttemptId) -> Option<usize> {
+    /// The index of an attempt that has neither started nor ended.
+    fn waiting_index(&self, id: AttemptId) -> Option<usize> {
         self.attempts
             .iter()
-            .rposition(|(sent, waited)| sent.id == id && waited.is_none())
+            .rposition(|attempt| attempt.sent.id == id && attempt.start.is_none())
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -6,10 +6,13 @@
 
 /// Sends attempt `request` at `at` ms: it has 100 ms to spare, of which nothing is expected to be spent.
 fn send(delays: &mut StartDelays, request: RequestId, at: Nanos) -> AttemptId {
-    let id = AttemptId { request, number: 0 };
-    delays.sent(Sent {
+    let id = AttemptId {
+        request_id: request,
+        attempt_index: 0,
+    };
+    delays.record_sent(SentAttempt {
         id,
-        at: at * MS,
+        sent_at: at * MS,
         expected_wait: 0.0,
         time_to_spare: 1e8,
         service_time: 1e7,
@@ -58,7 +61,7 @@
     send_all(&mut delays, 0..3, 0);
     for request in 3..18 {
         let id = send(&mut delays, request, 10);
-        delays.started(id, 11 * MS);
+        delays.record_start(id, 11 * MS);
     }
     let estimate = delays.congestion(1_000 * MS, RARITY);
     assert!(estimate.delay < 0.05 && estimate.late < 0.1, "{estimate:?}");
@@ -71,7 +74,7 @@
     let mut delays = StartDelays::default();
     let id = send(&mut delays, 1, 0);
     assert!(delays.congestion(200 * MS, RARITY).delay > 0.0);
-    delays.ended(id);
+    delays.record_end(id);
     assert_eq!(delays.congestion(200 * MS, RARITY), Congestion::default());
 }
 
@@ -82,7 +85,7 @@
     let mut delays = StartDelays::default();
     for request in 0..40 {
         let id = send(&mut delays, request, 0);
-        delays.started(id, 100 * MS);
+        delays.record_start(id, 100 * MS);
     }
     delays.congestion(2_200 * MS, rarity).delay < 0.25
 }
@@ -92,17 +95,17 @@
 fn what_an_idle_worker_makes_late_counts_as_in_time() {
     let mut delays = StartDelays::default();
     let id = AttemptId {
-        request: 1,
-        number: 0,
+        request_id: 1,
+        attempt_index: 0,
     };
-    delays.sent(Sent {
+    delays.record_sent(SentAttempt {
         id,
-        at: 0,
+        sent_at: 0,
         expected_wait: 0.0,
         time_to_spare: -1.0,
         service_time: 1e8,
     });
-    delays.started(id, 10 * MS);
+    delays.record_start(id, 10 * MS);
     assert_eq!(delays.congestion(10 * MS, RARITY).late, 0.0);
 }
 
@@ -111,13 +114,13 @@
 fn only_the_latest_attempts_are_kept_and_each_counts_once() {
     let mut delays = StartDelays::default();
     send_all(&mut delays, 0..1_000, 0);
-    assert_eq!(delays.attempts.len(), KEPT);
+    assert_eq!(delays.attempts.len(), MAX_ATTEMPTS);
     let id = AttemptId {
-        request: 999,
-        number: 0,
+        request_id: 999,
+        attempt_index: 0,
     };
-    delays.started(id, MS);
+    delays.record_start(id, MS);
     let before = delays.congestion(MS, RARITY);
-    delays.ended(id);
+    delays.record_end(id);
     assert_eq!(delays.congestion(MS, RARITY), before);
 }
