--- a/src/mutation.rs
+++ b/src/mutation.rs
@@ -1,94 +1,96 @@
-//! Faults planted in the program on purpose, to show that whoever judges it can find them. Only a build with the
-//! feature `mutations` has them, one at a time and on one thread; in all others `is_active` is false when it is compiled.
+//! Mutation testing: guards that can be left out on purpose, to show that the tests and the simulation find it.
+//!
+//! Only a build with the feature `mutations` has them, one at a time and on one thread. In all others [`is_active`] is
+//! false at compile time.
 
-/// What goes wrong.
+/// A guard of the program that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// A once-only request is posted again after it may have run.
+    /// A non-idempotent request is sent again after it may have run.
     RetryNonIdempotent,
-    /// A referenced request is repeated out of its group and window.
+    /// A request with an idempotency key is retried outside its retry scope and window.
     IgnoreRetryWindow,
-    /// A worker that drains still gets new work.
+    /// A draining worker still gets new requests.
     IgnoreDraining,
-    /// A cold worker gets whatever its lane holds.
+    /// A warming worker gets whatever its interval holds.
     IgnoreSlowStart,
-    /// An answer that is ready while the program stops is not written.
+    /// An answer that is ready at a shutdown is not written.
     DropAnswerAtShutdown,
-    /// Answers are decided 100 ms after the deadline.
+    /// Deadlines are handled 100 ms late.
     AnswerAfterDeadline,
     /// The timer of one deadline in sixteen is lost.
     DropDeadlineTimer,
-    /// An old list overrides a new one.
+    /// An old endpoint list replaces a newer one.
     AcceptStaleList,
-    /// A client that has left is not noticed, and its request is posted all the same.
+    /// A client's disconnection is not noticed, and its request is sent all the same.
     IgnoreClientDisconnect,
-    /// The connection of an attempt that ended badly is never closed.
+    /// The connection of an attempt that failed is never closed.
     LeakConnection,
-    /// The id of a request in hand is taken again.
+    /// The id of an active request is accepted again.
     AcceptDuplicateId,
     /// A connection that broke after the last byte counts as one that never came up.
     TreatLostAsNotRun,
     /// One answer in thirty-two ends before its last byte.
     TruncateAnswer,
-    /// Whoever waits at a full door or a stop is closed at once.
+    /// Connections beyond the limit, or during a shutdown, are closed without an answer.
     CloseWithoutAnswer,
-    /// A reload drops the old watch before the new one has told anything.
+    /// A reload drops the old watch before the new one has delivered anything.
     DropWatchOnReload,
-    /// Txns that were posted more than once stay in hand for ever.
+    /// Requests that were sent more than once stay active for ever.
     LeakRequest,
-    // What dispatchers are to each other.
-    /// What a paused process waited for counts against others.
+    // Between dispatchers.
+    /// The time for which this process was paused counts as silence of others.
     IgnorePause,
-    /// What an old incarnation said is believed.
+    /// Messages of an old incarnation are accepted.
     AcceptOldIncarnation,
     /// A member takes the rank after its own.
     WrongRank,
-    /// A keeper that starts anew promises at once.
+    /// A quorum member that restarts makes promises at once.
     ForgetLeasePromise,
-    /// A keeper promises another while its word still holds.
+    /// A quorum member promises a lease while its earlier promise still holds.
     PromiseLeaseTwice,
-    /// One less than a majority of the keepers is enough.
+    /// One less than a majority of the quorum is enough for a lease.
     LeaseWithoutMajority,
-    /// A lease counts from the answer.
+    /// A lease counts from the reply instead of from the request.
     LeaseFromReply,
-    /// What was given is forgotten after a window, though it may be spent later.
+    /// An issued grant is forgotten after a window, though it may be used later.
     ForgetIssuedGrant,
-    /// A new giver does not wait for what the one before gave.
+    /// A new grant issuer does not wait for what its predecessor issued.
     IssueWithoutHandoverWait,
-    /// A request that comes twice is given to twice.
+    /// A duplicate grant request is granted again.
     GrantDuplicateRequest,
-    /// A right is given and kept.
+    /// Granted work also stays in the issuer's budget.
     KeepGrantedWork,
-    /// A right that comes twice counts twice.
+    /// A duplicate grant counts twice.
     AcceptDuplicateGrant,
-    /// A right counts from the answer.
+    /// A grant counts from the reply instead of from the request.
     GrantFromReply,
-    /// One member's word on silence counts without bound.
+    /// One member may report any number of workers as unresponsive.
     UnboundedSilenceReports,
-    // How keepers agree on the fleet's settings.
-    /// A keeper answers before its disk has what the answer rests on.
+    // The replicated register of the fleet's settings.
+    /// A quorum member replies before its disk has what the reply rests on.
     ReplyBeforePersist,
-    /// Half of the keepers are taken for more than half.
+    /// Half of the quorum counts as a majority.
     MiscountMajority,
-    /// What keepers have accepted before is not looked at.
+    /// Values that the quorum has accepted before are not taken over.
     IgnoreAcceptedValue,
-    /// A change gets the number after the one that it names, whatever is there.
+    /// A change gets the version after the one that it names, whatever is there.
     ReuseVersion,
-    /// A keeper accepts what lies below what it has promised.
+    /// A quorum member accepts a ballot below its promise.
     AcceptBelowPromise,
-    /// A keeper that starts anew has promised nothing.
+    /// A quorum member that restarts has promised no ballot.
     ForgetBallotPromise,
-    /// A document is taken for the chosen one by its number alone.
+    /// A document is taken for the chosen one by its version alone.
     SkipDigestCheck,
-    /// What was fetched is taken up though it is not whole.
+    /// A fetched document is applied though it is not complete.
     ApplyPartialDocument,
-    /// A keeper that starts anew acts by nothing of what it had.
+    /// A quorum member that restarts falls back behind what it had applied.
     RegressAfterRestart,
-    /// An older document takes the place of a newer one.
+    /// An older document replaces a newer one.
     ApplyOlderDocument,
 }
 
-/// Those in how keepers agree on settings: `rosewall-cluster` finds them.
+/// The mutations of the replicated register. The tests of `rosewall-cluster` find them.
 pub const REGISTER: &[Mutation] = &[
     Mutation::ReplyBeforePersist,
     Mutation::MiscountMajority,
@@ -102,7 +104,7 @@
     Mutation::ApplyOlderDocument,
 ];
 
-/// Those that play between dispatchers: `rosewall-cluster` finds them.
+/// The mutations between dispatchers. The tests of `rosewall-cluster` find them.
 pub const CLUSTER: &[Mutation] = &[
     Mutation::IgnorePause,
     Mutation::AcceptOldIncarnation,
@@ -120,6 +122,7 @@
     Mutation::UnboundedSilenceReports,
 ];
 
+/// The mutations of one dispatcher. The simulation finds them.
 pub const ALL: &[Mutation] = &[
     Mutation::RetryNonIdempotent,
     Mutation::IgnoreRetryWindow,
@@ -144,19 +147,19 @@
     static ACTIVE: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
-/// Plants a fault in what this thread runs from here on, or none.
+/// Activates a mutation on this thread, or none.
 #[cfg(feature = "mutations")]
-pub fn activate(fault: Option<Mutation>) {
-    ACTIVE.set(fault);
+pub fn activate(mutation: Option<Mutation>) {
+    ACTIVE.set(mutation);
 }
 
-/// Whether this fault is planted.
+/// Whether the mutation is active on this thread.
 #[cfg(feature = "mutations")]
-pub fn is_active(fault: Mutation) -> bool {
-    ACTIVE.get() == Some(fault)
+pub fn is_active(mutation: Mutation) -> bool {
+    ACTIVE.get() == Some(mutation)
 }
 
-/// No fault is planted in this build.
+/// No mutation is active in this build.
 #[cfg(not(feature = "mutations"))]
 #[inline(always)]
 pub const fn is_active(_: Mutation) -> bool {
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -69,7 +69,7 @@
         let expected_wait = worker.queue_wait(active.demand.slots_required, worker.peer_load(now));
         self.start_delays.record_sent(SentAttempt {
             id: AttemptId {
-                request_id: request_id,
+                request_id,
                 attempt_index: attempt_index as u8,
             },
             sent_at: now,
@@ -132,8 +132,8 @@
         worker.set_start_delay(now, attempt.unexplained_delay(now));
         self.zone_delays.observe(worker.zone, worker.start_delay);
         let id = AttemptId {
-            request_id: request_id,
-            attempt_index: attempt_index,
+            request_id,
+            attempt_index,
         };
         self.start_delays.record_start(id, now);
         let service_time = self.requests[key].demand.service_time;
@@ -207,8 +207,8 @@
         }
         self.requests[key].attempts_mut()[usize::from(attempt_index)].in_flight = false;
         self.start_delays.record_end(AttemptId {
-            request_id: request_id,
-            attempt_index: attempt_index,
+            request_id,
+            attempt_index,
         });
         self.on_load_report(now, attempt.worker, report);
         let reason = self.learn_from_outcome(now, key, &attempt, outcome);
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -9,8 +9,7 @@
 use crate::state::{ActiveRequest, Attempt, RequestDemand, RunningMean, SentWork};
 use crate::time::SECOND;
 use crate::types::{
-    Action, AttemptEnded, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, Report,
-    Request,
+    Action, Endpoint, EndpointState, Event, ListScope, Nanos, Outcome, Report, Request,
 };
 use test_case::test_case;
 
@@ -77,91 +76,93 @@
             .any(|(_, active)| active.attempts_sent == 1)
 }
 
-/// Most of a large fleet is replaced at once. Guards against parts of a cold worker's budget in which no job fits,
-/// against ones that use the old and leave the new alone, and against more than the rule allows from all together.
+/// Work sent to a warming worker, in seconds.
+struct WorkSent {
+    worker: u8,
+    at: Nanos,
+    work: f64,
+}
+
+/// What one dispatcher sends in the 4 s after `started`, when it learns of the endpoints. All attempts succeed at once.
+fn work_sent_by(
+    mut dispatcher: Dispatcher,
+    rank: u32,
+    started: Nanos,
+    endpoints: &[Endpoint],
+) -> Vec<WorkSent> {
+    let mut rng = Pcg::new(u64::from(rank));
+    let mut hint = || (20.0 + rng.unit() * 140.0) as Nanos * MS;
+    (0..60).for_each(|_| dispatcher.classes[0].record_request(hint() as f64));
+    let list = Event::EndpointList {
+        scope: ListScope::Snapshot,
+        endpoints: endpoints.to_vec(),
+    };
+    handle(&mut dispatcher, started, list);
+    let mut sent = Vec::new();
+    for n in 100..120 {
+        let now = started + u64::from(n - 100) * 200 * MS + u64::from(rank) * MS;
+        let hint = hint();
+        let arrival = Event::RequestArrived(request(n, 0, hint, now));
+        for action in handle(&mut dispatcher, now, arrival) {
+            let Action::SendAttempt { worker, request_id } = action else {
+                continue;
+            };
+            sent.push(WorkSent {
+                worker: worker.addr[3],
+                at: now,
+                work: hint as f64 / SECOND,
+            });
+            let end = ended(request_id, 0, Outcome::Succeeded);
+            handle(&mut dispatcher, now, end);
+        }
+    }
+    sent
+}
+
+/// Most of a large fleet is replaced at once.
 #[test_case(100, 60, 36, 0.25; "most of the workers")]
 #[test_case(4, 10, 2, 0.05; "a few of each")]
-fn cold_workers_get_their_work_from_all_together(
+fn warming_workers_get_their_work_from_all_dispatchers_together(
     dispatchers: u32,
     workers: u8,
     replaced: u8,
-    least: f64,
+    min_share: f64,
 ) {
     let started = 50_000 * MS;
-    let list: Vec<Endpoint> = (0..workers)
+    let endpoints: Vec<Endpoint> = (0..workers)
         .map(|n| {
-            entry(
-                n,
-                EndpointState::Ready,
-                if n < replaced { started } else { 0 },
-            )
+            let started = if n < replaced { started } else { 0 };
+            entry(n, EndpointState::Ready, started)
         })
         .collect();
-    let mut sent: Vec<(u8, Nanos, f64)> = Vec::new();
-    for me in 0..dispatchers {
-        let (mut d, mut dice) = (
-            among(dispatchers, me, warm(workers)),
-            Pcg::new(u64::from(me)),
-        );
-        let mut hint = || (20.0 + dice.unit() * 140.0) as Nanos * MS;
-        (0..60).for_each(|_| d.classes[0].record_request(hint() as f64));
-        handle(
-            &mut d,
-            started,
-            Event::EndpointList {
-                scope: ListScope::Snapshot,
-                endpoints: list.clone(),
-            },
-        );
-        for n in 100..120 {
-            let (now, hint) = (
-                started + u64::from(n - 100) * 200 * MS + u64::from(me) * MS,
-                hint(),
-            );
-            for act in handle(&mut d, now, Event::RequestArrived(request(n, 0, hint, now))) {
-                let Action::SendAttempt { worker, request_id } = act else {
-                    continue;
-                };
-                sent.push((worker.addr[3], now, hint as f64 / SECOND));
-                let (outcome, report) = (Outcome::Succeeded, Report::default());
-                handle(
-                    &mut d,
-                    now,
-                    Event::AttemptEnded(AttemptEnded {
-                        request_id,
-                        attempt_index: 0,
-                        outcome,
-                        complete: true,
-                        report,
-                    }),
-                );
-            }
-        }
-    }
-    let work = |n: u8, from: Nanos| {
-        let within =
-            |(m, at, _): &&(u8, Nanos, f64)| *m == n && (from..from + 1_000 * MS).contains(at);
+    let sent: Vec<WorkSent> = (0..dispatchers)
+        .flat_map(|rank| {
+            let dispatcher = among(dispatchers, rank, warm(workers));
+            work_sent_by(dispatcher, rank, started, &endpoints)
+        })
+        .collect();
+    let work_in_second = |worker: u8, from: Nanos| {
         sent.iter()
-            .filter(within)
-            .map(|(_, _, work)| work)
+            .filter(|sent| sent.worker == worker && (from..from + 1_000 * MS).contains(&sent.at))
+            .map(|sent| sent.work)
             .sum::<f64>()
     };
-    let all: f64 = (0..replaced)
-        .flat_map(|n| (0..4).map(move |s| (n, s)))
-        .map(|(n, s)| work(n, started + s * 1_000 * MS))
+    let total: f64 = (0..replaced)
+        .flat_map(|worker| (0..4).map(move |second| (worker, second)))
+        .map(|(worker, second)| work_in_second(worker, started + second * 1_000 * MS))
         .sum();
-    // What they can do at their coldest: two seats at a fifth of their speed.
-    let most = 2.0 * 0.2 * 4.0 * f64::from(replaced);
+    // What they can do at their coldest: two slots at a fifth of their speed.
+    let capacity = 2.0 * 0.2 * 4.0 * f64::from(replaced);
     assert!(
-        all > least * most,
-        "cold workers got {all} s of {most} s of work"
+        total > min_share * capacity,
+        "warming workers got {total} s of {capacity} s of work"
     );
-    for n in 0..replaced {
+    for worker in 0..replaced {
         for from in (0..30).map(|part| started + part * 100 * MS) {
             let warmth = 0.2 + 0.8 * (from - started) as f64 / 10e9;
             assert!(
-                work(n, from) < 3.0 * 2.0 * warmth,
-                "cold worker {n} pushed over"
+                work_in_second(worker, from) < 3.0 * 2.0 * warmth,
+                "warming worker {worker} overloaded"
             );
         }
     }
