--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -45,7 +45,7 @@
     (0..5).for_each(|_| d.classes[2].record_request(100e6));
     d.rejected_share = rejected_share;
     let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
-    // A second's wait: half of its own room, two and a half times theirs.
+    // A wait of one second: half of its own time to spare, two and a half times theirs.
     d.admit(0, key, waiting(SECOND, 0.5))
 }
 
@@ -56,12 +56,12 @@
     let mut d = dispatcher_of(300, 0, warm_endpoints(200));
     let sent = |id: &RequestId| {
         let now = (10_000 + Nanos::from(*id) * gap) * MS;
-        let acts = handle(
+        let actions = handle(
             &mut d,
             now,
             Event::RequestArrived(request(*id, 2, 100 * MS, now)),
         );
-        matches!(acts[..], [Action::SendAttempt { .. }])
+        matches!(actions[..], [Action::SendAttempt { .. }])
     };
     let sent = (0..16).filter(sent).count();
     (2..=5).contains(&sent)
@@ -87,12 +87,12 @@
 /// How many of 100 requests of a class are admitted that would wait for 0.8 s, while all requests of the highest weight are
 /// rejected.
 fn admitted_of_100(mut d: Dispatcher, class: u8) -> usize {
-    let room = if class == 2 { 4e9 } else { 4e8 };
+    let time_to_spare = if class == 2 { 4e9 } else { 4e8 };
     let active = overdue_request(request(1, class, MS, 0));
     let key = d.requests.insert(active);
     let kept = |_: &usize| {
         d.rejected_share = 1.0;
-        d.admit(0, key, waiting(0.8e9, 0.8e9 / room))
+        d.admit(0, key, waiting(0.8e9, 0.8e9 / time_to_spare))
     };
     (0..100).filter(kept).count()
 }
@@ -119,7 +119,7 @@
     let now = 10_000 * MS;
     let mut d = dispatcher(1);
     let worker = &mut d.workers[0];
-    // Of 600 ms of room its pace leaves 100; a wait of 200 ms.
+    // Its service-time factor leaves 100 of 600 ms to spare; the wait is 200 ms.
     (
         worker.service_time_factor,
         worker.factor_samples,
@@ -128,12 +128,12 @@
     ) = (2.6, 9.0, 200.0 * 1e6, now);
     d.unobserved_share = 0.0;
     start_recent_attempts(&mut d, now, 0.0, late);
-    let acts = handle(
+    let actions = handle(
         &mut d,
         now,
         Event::RequestArrived(request(1, 0, 300 * MS, now)),
     );
-    matches!(acts[..], [Action::SendAttempt { .. }])
+    matches!(actions[..], [Action::SendAttempt { .. }])
 }
 
 #[test]
@@ -142,12 +142,15 @@
     d.workers[0].service_time_factor = 4.0;
     for id in 1..=20 {
         let now = u64::from(id) * 1_000 * MS;
-        let acts = handle(
+        let actions = handle(
             &mut d,
             now,
             Event::RequestArrived(request(id, 0, 300 * MS, now)),
         );
-        assert!(matches!(acts[..], [Action::SendAttempt { .. }]), "{acts:?}");
+        assert!(
+            matches!(actions[..], [Action::SendAttempt { .. }]),
+            "{actions:?}"
+        );
         handle(
             &mut d,
             now + MS,
--- a/src/policy/diffeqal/tests.rs
+++ b/src/policy/diffeqal/tests.rs
@@ -47,11 +47,14 @@
 
 #[test]
 fn class_shifts_keep_the_total_work_of_a_class() {
-    let (mut whole, mut own, mut interval_bounds) = ([0.0; BINS], [0.0; BINS], Vec::new());
-    (8..40).for_each(|bin| (whole[bin], own[bin]) = (10.0, if bin < 24 { 5.0 } else { 1.0 }));
+    let (mut all_work, mut class_work, mut interval_bounds) =
+        ([0.0; BINS], [0.0; BINS], Vec::new());
+    (8..40).for_each(|bin| {
+        (all_work[bin], class_work[bin]) = (10.0, if bin < 24 { 5.0 } else { 1.0 })
+    });
     compute_interval_bounds(
-        &whole,
-        &own,
+        &all_work,
+        &class_work,
         &[1.0; 2],
         semi_geometric_shifts(2, 0.4),
         &mut interval_bounds,
@@ -68,19 +71,20 @@
 /// Otherwise such requests of many dispatchers that have seen few each would all go to the last worker.
 #[test]
 fn a_request_larger_than_all_before_falls_into_any_interval_that_its_work_fills() {
-    let lane = |hint: Nanos| {
+    let worker_for = |hint: Nanos| {
         let mut d = dispatcher(10);
         d.classes[0].histogram[bin_index(1e6)] = 1e6;
-        let acts = handle(
+        let actions = handle(
             &mut d,
             MS,
             Event::RequestArrived(request(1, 0, hint * MS, 0)),
         );
-        let [Action::SendAttempt { worker, .. }] = acts[..] else {
-            panic!("{acts:?}")
+        let [Action::SendAttempt { worker, .. }] = actions[..] else {
+            panic!("{actions:?}")
         };
         worker.addr[3]
     };
-    let subset: std::collections::BTreeSet<u8> = (0..40).map(|n| lane(100 + 5 * n)).collect();
-    assert!(subset.len() > 6, "{subset:?}");
+    let workers: std::collections::BTreeSet<u8> =
+        (0..40).map(|step| worker_for(100 + 5 * step)).collect();
+    assert!(workers.len() > 6, "{workers:?}");
 }
--- a/src/policy/dispatcher/tests.rs
+++ b/src/policy/dispatcher/tests.rs
@@ -9,14 +9,17 @@
 fn without_workers_a_request_is_rejected_once_it_cannot_be_in_time() {
     let mut d = dispatcher(0);
     assert!(handle(&mut d, 0, Event::RequestArrived(request(1, 2, 100 * MS, 0))).is_empty());
-    let acts = handle(
+    let actions = handle(
         &mut d,
         450 * MS,
         Event::TimerFired {
             token: attempt_timer(1, 0),
         },
     );
-    assert!(matches!(acts[..], [Action::Reject { request_id: 1, .. }]));
+    assert!(matches!(
+        actions[..],
+        [Action::Reject { request_id: 1, .. }]
+    ));
 }
 
 /// Sizes at which a division by zero or an index out of bounds would show.
@@ -39,12 +42,13 @@
         dispatchers - 1,
         (0..workers).map(listed).collect(),
     );
-    let acts: Vec<Action> = (1..40)
+    let actions: Vec<Action> = (1..40)
         .flat_map(|n| handle(&mut d, 0, Event::RequestArrived(request(n, 2, 100 * MS, 0))))
         .collect();
     let (attempts_sent, wanted) = (
-        acts.iter()
-            .any(|act| matches!(act, Action::SendAttempt { .. })),
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::SendAttempt { .. })),
         workers > 0,
     );
     assert!(attempts_sent == wanted && d.classes[2].subset.len() <= usize::from(workers));
--- a/src/policy/endpoint_list/tests.rs
+++ b/src/policy/endpoint_list/tests.rs
@@ -17,13 +17,13 @@
         },
     );
     for n in 0..20 {
-        let acts = handle(
+        let actions = handle(
             &mut d,
             2 * MS,
             Event::RequestArrived(request(n, 0, 10 * MS, 0)),
         );
-        assert!(acts.iter().all(
-            |act| !matches!(act, Action::SendAttempt { worker, .. } if *worker == worker_id(0))
+        assert!(actions.iter().all(
+            |action| !matches!(action, Action::SendAttempt { worker, .. } if *worker == worker_id(0))
         ));
     }
 }
@@ -48,33 +48,33 @@
     let mut at = Vec::new();
     for seed in 0..50 {
         let mut d = Dispatcher::start(0, seed, &settings()).unwrap();
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         d.handle(
             0,
             Event::EndpointList {
                 scope: ListScope::Cached,
                 endpoints: Vec::new(),
             },
-            &mut acts,
+            &mut actions,
         );
-        assert!(acts.contains(&Action::WatchEndpoints));
-        acts.clear();
+        assert!(actions.contains(&Action::WatchEndpoints));
+        actions.clear();
         d.handle(
             MS,
             Event::EndpointList {
                 scope: ListScope::Failed,
                 endpoints: Vec::new(),
             },
-            &mut acts,
+            &mut actions,
         );
         let [
             Action::SetTimer {
                 at: again,
                 token: POLL_TIMER,
             },
-        ] = acts[..]
+        ] = actions[..]
         else {
-            panic!("{acts:?}")
+            panic!("{actions:?}")
         };
         assert!(handle(&mut d, again, Event::TimerFired { token: TICK_TIMER }).is_empty());
         assert_eq!(
@@ -83,13 +83,13 @@
         );
         at.push(again);
     }
-    let least = |from: Nanos| {
+    let fewest = |from: Nanos| {
         at.iter()
             .filter(|at| (from..from + 25 * MS).contains(at))
             .count()
     };
     assert!(
-        (0..40).all(|part| least(part * 25 * MS) <= 10),
+        (0..40).all(|part| fewest(part * 25 * MS) <= 10),
         "many call as one"
     );
 }
--- a/src/policy/lifecycle/tests.rs
+++ b/src/policy/lifecycle/tests.rs
@@ -53,7 +53,7 @@
             token: attempt_timer(1, 0),
         },
     };
-    let word = |act: &Action| match act {
+    let word = |action: &Action| match action {
         Action::Reject { .. } => "reject",
         Action::Fail { .. } => "fail",
         _ => "other",
--- a/src/policy/load_report/tests.rs
+++ b/src/policy/load_report/tests.rs
@@ -30,7 +30,7 @@
 fn slots_are_learned_from_requests_that_surely_ran_together(
     restarted: Nanos,
     third: Nanos,
-    settled: Nanos,
+    completed: Nanos,
 ) -> f64 {
     let mut d = dispatcher(1);
     (0..3).for_each(|n| {
@@ -61,7 +61,7 @@
     );
     handle(
         &mut d,
-        settled * MS,
+        completed * MS,
         attempt_ended(0, 0, Outcome::Succeeded),
     );
     d.workers[0].slots
@@ -84,10 +84,10 @@
         (worker.slots, worker.other_slots, worker.other_slots_at),
         (2.0, 0.0, 0)
     );
-    let acts = handle(&mut d, MS, Event::TimerFired { token: TICK_TIMER });
+    let actions = handle(&mut d, MS, Event::TimerFired { token: TICK_TIMER });
     assert!(
-        acts.contains(&Action::Log("2 invalid values in load reports".into())),
-        "{acts:?}"
+        actions.contains(&Action::Log("2 invalid values in load reports".into())),
+        "{actions:?}"
     );
 }
 
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -129,14 +129,15 @@
     let mut d = dispatcher(1);
     (d.unobserved_share, d.workers[0].last_response_at) = (1.0, last_response_at * MS);
     let now = now.max(1) * MS + 60_000 * MS * u64::from(last_response_at == 0);
-    let mut acts = Vec::new();
+    let mut actions = Vec::new();
     d.handle(
         now,
         Event::RequestArrived(request(1, 0, 800 * MS, now)),
-        &mut acts,
+        &mut actions,
     );
-    acts.iter()
-        .any(|act| matches!(act, Action::SetTimer { at, .. } if *at > now + 1_000 * MS))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::SetTimer { at, .. } if *at > now + 1_000 * MS))
 }
 
 #[test_case(2, 1_000 => false; "non-idempotent, soon after")]
@@ -147,13 +148,13 @@
     d.workers[0].class_failure_scores[0].raise(0, CLASS_FAILURE_HALF_LIFE, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
-        let acts = handle(
+        let actions = handle(
             &mut d,
             now,
             Event::RequestArrived(request(id, class, 50 * MS, now)),
         );
-        let [Action::SendAttempt { worker, .. }] = acts[..] else {
-            panic!("{acts:?}")
+        let [Action::SendAttempt { worker, .. }] = actions[..] else {
+            panic!("{actions:?}")
         };
         handle(&mut d, now, attempt_ended(id, 0, Outcome::Succeeded));
         worker == crate::policy::test_support::worker_id(0)
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -12,12 +12,12 @@
 #[test_case(Some((0, 0)), 1000 => true; "they have ended")]
 #[test_case(Some((8, 500)), 4000 => false; "still in use without a new report")]
 #[test_case(Some((8, 9000)), 11000 => true; "the report has expired")]
-fn slots_in_use_by_peers_are_not_free(told: Option<(u8, u16)>, at: Nanos) -> bool {
+fn slots_in_use_by_peers_are_not_free(reported: Option<(u8, u16)>, at: Nanos) -> bool {
     let mut d = exchanging_dispatcher(3, 2);
     let send_attempt = |d: &mut Dispatcher, id, now| {
-        let acts = handle(d, now, Event::RequestArrived(request(id, 2, 100 * MS, now)));
-        acts.into_iter().find_map(|act| {
-            if let Action::SendAttempt { worker, .. } = act {
+        let actions = handle(d, now, Event::RequestArrived(request(id, 2, 100 * MS, now)));
+        actions.into_iter().find_map(|action| {
+            if let Action::SendAttempt { worker, .. } = action {
                 Some(worker)
             } else {
                 None
@@ -26,8 +26,8 @@
     };
     let mine = send_attempt(&mut d, 1, 900 * MS).unwrap();
     handle(&mut d, 910 * MS, succeeded(1));
-    if let Some((half_slots, work)) = told {
-        // What is told twice by one counts once; of a worker that is not known, not at all.
+    if let Some((half_slots, work)) = reported {
+        // A repeated report counts once, one of an unknown worker not at all.
         for worker in [mine, mine, worker_id(99)] {
             let load = PeerLoad {
                 worker,
@@ -88,15 +88,15 @@
 }
 
 /// The receiving ranks and the half slots of all loads sent.
-fn sent_loads(acts: &[Action]) -> Vec<(u16, u8)> {
-    let told = |act: &Action| {
-        if let Action::SendPeerLoad { to, load } = act {
+fn sent_loads(actions: &[Action]) -> Vec<(u16, u8)> {
+    let reported = |action: &Action| {
+        if let Action::SendPeerLoad { to, load } = action {
             Some((*to, load.half_slots))
         } else {
             None
         }
     };
-    acts.iter().filter_map(told).collect()
+    actions.iter().filter_map(reported).collect()
 }
 
 #[test_case(3, 20 => vec![(1, 2), (2, 2), (1, 0), (2, 0)]; "an end earlier than expected")]
@@ -104,33 +104,33 @@
 #[test_case(1, 20 => Vec::<(u16, u8)>::new(); "no peers")]
 fn loads_are_reported_where_peers_would_be_wrong(dispatchers: u32, end: Nanos) -> Vec<(u16, u8)> {
     let mut d = exchanging_dispatcher(dispatchers, 2);
-    let mut acts = handle(
+    let mut actions = handle(
         &mut d,
         MS,
         Event::RequestArrived(request(1, 2, 100 * MS, 0)),
     );
-    acts.extend(handle(&mut d, end * MS, succeeded(1)));
-    sent_loads(&acts)
+    actions.extend(handle(&mut d, end * MS, succeeded(1)));
+    sent_loads(&actions)
 }
 
 /// Messages to all would grow as the square of the dispatchers.
 #[test]
 fn loads_are_reported_to_dispatchers_that_use_the_worker() {
     let mut d = exchanging_dispatcher_of_rank(7, 40, 30);
-    let acts = handle(
+    let actions = handle(
         &mut d,
         MS,
         Event::RequestArrived(request(1, 2, 100 * MS, 0)),
     );
     let at = d.requests[0].attempts()[0].worker;
-    let keep = (0..40).filter(|me| {
-        *me != 7
-            && exchanging_dispatcher_of_rank(*me, 40, 30).classes[0]
+    let users = (0..40).filter(|rank| {
+        *rank != 7
+            && exchanging_dispatcher_of_rank(*rank, 40, 30).classes[0]
                 .subset
                 .contains(&at)
     });
     assert_eq!(
-        sent_loads(&acts),
-        keep.map(|me| (me as u16, 2)).collect::<Vec<_>>()
+        sent_loads(&actions),
+        users.map(|rank| (rank as u16, 2)).collect::<Vec<_>>()
     );
 }
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -24,8 +24,8 @@
 #[test_case(100, 3, 2_000 => 0; "nothing in the turn of others")]
 #[test_case(100, 0, 1_000 => 0; "nor in the pause before each turn")]
 #[test_case(100, 3, 7_000 => 1; "more take turns at once as it warms")]
-fn attempts_sent_to_a_warming_worker(started: Nanos, me: u32, at: Nanos) -> usize {
-    let mut d = dispatcher_of(12, me, Vec::new());
+fn attempts_sent_to_a_warming_worker(started: Nanos, rank: u32, at: Nanos) -> usize {
+    let mut d = dispatcher_of(12, rank, Vec::new());
     d.classes[0].settings.latency_objective = 90.0 * SECOND;
     let endpoints = vec![endpoint(0, EndpointState::Ready, started * MS)];
     handle(
@@ -43,7 +43,7 @@
     let posts = (0..20).map(|n| handle(&mut d, at * MS, Event::RequestArrived(one(n))));
     posts
         .flatten()
-        .filter(|act| matches!(act, Action::SendAttempt { .. }))
+        .filter(|action| matches!(action, Action::SendAttempt { .. }))
         .count()
 }
 
@@ -172,17 +172,17 @@
 #[test]
 fn the_turns_of_all_dispatchers_together_keep_the_budget() {
     for at in (0..60_u64).map(|part| part * 500 * MS) {
-        let mut keepers: Vec<Dispatcher> = (0..130)
-            .map(|me| exchanging_dispatcher_of_rank(me, 130, 34))
+        let mut users: Vec<Dispatcher> = (0..130)
+            .map(|rank| exchanging_dispatcher_of_rank(rank, 130, 34))
             .collect();
-        keepers.retain(|d| d.classes[0].subset.contains(&9));
+        users.retain(|d| d.classes[0].subset.contains(&9));
         let budget = |d: &mut Dispatcher| {
             d.workers[9].started_at = 1;
             d.update_fleet_estimates(at);
             d.warm_up_allowance(&d.workers[9], at).max(0.0)
         };
         let (sum, warmth) = (
-            keepers.iter_mut().map(budget).sum::<f64>(),
+            users.iter_mut().map(budget).sum::<f64>(),
             0.2 + 0.8 * at as f64 / 10e9,
         );
         assert!(
@@ -225,7 +225,7 @@
 #[test_case(50, Some(60) => 0; "to the process before, and completed since")]
 fn work_sent_before_a_start_was_known_counts(
     attempts_sent: Nanos,
-    settled: Option<Nanos>,
+    completed: Option<Nanos>,
 ) -> usize {
     let mut d = dispatcher(1);
     handle(
@@ -233,7 +233,7 @@
         attempts_sent * MS,
         Event::RequestArrived(request(1, 2, 100 * MS, attempts_sent * MS)),
     );
-    settled.into_iter().for_each(|at| {
+    completed.into_iter().for_each(|at| {
         drop(handle(
             &mut d,
             at * MS,
@@ -316,7 +316,7 @@
     let posts = (0..20).map(|n| handle(&mut d, 2_000 * MS, Event::RequestArrived(one(n))));
     posts
         .flatten()
-        .filter(|act| matches!(act, Action::SendAttempt { .. }))
+        .filter(|action| matches!(action, Action::SendAttempt { .. }))
         .count()
 }
 
@@ -324,15 +324,15 @@
 #[test_case(&[true; 12], 0.65; "all have a fleet view")]
 #[test_case(&[false; 12], 0.95; "none has had a fleet view")]
 #[test_case(&[true, false, true, false, true, false, true, false, true, false, true, false], 0.95; "every other")]
-fn reserved_and_granted_shares_together_keep_the_budget(met: &[bool], most: f64) {
+fn reserved_and_granted_shares_together_keep_the_budget(has_view: &[bool], limit: f64) {
     for at in 0..10 {
         let (mut sum, now) = (0.0, 3_000 * MS);
-        for (me, met) in met.iter().enumerate() {
+        for (rank, has_view) in has_view.iter().enumerate() {
             // Views differ, and more run than the settings know of.
-            for me in [me as u16, me as u16 + 12] {
-                let mut d = granting_dispatcher(12, me, 10, 10);
-                if *met {
-                    set_fleet_view(&mut d, Some((0, 1 + me)));
+            for rank in [rank as u16, rank as u16 + 12] {
+                let mut d = granting_dispatcher(12, rank, 10, 10);
+                if *has_view {
+                    set_fleet_view(&mut d, Some((0, 1 + rank)));
                 }
                 let worker = &d.workers[at];
                 let turn = d.reserved_allowance(worker, now);
@@ -344,16 +344,16 @@
                 sum += part / d.warm_up_capacity(worker, now);
             }
         }
-        assert!(sum > 0.0 && sum + GRANTED_SHARE <= most + 1e-9, "{sum}");
+        assert!(sum > 0.0 && sum + GRANTED_SHARE <= limit + 1e-9, "{sum}");
     }
 }
 
 #[test]
 fn nothing_is_reserved_in_the_first_window_of_a_process() {
     let holds = |at: Nanos| {
-        (0..4).any(|me| {
-            granting_dispatcher(4, me, 1, 1)
-                .reserved_allowance(&granting_dispatcher(4, me, 1, 1).workers[0], at)
+        (0..4).any(|rank| {
+            granting_dispatcher(4, rank, 1, 1)
+                .reserved_allowance(&granting_dispatcher(4, rank, 1, 1).workers[0], at)
                 .represented_dispatchers
                 > 0.0
         })
@@ -416,16 +416,16 @@
         memory: 0.0,
         deadline: now + 900 * MS,
     };
-    let mut acts = Vec::new();
-    d.handle(now, Event::RequestArrived(request), &mut acts);
-    acts
+    let mut actions = Vec::new();
+    d.handle(now, Event::RequestArrived(request), &mut actions);
+    actions
 }
 
 #[test_case(true => true; "the grant arrives")]
 #[test_case(false => false; "no grant arrives")]
 fn a_request_waits_once_for_a_warm_up_grant(comes: bool) -> bool {
     let mut d = (0..4)
-        .map(|me| granting_dispatcher(4, me, 1, 1))
+        .map(|rank| granting_dispatcher(4, rank, 1, 1))
         .find(|d| {
             d.reserved_allowance(&d.workers[0], 2_000 * MS)
                 .represented_dispatchers
@@ -434,13 +434,13 @@
         .unwrap();
     set_fleet_view(&mut d, Some((1, 4)));
     let now = 2_000 * MS;
-    let acts = request_arrives(&mut d, now);
+    let actions = request_arrives(&mut d, now);
     let [
         Action::RequestWarmUpGrant { worker: of, work },
         Action::SetTimer { at, token },
-    ] = acts[..]
+    ] = actions[..]
     else {
-        panic!("{acts:?}")
+        panic!("{actions:?}")
     };
     assert_eq!((of, work, at), (worker_id(0), 60 * MS, now + 5 * MS));
     if comes {
@@ -454,32 +454,33 @@
             &mut Vec::new(),
         );
     }
-    let mut acts = Vec::new();
-    d.handle(at, Event::TimerFired { token }, &mut acts);
+    let mut actions = Vec::new();
+    d.handle(at, Event::TimerFired { token }, &mut actions);
     assert!(
-        !acts
+        !actions
             .iter()
-            .any(|act| matches!(act, Action::RequestWarmUpGrant { .. })),
-        "asked twice: {acts:?}"
+            .any(|action| matches!(action, Action::RequestWarmUpGrant { .. })),
+        "asked twice: {actions:?}"
     );
-    acts.iter()
-        .any(|act| matches!(act, Action::SendAttempt { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::SendAttempt { .. }))
 }
 
 #[test]
 fn the_grantable_budget_follows_the_warmth_and_ends_with_the_warm_up() {
     let d = granting_dispatcher(12, 0, 2, 1);
     let joint = |now: Nanos| {
-        let mut acts = Vec::new();
-        d.update_warm_up_budgets(now, &mut acts);
-        acts.iter().find_map(|act| match act {
+        let mut actions = Vec::new();
+        d.update_warm_up_budgets(now, &mut actions);
+        actions.iter().find_map(|action| match action {
             Action::SetWarmUpBudget {
                 worker: of, work, ..
             } if *of == worker_id(1) => Some(work / MS),
             _ => None,
         })
     };
-    // Half of 1.5 times two seats for a second, of which a fifth at first.
+    // Half of 1.5 times two slots for a second, of which a fifth at first.
     assert_eq!(
         (
             joint(500 * MS),
--- a/src/policy/subset/tests.rs
+++ b/src/policy/subset/tests.rs
@@ -21,7 +21,7 @@
     );
     d.workers[first].record_response(1_500 * MS, 0.0);
     assert!(!d.workers[first].is_unreachable(1_500 * MS));
-    // None that is cold in its place, as its turns count on who keeps to it.
+    // No warming worker replaces it, as its budget is divided by who regularly uses it.
     d.workers[first].record_connect_failure(2_000 * MS);
     d.workers
         .iter_mut()
@@ -42,8 +42,8 @@
     workers: u8,
 ) -> (usize, usize, usize) {
     let (mut users, mut subset) = (vec![0; usize::from(workers)], 0);
-    for me in 0..dispatchers {
-        let d = dispatcher_of(dispatchers, me, warm_endpoints(workers));
+    for rank in 0..dispatchers {
+        let d = dispatcher_of(dispatchers, rank, warm_endpoints(workers));
         subset = d.classes[0].subset.len();
         d.classes[0].subset.iter().for_each(|at| users[*at] += 1);
     }
@@ -63,14 +63,14 @@
         .len()
 }
 
-/// The subset of each of `members` dispatchers.
-fn subsets(members: u16, workers: u8) -> Vec<Vec<usize>> {
-    let active = |me: u16| {
-        let mut d = granting_dispatcher(members, me, workers, 0);
-        set_fleet_view(&mut d, Some((me, members)));
+/// The subset of each of `dispatchers` dispatchers.
+fn subsets(dispatchers: u16, workers: u8) -> Vec<Vec<usize>> {
+    let active = |rank: u16| {
+        let mut d = granting_dispatcher(dispatchers, rank, workers, 0);
+        set_fleet_view(&mut d, Some((rank, dispatchers)));
         d.classes[0].subset.clone()
     };
-    (0..members).map(active).collect()
+    (0..dispatchers).map(active).collect()
 }
 
 #[test_case(5, 12; "few dispatchers, more workers")]
@@ -78,16 +78,16 @@
 #[test_case(24, 9; "few workers")]
 #[test_case(50, 64; "fifty")]
 #[test_case(7, 3; "three workers")]
-fn dispatchers_of_two_workers_differ_by_one_at_most(members: u16, workers: u8) {
+fn dispatchers_of_two_workers_differ_by_one_at_most(dispatchers: u16, workers: u8) {
     let mut count = vec![0; usize::from(workers)];
-    for active in subsets(members, workers) {
+    for active in subsets(dispatchers, workers) {
         let mut apart = active.clone();
         apart.dedup();
         assert_eq!(apart.len(), active.len(), "a worker twice in one subset");
         active.iter().for_each(|at| count[*at] += 1);
     }
-    let (least, most) = (count.iter().min().unwrap(), count.iter().max().unwrap());
-    assert!(most - least <= 1, "{count:?}");
+    let (fewest, limit) = (count.iter().min().unwrap(), count.iter().max().unwrap());
+    assert!(limit - fewest <= 1, "{count:?}");
 }
 
 /// Within a power of two of dispatchers.
@@ -103,14 +103,14 @@
 
 #[test]
 fn peers_of_a_worker_are_those_whose_subset_holds_it() {
-    let hands = subsets(13, 10);
+    let subsets = subsets(13, 10);
     let mut d = granting_dispatcher(13, 4, 10, 0);
     set_fleet_view(&mut d, Some((4, 13)));
-    let m = hands[0].len();
+    let size = subsets[0].len();
     for place in 0..10 {
-        let told: Vec<u16> = d.ranked_peers(place, 10, m).collect();
-        let keep = (0..13_u16).filter(|to| *to != 4 && hands[usize::from(*to)].contains(&place));
-        assert_eq!(told, keep.collect::<Vec<_>>());
+        let peers: Vec<u16> = d.ranked_peers(place, 10, size).collect();
+        let users = (0..13_u16).filter(|to| *to != 4 && subsets[usize::from(*to)].contains(&place));
+        assert_eq!(peers, users.collect::<Vec<_>>());
     }
 }
 
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -47,10 +47,10 @@
 }
 
 /// One of `dispatchers`, with a cached endpoint list.
-pub(crate) fn dispatcher_of(dispatchers: u32, me: u32, endpoints: Vec<Endpoint>) -> Dispatcher {
+pub(crate) fn dispatcher_of(dispatchers: u32, rank: u32, endpoints: Vec<Endpoint>) -> Dispatcher {
     let mut map = settings();
     map.insert("dispatchers".into(), dispatchers.to_string());
-    map.insert("me".into(), me.to_string());
+    map.insert("me".into(), rank.to_string());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
     d.handle(
         0,
@@ -88,10 +88,10 @@
 }
 
 pub(crate) fn handle(d: &mut Dispatcher, now: Nanos, event: Event) -> Vec<Action> {
-    let mut acts = Vec::new();
-    d.handle(now, event, &mut acts);
-    acts.retain(|act| !matches!(act, Action::SetTimer { .. }));
-    acts
+    let mut actions = Vec::new();
+    d.handle(now, event, &mut actions);
+    actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
+    actions
 }
 
 /// All of the latest attempts started at `now` with such a delay, and `late` of them too late.
@@ -121,14 +121,7 @@
 
 /// The success of the first attempt.
 pub(crate) fn succeeded(request_id: RequestId) -> Event {
-    let (outcome, report) = (Outcome::Succeeded, Report::default());
-    Event::AttemptEnded(AttemptEnded {
-        request_id,
-        attempt_index: 0,
-        outcome,
-        complete: true,
-        report,
-    })
+    attempt_ended(request_id, 0, Outcome::Succeeded)
 }
 
 /// One of `dispatchers` that exchange their load.
@@ -187,10 +180,14 @@
 }
 
 /// The same with a rank of the settings.
-pub(crate) fn exchanging_dispatcher_of_rank(me: u32, dispatchers: u32, workers: u8) -> Dispatcher {
+pub(crate) fn exchanging_dispatcher_of_rank(
+    rank: u32,
+    dispatchers: u32,
+    workers: u8,
+) -> Dispatcher {
     let mut d = exchanging_dispatcher(dispatchers, workers);
-    d.settings.rank = f64::from(me);
-    d.rank = me as usize;
+    d.settings.rank = f64::from(rank);
+    d.rank = rank as usize;
     d.select_subsets(0);
     d
 }
@@ -200,17 +197,22 @@
     class.0.idempotency=idempotent class.0.retry_scope=all class.0.retry_window=0 class.0.latency_objective=3e8 class.0.priority_weight=1";
 
 /// A dispatcher that uses warm-up grants. The last `warming` workers have just started.
-pub(crate) fn granting_dispatcher(slots: u16, me: u16, workers: u8, cold: u8) -> Dispatcher {
+pub(crate) fn granting_dispatcher(
+    dispatchers: u16,
+    rank: u16,
+    workers: u8,
+    warming: u8,
+) -> Dispatcher {
     let pair = |word: &str| {
         word.split_once('=')
             .map(|(name, value)| (name.to_string(), value.to_string()))
     };
     let mut map: Map = GRANT_SETTINGS.split_whitespace().filter_map(pair).collect();
-    map.insert("dispatchers".into(), slots.to_string());
-    map.insert("me".into(), me.to_string());
+    map.insert("dispatchers".into(), dispatchers.to_string());
+    map.insert("me".into(), rank.to_string());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
     let entry = |n: u8| {
-        let started = if n + cold >= workers { MS } else { 0 };
+        let started = if n + warming >= workers { MS } else { 0 };
         let state = EndpointState::Ready;
         Endpoint {
             worker: worker_id(n),
--- a/src/policy/worker_selection/tests.rs
+++ b/src/policy/worker_selection/tests.rs
@@ -36,9 +36,9 @@
 #[test_case(Outcome::ConnectFailed; "dead")]
 fn a_worker_that_accepts_nothing_is_passed_over(outcome: Outcome) {
     let mut d = dispatcher(3);
-    let posted_to = |acts: &[Action]| match acts[..] {
+    let posted_to = |actions: &[Action]| match actions[..] {
         [Action::SendAttempt { worker, .. }] => worker,
-        _ => panic!("{acts:?}"),
+        _ => panic!("{actions:?}"),
     };
     let first = posted_to(&handle(
         &mut d,
@@ -62,7 +62,7 @@
 #[test]
 fn a_retry_goes_to_another_worker() {
     let mut d = dispatcher(2);
-    let mut acts = handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
+    let mut actions = handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
     let ended = AttemptEnded {
         request_id: 1,
         attempt_index: 0,
@@ -70,17 +70,17 @@
         complete: false,
         report: Report::default(),
     };
-    let [Action::SendAttempt { worker: first, .. }] = acts[..] else {
-        panic!("{acts:?}")
+    let [Action::SendAttempt { worker: first, .. }] = actions[..] else {
+        panic!("{actions:?}")
     };
     d.workers
         .iter_mut()
         .for_each(|worker| (worker.start_delay, worker.start_delay_at) = (0.1 * SECOND, 0));
     d.mean_failure_score = 0.9;
-    acts = handle(&mut d, 0, Event::AttemptEnded(ended));
+    actions = handle(&mut d, 0, Event::AttemptEnded(ended));
     assert!(
-        matches!(acts[..], [Action::SendAttempt { worker, .. }] if worker != first),
-        "{acts:?}"
+        matches!(actions[..], [Action::SendAttempt { worker, .. }] if worker != first),
+        "{actions:?}"
     );
 }
 
@@ -93,17 +93,17 @@
     d.classes[2].histogram[bin_index(2e9)] = 2e10;
     (d.classes[0].request_count, d.classes[2].request_count) = (1.0, 10.0);
     let last = *d.classes[0].subset.last().unwrap();
-    // Wanted within its SLA time and twice its run.
-    let room = d.classes[0].settings.latency_objective + 10e6;
+    // Its latency objective and twice its service time.
+    let time_to_spare = d.classes[0].settings.latency_objective + 10e6;
     (d.workers[last].start_delay, d.workers[last].start_delay_at) =
-        (part * 0.3 * d.unobserved_share * room, now);
-    let acts = handle(
+        (part * 0.3 * d.unobserved_share * time_to_spare, now);
+    let actions = handle(
         &mut d,
         now,
         Event::RequestArrived(request(1, 0, 10 * MS, now)),
     );
-    let [Action::SendAttempt { worker, .. }] = acts[..] else {
-        panic!("{acts:?}")
+    let [Action::SendAttempt { worker, .. }] = actions[..] else {
+        panic!("{actions:?}")
     };
     d.classes[0]
         .subset
@@ -135,13 +135,13 @@
     subset[..7].iter().for_each(|at| d.workers[*at].zone = 2);
     d.zone_delays.observe(1, 2e6);
     d.zone_delays.observe(2, 80e6);
-    let acts = handle(
+    let actions = handle(
         &mut d,
         now,
         Event::RequestArrived(request(1, class, hint * MS, now)),
     );
-    let [Action::SendAttempt { worker, .. }] = acts[..] else {
-        panic!("{acts:?}")
+    let [Action::SendAttempt { worker, .. }] = actions[..] else {
+        panic!("{actions:?}")
     };
     d.workers[d.worker_indices[&worker]].zone == 1
 }
@@ -184,13 +184,13 @@
             if id % 3 == 0 { 2 } else { 0 },
             Nanos::from(id) * 10_000 * MS,
         );
-        let acts = handle(
+        let actions = handle(
             &mut d,
             now,
             Event::RequestArrived(request_without_hint(id, class, now)),
         );
-        let [Action::SendAttempt { worker, .. }] = acts[..] else {
-            panic!("{acts:?}")
+        let [Action::SendAttempt { worker, .. }] = actions[..] else {
+            panic!("{actions:?}")
         };
         subset[usize::from(class == 2)].push(worker.addr[3]);
         let report = Report::default();
@@ -204,7 +204,7 @@
         handle(&mut d, now + MS, Event::AttemptEnded(end));
     }
     let mean = |subset: &[u8]| {
-        subset.iter().map(|lane| f64::from(*lane)).sum::<f64>() / subset.len() as f64
+        subset.iter().map(|worker| f64::from(*worker)).sum::<f64>() / subset.len() as f64
     };
     assert!(mean(&subset[0]) + 60.0 < mean(&subset[1]), "{subset:?}");
 }
@@ -219,8 +219,11 @@
         deadline: now + 3_000 * MS,
         ..request_without_hint(1, 2, now)
     };
-    let acts = handle(&mut d, now, Event::RequestArrived(request));
-    assert!(matches!(acts[..], [Action::SendAttempt { .. }]), "{acts:?}");
+    let actions = handle(&mut d, now, Event::RequestArrived(request));
+    assert!(
+        matches!(actions[..], [Action::SendAttempt { .. }]),
+        "{actions:?}"
+    );
     let active = &d.requests[d.request_keys[&1]];
     assert_eq!(
         (active.demand.service_time, active.time_to_spare(now, 1.0)),
