--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -28,7 +28,7 @@
     let load = PeerLoad {
         worker: worker(1),
         half_slots: 3,
-        work: 500,
+        work_units: 500,
         speed_code: 140,
     };
     let parts = vec![
--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -99,7 +99,9 @@
         self.received += 1;
         let elapsed_work =
             Nanos::from(age) * AGE_UNIT * Nanos::from(load.half_slots) / 2 / (16 * MS);
-        load.work = load.work.saturating_sub(elapsed_work.min(65_535) as u16);
+        load.work_units = load
+            .work_units
+            .saturating_sub(elapsed_work.min(65_535) as u16);
         let reporter = self.reporters.entry(from.clone()).or_default();
         reporter
             .workers
--- a/crates/protocol/src/peer_load.rs
+++ b/crates/protocol/src/peer_load.rs
@@ -43,7 +43,7 @@
     bytes[5..9].copy_from_slice(&load.worker.addr);
     bytes[9..11].copy_from_slice(&load.worker.port.to_be_bytes());
     bytes[11] = load.half_slots;
-    bytes[12..14].copy_from_slice(&load.work.to_be_bytes());
+    bytes[12..14].copy_from_slice(&load.work_units.to_be_bytes());
     bytes[14] = load.speed_code;
     bytes
 }
@@ -75,7 +75,7 @@
     let load = PeerLoad {
         worker,
         half_slots: bytes[11],
-        work: u16::from_be_bytes([bytes[12], bytes[13]]),
+        work_units: u16::from_be_bytes([bytes[12], bytes[13]]),
         speed_code: bytes[14],
     };
     Ok(ReceivedLoad { sender, load })
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -34,8 +34,11 @@
                 Incoming::Unknown => {}
                 Incoming::Create { seed, settings } => {
                     let instance = current.ok_or("a start before any instance was named")?;
-                    self.instances
-                        .insert(instance, Dispatcher::start(now, seed, &settings)?);
+                    self.instances.insert(
+                        instance,
+                        Dispatcher::start(now, seed, &settings)
+                            .map_err(|error| error.to_string())?,
+                    );
                 }
                 Incoming::Stop => {
                     let instance = current.ok_or("a stop before any instance was named")?;
