--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -1,6 +1,7 @@
-//! The members' part of an operator's files: TOML, each key checked, errors with file, line and key.
-use crate::datagram::is_name;
+//! The cluster file of an operator: TOML, each key checked, errors with file, line and key.
 use crate::error::ClusterError;
+use crate::member::is_name;
+use crate::time::MILLISECOND;
 use rosewall::types::Nanos;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -10,110 +11,182 @@
 /// How one dispatcher joins the others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterConfig {
+    /// The name of the cluster.
     pub cluster: String,
+    /// The name of this dispatcher, unique in the cluster.
     pub name: String,
+    /// Where it receives datagrams.
     pub listen: SocketAddr,
+    /// Dispatchers to ask for others.
     pub seeds: Vec<SocketAddr>,
+    /// The names of the dispatchers that vote on the lease.
     pub quorum: Vec<String>,
-    /// All datagrams go by this relay, each with the other side's address before it.
+    /// A relay that all datagrams go by, each preceded by the other side's address.
     pub relay: Option<SocketAddr>,
-    /// How far the machines' wall clocks may lie apart.
+    /// How far the machines' wall clocks may differ.
     pub max_clock_skew: Nanos,
 }
 
-const KEYS: &[&str] = &[
-    "version",
-    "cluster",
-    "name",
-    "listen",
-    "seeds",
-    "keepers",
-    "through",
-    "clocks_ms",
-];
-/// Clocks that are set by anyone at all lie closer.
-const CLOCKS_MS: i64 = 10_000;
+/// The keys of the file.
+mod key {
+    pub const VERSION: &str = "version";
+    pub const CLUSTER: &str = "cluster";
+    pub const NAME: &str = "name";
+    pub const LISTEN: &str = "listen";
+    pub const SEEDS: &str = "seeds";
+    pub const QUORUM: &str = "keepers";
+    pub const RELAY: &str = "through";
+    pub const MAX_CLOCK_SKEW_MS: &str = "clocks_ms";
+    pub const ALL: &[&str] = &[
+        VERSION,
+        CLUSTER,
+        NAME,
+        LISTEN,
+        SEEDS,
+        QUORUM,
+        RELAY,
+        MAX_CLOCK_SKEW_MS,
+    ];
+}
 
-type Table = BTreeMap<Spanned<String>, Spanned<Value>>;
+const EXPECTED_NAME: &str = "up to 32 letters, digits, points, minuses and underlines";
+const EXPECTED_ADDRESS: &str = "an IPv4 address and a port, such as \"10.0.0.4:7946\"";
+/// The format version of the file.
+const FILE_VERSION: i64 = 1;
+/// Clocks with any synchronization are closer.
+const DEFAULT_MAX_CLOCK_SKEW_MS: i64 = 10_000;
+const LARGEST_CLOCK_SKEW_MS: i64 = 3_600_000;
 
-/// Changes of one letter from one word to another, at most.
-pub fn distance(one: &str, other: &str) -> usize {
-    let other: Vec<char> = other.chars().collect();
-    let mut row: Vec<usize> = (0..=other.len()).collect();
-    for (at, a) in one.chars().enumerate() {
-        let mut before = std::mem::replace(&mut row[0], at + 1);
-        for (place, b) in other.iter().enumerate() {
-            let kept = before + usize::from(a != *b);
-            before = row[place + 1];
-            row[place + 1] = kept.min(before + 1).min(row[place] + 1);
-        }
-    }
-    row[other.len()]
-}
+type Table = BTreeMap<Spanned<String>, Spanned<Value>>;
 
-/// The key that was meant, if one is near.
-pub fn nearest(word: &str, keys: &[&'static str]) -> Option<&'static str> {
-    let near = keys.iter().map(|key| (distance(word, key), *key)).min();
-    near.filter(|(far, key)| *far <= (key.len() / 2).max(1))
-        .map(|(_, key)| key)
+/// Parses the text of a cluster file; `path` is for error messages.
+///
+/// # Errors
+///
+/// A [`ClusterError`] that names the first fault in the file.
+pub fn parse(path: &Path, text: &str) -> Result<ClusterConfig, ClusterError> {
+    let file = File::parse(path, text)?;
+    file.require(key::VERSION, "1", |value| {
+        (value.as_integer() == Some(FILE_VERSION)).then_some(())
+    })?;
+    let quorum = file.quorum()?;
+    let max_clock_skew = file.max_clock_skew()?;
+    Ok(ClusterConfig {
+        cluster: file.require(key::CLUSTER, EXPECTED_NAME, name)?,
+        name: file.require(key::NAME, EXPECTED_NAME, name)?,
+        listen: file.require(key::LISTEN, EXPECTED_ADDRESS, address)?,
+        seeds: file.require(
+            key::SEEDS,
+            "a list of IPv4 addresses with ports",
+            list_of(address),
+        )?,
+        quorum,
+        relay: file.get(key::RELAY, EXPECTED_ADDRESS, address)?,
+        max_clock_skew,
+    })
 }
 
+/// A file whose keys all exist.
 struct File<'a> {
     path: &'a Path,
     text: &'a str,
     table: Table,
 }
 
-impl File<'_> {
-    fn line(&self, place: usize) -> usize {
-        1 + self
-            .text
-            .as_bytes()
-            .iter()
-            .take(place)
-            .filter(|byte| **byte == b'\n')
-            .count()
+impl<'a> File<'a> {
+    fn parse(path: &'a Path, text: &'a str) -> Result<Self, ClusterError> {
+        let table: Table = toml::from_str(text).map_err(|error| ClusterError::Syntax {
+            path: path.to_path_buf(),
+            line: error.span().map_or(1, |span| line_of(text, span.start)),
+            what: error.message().to_string(),
+        })?;
+        let is_unknown = |key: &&Spanned<String>| !key::ALL.contains(&key.get_ref().as_str());
+        if let Some(unknown) = table.keys().find(is_unknown) {
+            return Err(ClusterError::UnknownKey {
+                path: path.to_path_buf(),
+                line: line_of(text, unknown.span().start),
+                key: unknown.get_ref().clone(),
+                nearest: nearest(unknown.get_ref(), key::ALL),
+            });
+        }
+        Ok(File { path, text, table })
     }
 
+    /// The value of a key, if the file has it.
     fn get<T>(
         &self,
         key: &'static str,
-        wants: &'static str,
+        expected: &'static str,
         read: impl Fn(&Value) -> Option<T>,
     ) -> Result<Option<T>, ClusterError> {
         let Some((_, value)) = self.table.iter().find(|(name, _)| name.get_ref() == key) else {
             return Ok(None);
         };
-        let (path, line) = (self.path.to_path_buf(), self.line(value.span().start));
-        let wrong = || ClusterError::InvalidValue {
-            path,
-            line,
+        let invalid = || ClusterError::InvalidValue {
+            path: self.path.to_path_buf(),
+            line: line_of(self.text, value.span().start),
             key,
             value: value.get_ref().to_string(),
-            wants,
+            expected,
         };
-        read(value.get_ref()).map(Some).ok_or_else(wrong)
+        read(value.get_ref()).map(Some).ok_or_else(invalid)
     }
 
-    fn need<T>(
+    /// The value of a key that the file must have.
+    fn require<T>(
         &self,
         key: &'static str,
-        wants: &'static str,
+        expected: &'static str,
         read: impl Fn(&Value) -> Option<T>,
     ) -> Result<T, ClusterError> {
         let missing = || ClusterError::Missing {
             path: self.path.to_path_buf(),
             key,
         };
-        self.get(key, wants, read)?.ok_or_else(missing)
+        self.get(key, expected, read)?.ok_or_else(missing)
+    }
+
+    fn quorum(&self) -> Result<Vec<String>, ClusterError> {
+        let names = self
+            .get(key::QUORUM, "a list of names", list_of(name))?
+            .unwrap_or_default();
+        let mut distinct = names.clone();
+        distinct.sort();
+        distinct.dedup();
+        if matches!(names.len(), 0 | 1 | 3 | 5) && distinct.len() == names.len() {
+            return Ok(names);
+        }
+        let mut keys = self.table.keys();
+        let key = keys.find(|name| name.get_ref() == key::QUORUM);
+        Err(ClusterError::QuorumSize {
+            path: self.path.to_path_buf(),
+            line: key.map_or(1, |key| line_of(self.text, key.span().start)),
+            count: distinct.len(),
+        })
     }
+
+    fn max_clock_skew(&self) -> Result<Nanos, ClusterError> {
+        let in_range = |value: &Value| {
+            value
+                .as_integer()
+                .filter(|ms| (0..=LARGEST_CLOCK_SKEW_MS).contains(ms))
+        };
+        let ms = self
+            .get(key::MAX_CLOCK_SKEW_MS, "0 to 3600000 (ms)", in_range)?
+            .unwrap_or(DEFAULT_MAX_CLOCK_SKEW_MS);
+        Ok(ms as Nanos * MILLISECOND)
+    }
+}
+
+/// The number of the line that holds the byte at `offset`.
+fn line_of(text: &str, offset: usize) -> usize {
+    let before = text.as_bytes().iter().take(offset);
+    1 + before.filter(|byte| **byte == b'\n').count()
 }
 
 fn name(value: &Value) -> Option<String> {
-    value
-        .as_str()
-        .filter(|text| is_name(text))
-        .map(str::to_string)
+    let text = value.as_str().filter(|text| is_name(text));
+    text.map(str::to_string)
 }
 
 fn address(value: &Value) -> Option<SocketAddr> {
@@ -123,75 +196,35 @@
     usable.then_some(address)
 }
 
-fn list<T>(value: &Value, one: impl Fn(&Value) -> Option<T>) -> Option<Vec<T>> {
-    value.as_array()?.iter().map(one).collect()
+fn list_of<T>(item: impl Fn(&Value) -> Option<T>) -> impl Fn(&Value) -> Option<Vec<T>> {
+    move |value| value.as_array()?.iter().map(&item).collect()
 }
 
-/// Reads the file's text; `path` is for what is said of it.
-pub fn parse(path: &Path, text: &str) -> Result<ClusterConfig, ClusterError> {
-    let mut file = File {
-        path,
-        text,
-        table: Table::new(),
-    };
-    file.table = toml::from_str(text).map_err(|fault| ClusterError::Syntax {
-        path: path.to_path_buf(),
-        line: fault.span().map_or(1, |span| file.line(span.start)),
-        what: fault.message().to_string(),
-    })?;
-    if let Some(key) = file
-        .table
-        .keys()
-        .find(|key| !KEYS.contains(&key.get_ref().as_str()))
-    {
-        let (line, nearest) = (file.line(key.span().start), nearest(key.get_ref(), KEYS));
-        let (path, key) = (path.to_path_buf(), key.get_ref().clone());
-        return Err(ClusterError::UnknownKey {
-            path,
-            line,
-            key,
-            nearest,
-        });
-    }
-    const NAME: &str = "up to 32 letters, digits, points, minuses and underlines";
-    const ADDRESS: &str = "an IPv4 address and a port, such as \"10.0.0.4:7946\"";
-    file.need("version", "1", |value| {
-        (value.as_integer() == Some(1)).then_some(())
-    })?;
-    let keepers = file
-        .get("keepers", "a list of names", |value| list(value, name))?
-        .unwrap_or_default();
-    let mut apart = keepers.clone();
-    apart.sort();
-    apart.dedup();
-    if !matches!(keepers.len(), 0 | 1 | 3 | 5) || apart.len() != keepers.len() {
-        let at = file
-            .table
-            .iter()
-            .find(|(key, _)| key.get_ref() == "keepers");
-        let line = at.map_or(1, |(key, _)| file.line(key.span().start));
-        return Err(ClusterError::QuorumSize {
-            path: path.to_path_buf(),
-            line,
-            count: apart.len(),
-        });
+/// The key that was probably meant by an unknown one.
+fn nearest(word: &str, keys: &[&'static str]) -> Option<&'static str> {
+    let nearest = keys
+        .iter()
+        .map(|key| (edit_distance(word, key), *key))
+        .min();
+    nearest
+        .filter(|(distance, key)| *distance <= (key.len() / 2).max(1))
+        .map(|(_, key)| key)
+}
+
+/// The Levenshtein distance of two words.
+fn edit_distance(one: &str, other: &str) -> usize {
+    let other: Vec<char> = other.chars().collect();
+    let mut row: Vec<usize> = (0..=other.len()).collect();
+    for (i, a) in one.chars().enumerate() {
+        let mut diagonal = std::mem::replace(&mut row[0], i + 1);
+        for (j, b) in other.iter().enumerate() {
+            let substituted = diagonal + usize::from(a != *b);
+            diagonal = row[j + 1];
+            row[j + 1] = substituted.min(diagonal + 1).min(row[j] + 1);
+        }
     }
-    let clocks = |value: &Value| value.as_integer().filter(|ms| (0..=3_600_000).contains(ms));
-    let clocks = file
-        .get("clocks_ms", "0 to 3600000 (ms)", clocks)?
-        .unwrap_or(CLOCKS_MS);
-    Ok(ClusterConfig {
-        cluster: file.need("cluster", NAME, name)?,
-        name: file.need("name", NAME, name)?,
-        listen: file.need("listen", ADDRESS, address)?,
-        seeds: file.need("seeds", "a list of IPv4 addresses with ports", |value| {
-            list(value, address)
-        })?,
-        quorum: keepers,
-        relay: file.get("through", ADDRESS, address)?,
-        max_clock_skew: clocks as Nanos * 1_000_000,
-    })
+    row[other.len()]
 }
 
 #[cfg(test)]
-pub(crate) mod tests;
+mod tests;
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -1,100 +1,100 @@
 use super::*;
+use crate::member::tests::record;
 use proptest::prelude::*;
-use rosewall::types::{PeerLoad, WorkerId};
 
-fn record(name: &str) -> MemberRecord {
-    MemberRecord {
-        name: name.into(),
-        addr: ([10, 0, 0, 1], 7946).into(),
-        start: 7,
-        incarnation: 3,
-        state: MemberState::Suspect,
-        claimed_rank: 2,
-        issues_grants: true,
-        suspected_by: 9,
-    }
-}
-
-fn worker(at: u8) -> WorkerId {
+fn worker(host: u8) -> WorkerId {
     WorkerId {
-        addr: [1, 2, 3, at],
+        addr: [1, 2, 3, host],
         port: 80,
     }
 }
 
-#[test]
-fn what_is_written_is_read() {
-    let (name, addr): (Name, _) = ("n1".into(), ([10, 0, 0, 9], 1).into());
+fn encoded(cluster: u32, parts: &[Part]) -> Vec<u8> {
+    let mut encoder = DatagramEncoder::new(cluster, &record("a"));
+    assert!(parts.iter().all(|part| encoder.push(part)));
+    encoder.finish()
+}
+
+fn one_part_of_each_kind() -> Vec<Part> {
+    let target: Name = "n1".into();
     let load = PeerLoad {
         worker: worker(1),
         half_slots: 3,
         work: 500,
         speed_code: 140,
     };
-    let parts = vec![
+    vec![
         Part::Ping {
             seq: 1,
-            to: name.clone(),
+            target: target.clone(),
         },
         Part::Ack { seq: 2 },
         Part::Nack { seq: 3 },
         Part::IndirectPing {
             seq: 4,
-            to: name,
-            addr,
+            target,
+            addr: ([10, 0, 0, 9], 1).into(),
         },
         Part::Record(record("b")),
         Part::Digest { hash: 5, count: 6 },
-        Part::PageRequest { from: 7 },
+        Part::PageRequest { offset: 7 },
         Part::LeaseRequest { seq: 8 },
         Part::LeaseVote {
             seq: 9,
-            given: true,
+            granted: true,
         },
         Part::GrantRequest {
             seq: 10,
             worker: worker(2),
-            work: 11,
+            work_ms: 11,
         },
         Part::Grant {
             seq: 12,
             worker: worker(3),
-            work: 13,
-            lasts: 14,
+            work_ms: 13,
+            validity_ms: 14,
         },
         Part::PeerLoad { load, age: 15 },
-    ];
-    let mut draft = DatagramEncoder::new(77, &record("a"));
-    assert!(parts.iter().all(|part| draft.add(part)));
-    let bytes = draft.done();
+    ]
+}
+
+#[test]
+fn an_encoded_datagram_decodes_to_the_same_and_other_bytes_to_an_error() {
+    let parts = one_part_of_each_kind();
+    let bytes = encoded(77, &parts);
+
+    let decoded = Datagram {
+        sender: record("a"),
+        parts,
+    };
+    assert_eq!(decode(77, &bytes), Ok(decoded));
+    assert_eq!(decode(78, &bytes), Err(DecodeError::Cluster));
+    let mut other_version = bytes.clone();
+    other_version[2] = 2;
+    assert_eq!(decode(77, &other_version), Err(DecodeError::Version(2)));
     assert_eq!(
-        read(77, &bytes),
-        Ok(Datagram {
-            sender: record("a"),
-            parts
-        })
+        decode(77, &bytes[..bytes.len() - 1]),
+        Err(DecodeError::Part)
     );
-    assert_eq!(read(78, &bytes), Err(DecodeError::Cluster));
-    let mut other = bytes.clone();
-    other[2] = 2;
-    assert_eq!(read(77, &other), Err(DecodeError::Version(2)));
-    assert_eq!(read(77, &bytes[..bytes.len() - 1]), Err(DecodeError::Part));
 }
 
 #[test]
-fn a_part_that_is_not_known_is_passed_over() {
-    let mut bytes = DatagramEncoder::new(1, &record("a")).done();
+fn a_part_with_an_unknown_tag_is_skipped() {
+    let mut bytes = encoded(1, &[]);
     bytes.extend([200, 3, 1, 2, 3, 2, 4, 0, 0, 0, 9]);
-    assert_eq!(read(1, &bytes).unwrap().parts, [Part::Ack { seq: 9 }]);
+
+    assert_eq!(decode(1, &bytes).unwrap().parts, [Part::Ack { seq: 9 }]);
 }
 
 #[test]
-fn no_datagram_is_longer_than_the_most() {
-    let mut draft = DatagramEncoder::new(1, &record("a"));
+fn no_datagram_exceeds_the_maximal_length() {
+    let mut encoder = DatagramEncoder::new(1, &record("a"));
+
     let added = (0..200)
-        .filter(|_| draft.add(&Part::Record(record("some-name"))))
+        .filter(|_| encoder.push(&Part::Record(record("some-name"))))
         .count();
-    let length = draft.done().len();
+
+    let length = encoder.finish().len();
     assert!(
         (MAX_DATAGRAM_BYTES - 60..=MAX_DATAGRAM_BYTES).contains(&length) && added > 20,
         "{length} {added}"
@@ -103,12 +103,15 @@
 
 proptest! {
     #[test]
-    fn mangled_datagrams_are_dropped_or_read(mut bytes in prop::collection::vec(any::<u8>(), 0..200), whole in any::<bool>()) {
-        if whole {
-            let mut draft = DatagramEncoder::new(1, &record("a")).done();
-            draft.append(&mut bytes);
-            bytes = draft;
+    fn any_bytes_are_decoded_or_rejected(
+        mut bytes in prop::collection::vec(any::<u8>(), 0..200),
+        with_header in any::<bool>(),
+    ) {
+        if with_header {
+            let mut datagram = encoded(1, &[]);
+            datagram.append(&mut bytes);
+            bytes = datagram;
         }
-        let _ = read(1, &bytes);
+        let _ = decode(1, &bytes);
     }
 }
--- a/crates/cluster/src/grants/tests.rs
+++ b/crates/cluster/src/grants/tests.rs
@@ -1,31 +1,36 @@
 use super::*;
+use crate::member::tests::record;
 use rosewall::types::WorkerId;
 
-const MS: u64 = 1_000_000;
-
-fn worker(at: u8) -> WorkerId {
-    WorkerId {
-        addr: [1, 2, 3, at],
-        port: 80,
-    }
-}
+const WORKER: WorkerId = WorkerId {
+    addr: [1, 2, 3, 1],
+    port: 80,
+};
 
 #[test]
-pub fn a_request_that_comes_twice_is_given_to_once() {
-    let mut grant_issuer = GrantIssuer::default();
-    grant_issuer.set_warm_up_budget(worker(1), 1_000 * MS, 1_000 * MS);
-    let mut issue = |now, seq, work| {
-        grant_issuer
-            .issue(now * MS, 0, (1, 1), seq, worker(1), work * MS)
-            .0
+pub fn a_duplicate_request_is_granted_once() {
+    let mut issuer = GrantIssuer::default();
+    issuer.set_budget(WORKER, 1_000 * MILLISECOND, 1_000 * MILLISECOND);
+    let requester = RequesterId::of(&record("a"));
+    let mut issue = |now_ms, seq, work_ms| {
+        let request = GrantRequest {
+            requester,
+            seq,
+            worker: WORKER,
+            work: work_ms * MILLISECOND,
+        };
+        let terms = issuer.issue(now_ms * MILLISECOND, 0, request);
+        terms.map_or(0, |terms| terms.work / MILLISECOND)
     };
-    assert_eq!((issue(1_000, 1, 300), issue(5_000, 2, 300)), (0, 300 * MS));
+
+    // Nothing is granted while grants of a holder before may be valid.
+    assert_eq!((issue(1_000, 1, 300), issue(5_000, 2, 300)), (0, 300));
     assert_eq!(
         (
             issue(5_010, 2, 300),
             issue(5_020, 3, 700),
             issue(5_020, 4, 1)
         ),
-        (0, 700 * MS, 0)
+        (0, 700, 0)
     );
 }
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -1,32 +1,35 @@
-//! Who may give rights: one keeper at a time, by a lease that more than half of the keepers promise (Gray and Cheriton
-//! 1989). A promise counts on the keeper's clock from when it is made, the lease on its holder's from when it was asked
-//! for, each less what clocks may drift: so no two hold it at once, whatever is lost, late or paused. Nothing is written
-//! to a disk: a keeper that has just started promises nothing until all that it may have promised before is over.
-use crate::datagram::Name;
+//! The lease on issuing warm-up grants: at most one quorum member holds it at a time (Gray and Cheriton 1989).
+//!
+//! More than half of the quorum must vote for the holder. A vote holds on the voter's clock from the moment at which it is
+//! given, the lease on the holder's clock from the moment at which it was requested, each corrected by the maximal clock
+//! drift: so two leases never overlap, whatever is lost, late or paused. Nothing is persisted: a voter that has just
+//! started withholds its vote until all that it may have promised before has expired.
+use crate::member::{Name, ProcessId};
+use crate::time::MILLISECOND;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
 
-const MS: Nanos = 1_000_000;
-/// How long a promise holds. A holder that dies is followed by another after it; a keeper that starts is mute for it.
-pub const LEASE_DURATION: Nanos = 2_000 * MS;
-/// Clocks are trusted to differ in speed by no more than one in so many: a hundred times what quartz does.
-pub const CLOCK_DRIFT_DIVISOR: Nanos = 100;
-/// Asked for anew so often: three may be lost.
+/// How long a lease lasts, and how long a voter that starts withholds its vote.
+pub const LEASE_DURATION: Nanos = 2_000 * MILLISECOND;
+/// Clocks may differ in speed by one part in this many: a hundred times the error of quartz.
+const CLOCK_DRIFT_DIVISOR: Nanos = 100;
+/// How often the lease is requested: three requests may be lost before it expires.
 const RENEW_INTERVAL: Nanos = LEASE_DURATION / 4;
 
-/// A span by one's own clock that is surely over by anyone's.
+/// A span on the local clock within which `span` has passed on every other clock.
 pub fn with_drift_margin(span: Nanos) -> Nanos {
     span + 2 * span / CLOCK_DRIFT_DIVISOR
 }
 
-/// What one keeper has promised: to which process of which name, and until when.
+/// The vote of one quorum member.
 #[derive(Default)]
 pub struct LeaseVoter {
-    promised: Option<(Name, u64)>,
-    until: Nanos,
+    promised_to: Option<ProcessId>,
+    promised_until: Nanos,
 }
 
 impl LeaseVoter {
+    /// A voter that starts now.
     pub fn new(now: Nanos) -> Self {
         let silence = if is_active(Mutation::ForgetLeasePromise) {
             0
@@ -34,101 +37,107 @@
             with_drift_margin(LEASE_DURATION)
         };
         LeaseVoter {
-            promised: None,
-            until: now + silence,
+            promised_to: None,
+            promised_until: now + silence,
         }
     }
 
-    /// Whether it promises this process the lease.
-    pub fn request(&mut self, now: Nanos, name: &Name, start: u64) -> bool {
-        let same = self
-            .promised
-            .as_ref()
-            .is_some_and(|(to, at)| to == name && *at == start);
-        if !same && now < self.until && !is_active(Mutation::PromiseLeaseTwice) {
+    /// Answers a lease request; returns whether the lease is promised to the candidate.
+    pub fn vote(&mut self, now: Nanos, candidate: ProcessId) -> bool {
+        let renews = self.promised_to.as_ref() == Some(&candidate);
+        if !renews && now < self.promised_until && !is_active(Mutation::PromiseLeaseTwice) {
             return false;
         }
-        (self.promised, self.until) = (
-            Some((name.clone(), start)),
-            now + with_drift_margin(LEASE_DURATION),
-        );
+        self.promised_to = Some(candidate);
+        self.promised_until = now + with_drift_margin(LEASE_DURATION);
         true
     }
 }
 
-/// One that holds the lease or tries to.
+/// Which candidate is to try for a free lease, so that votes are not split.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Candidacy {
+    /// The first quorum member that runs, by this member's view.
+    Preferred,
+    /// Any other: it only renews a lease that it holds.
+    Backup,
+}
+
+/// A quorum member that holds the lease or tries to.
 #[derive(Default)]
 pub struct LeaseCandidate {
-    /// The round that is out: its number, when it was asked, and who promised.
+    /// The number of the current round.
     seq: u32,
+    /// When the current round began.
     requested_at: Nanos,
-    promised: Vec<Name>,
-    until: Nanos,
-    request_at: Nanos,
-    /// Since when it has held it without a break.
+    /// Who has voted for it in the current round.
+    votes: Vec<Name>,
+    expires_at: Nanos,
+    next_round_at: Nanos,
+    /// Since when the lease has been held without a break.
     held_since: Nanos,
 }
 
 impl LeaseCandidate {
+    /// Whether it holds the lease.
     pub fn holds(&self, now: Nanos) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 
-    /// Since when it holds it, if it does.
+    /// Since when it has held the lease without a break, if it holds it.
     pub fn held_since(&self, now: Nanos) -> Option<Nanos> {
         self.holds(now).then_some(self.held_since)
     }
 
+    /// When [`LeaseCandidate::start_round`] is to be called next.
     pub fn next_timeout(&self) -> Nanos {
-        self.request_at
+        self.next_round_at
     }
 
-    /// Begins a round, if one is due: its number. `first` says whether it is the one to try, by the view; others wait,
-    /// so that votes are not split.
-    pub fn start_round(&mut self, now: Nanos, first: bool) -> Option<u32> {
-        if now < self.request_at || !(first || self.holds(now)) {
-            self.request_at = self
-                .request_at
-                .max(now + if first { 0 } else { RENEW_INTERVAL });
+    /// Starts a round if one is due, and returns its number.
+    pub fn start_round(&mut self, now: Nanos, candidacy: Candidacy) -> Option<u32> {
+        let preferred = candidacy == Candidacy::Preferred;
+        if now < self.next_round_at || !(preferred || self.holds(now)) {
+            let delay = if preferred { 0 } else { RENEW_INTERVAL };
+            self.next_round_at = self.next_round_at.max(now + delay);
             return None;
         }
-        (self.seq, self.requested_at, self.request_at) =
-            (self.seq.wrapping_add(1), now, now + RENEW_INTERVAL);
-        self.promised.clear();
+        self.seq = self.seq.wrapping_add(1);
+        self.requested_at = now;
+        self.next_round_at = now + RENEW_INTERVAL;
+        self.votes.clear();
         Some(self.seq)
     }
 
-    /// A keeper's answer; more than half of `voters` make a lease.
-    pub fn handle_vote(&mut self, now: Nanos, seq: u32, by: &Name, voters: usize) {
-        if seq != self.seq || self.promised.contains(by) {
+    /// Counts a vote in the round `seq`; more than half of `quorum_size` make a lease.
+    pub fn handle_vote(&mut self, now: Nanos, seq: u32, voter: &Name, quorum_size: usize) {
+        if seq != self.seq || self.votes.contains(voter) {
             return;
         }
-        self.promised.push(by.clone());
-        let short = usize::from(is_active(Mutation::LeaseWithoutMajority));
-        let enough = (self.promised.len() + short) * 2 > voters;
-        if !enough {
+        self.votes.push(voter.clone());
+        let uncounted = usize::from(is_active(Mutation::LeaseWithoutMajority));
+        if (self.votes.len() + uncounted) * 2 <= quorum_size {
             return;
         }
-        // Counted from when it was asked for: whenever each promised, it was later. Guards against an answer that
-        // was long on its way.
-        let from = if is_active(Mutation::LeaseFromReply) {
+        // Every vote was given after the request, so a lease that counts from the request ends before any of them.
+        let granted_at = if is_active(Mutation::LeaseFromReply) {
             now
         } else {
             self.requested_at
         };
-        let until = from + LEASE_DURATION - LEASE_DURATION / CLOCK_DRIFT_DIVISOR;
-        if now >= until {
+        let expires_at = granted_at + LEASE_DURATION - LEASE_DURATION / CLOCK_DRIFT_DIVISOR;
+        if now >= expires_at {
             return;
         }
         if !self.holds(now) {
             self.held_since = now;
         }
-        self.until = self.until.max(until);
+        self.expires_at = self.expires_at.max(expires_at);
     }
 
-    /// Gives it up.
+    /// Gives the lease up.
     pub fn relinquish(&mut self) {
-        self.until = 0;
+        self.expires_at = 0;
     }
 }
 
--- a/crates/cluster/src/lease/tests.rs
+++ b/crates/cluster/src/lease/tests.rs
@@ -1,23 +1,35 @@
 use super::*;
 
-/// Of three keepers one alone makes no lease, and one that has just started promises nothing that it may have promised
-/// another before.
+fn process(name: &str) -> ProcessId {
+    ProcessId {
+        name: name.into(),
+        generation: 1,
+    }
+}
+
 #[test]
-pub fn a_lease_has_one_holder() {
+pub fn one_vote_of_three_makes_no_lease_and_a_late_vote_no_longer_one() {
     let (a, b): (Name, Name) = ("a".into(), "b".into());
     let mut candidate = LeaseCandidate::default();
-    let seq = candidate.start_round(0, true).unwrap();
-    candidate.handle_vote(MS, seq, &a, 3);
-    assert!(!candidate.holds(MS));
-    // An answer that was long on its way makes no longer lease.
+    let seq = candidate.start_round(0, Candidacy::Preferred).unwrap();
+
+    candidate.handle_vote(MILLISECOND, seq, &a, 3);
+    assert!(!candidate.holds(MILLISECOND));
+
     candidate.handle_vote(LEASE_DURATION / 2, seq, &b, 3);
     assert!(candidate.holds(LEASE_DURATION / 2) && !candidate.holds(LEASE_DURATION));
+}
+
+#[test]
+pub fn a_voter_promises_nothing_while_an_earlier_promise_may_hold() {
+    let (a, b) = (process("a"), process("b"));
     let mut voter = LeaseVoter::new(0);
-    assert!(!voter.request(MS, &a, 1) && !voter.request(LEASE_DURATION, &a, 1));
+
+    assert!(!voter.vote(MILLISECOND, a.clone()) && !voter.vote(LEASE_DURATION, a.clone()));
     assert!(
-        voter.request(2 * LEASE_DURATION, &a, 1)
-            && !voter.request(2 * LEASE_DURATION + MS, &b, 1)
-            && voter.request(3 * LEASE_DURATION, &a, 1)
+        voter.vote(2 * LEASE_DURATION, a.clone())
+            && !voter.vote(2 * LEASE_DURATION + MILLISECOND, b.clone())
+            && voter.vote(3 * LEASE_DURATION, a)
     );
-    assert!(!voter.request(4 * LEASE_DURATION, &b, 1) && voter.request(5 * LEASE_DURATION, &b, 1));
+    assert!(!voter.vote(4 * LEASE_DURATION, b.clone()) && voter.vote(5 * LEASE_DURATION, b));
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,15 +1,31 @@
-//! What dispatchers are to each other, as machines: nothing here opens anything, reads a clock or chooses a worker.
-//! `members` says who is there, `ranks` which place each has, `lease` who may give rights, `rights` what is given and
-//! held, `peer_load` what is told of workers, `register` how keepers agree on the fleet's settings (not used by `node` yet); `node` puts them together for one process, `file` is what operators write.
-//! `field` plays many of them on a clock of its own.
+//! What the dispatchers of a fleet are to each other, as state machines: nothing here does I/O, reads a clock or chooses a
+//! worker.
+//!
+//! | module | what it decides |
+//! | --- | --- |
+//! | [`cluster`] | puts the machines together for one process |
+//! | [`membership`] | which members run (SWIM with Lifeguard) |
+//! | [`ranks`] | the rank of each member |
+//! | [`lease`] | which member may issue warm-up grants |
+//! | [`grants`] | what is granted for a warming worker, and which grants still count |
+//! | [`peer_load`] | how load reports are batched and judged |
+//! | [`register`] | how the quorum agrees on the fleet's settings (CASPaxos; not yet used by the dispatcher) |
+//! | [`datagram`], [`member`] | the format of datagrams and of what is known of a member |
+//! | [`config`], [`error`] | the cluster file of an operator, and what can be wrong |
+//! | [`simulated`] | many members on a virtual clock and network, for tests |
+#![warn(missing_docs)]
 pub mod cluster;
 pub mod config;
 pub mod datagram;
 pub mod error;
 pub mod grants;
 pub mod lease;
+pub mod member;
 pub mod membership;
+pub mod outbox;
 pub mod peer_load;
+mod quota;
 pub mod ranks;
 pub mod register;
 pub mod simulated;
+mod time;
--- /dev/null
+++ b/crates/cluster/src/membership/anti_entropy.rs
@@ -0,0 +1,139 @@
+//! Repairs what updates missed: digests and pages of records, seeds, and probes of dead members.
+use super::Membership;
+use crate::datagram::Part;
+use crate::member::{MemberRecord, MemberState};
+use crate::outbox::Outbox;
+use crate::time::MILLISECOND;
+use rosewall::types::Nanos;
+use std::net::SocketAddr;
+
+/// How often a dead member is probed, one at a time: a partition heals within seconds.
+const DEAD_PROBE_INTERVAL: Nanos = 1_000 * MILLISECOND;
+/// How long dead members are remembered, so that old updates do not bring them back.
+const DEAD_RETENTION: Nanos = 600_000 * MILLISECOND;
+/// How often seeds are contacted while no other member is known.
+const SEED_INTERVAL_ALONE: Nanos = 500 * MILLISECOND;
+/// How often seeds that are not known as members are contacted later.
+const SEED_INTERVAL: Nanos = 5_000 * MILLISECOND;
+/// The least time between two page requests.
+const PAGE_INTERVAL: Nanos = 300 * MILLISECOND;
+/// The same while more than a page is missing, as when all members start.
+const PAGE_INTERVAL_BEHIND: Nanos = 60 * MILLISECOND;
+/// The number of records of a page.
+const PAGE_RECORDS: usize = 26;
+
+/// When what is due, and which page is requested next.
+pub(super) struct AntiEntropy {
+    next_dead_probe_at: Nanos,
+    next_seed_at: Nanos,
+    next_page_at: Nanos,
+    page_offset: u16,
+}
+
+impl AntiEntropy {
+    pub(super) fn new(now: Nanos) -> Self {
+        AntiEntropy {
+            next_dead_probe_at: now + DEAD_PROBE_INTERVAL,
+            next_seed_at: now,
+            next_page_at: now,
+            page_offset: 0,
+        }
+    }
+
+    pub(super) fn timeouts(&self) -> [Nanos; 2] {
+        [self.next_dead_probe_at, self.next_seed_at]
+    }
+}
+
+impl Membership {
+    /// Requests a page if the sender's view differs.
+    pub(super) fn handle_digest(
+        &mut self,
+        now: Nanos,
+        from: SocketAddr,
+        hash: u32,
+        count: u16,
+        out: &mut Outbox,
+    ) {
+        let differs = hash != self.digest() || usize::from(count) != self.count();
+        if !differs || now < self.anti_entropy.next_page_at {
+            return;
+        }
+        let is_far_behind = usize::from(count).abs_diff(self.count()) > PAGE_RECORDS;
+        let interval = if is_far_behind {
+            PAGE_INTERVAL_BEHIND
+        } else {
+            PAGE_INTERVAL
+        };
+        let offset = self.anti_entropy.page_offset;
+        let next_offset = offset.wrapping_add(PAGE_RECORDS as u16) % count.max(1);
+        self.anti_entropy.next_page_at = now + interval;
+        self.anti_entropy.page_offset = next_offset;
+        let mut parts = vec![Part::PageRequest { offset }];
+        parts.extend(self.page(next_offset));
+        out.send(from, parts);
+    }
+
+    /// Answers a page request.
+    pub(super) fn handle_page_request(&self, from: SocketAddr, offset: u16, out: &mut Outbox) {
+        let mut parts = vec![self.digest_part()];
+        parts.extend(self.page(offset));
+        out.send(from, parts);
+    }
+
+    /// A page of records, from the index `offset` and from the first one again after the last.
+    fn page(&self, offset: u16) -> impl Iterator<Item = Part> {
+        let count = self.members.len();
+        self.members
+            .values()
+            .cycle()
+            .skip(usize::from(offset) % count.max(1))
+            .take(PAGE_RECORDS.min(count))
+            .map(|member| Part::Record(member.record.clone()))
+    }
+
+    /// Probes a random dead member, which may run again or be in another partition, if that is due.
+    pub(super) fn probe_dead_member(&mut self, now: Nanos, out: &mut Outbox) {
+        if now < self.anti_entropy.next_dead_probe_at {
+            return;
+        }
+        let jitter = (self.rng.unit() * DEAD_PROBE_INTERVAL as f64) as Nanos;
+        self.anti_entropy.next_dead_probe_at = now + DEAD_PROBE_INTERVAL / 2 + jitter;
+        self.members
+            .retain(|_, member| member.is_live() || now < member.since + DEAD_RETENTION);
+        let dead: Vec<MemberRecord> = self
+            .members
+            .values()
+            .filter(|member| member.record.state == MemberState::Dead)
+            .map(|member| member.record.clone())
+            .collect();
+        if dead.is_empty() {
+            return;
+        }
+        let record = dead[self.random_index(dead.len())].clone();
+        let seq = self.probing.next_seq();
+        let target = record.name.clone();
+        out.send(
+            record.addr,
+            vec![Part::Ping { seq, target }, Part::Record(record)],
+        );
+    }
+
+    /// Requests a page of each seed that is not known as a member, if that is due.
+    pub(super) fn contact_seeds(&mut self, now: Nanos, out: &mut Outbox) {
+        if now < self.anti_entropy.next_seed_at {
+            return;
+        }
+        let alone = self.live_others().next().is_none();
+        let interval = if alone {
+            SEED_INTERVAL_ALONE
+        } else {
+            SEED_INTERVAL
+        };
+        self.anti_entropy.next_seed_at = now + interval;
+        let is_known = |seed: &SocketAddr| self.live_others().any(|record| record.addr == *seed);
+        for seed in self.seeds.iter().filter(|seed| alone || !is_known(seed)) {
+            out.send(*seed, vec![Part::PageRequest { offset: 0 }]);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/membership/probing.rs
@@ -0,0 +1,309 @@
+//! Probes one member in each period: a ping, then indirect pings through others, then a suspicion.
+use super::{Member, Membership, PROBE_PERIOD};
+use crate::datagram::Part;
+use crate::member::{MemberState, Name};
+use crate::outbox::Outbox;
+use crate::time::MILLISECOND;
+use rosewall::types::Nanos;
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+/// Indirect pings follow after this time: ten times the round trip of a slow data centre.
+const MIN_PROBE_TIMEOUT: Nanos = 80 * MILLISECOND;
+/// The same where round trips are longer, so that an indirect answer arrives in the same period.
+const MAX_PROBE_TIMEOUT: Nanos = 4 * PROBE_PERIOD / 5;
+/// How many probes are remembered, to measure round trips that end after their period.
+const REMEMBERED_PROBES: usize = 16;
+/// How many members are asked for an indirect ping (the paper's k).
+const INDIRECT_PROBES: usize = 3;
+/// The upper bound of Lifeguard's local health score.
+const MAX_LOCAL_HEALTH: u64 = 4;
+/// How much more often members are probed while one is suspected, to find many dead ones soon.
+const SUSPECT_PROBE_SPEEDUP: Nanos = 3;
+/// The longest round trip measured is reduced by one part in so many with each measurement.
+const ROUND_TRIP_DECAY_DIVISOR: Nanos = 32;
+
+/// The probe of the current period.
+struct Probe {
+    seq: u32,
+    name: Name,
+    /// When indirect pings are sent, unless they were.
+    indirect_at: Option<Nanos>,
+    /// How many helpers were asked and have not yet sent a nack.
+    silent_helpers: usize,
+}
+
+struct SentProbe {
+    seq: u32,
+    name: Name,
+    sent_at: Nanos,
+}
+
+/// A ping that is sent for another member.
+struct ProxiedPing {
+    seq: u32,
+    requester_seq: u32,
+    requester: SocketAddr,
+    expires_at: Nanos,
+}
+
+/// The state of the failure detector.
+pub(super) struct Probing {
+    next_period_at: Nanos,
+    /// Whom to probe next, from the end.
+    order: Vec<Name>,
+    current: Option<Probe>,
+    recent: VecDeque<SentProbe>,
+    longest_round_trip: Nanos,
+    proxied_pings: Vec<ProxiedPing>,
+    /// 0 is healthy; with a higher score this member is slower to suspect others.
+    local_health: u64,
+    last_seq: u32,
+}
+
+impl Probing {
+    pub(super) fn new(first_period: Nanos) -> Self {
+        Probing {
+            next_period_at: first_period,
+            order: Vec::new(),
+            current: None,
+            recent: VecDeque::new(),
+            longest_round_trip: 0,
+            proxied_pings: Vec::new(),
+            local_health: 0,
+            last_seq: 0,
+        }
+    }
+
+    pub(super) fn next_seq(&mut self) -> u32 {
+        self.last_seq = self.last_seq.wrapping_add(1);
+        self.last_seq
+    }
+
+    pub(super) fn next_timeout(&self) -> Option<Nanos> {
+        let indirect = self.current.as_ref().and_then(|probe| probe.indirect_at);
+        let proxied = self.proxied_pings.iter().map(|ping| ping.expires_at).min();
+        [Some(self.next_period_at), indirect, proxied]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    /// Forgets what was waited for and starts a period soon.
+    pub(super) fn restart(&mut self, now: Nanos) {
+        self.current = None;
+        self.proxied_pings.clear();
+        self.next_period_at = now + MIN_PROBE_TIMEOUT;
+    }
+
+    pub(super) fn handle_nack(&mut self, seq: u32) {
+        if let Some(probe) = self.current.as_mut().filter(|probe| probe.seq == seq) {
+            probe.silent_helpers = probe.silent_helpers.saturating_sub(1);
+        }
+    }
+
+    /// The ping of a target for another member.
+    pub(super) fn proxy_ping(
+        &mut self,
+        now: Nanos,
+        requester: SocketAddr,
+        requester_seq: u32,
+        target: &Name,
+    ) -> Part {
+        let seq = self.next_seq();
+        self.proxied_pings.push(ProxiedPing {
+            seq,
+            requester_seq,
+            requester,
+            expires_at: now + self.probe_timeout(),
+        });
+        Part::Ping {
+            seq,
+            target: target.clone(),
+        }
+    }
+
+    /// Records that this member may be at fault itself.
+    pub(super) fn degrade_local_health(&mut self) {
+        self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
+    }
+
+    fn health_multiplier(&self) -> Nanos {
+        1 + self.local_health
+    }
+
+    /// How long an answer may take before indirect pings are sent.
+    fn probe_timeout(&self) -> Nanos {
+        let with_margin = self.longest_round_trip + self.longest_round_trip / 2;
+        MIN_PROBE_TIMEOUT.max(with_margin.min(MAX_PROBE_TIMEOUT))
+    }
+
+    /// Measures the round trip if the probed member itself answers. The longest one counts, since in several regions most
+    /// members are far away.
+    fn record_round_trip(&mut self, now: Nanos, seq: u32, from: &Name) {
+        let sent = self
+            .recent
+            .iter()
+            .find(|probe| probe.seq == seq && probe.name == *from);
+        if let Some(probe) = sent {
+            let round_trip = now.saturating_sub(probe.sent_at);
+            let decay = self.longest_round_trip / ROUND_TRIP_DECAY_DIVISOR;
+            self.longest_round_trip = round_trip.max(self.longest_round_trip - decay);
+        }
+    }
+
+    /// Remembers a probe that is sent now.
+    fn track(&mut self, now: Nanos, seq: u32, name: Name) {
+        self.recent.push_back(SentProbe {
+            seq,
+            name: name.clone(),
+            sent_at: now,
+        });
+        if self.recent.len() > REMEMBERED_PROBES {
+            self.recent.pop_front();
+        }
+        self.current = Some(Probe {
+            seq,
+            name,
+            indirect_at: Some(now + self.probe_timeout() * self.health_multiplier()),
+            silent_helpers: 0,
+        });
+    }
+
+    /// The time from one probe to the next. It is no shorter than an answer, also an indirect one, may take: otherwise one
+    /// suspicion would cause others.
+    fn period(&self, any_suspect: bool) -> Nanos {
+        let full = PROBE_PERIOD * self.health_multiplier();
+        let speedup = if any_suspect {
+            SUSPECT_PROBE_SPEEDUP
+        } else {
+            1
+        };
+        (full / speedup).max((5 * self.longest_round_trip / 2).min(full))
+    }
+}
+
+impl Membership {
+    /// Ends the probe of the last period and starts the next, if that is due.
+    pub(super) fn run_probe_period(&mut self, now: Nanos, out: &mut Outbox) {
+        if now < self.probing.next_period_at {
+            return;
+        }
+        self.finish_probe(now, out);
+        self.start_probe(now, out);
+        let any_suspect = self.suspects().next().is_some();
+        self.probing.next_period_at = now + self.probing.period(any_suspect);
+    }
+
+    /// Answers the requesters of proxied pings that were not answered.
+    pub(super) fn expire_proxied_pings(&mut self, now: Nanos, out: &mut Outbox) {
+        self.probing.proxied_pings.retain(|ping| {
+            let expired = ping.expires_at <= now;
+            if expired {
+                let seq = ping.requester_seq;
+                out.send(ping.requester, vec![Part::Nack { seq }]);
+            }
+            !expired
+        });
+    }
+
+    /// Asks others to ping a member that has not answered so far.
+    pub(super) fn send_indirect_pings(&mut self, now: Nanos, out: &mut Outbox) {
+        let due = |probe: &&Probe| probe.indirect_at.is_some_and(|at| at <= now);
+        let Some(probe) = self.probing.current.as_ref().filter(due) else {
+            return;
+        };
+        let Some(member) = self.members.get(&probe.name) else {
+            return;
+        };
+        let ping = Part::IndirectPing {
+            seq: probe.seq,
+            target: probe.name.clone(),
+            addr: member.record.addr,
+        };
+        let target = probe.name.clone();
+        let helpers = self.random_peers(INDIRECT_PROBES, Some(&target));
+        if let Some(probe) = &mut self.probing.current {
+            probe.indirect_at = None;
+            probe.silent_helpers = helpers.len();
+        }
+        for helper in helpers {
+            out.send(helper, vec![ping.clone()]);
+        }
+    }
+
+    pub(super) fn handle_ack(&mut self, now: Nanos, seq: u32, from: &Name, out: &mut Outbox) {
+        let pings = &mut self.probing.proxied_pings;
+        if let Some(index) = pings.iter().position(|ping| ping.seq == seq) {
+            let ping = pings.swap_remove(index);
+            let seq = ping.requester_seq;
+            out.send(ping.requester, vec![Part::Ack { seq }]);
+        }
+        self.probing.record_round_trip(now, seq, from);
+        let answered = |probe: &Probe| probe.seq == seq;
+        if self.probing.current.as_ref().is_some_and(answered) {
+            self.probing.current = None;
+            self.probing.local_health = self.probing.local_health.saturating_sub(1);
+        }
+    }
+
+    /// The next member in a random order that is drawn anew for each round of all members.
+    fn next_probe_target(&mut self) -> Option<Name> {
+        loop {
+            while let Some(name) = self.probing.order.pop() {
+                if self.members.get(&name).is_some_and(Member::is_live) {
+                    return Some(name);
+                }
+            }
+            let mut order: Vec<Name> = self
+                .live_others()
+                .map(|record| record.name.clone())
+                .collect();
+            if order.is_empty() {
+                return None;
+            }
+            for index in (1..order.len()).rev() {
+                order.swap(index, self.random_index(index + 1));
+            }
+            self.probing.order = order;
+        }
+    }
+
+    fn start_probe(&mut self, now: Nanos, out: &mut Outbox) {
+        let Some(name) = self.next_probe_target() else {
+            return;
+        };
+        let Some(member) = self.members.get(&name) else {
+            return;
+        };
+        let addr = member.record.addr;
+        let mut parts = Vec::new();
+        if member.record.state == MemberState::Suspect {
+            parts.push(Part::Record(member.record.clone()));
+        }
+        let seq = self.probing.next_seq();
+        let target = name.clone();
+        parts.push(Part::Ping { seq, target });
+        parts.push(self.digest_part());
+        out.send(addr, parts);
+        self.probing.track(now, seq, name);
+    }
+
+    /// Suspects the probed member if it has not answered by the end of the period.
+    fn finish_probe(&mut self, now: Nanos, out: &mut Outbox) {
+        let Some(probe) = self.probing.current.take() else {
+            return;
+        };
+        // If no helper answers at all, the fault may be on this side; a single one may be dead as well.
+        let helpers = INDIRECT_PROBES.min(self.count().saturating_sub(2));
+        if probe.silent_helpers > 0 && probe.silent_helpers == helpers {
+            self.probing.degrade_local_health();
+        }
+        let Some(member) = self.members.get(&probe.name) else {
+            return;
+        };
+        let suspicion = member.record.with_suspicion_by(&self.own.name);
+        out.send(suspicion.addr, vec![Part::Record(suspicion.clone())]);
+        self.merge(now, suspicion);
+    }
+}
--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -1,119 +1,165 @@
-//! What members tell each other of workers: lines are held back for some ms and go many to a datagram, each with its age.
-//! Of what is heard, one member's word counts for only so many silent workers.
-use crate::datagram::{Name, Part};
+//! The load that members report to each other, by worker.
+//!
+//! Reports are batched for some ms, many to a datagram, each with its age. Of what is received, one member's reports of
+//! silence count for a limited number of workers.
+use crate::datagram::Part;
+use crate::member::Name;
+use crate::quota::PerSecondQuota;
+use crate::time::MILLISECOND;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Nanos, PeerLoad, WorkerId};
 use std::collections::BTreeMap;
 
-const MS: Nanos = 1_000_000;
-/// How long a line waits for others to the same member: well under the second in which queues change. At 5 ms datagrams alone
-/// made a request cost 1.6 times as much (processor time, six dispatchers of 130 requests a second, jobs of 10 ms).
-const FLUSH_DELAY: Nanos = 25 * MS;
-const MAX_LOADS_PER_DATAGRAM: usize = 40;
-/// The unit of a line's age on the way.
-const AGE_UNIT: Nanos = 4 * MS;
-/// Lines a second that one process sends: ten times what the busiest of a hundred did in simulated days; 65 KB.
-const MAX_LOADS_PER_SECOND: u64 = 5_000;
-/// What one member says of silence counts for so many workers, or for a quarter of those that it speaks of; and for so
-/// long. Two may well hang at once; who finds more than that is likely cut off itself.
+/// How long a report waits for others to the same member: well under the second in which queues change.
+const BATCH_DELAY: Nanos = 25 * MILLISECOND;
+/// How many reports fit into a datagram.
+const MAX_REPORTS_PER_DATAGRAM: usize = 40;
+/// The unit of a report's age in a datagram.
+const AGE_UNIT: Nanos = 4 * MILLISECOND;
+/// The unit of [`PeerLoad::work`].
+const WORK_UNIT: Nanos = 16 * MILLISECOND;
+/// How many reports one process sends in a second: some 65 KB.
+const MAX_REPORTS_PER_SECOND: u64 = 5_000;
+/// One member's reports of silence count for so many workers, or for one part in
+/// [`MAX_SILENT_DIVISOR`] of those that it reports on. A member that finds more of them silent is likely cut off itself.
 const MAX_SILENT_WORKERS: usize = 2;
-const REPORT_RETENTION: Nanos = 10_000 * MS;
+/// See [`MAX_SILENT_WORKERS`].
+const MAX_SILENT_DIVISOR: usize = 4;
+/// How long a report counts towards what a member reports on.
+const REPORT_RETENTION: Nanos = 10_000 * MILLISECOND;
 
+struct QueuedReport {
+    load: PeerLoad,
+    queued_at: Nanos,
+}
+
+/// The reports to one member that are due.
+#[derive(Debug, PartialEq)]
+pub struct ReportBatch {
+    /// Whom they go to.
+    pub to: Name,
+    /// The reports, at most one datagram of them.
+    pub parts: Vec<Part>,
+}
+
+/// Batches this member's reports to others.
 #[derive(Default)]
 pub struct LoadSender {
-    loads: BTreeMap<Name, Vec<(PeerLoad, Nanos)>>,
+    queues: BTreeMap<Name, Vec<QueuedReport>>,
     flush_at: Option<Nanos>,
-    second: (Nanos, u64),
-    pub sent: u64,
-    pub dropped: u64,
+    quota: PerSecondQuota<MAX_REPORTS_PER_SECOND>,
 }
 
 impl LoadSender {
-    /// One line to a member; a newer one of the same worker takes the place of an older that still waits.
-    pub fn send_load(&mut self, now: Nanos, to: &Name, load: PeerLoad) {
-        if now >= self.second.0 + 1_000 * MS {
-            self.second = (now, 0);
-        }
-        let loads = self.loads.entry(to.clone()).or_default();
-        if let Some(line) = loads
+    /// Queues a report to a member; it replaces a queued one of the same worker.
+    pub fn queue(&mut self, now: Nanos, to: &Name, load: PeerLoad) {
+        self.quota.advance(now);
+        let queue = self.queues.entry(to.clone()).or_default();
+        let report = QueuedReport {
+            load,
+            queued_at: now,
+        };
+        if let Some(queued) = queue
             .iter_mut()
-            .find(|(line, _)| line.worker == load.worker)
+            .find(|queued| queued.load.worker == load.worker)
         {
-            *line = (load, now);
+            *queued = report;
             return;
         }
-        if self.second.1 >= MAX_LOADS_PER_SECOND {
-            self.dropped += 1;
+        if !self.quota.try_take() {
             return;
         }
-        self.second.1 += 1;
-        loads.push((load, now));
-        self.flush_at.get_or_insert(now + FLUSH_DELAY);
+        queue.push(report);
+        self.flush_at.get_or_insert(now + BATCH_DELAY);
     }
 
+    /// When [`LoadSender::take_due`] is to be called next.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.flush_at
     }
 
-    /// What is due to go out, a datagram's worth to each.
-    pub fn take_due(&mut self, now: Nanos) -> Vec<(Name, Vec<Part>)> {
+    /// The batches that are due.
+    pub fn take_due(&mut self, now: Nanos) -> Vec<ReportBatch> {
         if self.flush_at.is_none_or(|at| now < at) {
             return Vec::new();
         }
-        let mut out = Vec::new();
-        for (name, loads) in &mut self.loads {
-            for some in loads.chunks(MAX_LOADS_PER_DATAGRAM) {
-                let part = |(load, at): &(PeerLoad, Nanos)| {
-                    let age = (now.saturating_sub(*at) / AGE_UNIT).min(255) as u8;
-                    Part::PeerLoad { load: *load, age }
-                };
-                self.sent += some.len() as u64;
-                out.push((name.clone(), some.iter().map(part).collect()));
+        let mut batches = Vec::new();
+        for (name, queue) in &mut self.queues {
+            for reports in queue.chunks(MAX_REPORTS_PER_DATAGRAM) {
+                batches.push(ReportBatch {
+                    to: name.clone(),
+                    parts: reports.iter().map(|report| report.part(now)).collect(),
+                });
             }
-            loads.clear();
+            queue.clear();
         }
-        self.loads
-            .retain(|_, loads| loads.capacity() < 4 * MAX_LOADS_PER_DATAGRAM);
+        self.queues
+            .retain(|_, queue| queue.capacity() < 4 * MAX_REPORTS_PER_DATAGRAM);
         self.flush_at = None;
-        out
+        batches
+    }
+}
+
+impl QueuedReport {
+    fn part(&self, now: Nanos) -> Part {
+        let age = now.saturating_sub(self.queued_at) / AGE_UNIT;
+        Part::PeerLoad {
+            load: self.load,
+            age: age.min(255) as u8,
+        }
     }
 }
 
-/// What one member has told: when it last spoke of each worker, and when it last called it silent.
+struct WorkerReport {
+    received_at: Nanos,
+    silent: bool,
+}
+
+/// The latest reports of one member.
 #[derive(Default)]
 struct Reporter {
-    workers: BTreeMap<WorkerId, (Nanos, Option<Nanos>)>,
+    workers: BTreeMap<WorkerId, WorkerReport>,
+}
+
+impl Reporter {
+    /// Records a report; returns how many workers the member reports as silent.
+    fn record(&mut self, now: Nanos, worker: WorkerId, silent: bool) -> usize {
+        self.workers
+            .retain(|_, report| now < report.received_at + REPORT_RETENTION);
+        let report = WorkerReport {
+            received_at: now,
+            silent,
+        };
+        self.workers.insert(worker, report);
+        self.workers.values().filter(|report| report.silent).count()
+    }
+
+    fn max_silent(&self) -> usize {
+        MAX_SILENT_WORKERS.max(self.workers.len() / MAX_SILENT_DIVISOR)
+    }
 }
 
+/// Judges the reports of other members.
 #[derive(Default)]
 pub struct LoadReceiver {
     reporters: BTreeMap<Name, Reporter>,
-    pub received: u64,
+    /// How many reports of silence were ignored.
     pub ignored_silence: u64,
 }
 
 impl LoadReceiver {
-    /// A line as it counts now: what ended since it was told is taken off, and silence is believed of a few only.
-    /// Guards against a member whose own link is dead, which finds all workers silent and would empty the fleet for all.
+    /// A report as it counts now.
+    ///
+    /// Work that has completed since the report was made is subtracted. Silence counts for few workers only: a member whose own
+    /// link is down finds all workers silent.
     pub fn receive(&mut self, now: Nanos, from: &Name, mut load: PeerLoad, age: u8) -> PeerLoad {
-        self.received += 1;
-        let elapsed_work =
-            Nanos::from(age) * AGE_UNIT * Nanos::from(load.half_slots) / 2 / (16 * MS);
-        load.work = load.work.saturating_sub(elapsed_work.min(65_535) as u16);
+        let completed = Nanos::from(age) * AGE_UNIT * Nanos::from(load.half_slots) / 2 / WORK_UNIT;
+        load.work = load.work.saturating_sub(completed.min(65_535) as u16);
         let reporter = self.reporters.entry(from.clone()).or_default();
-        reporter
-            .workers
-            .retain(|_, (at, _)| now < *at + REPORT_RETENTION);
         let silent = load.speed_code == PeerLoad::SPEED_SILENT;
-        let known = reporter.workers.entry(load.worker).or_insert((now, None));
-        *known = (now, if silent { Some(now) } else { None });
-        let count = reporter
-            .workers
-            .values()
-            .filter(|(_, silent)| silent.is_some())
-            .count();
+        let silent_workers = reporter.record(now, load.worker, silent);
         if silent
-            && count > MAX_SILENT_WORKERS.max(reporter.workers.len() / 4)
+            && silent_workers > reporter.max_silent()
             && !is_active(Mutation::UnboundedSilenceReports)
         {
             self.ignored_silence += 1;
@@ -122,9 +168,9 @@
         load
     }
 
-    /// Forgets who is no member any more.
-    pub fn retain_members(&mut self, lives: impl Fn(&Name) -> bool) {
-        self.reporters.retain(|name, _| lives(name));
+    /// Forgets those that are no longer members.
+    pub fn retain_members(&mut self, is_member: impl Fn(&Name) -> bool) {
+        self.reporters.retain(|name, _| is_member(name));
     }
 }
 
--- a/crates/cluster/src/peer_load/tests.rs
+++ b/crates/cluster/src/peer_load/tests.rs
@@ -1,65 +1,67 @@
 use super::*;
-use rosewall::types::{PeerLoad, WorkerId};
 
-fn worker(at: u8) -> WorkerId {
-    WorkerId {
-        addr: [1, 2, 3, at],
-        port: 80,
+fn load(worker: u8, work: u16) -> PeerLoad {
+    PeerLoad {
+        worker: WorkerId {
+            addr: [1, 2, 3, worker],
+            port: 80,
+        },
+        half_slots: 2,
+        work,
+        speed_code: 140,
     }
 }
 
-/// A quarter of those that it speaks of, or two, may be silent by one member's word.
 #[test]
-pub fn one_members_word_empties_no_fleet() {
-    let (mut load_receiver, name) = (LoadReceiver::default(), Name::from("n1"));
-    let load = |at: u8| PeerLoad {
-        worker: worker(at),
-        half_slots: 2,
-        work: 10,
+pub fn one_members_reports_silence_few_workers_only() {
+    let (mut receiver, name) = (LoadReceiver::default(), Name::from("n1"));
+    let silent = |worker: u8| PeerLoad {
         speed_code: PeerLoad::SPEED_SILENT,
+        ..load(worker, 10)
     };
+
     let believed = (0..40)
-        .filter(|at| {
-            load_receiver.receive(1, &name, load(*at), 0).speed_code == PeerLoad::SPEED_SILENT
+        .filter(|worker| {
+            let load = receiver.receive(1, &name, silent(*worker), 0);
+            load.speed_code == PeerLoad::SPEED_SILENT
         })
         .count();
+
     assert!((2..=10).contains(&believed), "{believed} of 40");
-    assert!(load_receiver.ignored_silence > 0);
+    assert!(receiver.ignored_silence > 0);
 }
 
 #[test]
-fn what_ended_on_the_way_is_taken_off() {
-    let load = PeerLoad {
-        worker: worker(1),
+fn work_that_completed_since_the_report_is_subtracted() {
+    let reported = PeerLoad {
         half_slots: 4,
-        work: 100,
-        speed_code: 140,
+        ..load(1, 100)
     };
-    let line = LoadReceiver::default().receive(1, &"n1".into(), load, 100);
-    // 400 ms at two seats are 800 ms, in units of 16 ms.
-    assert_eq!(line.work, 50);
+
+    let counted = LoadReceiver::default().receive(1, &"n1".into(), reported, 100);
+
+    // 400 ms at two slots are 800 ms, in units of 16 ms.
+    assert_eq!(counted.work, 50);
 }
 
 #[test]
-fn lines_to_one_member_go_together_and_the_newest_of_a_worker_counts() {
-    let mut load_sender = LoadSender::default();
-    let (name, load) = (Name::from("n1"), |at, work| PeerLoad {
-        worker: worker(at),
-        half_slots: 2,
-        work,
-        speed_code: 140,
-    });
-    load_sender.send_load(0, &name, load(1, 5));
-    load_sender.send_load(MS, &name, load(2, 6));
-    load_sender.send_load(2 * MS, &name, load(1, 7));
-    assert_eq!(load_sender.take_due(20 * MS), []);
-    let line = |at, work, age| Part::PeerLoad {
-        load: load(at, work),
+fn reports_to_one_member_are_batched_and_the_newest_of_a_worker_counts() {
+    let mut sender = LoadSender::default();
+    let name = Name::from("n1");
+
+    sender.queue(0, &name, load(1, 5));
+    sender.queue(MILLISECOND, &name, load(2, 6));
+    sender.queue(2 * MILLISECOND, &name, load(1, 7));
+
+    assert_eq!(sender.take_due(20 * MILLISECOND), []);
+    let part = |worker, work, age| Part::PeerLoad {
+        load: load(worker, work),
         age,
     };
-    assert_eq!(
-        load_sender.take_due(26 * MS),
-        [(name, vec![line(1, 7, 6), line(2, 6, 6)])]
-    );
-    assert_eq!(load_sender.take_due(100 * MS), []);
+    let batch = ReportBatch {
+        to: name,
+        parts: vec![part(1, 7, 6), part(2, 6, 6)],
+    };
+    assert_eq!(sender.take_due(26 * MILLISECOND), [batch]);
+    assert_eq!(sender.take_due(100 * MILLISECOND), []);
 }
--- a/crates/cluster/src/simulated/mod.rs
+++ b/crates/cluster/src/simulated/mod.rs
@@ -1,57 +1,28 @@
-//! Many processes' machines on one virtual clock, with datagrams lost, late, doubled and cut between them, clocks of
-//! their own, pauses, ends and starts: all from one seed. For tests and for the command that measures by size.
-use crate::cluster::{Cluster, Effect, LogLine};
+//! Many members on one virtual clock, for tests.
+//!
+//! Datagrams between them are lost, delayed, duplicated and cut; members have clocks of their own, pause, end and start
+//! again. All of it follows from one seed.
+mod member;
+mod network;
+
+pub use member::{Observed, SimulatedMember};
+pub use network::{Address, Link, Network, address};
+
+use crate::cluster::{Cluster, Effect};
 use crate::config::ClusterConfig;
+use crate::time::MILLISECOND;
 use rosewall::pcg::Pcg;
-use rosewall::types::{FleetPosition, Nanos, WorkerId};
+use rosewall::types::Nanos;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-pub const MS: Nanos = 1_000_000;
-
-/// What happens to datagrams.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Link {
-    pub loss: f64,
-    pub duplication: f64,
-    pub delay: Nanos,
-    /// Up to so much more, drawn for each.
-    pub jitter: Nanos,
-}
-
-/// What the decisions of a process were told.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Observed {
-    FleetView(Option<FleetPosition>),
-    WarmUpGranted {
-        worker: WorkerId,
-        work: Nanos,
-        until: Nanos,
-    },
-    Error(String),
-}
-
-pub struct SimulatedMember {
-    pub cluster: Cluster,
-    cluster_config: ClusterConfig,
-    /// Its clock: what it shows at the field's start, and how fast it runs.
-    offset: f64,
-    rate: f64,
-    paused: Option<Nanos>,
-    /// What came while it was paused.
-    waiting: Vec<(SocketAddr, Vec<u8>)>,
-    pub observed: Vec<(Nanos, Observed)>,
-    pub bytes: u64,
-    pub datagrams: u64,
-}
-
-impl SimulatedMember {
-    /// Its own clock.
-    pub fn local(&self, now: Nanos) -> Nanos {
-        (self.offset + now as f64 * self.rate) as Nanos
-    }
-}
+/// How often [`SimulatedCluster::run_until_agreed`] looks whether the members agree.
+const AGREEMENT_CHECK_INTERVAL: Nanos = 20 * MILLISECOND;
+/// A member is woken this much after its timeout, to be past it on its own clock.
+const WAKE_MARGIN: Nanos = 1_000;
+/// How much clocks may differ in speed, from the slowest to the fastest.
+const CLOCK_RATE_SPREAD: f64 = 0.018;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -60,306 +31,286 @@
         from: SocketAddr,
         bytes: Vec<u8>,
     },
-    Due(usize),
+    Wake(usize),
+}
+
+/// An event at its time; of two at one time the one that was scheduled first comes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Scheduled {
+    at: Nanos,
+    serial: u64,
+    event: Event,
 }
 
+/// Members on one virtual clock and network.
 pub struct SimulatedCluster {
+    /// The virtual time.
     pub now: Nanos,
+    /// The members by their index; `None` where none runs.
     pub members: Vec<Option<SimulatedMember>>,
-    pub link: Link,
-    /// How much more the way takes between two regions, of which there are three, by turns.
-    pub inter_region_delay: Nanos,
-    /// The groups that a split has made; datagrams pass only within one.
-    pub partition: Vec<u32>,
-    /// Directed pairs that are cut.
-    pub cut_links: Vec<(usize, usize)>,
-    addresses: std::collections::BTreeMap<SocketAddr, usize>,
-    queue: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
-    last_event: u64,
-    pub rng: Pcg,
-}
-
-pub fn address(at: usize) -> SocketAddr {
-    ([10, 0, (at / 250) as u8, (at % 250) as u8 + 1], 7946).into()
+    /// What happens to datagrams.
+    pub network: Network,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    last_serial: u64,
+    rng: Pcg,
 }
 
 impl SimulatedCluster {
-    /// So many places; none runs yet.
+    /// A cluster of up to `count` members, of whom none runs yet.
     pub fn new(count: usize, seed: u64) -> Self {
         SimulatedCluster {
             now: 0,
             members: (0..count).map(|_| None).collect(),
-            link: Link {
-                delay: MS / 2,
-                jitter: MS,
-                ..Link::default()
-            },
-            inter_region_delay: 0,
-            partition: vec![0; count],
-            cut_links: Vec::new(),
-            addresses: (0..count).map(|at| (address(at), at)).collect(),
+            network: Network::new(count),
             queue: BinaryHeap::new(),
-            last_event: 0,
+            last_serial: 0,
             rng: Pcg::new(seed),
         }
     }
 
-    pub fn below(&mut self, most: u64) -> u64 {
-        (self.rng.unit() * most as f64) as u64
+    /// A random number below `limit`.
+    pub fn random_below(&mut self, limit: u64) -> u64 {
+        (self.rng.unit() * limit as f64) as u64
     }
 
-    fn push(&mut self, at: Nanos, event: Event) {
-        self.last_event += 1;
-        self.queue.push(Reverse((at, self.last_event, event)));
-    }
-
-    pub fn config_of(&self, at: usize, keepers: usize) -> ClusterConfig {
+    /// The configuration of the member at `index`; the first `quorum_size` members are the quorum.
+    pub fn config_of(&self, index: usize, quorum_size: usize) -> ClusterConfig {
         ClusterConfig {
             cluster: "field".to_string(),
-            name: format!("n{at:04}"),
-            listen: address(at),
+            name: format!("n{index:04}"),
+            listen: address(index),
             seeds: (0..3.min(self.members.len())).map(address).collect(),
-            quorum: (0..keepers).map(|at| format!("n{at:04}")).collect(),
+            quorum: (0..quorum_size)
+                .map(|index| format!("n{index:04}"))
+                .collect(),
             relay: None,
             max_clock_skew: 0,
         }
     }
 
-    /// Starts a process at a place; its clock is off by up to `skew` and by up to one in a hundred in speed.
-    pub fn start(&mut self, at: usize, cluster_config: ClusterConfig, skew: Nanos) {
+    /// Starts a member; its clock is off by up to `skew`, and if that is not 0, by up to one in a hundred in speed.
+    pub fn start(&mut self, index: usize, config: ClusterConfig, skew: Nanos) {
+        let spread = if skew > 0 { CLOCK_RATE_SPREAD } else { 0.0 };
         let offset = 1e18 + self.rng.unit() * skew as f64;
-        let rate = 1.0 + (self.rng.unit() - 0.5) * if skew > 0 { 0.018 } else { 0.0 };
+        let rate = 1.0 + (self.rng.unit() - 0.5) * spread;
         let local = (offset + self.now as f64 * rate) as Nanos;
         let seed = (self.rng.unit() * 1e18) as u64;
-        let cluster = Cluster::new(&cluster_config, local, seed);
-        let (paused, bytes, datagrams) = (None, 0, 0);
-        let (waiting, observed) = (Vec::new(), Vec::new());
-        self.members[at] = Some(SimulatedMember {
-            cluster,
-            cluster_config,
-            offset,
-            rate,
-            paused,
-            waiting,
-            observed,
-            bytes,
-            datagrams,
-        });
-        self.push(self.now, Event::Due(at));
+        let cluster = Cluster::new(&config, local, seed);
+        self.members[index] = Some(SimulatedMember::new(cluster, config, offset, rate));
+        self.schedule(self.now, Event::Wake(index));
     }
 
-    /// Starts it again under its name, with nothing kept.
-    pub fn restart(&mut self, at: usize, skew: Nanos) {
-        let cluster_config = self.members[at]
-            .as_ref()
-            .map(|member| member.cluster_config.clone());
-        let cluster_config = cluster_config.unwrap_or_else(|| self.config_of(at, 3));
-        self.start(at, cluster_config, skew);
+    /// Starts a member again under its name, with no state left.
+    pub fn restart(&mut self, index: usize, skew: Nanos) {
+        let config = match &self.members[index] {
+            Some(member) => member.config.clone(),
+            None => self.config_of(index, 3),
+        };
+        self.start(index, config, skew);
     }
 
-    pub fn kill(&mut self, at: usize) {
-        self.members[at] = None;
+    /// Ends a member without a word.
+    pub fn kill(&mut self, index: usize) {
+        self.members[index] = None;
     }
 
-    pub fn leave(&mut self, at: usize) {
+    /// Ends a member in order.
+    pub fn leave(&mut self, index: usize) {
         let mut effects = Vec::new();
-        if let Some(member) = &mut self.members[at] {
+        if let Some(member) = &mut self.members[index] {
             member.cluster.leave(&mut effects);
         }
-        self.apply_effects(at, effects);
-        self.members[at] = None;
+        self.apply_effects(index, effects);
+        self.members[index] = None;
     }
 
-    pub fn pause(&mut self, at: usize, until: Nanos) {
-        if let Some(member) = &mut self.members[at] {
-            member.paused = Some(until);
-            self.push(until, Event::Due(at));
+    /// Stops a member from running until then.
+    pub fn pause(&mut self, index: usize, until: Nanos) {
+        if let Some(member) = &mut self.members[index] {
+            member.paused_until = Some(until);
+            self.schedule(until, Event::Wake(index));
         }
     }
 
-    pub fn paused(&self, at: usize) -> bool {
-        self.members[at]
-            .as_ref()
-            .is_some_and(|member| member.paused.is_some_and(|until| until > self.now))
+    /// Whether a member is paused.
+    pub fn is_paused(&self, index: usize) -> bool {
+        let member = self.members[index].as_ref();
+        member.is_some_and(|member| member.is_paused(self.now))
     }
 
+    /// The member at `index`.
+    ///
+    /// # Panics
+    ///
+    /// If none runs there.
+    pub fn member(&self, index: usize) -> &SimulatedMember {
+        self.members[index].as_ref().expect("the member runs")
+    }
+
+    /// The members that run.
+    pub fn running_members(&self) -> impl Iterator<Item = &SimulatedMember> {
+        self.members.iter().flatten()
+    }
+
+    /// The indices of the members that run.
     pub fn running(&self) -> Vec<usize> {
         (0..self.members.len())
-            .filter(|at| self.members[*at].is_some())
+            .filter(|index| self.members[*index].is_some())
             .collect()
     }
 
-    /// Lets a process act, if it runs.
-    pub fn act(&mut self, at: usize, act: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>)) {
-        if self.paused(at) {
+    /// Calls a member's cluster with its local time, if it runs and is not paused.
+    pub fn act(&mut self, index: usize, act: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>)) {
+        if self.is_paused(index) {
             return;
         }
-        let now = self.now;
         let mut effects = Vec::new();
-        if let Some(member) = &mut self.members[at] {
-            let local = member.local(now);
+        if let Some(member) = &mut self.members[index] {
+            let local = member.local_time(self.now);
             act(&mut member.cluster, local, &mut effects);
         }
-        self.apply_effects(at, effects);
+        self.apply_effects(index, effects);
     }
 
-    fn apply_effects(&mut self, at: usize, effects: Vec<Effect>) {
-        let (now, link) = (self.now, self.link);
-        for effect in effects {
-            let Some(member) = &mut self.members[at] else {
-                return;
-            };
-            match effect {
-                Effect::Send { to, bytes } => {
-                    (member.bytes, member.datagrams) =
-                        (member.bytes + bytes.len() as u64, member.datagrams + 1);
-                    let from = member.cluster_config.listen;
-                    let other = self.addresses.get(&to).copied();
-                    let apart = other.is_none_or(|other| {
-                        self.partition[other] != self.partition[at]
-                            || self.cut_links.contains(&(at, other))
-                    });
-                    if apart || self.rng.unit() < link.loss {
-                        continue;
-                    }
-                    let far = if other.is_some_and(|other| other % 3 != at % 3) {
-                        self.inter_region_delay
-                    } else {
-                        0
-                    };
-                    for _ in 0..1 + u64::from(self.rng.unit() < link.duplication) {
-                        let late =
-                            far + link.delay + (self.rng.unit() * link.jitter as f64) as Nanos;
-                        self.push(
-                            now + late,
-                            Event::Deliver {
-                                to,
-                                from,
-                                bytes: bytes.clone(),
-                            },
-                        );
-                    }
-                }
-                Effect::FleetView(view) => member.observed.push((now, Observed::FleetView(view))),
-                Effect::WarmUpGranted {
-                    worker,
-                    work,
-                    until,
-                } => {
-                    member.observed.push((
-                        now,
-                        Observed::WarmUpGranted {
-                            worker,
-                            work,
-                            until,
-                        },
-                    ));
-                }
-                Effect::Log(LogLine::Error(text)) => {
-                    member.observed.push((now, Observed::Error(text)))
-                }
-                Effect::Log(LogLine::Info(_)) | Effect::PeerLoad { .. } => {}
-            }
-        }
-        if let Some(member) = &self.members[at] {
-            let next = member.cluster.next_timeout();
-            let wait = next.saturating_sub(member.local(now)) as f64 / member.rate;
-            self.push(now + wait as Nanos + 1_000, Event::Due(at));
-        }
-    }
-
-    /// Plays on until a moment.
+    /// Runs until a time.
     pub fn run(&mut self, until: Nanos) {
-        while self
-            .queue
-            .peek()
-            .is_some_and(|Reverse((at, ..))| *at <= until)
-        {
-            let Some(Reverse((at, _, event))) = self.queue.pop() else {
-                return;
-            };
-            self.now = self.now.max(at);
+        while let Some(event) = self.next_event(until) {
             match event {
-                Event::Deliver { to, from, bytes } => {
-                    let Some(at) = self.addresses.get(&to).copied() else {
-                        continue;
-                    };
-                    let paused = self.paused(at);
-                    if let Some(member) = &mut self.members[at].as_mut().filter(|_| paused) {
-                        // A socket's buffer holds so many.
-                        if member.waiting.len() < 200 {
-                            member.waiting.push((from, bytes));
-                        }
-                        continue;
-                    }
-                    self.act(at, |cluster, now, effects| {
-                        cluster.handle_datagram(now, from, &bytes, effects)
-                    });
-                }
-                Event::Due(at) => {
-                    if self.paused(at) || self.members[at].is_none() {
-                        continue;
-                    }
-                    let waiting = self.members[at].as_mut().map(|member| {
-                        member.paused = None;
-                        std::mem::take(&mut member.waiting)
-                    });
-                    for (from, bytes) in waiting.into_iter().flatten() {
-                        self.act(at, |cluster, now, effects| {
-                            cluster.handle_datagram(now, from, &bytes, effects)
-                        });
-                    }
-                    let due = |member: &SimulatedMember| {
-                        member.cluster.next_timeout() <= member.local(self.now)
-                    };
-                    if self.members[at].as_ref().is_some_and(due) {
-                        self.act(at, |cluster, now, effects| {
-                            cluster.handle_timeout(now, effects)
-                        });
-                    }
-                }
+                Event::Deliver { to, from, bytes } => self.deliver(to, from, bytes),
+                Event::Wake(index) => self.wake(index),
             }
         }
         self.now = until;
     }
 
-    /// Whether all these know just each other, with ranks that are theirs alone.
-    pub fn agree(&self, who: &[usize]) -> bool {
+    /// Whether all these members know just each other, each with a rank of its own.
+    pub fn agree(&self, indices: &[usize]) -> bool {
         let mut ranks: Vec<u16> = Vec::new();
-        for at in who {
-            let Some(Some(position)) = self.members[*at]
-                .as_ref()
-                .map(|member| member.cluster.view())
-            else {
+        for index in indices {
+            let member = self.members[*index].as_ref();
+            let Some(position) = member.and_then(|member| member.cluster.position()) else {
                 return false;
             };
-            if usize::from(position.dispatchers) != who.len() {
+            if usize::from(position.dispatchers) != indices.len() {
                 return false;
             }
             ranks.push(position.rank);
         }
         ranks.sort_unstable();
-        let digest = |at: &usize| {
-            self.members[*at]
-                .as_ref()
-                .map(|member| member.cluster.membership().digest())
+        let digest = |index: &usize| {
+            let member = self.members[*index].as_ref();
+            member.map(|member| member.cluster.membership().digest())
         };
-        ranks.into_iter().eq(0..who.len() as u16)
-            && who.iter().all(|at| digest(at) == digest(&who[0]))
+        ranks.into_iter().eq(0..indices.len() as u16)
+            && indices
+                .iter()
+                .all(|index| digest(index) == digest(&indices[0]))
     }
 
-    /// Plays on until they agree: after how long, if within the limit.
-    pub fn run_until_agreed(&mut self, who: &[usize], within: Nanos) -> Option<Nanos> {
-        let from = self.now;
-        while self.now < from + within {
-            self.run(self.now + 20 * MS);
-            if self.agree(who) {
-                return Some(self.now - from);
+    /// Runs until these members agree; returns how long that took, or `None` after the limit.
+    pub fn run_until_agreed(&mut self, indices: &[usize], limit: Nanos) -> Option<Nanos> {
+        let start = self.now;
+        while self.now < start + limit {
+            self.run(self.now + AGREEMENT_CHECK_INTERVAL);
+            if self.agree(indices) {
+                return Some(self.now - start);
             }
         }
         None
     }
+
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.last_serial += 1;
+        self.queue.push(Reverse(Scheduled {
+            at,
+            serial: self.last_serial,
+            event,
+        }));
+    }
+
+    /// Takes the next event up to a time, and advances the clock to it.
+    fn next_event(&mut self, until: Nanos) -> Option<Event> {
+        let Reverse(next) = self.queue.peek()?;
+        if next.at > until {
+            return None;
+        }
+        let Reverse(next) = self.queue.pop()?;
+        self.now = self.now.max(next.at);
+        Some(next.event)
+    }
+
+    fn deliver(&mut self, to: SocketAddr, from: SocketAddr, bytes: Vec<u8>) {
+        let Some(index) = self.network.index_of(to) else {
+            return;
+        };
+        let now = self.now;
+        match &mut self.members[index] {
+            Some(member) if member.is_paused(now) => member.buffer(from, bytes),
+            _ => self.handle_datagram(index, from, &bytes),
+        }
+    }
+
+    fn handle_datagram(&mut self, index: usize, from: SocketAddr, bytes: &[u8]) {
+        self.act(index, |cluster, now, effects| {
+            cluster.handle_datagram(now, from, bytes, effects);
+        });
+    }
+
+    /// Handles what was buffered during a pause, and what is due.
+    fn wake(&mut self, index: usize) {
+        if self.is_paused(index) {
+            return;
+        }
+        let Some(member) = &mut self.members[index] else {
+            return;
+        };
+        for (from, bytes) in member.resume() {
+            self.handle_datagram(index, from, &bytes);
+        }
+        let now = self.now;
+        let is_due =
+            |member: &SimulatedMember| member.cluster.next_timeout() <= member.local_time(now);
+        if self.members[index].as_ref().is_some_and(is_due) {
+            self.act(index, |cluster, now, effects| {
+                cluster.handle_timeout(now, effects);
+            });
+        }
+    }
+
+    fn apply_effects(&mut self, index: usize, effects: Vec<Effect>) {
+        for effect in effects {
+            let Some(member) = &mut self.members[index] else {
+                return;
+            };
+            match effect {
+                Effect::Send { to, bytes } => {
+                    member.count_sent(bytes.len());
+                    let from = Address {
+                        index,
+                        addr: member.config.listen,
+                    };
+                    self.send(from, to, &bytes);
+                }
+                other => member.observe(self.now, other),
+            }
+        }
+        if let Some(member) = &self.members[index] {
+            let wait = member.wait_until_timeout(self.now);
+            self.schedule(self.now + wait + WAKE_MARGIN, Event::Wake(index));
+        }
+    }
+
+    fn send(&mut self, from: Address, to: SocketAddr, bytes: &[u8]) {
+        for delay in self.network.delays(&from, to, &mut self.rng) {
+            let event = Event::Deliver {
+                to,
+                from: from.addr,
+                bytes: bytes.to_vec(),
+            };
+            self.schedule(self.now + delay, event);
+        }
+    }
 }
 
 #[cfg(test)]
-pub(crate) mod tests;
+mod tests;
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -155,13 +155,13 @@
         let cluster = self.cluster.borrow();
         let (members, counts) = (cluster.membership(), cluster.counts);
         let (rank, count) = cluster
-            .view()
+            .position()
             .map_or((0, 0), |view| (view.rank, view.dispatchers));
         write!(
             f,
             "members: rank={rank} count={count} digest={:08x} incarnation={}",
             members.digest(),
-            members.me.incarnation
+            members.own_record().incarnation
         )?;
         write!(
             f,
