--- /dev/null
+++ b/crates/cluster/src/register/learner.rs
@@ -0,0 +1,50 @@
+//! The learner: takes up chosen documents, and never an older one.
+use super::types::AfterPersist;
+use super::{Document, DocumentId, Effect, Register};
+use rosewall::mutation::{Mutation, is_active};
+use std::rc::Rc;
+
+impl Register {
+    /// Takes up a document that was fetched on [`Effect::Fetch`]; false if it is not the one that was chosen.
+    pub fn handle_fetched(
+        &mut self,
+        chosen: DocumentId,
+        document: Document,
+        effects: &mut Vec<Effect>,
+    ) -> bool {
+        if document.id() != chosen && !is_active(Mutation::ApplyPartialDocument) {
+            self.malformed += 1;
+            return false;
+        }
+        self.commit(Rc::new(document), effects);
+        true
+    }
+
+    /// Commits the accepted document if it is the chosen one, and fetches that otherwise.
+    pub(super) fn handle_chosen(&mut self, chosen: DocumentId, effects: &mut Vec<Effect>) {
+        if chosen.version <= self.persistent.committed.version {
+            return;
+        }
+        let is_chosen = |document: &Rc<Document>| {
+            document.version == chosen.version
+                && (document.digest() == chosen.digest || is_active(Mutation::SkipDigestCheck))
+        };
+        let accepted = self.persistent.accepted.as_ref();
+        let accepted = accepted.map(|value| value.document.clone());
+        match accepted.filter(is_chosen) {
+            Some(document) => self.commit(document, effects),
+            None => effects.push(Effect::Fetch(chosen)),
+        }
+    }
+
+    /// Applies a chosen document once it is persisted, unless a newer one is committed.
+    pub(super) fn commit(&mut self, document: Rc<Document>, effects: &mut Vec<Effect>) {
+        if document.version <= self.persistent.committed.version
+            && !is_active(Mutation::ApplyOlderDocument)
+        {
+            return;
+        }
+        self.persistent.committed = document.clone();
+        self.persist(AfterPersist::Commit(document), effects);
+    }
+}
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -7,7 +7,9 @@
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use rosewall_cluster::cluster::{Cluster, Effect, LogLine};
 use rosewall_cluster::config::ClusterConfig;
-use rosewall_cluster::register::{self, Document, Message, PersistentState, Register};
+use rosewall_cluster::register::{
+    self, AcceptedValue, Document, DocumentId, Message, PersistentState, Register,
+};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -286,7 +288,7 @@
 }
 
 fn add_ballot(digest: &mut Sha256, ballot: &register::Ballot) {
-    add_numbers(digest, &[ballot.round, u64::from(ballot.by)]);
+    add_numbers(digest, &[ballot.round, u64::from(ballot.replica)]);
 }
 
 fn add_document(digest: &mut Sha256, document: &Document) {
@@ -304,15 +306,15 @@
         Message::Promise { ballot, accepted } => {
             add_numbers(digest, &[2, u64::from(accepted.is_some())]);
             add_ballot(digest, ballot);
-            if let Some((ballot, document)) = accepted {
+            if let Some(AcceptedValue { ballot, document }) = accepted {
                 add_ballot(digest, ballot);
                 add_document(digest, document);
             }
         }
-        Message::Preempted { ballot, by } => {
+        Message::Preempted { ballot, promised } => {
             add_numbers(digest, &[3]);
             add_ballot(digest, ballot);
-            add_ballot(digest, by);
+            add_ballot(digest, promised);
         }
         Message::Accept { ballot, document } => {
             add_numbers(digest, &[4]);
@@ -323,10 +325,10 @@
             add_numbers(digest, &[5]);
             add_ballot(digest, ballot);
         }
-        Message::Chosen {
+        Message::Chosen(DocumentId {
             version,
             digest: sum,
-        } => {
+        }) => {
             add_numbers(digest, &[6, *version]);
             digest.update(sum);
         }
@@ -378,10 +380,13 @@
                 add_message(digest, &message);
                 self.network.push((at as u8, to, message));
             }
-            register::Effect::Store { serial, record } => {
+            register::Effect::Persist {
+                serial,
+                state: record,
+            } => {
                 add_numbers(digest, &[2, serial]);
                 add_ballot(digest, &record.promised);
-                if let Some((ballot, document)) = &record.accepted {
+                if let Some(AcceptedValue { ballot, document }) = &record.accepted {
                     add_ballot(digest, ballot);
                     add_document(digest, document);
                 }
@@ -391,7 +396,7 @@
             register::Effect::Completed(outcome) => {
                 let numbers = match outcome {
                     register::Outcome::Accepted { version } => [3, version, 0],
-                    register::Outcome::Conflict { based_on, now } => [4, based_on, now],
+                    register::Outcome::Conflict { based_on, current } => [4, based_on, current],
                     register::Outcome::Unknown => [5, 0, 0],
                     register::Outcome::Busy => [6, 0, 0],
                     register::Outcome::TooLarge { bytes } => [7, bytes as u64, 0],
@@ -402,20 +407,17 @@
                 add_numbers(digest, &[8]);
                 add_document(digest, &document);
             }
-            register::Effect::Fetch {
-                version,
-                digest: sum,
-            } => {
-                add_numbers(digest, &[9, version]);
-                digest.update(sum);
+            register::Effect::Fetch(id) => {
+                add_numbers(digest, &[9, id.version]);
+                digest.update(id.digest);
                 let found = self
                     .registers
                     .iter()
-                    .find_map(|register| register.document(version, &sum));
+                    .find_map(|register| register.document(&id));
                 if let Some(document) = found.cloned() {
                     let document = (*document).clone();
                     self.act(at, |register, _, effects| {
-                        register.fetched((version, sum), document, effects);
+                        register.handle_fetched(id, document, effects);
                     });
                 }
             }
@@ -457,7 +459,7 @@
                     self.disks[at] = record;
                 }
                 self.act(at, |register, now, effects| {
-                    register.handle_persisted(now, serial, succeeded, effects)
+                    register.handle_write_result(now, serial, succeeded, effects)
                 });
             }
             _ => {
