--- a/crates/cluster/src/grants/issuer.rs
+++ b/crates/cluster/src/grants/issuer.rs
@@ -101,7 +101,7 @@
 
     /// Answers a request; `None` if nothing is granted.
     ///
-    /// The lease has been held since `lease_since`: grants of the holder before must have expired.
+    /// The lease has been held since `lease_since`: those of the previous holder must have expired.
     pub fn issue(
         &mut self,
         now: Nanos,
--- a/crates/cluster/src/grants/mod.rs
+++ b/crates/cluster/src/grants/mod.rs
@@ -1,8 +1,8 @@
 //! Warm-up grants: permissions to send a stated amount of work to a warming worker within a short time.
 //!
 //! The lease holder issues them ([`GrantIssuer`]) out of the fleet-wide budget of a window, less what it issued in that
-//! window and in the validity of a grant. So no window holds more work than the budget, whoever uses which grant when; a
-//! grant that is lost is lost until its window has passed. Every dispatcher requests and accepts them ([`GrantHolder`]).
+//! window and in the validity of a grant. So no window holds more work than the budget, whichever grant is used when; the
+//! budget of a lost grant is unused until its window has passed. Every dispatcher requests and accepts them ([`GrantHolder`]).
 mod holder;
 mod issuer;
 
--- a/crates/cluster/src/grants/tests.rs
+++ b/crates/cluster/src/grants/tests.rs
@@ -23,7 +23,7 @@
         terms.map_or(0, |terms| terms.work / MILLISECOND)
     };
 
-    // Nothing is granted while grants of a holder before may be valid.
+    // Nothing is granted while grants of a previous holder may be valid.
     assert_eq!((issue(1_000, 1, 300), issue(5_000, 2, 300)), (0, 300));
     assert_eq!(
         (
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -11,7 +11,7 @@
 
 /// How long a lease lasts, and how long a voter that starts withholds its vote.
 pub const LEASE_DURATION: Nanos = 2_000 * MILLISECOND;
-/// Clocks may differ in speed by one part in this many: a hundred times the error of quartz.
+/// Clocks may differ in speed by one part in this many, a hundred times the error of a quartz clock.
 const CLOCK_DRIFT_DIVISOR: Nanos = 100;
 /// How often the lease is requested: three requests may be lost before it expires.
 const RENEW_INTERVAL: Nanos = LEASE_DURATION / 4;
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -125,7 +125,7 @@
         self.queue_update(&record.name);
     }
 
-    /// Suspects whoever was at the address that another member has now.
+    /// Suspects the member that was at the address that another has now.
     fn suspect_previous_at_address(&mut self, now: Nanos, new: &MemberRecord) {
         let previous = self
             .live_others()
@@ -136,7 +136,7 @@
         }
     }
 
-    /// How long a suspect may refute, with so many confirmations of the suspicion.
+    /// How long a suspect may refute, by the number of confirmations of the suspicion.
     fn suspicion_timeout(&self, confirmations: usize) -> Nanos {
         let unit = PROBE_PERIOD as f64 * self.log_count();
         let part = (confirmations as f64 + 1.0).ln() / (CONFIRMATIONS_FOR_MIN + 1.0).ln();
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -4,13 +4,13 @@
 //! may refute that with a higher incarnation, and is taken for dead after a time that shrinks with the number of members
 //! that suspect it. Updates are piggybacked on the datagrams that are sent anyway.
 //!
-//! - [`state_table`]: which of two records wins
-//! - [`merge`]: applying a received record, and the suspicion timeout
-//! - [`probing`]: pings, indirect pings and their timeouts
-//! - [`dissemination`]: piggybacked updates and gossip
-//! - [`anti_entropy`]: digests and pages of records, seeds, probes of dead members
-//! - [`duplicate_name`]: standby while another process has this member's name
-//! - [`view`]: the running members
+//! - `state_table`: which of two records wins
+//! - `merge`: applying a received record, and the suspicion timeout
+//! - `probing`: pings, indirect pings and their timeouts
+//! - `dissemination`: piggybacked updates and gossip
+//! - `anti_entropy`: digests and pages of records, seeds, probes of dead members
+//! - `duplicate_name`: standby while another process has this member's name
+//! - `view`: the running members
 mod anti_entropy;
 mod dissemination;
 mod duplicate_name;
@@ -34,11 +34,12 @@
 use std::net::SocketAddr;
 use view::ViewSummary;
 
-/// A dead member is known everywhere within some 3 s: two or three periods to be noticed, and 1.5 s to refute.
+/// The time from one probe to the next: a dead member is known everywhere within some 3 s, of which two or three periods until
+/// it is probed and 1.5 s to refute the suspicion.
 const PROBE_PERIOD: Nanos = 250 * MILLISECOND;
-/// A process without input or timeouts for so long was not running.
+/// A process that has handled neither input nor timeouts for this time was not running.
 const PAUSE_THRESHOLD: Nanos = 4 * PROBE_PERIOD / 5;
-/// A rank is claimed once it has been the same for so long.
+/// A rank is claimed once it has been the same for this time.
 const RANK_SETTLE_TIME: Nanos = 1_000 * MILLISECOND;
 /// How many members are notified as this one leaves; a large cluster learns it from those.
 const LEAVE_FANOUT: usize = 64;
--- a/crates/cluster/src/membership/probing.rs
+++ b/crates/cluster/src/membership/probing.rs
@@ -20,7 +20,7 @@
 const MAX_LOCAL_HEALTH: u64 = 4;
 /// How much more often members are probed while one is suspected, to find many dead ones soon.
 const SUSPECT_PROBE_SPEEDUP: Nanos = 3;
-/// The longest round trip measured is reduced by one part in so many with each measurement.
+/// With each measurement the longest round trip is reduced by this part of it, so that it follows shorter ones.
 const ROUND_TRIP_DECAY_DIVISOR: Nanos = 32;
 
 /// The probe of the current period.
--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -20,10 +20,10 @@
 const WORK_UNIT: Nanos = 16 * MILLISECOND;
 /// How many reports one process sends in a second: some 65 KB.
 const MAX_REPORTS_PER_SECOND: u64 = 5_000;
-/// One member's reports of silence count for so many workers, or for one part in
-/// [`MAX_SILENT_DIVISOR`] of those that it reports on. A member that finds more of them silent is likely cut off itself.
+/// For how many workers one member's reports of silence count, where [`MAX_SILENT_DIVISOR`] allows no more. A member that finds
+/// more of them silent is likely cut off itself.
 const MAX_SILENT_WORKERS: usize = 2;
-/// See [`MAX_SILENT_WORKERS`].
+/// One member's reports of silence count for one part in this many of the workers that it reports on.
 const MAX_SILENT_DIVISOR: usize = 4;
 /// How long a report counts towards what a member reports on.
 const REPORT_RETENTION: Nanos = 10_000 * MILLISECOND;
--- a/crates/cluster/src/register/proposer.rs
+++ b/crates/cluster/src/register/proposer.rs
@@ -12,7 +12,7 @@
 /// A round that has not ended begins anew after this and up to as much again: several round trips between far regions, and two
 /// disks.
 const ROUND_TIMEOUT: Nanos = 400 * MILLISECOND;
-/// A change that has found no majority by then is given up.
+/// After this time a change that has found no majority is abandoned.
 const PROPOSAL_TIMEOUT: Nanos = 10_000 * MILLISECOND;
 
 /// What is proposed in the second phase.
--- a/crates/cluster/src/register/test_replicas.rs
+++ b/crates/cluster/src/register/test_replicas.rs
@@ -116,7 +116,7 @@
         replica.register = Some(register);
     }
 
-    /// Ends a replica at once; of its pending writes so many have reached the disk.
+    /// Ends a replica at once; the first `written` of its pending writes have reached the disk.
     pub fn crash(&mut self, index: usize, written: usize) {
         let replica = &mut self.replicas[index];
         replica.register = None;
--- a/crates/cluster/src/register/tests.rs
+++ b/crates/cluster/src/register/tests.rs
@@ -92,8 +92,8 @@
     hasher.finish()
 }
 
-/// Explores every order of messages, each of which may be lost, with up to so many crashes of any replica at any moment: three
-/// replicas, two of which propose at once. Returns how many states there are.
+/// Explores every order of messages, each of which may be lost, with up to `crashes` crashes of any replica at any moment:
+/// three replicas, two of which propose at once. Returns how many states there are.
 fn explore_all_schedules(crashes: usize) -> usize {
     let mut initial = TestReplicas::new(3, 1, Disks::Immediate);
     initial.propose(0, "a");
@@ -122,7 +122,7 @@
         }
     }
     // Of two changes that are based on one version, at most one is accepted.
-    assert_eq!(both_accepted, 0, "both were accepted in so many states");
+    assert_eq!(both_accepted, 0, "states in which both were accepted");
     seen.len()
 }
 
--- a/crates/cluster/src/register/types.rs
+++ b/crates/cluster/src/register/types.rs
@@ -234,6 +234,6 @@
     pub highest_accepted: Option<AcceptedValue>,
     /// When a round with a higher ballot begins.
     pub retry_at: Nanos,
-    /// When the change is given up.
+    /// When the change is abandoned.
     pub deadline: Nanos,
 }
--- a/crates/cluster/src/simulated/mod.rs
+++ b/crates/cluster/src/simulated/mod.rs
@@ -76,7 +76,7 @@
     /// The configuration of the member at `index`; the first `quorum_size` members are the quorum.
     pub fn config_of(&self, index: usize, quorum_size: usize) -> ClusterConfig {
         ClusterConfig {
-            cluster: "field".to_string(),
+            cluster: "simulated".to_string(),
             name: format!("n{index:04}"),
             listen: address(index),
             seeds: (0..3.min(self.members.len())).map(address).collect(),
--- a/crates/cluster/src/simulated/tests/membership.rs
+++ b/crates/cluster/src/simulated/tests/membership.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// Of members in three regions that are this far apart one way.
+/// Measured with members in three regions.
 struct RegionFigures {
     /// The datagrams of each member in a second while nothing happens.
     datagrams_per_second: f64,
