--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -4,7 +4,7 @@
 use rosewall::types::{Nanos, PeerLoad};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::rate_limit::RateLimiter;
-use rosewall_protocol::peer_load::{LENGTH, datagram, read};
+use rosewall_protocol::peer_load::{DATAGRAM_LENGTH, ReceivedLoad, decode, encode};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
@@ -32,13 +32,13 @@
     /// To one peer. What cannot be sent is lost, as any datagram may be.
     pub fn tell(&self, now: Nanos, counters: &Counters, to: u16, load: &PeerLoad) {
         let Some(peer) = self.peers.get(usize::from(to)) else {
-            return counters.told_lost.add();
+            return counters.peer_loads_not_sent.add();
         };
-        let allowed = self.out.borrow_mut().allows(now);
-        if allowed && self.socket.send(&datagram(self.me, load), *peer).is_ok() {
-            counters.told.add();
+        let allowed = self.out.borrow_mut().try_acquire(now);
+        if allowed && self.socket.send(&encode(self.me, load), *peer).is_ok() {
+            counters.peer_loads_sent.add();
         } else {
-            counters.told_lost.add();
+            counters.peer_loads_not_sent.add();
         }
     }
 
@@ -49,17 +49,18 @@
         counters: &Counters,
         heard: impl Fn(u16, PeerLoad),
     ) {
-        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; LENGTH + 1]);
+        let (mut rate_limit, mut bytes) = (RateLimiter::new(A_SECOND), [0; DATAGRAM_LENGTH + 1]);
         loop {
             let came = self.socket.receive(&mut bytes).await;
-            let line = came.ok().filter(|_| rate_limit.allows(runtime.now()));
-            match line.and_then(|(length, sender)| read(&bytes[..length], sender, &self.peers).ok())
+            let line = came.ok().filter(|_| rate_limit.try_acquire(runtime.now()));
+            match line
+                .and_then(|(length, sender)| decode(&bytes[..length], sender, &self.peers).ok())
             {
-                Some((from, load)) => {
-                    counters.heard.add();
+                Some(ReceivedLoad { sender: from, load }) => {
+                    counters.peer_loads_received.add();
                     heard(from, load);
                 }
-                None => counters.heard_dropped.add(),
+                None => counters.peer_loads_dropped.add(),
             }
             // Guards against a flood of them that leaves no one else a turn.
             yield_now().await;
--- /dev/null
+++ b/src/policy/dispatcher.rs
@@ -0,0 +1,290 @@
+//! The dispatcher: its state, its start, and which part of the decisions handles each event.
+use crate::pcg::Pcg;
+use crate::settings::{Map, Settings, SettingsError};
+use crate::start_delays::StartDelays;
+use crate::state::{
+    ActiveRequest, InterArrivalTimes, MAX_ATTEMPTS, RequestClass, RequestDemand, RequestInput,
+    RunningMean, Worker,
+};
+use crate::time::{SECOND, decay};
+use crate::timers::{POLL_TIMER, TICK_INTERVAL, TICK_TIMER, attempt_timer};
+use crate::types::{Action, Event, Nanos, Request, RequestId, WorkerId};
+use crate::zones::ZoneDelays;
+use rustc_hash::FxHashMap;
+use slab::Slab;
+
+#[cfg(test)]
+mod tests;
+
+/// How long a request waits before it is dispatched again where no worker may take it, as warming workers may soon.
+const REDISPATCH_DELAY: Nanos = 25_000_000;
+
+/// The half-life of the histogram at the least rarity.
+const HISTOGRAM_HALF_LIFE: f64 = 20.0 * SECOND;
+
+/// The number of requests in the histogram below which it decays more slowly, and the most that its half-life grows by.
+const MIN_HISTOGRAM_REQUESTS: f64 = 150.0;
+const MAX_RARITY: f64 = 3.0;
+
+/// The decisions of one dispatcher. See [`crate::policy`] for how to call it.
+#[derive(Default)]
+pub struct Dispatcher {
+    pub(super) settings: Settings,
+    pub(super) rng: Pcg,
+    pub(super) started_at: Nanos,
+    pub(super) classes: Vec<RequestClass>,
+    pub(super) workers: Vec<Worker>,
+    pub(super) worker_indices: FxHashMap<WorkerId, usize>,
+    pub(super) requests: Slab<ActiveRequest>,
+    pub(super) request_keys: FxHashMap<RequestId, usize>,
+    pub(super) max_attempts: usize,
+    /// Arrivals of requests of low and of high priority.
+    pub(super) inter_arrival_times: [InterArrivalTimes; 2],
+    pub(super) exchanges_load: bool,
+
+    // The endpoint list.
+    pub(super) watching_endpoints: bool,
+    pub(super) next_poll_at: Nanos,
+    pub(super) poll_failures: u32,
+
+    // The fleet of dispatchers.
+    /// How many dispatchers run.
+    pub(super) dispatchers: f64,
+    /// This one's rank among them.
+    pub(super) rank: usize,
+    /// Whether membership has ever reported who runs.
+    pub(super) has_fleet_view: bool,
+    /// The part of the fleet's requests that other dispatchers send.
+    pub(super) unobserved_share: f64,
+    /// How many dispatchers use one worker.
+    pub(super) dispatchers_per_worker: f64,
+
+    // Estimates.
+    pub(super) histograms_decayed_at: Nanos,
+    /// The service-time factor of each worker type.
+    pub(super) worker_type_factors: Vec<RunningMean>,
+    /// How much longer estimates are kept as few requests are seen: from 1 to [`MAX_RARITY`].
+    pub(super) rarity: f64,
+    /// The mean work of recent requests of all classes.
+    pub(super) mean_work: f64,
+    pub(super) start_delays: StartDelays,
+    pub(super) zone_delays: ZoneDelays,
+    /// The mean of the slots that others use at a worker, by load reports.
+    pub(super) mean_other_slots: f64,
+    /// The part of the recent requests of the highest weight that was rejected.
+    pub(super) rejected_share: f64,
+    /// Invalid values in load reports since the last log line about them.
+    pub(super) invalid_report_values: u64,
+    pub(super) mean_failure_score: f64,
+    /// The capacity of a fully warm worker for each unit of its listed size.
+    pub(super) capacity_per_size: f64,
+
+    /// The warming worker that the latest request would have gone to with a grant.
+    pub(super) missing_grant_for: Option<usize>,
+
+    // Buffers that are kept to save allocations.
+    /// Workers with attempts of this dispatcher in flight.
+    pub(super) workers_in_use: Vec<usize>,
+    pub(super) interval_weights: Vec<f64>,
+}
+
+impl Dispatcher {
+    /// Starts a dispatcher. `seed` determines all random draws.
+    ///
+    /// # Errors
+    /// When a required setting is missing, or a setting cannot be used.
+    pub fn start(now: Nanos, seed: u64, map: &Map) -> Result<Self, SettingsError> {
+        let class_settings = Settings::read_classes(map)?;
+        let settings = Settings::read(map)?;
+        let mut classes: Vec<RequestClass> =
+            class_settings.into_iter().map(RequestClass::new).collect();
+        mark_high_priority(&mut classes);
+        Ok(Dispatcher {
+            rng: Pcg::new(seed),
+            started_at: now,
+            classes,
+            max_attempts: settings.max_attempts.min(MAX_ATTEMPTS),
+            exchanges_load: settings.exchanges_load && settings.dispatchers > 1.0,
+            dispatchers: settings.dispatchers,
+            rank: settings.rank as usize,
+            unobserved_share: 1.0 - 1.0 / settings.dispatchers,
+            rarity: 1.0,
+            zone_delays: ZoneDelays::new(settings.zone),
+            settings,
+            ..Dispatcher::default()
+        })
+    }
+
+    /// Handles one event and appends the actions that follow from it.
+    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointList { scope, endpoints } => {
+                self.on_endpoint_list(now, scope, &endpoints, actions)
+            }
+            Event::RequestArrived(request) => self.on_request_arrived(now, request, actions),
+            Event::AttemptStarted {
+                request_id,
+                attempt_index,
+            } => self.on_attempt_started(now, request_id, attempt_index, actions),
+            Event::StreamStarted { request_id } | Event::ClientGone { request_id } => {
+                self.apply_input(now, request_id, RequestInput::ClientGone, actions)
+            }
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, end, actions),
+            // No decision asks for health checks: attempts themselves show a worker's health. The simulator's protocol
+            // can deliver the event all the same.
+            Event::HealthChecked(_) => {}
+            Event::PeerLoad { from, load } => self.on_peer_load(now, from, load),
+            Event::FleetView(position) => self.set_fleet_position(now, position),
+            Event::WarmUpGranted {
+                worker,
+                work,
+                until,
+            } => self.add_warm_up_grant(worker, work, until),
+            Event::ShuttingDown { by } => self.advance_deadlines(by),
+            Event::TimerFired { token: TICK_TIMER } => self.on_tick(now, actions),
+            Event::TimerFired { token: POLL_TIMER } => self.poll_endpoints(now, actions),
+            Event::TimerFired { token } => self.on_request_timer(now, token, actions),
+        }
+    }
+
+    /// Brings all later deadlines forward, so that each request is answered before the dispatcher ends.
+    fn advance_deadlines(&mut self, by: Nanos) {
+        for (_, active) in &mut self.requests {
+            active.request.deadline = active.request.deadline.min(by);
+            active.objective_deadline = active.objective_deadline.min(by);
+        }
+    }
+
+    pub(super) fn on_tick(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer {
+            at: now + TICK_INTERVAL,
+            token: TICK_TIMER,
+        });
+        for times in &mut self.inter_arrival_times {
+            times.update_estimate(now);
+        }
+        self.update_fleet_estimates(now);
+        self.update_warm_up_budgets(now, actions);
+        if self
+            .workers
+            .iter()
+            .any(|worker| worker.connect_failures > 0)
+        {
+            self.select_subsets(now);
+        }
+        self.log_invalid_reports(actions);
+        self.report_loads_in_use(now, actions);
+        self.update_service_time_factors(now);
+        self.log_outliers(now, actions);
+    }
+
+    /// Updates what the decisions know of the whole fleet of workers.
+    pub(super) fn update_fleet_estimates(&mut self, now: Nanos) {
+        self.update_mean_failure_score(now);
+        self.update_capacity_per_size(now);
+    }
+
+    fn on_request_arrived(&mut self, now: Nanos, request: Request, actions: &mut Vec<Action>) {
+        let class_index = usize::from(request.class);
+        let Some(class) = self.classes.get_mut(class_index) else {
+            // Without the class's settings it is not known whether a retry is safe.
+            actions.push(Action::Reject {
+                request_id: request.id,
+                retry_after: 0,
+            });
+            return;
+        };
+        let slots = f64::from(request.slots).max(1.0);
+        let time_to_deadline = request.deadline.saturating_sub(now);
+        let service_time = class.expected_service_time(request.hint, slots, time_to_deadline);
+        let demand = RequestDemand {
+            work: service_time * slots,
+            service_time,
+            // A worker has one unit of memory for each slot.
+            slots_required: slots.max(f64::from(request.memory)),
+        };
+        class.record_request(demand.work);
+        self.update_request_estimates(now);
+        let class = &self.classes[class_index];
+        self.inter_arrival_times[usize::from(class.high_priority)].record_arrival(now);
+        let objective =
+            class.settings.latency_objective + class.settings.objective_stretch * service_time;
+        let objective_deadline = (now + objective as Nanos).min(request.deadline);
+        let active = ActiveRequest::new(
+            request,
+            class.settings.idempotency,
+            demand,
+            objective_deadline,
+        );
+        let key = self.requests.insert(active);
+        self.request_keys.insert(request.id, key);
+        self.dispatch_request(now, key, actions);
+    }
+
+    /// Updates how rare requests are and their mean work, then decays all histograms.
+    fn update_request_estimates(&mut self, now: Nanos) {
+        let requests = self
+            .classes
+            .iter()
+            .map(|class| class.request_count)
+            .sum::<f64>();
+        self.rarity = (MIN_HISTOGRAM_REQUESTS / requests).clamp(1.0, MAX_RARITY);
+        self.mean_work = self
+            .classes
+            .iter()
+            .flat_map(|class| &class.histogram)
+            .sum::<f64>()
+            / requests;
+        let half_life = HISTOGRAM_HALF_LIFE * self.rarity;
+        let factor = decay(1.0, self.histograms_decayed_at, now, half_life);
+        self.histograms_decayed_at = now;
+        for class in &mut self.classes {
+            class.decay_histogram(factor);
+        }
+    }
+
+    /// Sends a request to a worker, or rejects it, or lets it wait for a warming worker.
+    pub(super) fn dispatch_request(&mut self, now: Nanos, key: usize, actions: &mut Vec<Action>) {
+        let active = &self.requests[key];
+        let request_id = active.request.id;
+        let attempts_sent = active.attempts_sent;
+        let service_time = active.demand.service_time as Nanos;
+        let objective_deadline = active.objective_deadline;
+        if attempts_sent >= self.max_attempts || now >= active.request.deadline {
+            return self.apply_input(now, request_id, RequestInput::GivenUp, actions);
+        }
+        let interval = self.interval_of(now, key);
+        let selection = self.select_worker(now, key, interval);
+        if self.waits_for_grant(now, key, actions) {
+            return;
+        }
+        match selection {
+            Some(selection) if attempts_sent > 0 || self.admit(now, key, selection) => {
+                self.send_attempt(now, key, selection, actions);
+            }
+            None if now + service_time < objective_deadline => actions.push(Action::SetTimer {
+                at: now + REDISPATCH_DELAY,
+                token: attempt_timer(request_id, attempts_sent),
+            }),
+            _ => self.apply_input(now, request_id, RequestInput::GivenUp, actions),
+        }
+    }
+}
+
+/// Classes above the median priority weight are of high priority.
+fn mark_high_priority(classes: &mut [RequestClass]) {
+    let mut weights: Vec<f64> = classes
+        .iter()
+        .map(|class| class.settings.priority_weight)
+        .collect();
+    weights.sort_by(f64::total_cmp);
+    let count = weights.len();
+    let median = if count == 0 {
+        0.0
+    } else {
+        (weights[(count - 1) / 2] + weights[count / 2]) / 2.0
+    };
+    for class in classes {
+        class.high_priority = class.settings.priority_weight > median;
+    }
+}
--- /dev/null
+++ b/src/policy/peer_load.rs
@@ -0,0 +1,133 @@
+//! Gossip between dispatchers: what each reports of its load at a worker, and what is made of others' reports.
+//!
+//! Each dispatcher sees only its own requests. Without reports it would take for free what another has just filled, and
+//! would find out with requests of its own which worker is slow.
+use super::Dispatcher;
+use super::outlier::FAILURE_HALF_LIFE;
+use crate::state::{Load, PeerLoadEstimate, RequestClass, Worker};
+use crate::types::{Action, Nanos, PeerLoad};
+
+#[cfg(test)]
+mod tests;
+
+/// A load is reported again once peers would be wrong by this part of a mean request's work.
+const REPORT_TOLERANCE: f64 = 0.3;
+
+/// A load is reported again after this time at the latest, so that two lost messages do not let it expire.
+const REPORT_INTERVAL: Nanos = 4_000_000_000;
+
+/// By how much a peer's report that a worker is unresponsive raises its failure score.
+const PEER_UNRESPONSIVE_WEIGHT: f64 = 0.8;
+
+/// A worker that has responded within this time is not taken for unresponsive, whatever a peer reports.
+const RECENT_RESPONSE: Nanos = 300_000_000;
+
+/// Why a load is reported to peers.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum ReportReason {
+    /// It may have changed, and is reported if peers would be wrong.
+    LoadChanged,
+    /// The worker proved much slower than expected.
+    SlowWorker,
+    /// The worker does not respond.
+    UnresponsiveWorker,
+}
+
+impl Worker {
+    /// Whether peers have to be told anew, as they reduce what was reported by themselves.
+    fn needs_load_report(&self, now: Nanos, mean_work: f64) -> bool {
+        let assumed = self.last_sent_load.remaining(now, self.slots).work;
+        let is_accurate = (self.remaining_work - assumed).abs() <= REPORT_TOLERANCE * mean_work;
+        let is_recent = now < self.last_sent_load.reported_at + REPORT_INTERVAL;
+        !is_accurate || (self.slots_in_use != 0.0 && !is_recent)
+    }
+
+    /// The report of this dispatcher's load there.
+    fn load_report(&self, reason: ReportReason) -> PeerLoad {
+        let observed = self.observed_service_time_factor();
+        let speed_code = if reason == ReportReason::UnresponsiveWorker {
+            PeerLoad::SPEED_SILENT
+        } else if observed.samples > 0.0 {
+            PeerLoad::encode_speed(observed.factor)
+        } else {
+            PeerLoad::SPEED_UNKNOWN
+        };
+        PeerLoad::new(self.id, self.slots_in_use, self.remaining_work, speed_code)
+    }
+}
+
+impl Dispatcher {
+    /// Takes up what another dispatcher reports of a worker.
+    pub(super) fn on_peer_load(&mut self, now: Nanos, from: u16, load: PeerLoad) {
+        let Some(&index) = self.worker_indices.get(&load.worker) else {
+            return;
+        };
+        let worker = &mut self.workers[index];
+        worker.record_peer_load(now, from, load);
+        let is_unresponsive = load.speed_code == PeerLoad::SPEED_SILENT;
+        if is_unresponsive && worker.last_response_at + RECENT_RESPONSE < now {
+            worker
+                .failure_score
+                .raise(now, FAILURE_HALF_LIFE, PEER_UNRESPONSIVE_WEIGHT);
+        }
+    }
+
+    /// Reports the load at all workers that are in use, as far as that is due.
+    pub(super) fn report_loads_in_use(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        if !self.exchanges_load {
+            return;
+        }
+        for index in 0..self.workers.len() {
+            if self.workers[index].slots_in_use > 0.0 {
+                self.report_load(now, index, ReportReason::LoadChanged, actions);
+            }
+        }
+    }
+
+    /// Reports the load at a worker to the dispatchers that use it.
+    pub(super) fn report_load(
+        &mut self,
+        now: Nanos,
+        worker_index: usize,
+        reason: ReportReason,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.exchanges_load {
+            return;
+        }
+        self.refresh_worker_loads(now);
+        let mean_work = self.mean_work;
+        let worker = &mut self.workers[worker_index];
+        if reason == ReportReason::LoadChanged && !worker.needs_load_report(now, mean_work) {
+            return;
+        }
+        worker.last_sent_load = PeerLoadEstimate {
+            load: Load {
+                slots: worker.slots_in_use,
+                work: worker.remaining_work,
+            },
+            reported_at: now,
+            ..worker.last_sent_load
+        };
+        let load = worker.load_report(reason);
+        let send = |to: u16| Action::SendPeerLoad { to, load };
+        let Some((place, eligible)) = self.eligible_place(worker_index) else {
+            return;
+        };
+        let size = self.subset_size(eligible);
+        if self.has_fleet_view {
+            actions.extend(self.ranked_peers(place, eligible, size).map(send));
+        } else {
+            actions.extend(self.configured_peers(place, eligible, size).map(send));
+        }
+    }
+
+    /// The place of a worker among those eligible for the first class that it serves, and their number.
+    fn eligible_place(&self, worker_index: usize) -> Option<(usize, usize)> {
+        self.classes.iter().find_map(|class: &RequestClass| {
+            let mut eligible = class.eligible_workers.iter();
+            let place = eligible.position(|worker| *worker == worker_index)?;
+            Some((place, class.eligible_workers.len()))
+        })
+    }
+}
--- /dev/null
+++ b/src/policy/slow_start.rs
@@ -0,0 +1,319 @@
+//! Slow start: how much work a warming worker gets.
+//!
+//! A worker that has just started fails when all dispatchers together send it too much within the overload window.
+//! Without warm-up grants the dispatchers take turns at it, by a schedule that follows from the settings and the clock
+//! alone. With warm-up grants its budget has two parts: one is granted by one issuer at a time to whoever requests it
+//! (`rosewall-cluster`), the other is reserved for two dispatchers by their configured ranks, for when no message
+//! arrives.
+use super::Dispatcher;
+use super::subset::MAX_DISPATCHERS_PER_WORKER;
+use crate::state::{SentWork, WarmUpGrant, Worker};
+use crate::timers::attempt_timer;
+use crate::types::{Action, EndpointState, Nanos, WorkerId};
+
+#[cfg(test)]
+mod tests;
+
+/// The part of a warming worker's capacity in any window that grants may use.
+const GRANTED_SHARE: f64 = 0.5;
+
+/// The part reserved in total for dispatchers that know others. With the granted share it stays under two thirds, so that
+/// a third is left for those that have not heard of the worker's start.
+const RESERVED_SHARE: f64 = 0.15;
+
+/// The part reserved in total for dispatchers that have never had a view of the fleet.
+const RESERVED_SHARE_WITHOUT_VIEW: f64 = 0.45;
+
+/// How many dispatchers divide the reserved share of one worker: each part must hold a request.
+const RESERVING_DISPATCHERS: f64 = 2.0;
+
+/// How long a request waits for a grant: ten times the round trip inside a data centre.
+const GRANT_WAIT: Nanos = 5_000_000;
+
+/// How long after its warm-up a worker's budget is still set to 0.
+const BUDGET_CLEARED_FOR: Nanos = 5_000_000_000;
+
+/// The part of a warming worker's capacity that turns may use. The rest is for dispatchers that have not heard of its
+/// start and for requests that run longer than expected.
+const TURN_SHARE: f64 = 0.5;
+
+/// The number of dispatchers that have a turn at once at a worker that has just started.
+const INITIAL_CONCURRENT_TURNS: f64 = 2.0;
+
+/// The length of a turn in overload windows. The first is a pause, as the turn before may have filled it.
+const WINDOWS_PER_TURN: u64 = 4;
+
+/// What a dispatcher may send to a warming worker without a grant.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct WarmUpTurn {
+    /// The work in any overload window, in nanoseconds.
+    pub(super) allowance: f64,
+    /// The number of dispatchers on whose behalf it sends; 0 where it is not its turn.
+    pub(super) represented_dispatchers: f64,
+}
+
+/// A number that spreads the schedules of workers.
+fn schedule_offset(worker: WorkerId) -> u64 {
+    let [a, b, c, d] = worker.addr.map(u64::from);
+    a + b + c + d + u64::from(worker.port)
+}
+
+impl Worker {
+    /// The work that grants still allow.
+    fn unused_grants(&self, now: Nanos) -> f64 {
+        self.warm_up_grants
+            .iter()
+            .filter(|grant| now < grant.expires_at)
+            .map(|grant| grant.unused_work)
+            .sum()
+    }
+
+    /// Takes work out of the grants, those that expire first before others, and returns what they do not cover.
+    fn consume_grants(&mut self, now: Nanos, mut work: f64) -> f64 {
+        self.warm_up_grants
+            .retain(|grant| now < grant.expires_at && grant.unused_work > 0.0);
+        for grant in &mut self.warm_up_grants {
+            let used = grant.unused_work.min(work);
+            grant.unused_work -= used;
+            work -= used;
+        }
+        work
+    }
+}
+
+impl Dispatcher {
+    /// The part of its full capacity that a worker has by the settings' slowest warm-up.
+    pub(super) fn warmth(&self, worker: &Worker, now: Nanos) -> f64 {
+        if worker.started_at == 0 {
+            return 1.0;
+        }
+        let age = now.saturating_sub(worker.started_at) as f64;
+        let initial = self.settings.slow_start_initial;
+        let duration = self.settings.slow_start_duration.max(1.0);
+        (initial + (1.0 - initial) * age / duration).min(1.0)
+    }
+
+    /// Estimates the capacity of a fully warm worker for each unit of its size: the lower quartile of what workers show,
+    /// of the warm ones where there are some. A minimum would fall as the fleet grows.
+    pub(super) fn update_capacity_per_size(&mut self, now: Nanos) {
+        let ready = || {
+            self.workers
+                .iter()
+                .filter(|worker| worker.state == EndpointState::Ready)
+        };
+        let has_warm = ready().any(|worker| self.warmth(worker, now) >= 1.0);
+        // Only own requests count: with their type's factor, workers not yet used would be left idle as they warm up.
+        let factor = |worker: &Worker| {
+            if worker.factor_samples > 0.0 {
+                worker.service_time_factor.max(1.0)
+            } else {
+                1.0
+            }
+        };
+        let mut capacities: Vec<f64> = ready()
+            .filter(|worker| !has_warm || self.warmth(worker, now) >= 1.0)
+            .map(|worker| worker.slots / factor(worker) / worker.size)
+            .collect();
+        capacities.sort_unstable_by(f64::total_cmp);
+        self.capacity_per_size = capacities
+            .get(capacities.len().saturating_sub(1) / 4)
+            .copied()
+            .unwrap_or(0.0);
+    }
+
+    /// This dispatcher's part in what a warming worker gets.
+    pub(super) fn warm_up_turn(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
+        if self.settings.uses_warm_up_grants {
+            self.reserved_allowance(worker, now)
+        } else {
+            self.scheduled_turn(worker, now)
+        }
+    }
+
+    /// The turn by the schedule. Dispatchers of neighbouring ranks use different workers, so one in `turns` stands for all
+    /// that use this one. More have a turn at once as the worker warms up; the allowance of each stays the same.
+    fn scheduled_turn(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
+        let warmth = self.warmth(worker, now);
+        let window = self.settings.overload_window.max(1.0);
+        let total_allowance = TURN_SHARE
+            * self.settings.overload_multiple
+            * self.capacity_per_size
+            * worker.size
+            * warmth
+            * window;
+        let turns = if self.exchanges_load {
+            self.dispatchers_per_worker.ceil()
+        } else {
+            MAX_DISPATCHERS_PER_WORKER
+        }
+        .min(self.dispatchers);
+        let initial = self.settings.slow_start_initial.max(0.01);
+        let concurrent_turns = (INITIAL_CONCURRENT_TURNS * warmth / initial)
+            .floor()
+            .clamp(1.0, turns);
+        let own_turn = (self.settings.rank * turns / self.dispatchers) as u64;
+        let offset = schedule_offset(worker.id);
+        let window_number = now / window as u64 + offset;
+        let is_pause = window_number.is_multiple_of(WINDOWS_PER_TURN);
+        let turn = (window_number / WINDOWS_PER_TURN + offset + own_turn) % (turns as u64);
+        let has_turn = !is_pause && turn < concurrent_turns as u64;
+        WarmUpTurn {
+            allowance: total_allowance / concurrent_turns,
+            represented_dispatchers: if has_turn {
+                turns / concurrent_turns
+            } else {
+                0.0
+            },
+        }
+    }
+
+    /// What this dispatcher may still send to a warming worker now.
+    pub(super) fn warm_up_allowance(&self, worker: &Worker, now: Nanos) -> f64 {
+        let turn = self.warm_up_turn(worker, now);
+        let own = if turn.represented_dispatchers > 0.0 {
+            let window_start = self.overload_window_start(now);
+            let sent = worker
+                .recent_work
+                .iter()
+                .filter(|sent| sent.at >= window_start)
+                .map(|sent| sent.work)
+                .sum::<f64>();
+            turn.allowance - sent
+        } else {
+            0.0
+        };
+        if self.settings.uses_warm_up_grants {
+            own.max(0.0) + worker.unused_grants(now)
+        } else {
+            own
+        }
+    }
+
+    /// Counts an attempt against what may be sent to its worker.
+    pub(super) fn record_sent_work(&mut self, now: Nanos, worker_index: usize, work: f64) {
+        let window_start = self.overload_window_start(now);
+        let is_warming = self.warmth(&self.workers[worker_index], now) < 1.0;
+        let worker = &mut self.workers[worker_index];
+        worker.recent_work.retain(|sent| sent.at >= window_start);
+        let work = if is_warming {
+            worker.consume_grants(now, work)
+        } else {
+            work
+        };
+        worker.recent_work.push_back(SentWork { at: now, work });
+    }
+
+    fn overload_window_start(&self, now: Nanos) -> Nanos {
+        now.saturating_sub(self.settings.overload_window as Nanos)
+    }
+
+    pub(super) fn add_warm_up_grant(&mut self, worker: WorkerId, work: Nanos, until: Nanos) {
+        if let Some(&index) = self.worker_indices.get(&worker) {
+            let grants = &mut self.workers[index].warm_up_grants;
+            let place = grants.partition_point(|grant| grant.expires_at <= until);
+            grants.insert(
+                place,
+                WarmUpGrant {
+                    expires_at: until,
+                    unused_work: work as f64,
+                },
+            );
+        }
+    }
+
+    /// What a warming worker can take from all dispatchers in any window that has begun by now.
+    fn warm_up_capacity(&self, worker: &Worker, now: Nanos) -> f64 {
+        let window = self.settings.overload_window.max(1.0);
+        let warmth = self.warmth(worker, now.saturating_sub(window as Nanos));
+        self.settings.overload_multiple * self.capacity_per_size * worker.size * warmth * window
+    }
+
+    /// What this dispatcher may send to a warming worker without a grant. The two dispatchers whose configured ranks
+    /// follow the worker's offset may, but not in the first window of a process, as its predecessor may have.
+    fn reserved_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
+        let share = if self.has_fleet_view {
+            RESERVED_SHARE
+        } else {
+            RESERVED_SHARE_WITHOUT_VIEW
+        };
+        let dispatchers = self.settings.dispatchers;
+        let holders = RESERVING_DISPATCHERS.min(dispatchers);
+        let is_holder = self
+            .distance_after(schedule_offset(worker.id))
+            .is_some_and(|distance| distance < holders as u64);
+        let is_first_window = now < self.started_at + self.settings.overload_window as Nanos;
+        WarmUpTurn {
+            allowance: share * self.warm_up_capacity(worker, now) / holders,
+            represented_dispatchers: if is_holder && !is_first_window {
+                dispatchers / holders
+            } else {
+                0.0
+            },
+        }
+    }
+
+    /// How far the configured rank lies after an offset, counted around all configured dispatchers; none for a rank beyond
+    /// them.
+    fn distance_after(&self, offset: u64) -> Option<u64> {
+        let rank = self.settings.rank as u64;
+        let dispatchers = self.settings.dispatchers as u64;
+        (rank < dispatchers).then(|| (rank + dispatchers - offset % dispatchers) % dispatchers)
+    }
+
+    /// Whether a request waits for a grant to the warming worker that it would have gone to. It waits once and briefly:
+    /// without an answer it is dispatched as if there were no grants.
+    pub(super) fn waits_for_grant(
+        &mut self,
+        now: Nanos,
+        key: usize,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let Some(worker_index) = self.missing_grant_for else {
+            return false;
+        };
+        let active = &mut self.requests[key];
+        let may_request = self.settings.uses_warm_up_grants
+            && self.has_fleet_view
+            && !active.grant_requested
+            && active.attempts_sent == 0;
+        if !may_request {
+            return false;
+        }
+        active.grant_requested = true;
+        actions.push(Action::RequestWarmUpGrant {
+            worker: self.workers[worker_index].id,
+            work: active.warm_up_work as Nanos,
+        });
+        actions.push(Action::SetTimer {
+            at: now + GRANT_WAIT,
+            token: attempt_timer(active.request.id, 0),
+        });
+        true
+    }
+
+    /// States the budget that may be granted for each warming worker, and 0 for those that have just become warm.
+    pub(super) fn update_warm_up_budgets(&self, now: Nanos, actions: &mut Vec<Action>) {
+        if !self.settings.uses_warm_up_grants {
+            return;
+        }
+        let window = self.settings.overload_window as Nanos;
+        let duration = self.settings.slow_start_duration as Nanos;
+        for worker in &self.workers {
+            let is_warming = worker.state == EndpointState::Ready && self.warmth(worker, now) < 1.0;
+            let started_recently =
+                worker.started_at > 0 && worker.started_at + duration + BUDGET_CLEARED_FOR > now;
+            let work = if is_warming {
+                GRANTED_SHARE * self.warm_up_capacity(worker, now)
+            } else if started_recently {
+                0.0
+            } else {
+                continue;
+            };
+            actions.push(Action::SetWarmUpBudget {
+                worker: worker.id,
+                work: work as Nanos,
+                window,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/src/state/failure_score.rs
@@ -0,0 +1,39 @@
+//! A score that rises with failures and decays with time.
+use crate::time::decay;
+use crate::types::Nanos;
+
+/// A failure score between 0 and 1, as of a moment.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct FailureScore {
+    pub(crate) value: f64,
+    updated_at: Nanos,
+}
+
+impl FailureScore {
+    /// The score now, if it halves in `half_life`.
+    pub(crate) fn now(&self, now: Nanos, half_life: f64) -> f64 {
+        // Most scores are 0: the decay need not be computed.
+        if self.value > 0.0 {
+            decay(self.value, self.updated_at, now, half_life)
+        } else {
+            0.0
+        }
+    }
+
+    /// Raises the score by the part `weight` of its distance to 1.
+    pub(crate) fn raise(&mut self, now: Nanos, half_life: f64, weight: f64) {
+        let score = self.now(now, half_life);
+        self.set(now, score + weight * (1.0 - score));
+    }
+
+    /// Lowers the score by the part `weight` of itself.
+    pub(crate) fn lower(&mut self, now: Nanos, half_life: f64, weight: f64) {
+        let score = self.now(now, half_life);
+        self.set(now, score + -weight * score);
+    }
+
+    fn set(&mut self, now: Nanos, value: f64) {
+        self.value = value;
+        self.updated_at = now;
+    }
+}
--- /dev/null
+++ b/src/state/request.rs
@@ -0,0 +1,159 @@
+//! Active requests and their attempts.
+use crate::settings::Idempotency;
+use crate::types::{Nanos, Request};
+
+/// The largest number of attempts that is made for one request, whatever the settings allow.
+pub(crate) const MAX_ATTEMPTS: usize = 6;
+
+/// How much more a request without a hint counts at a warming worker, as it may run longer than most.
+const UNHINTED_WARM_UP_MULTIPLE: f64 = 2.0;
+
+/// The state of a request. The state table in `policy::lifecycle` says how it changes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum RequestState {
+    /// No attempt is in flight, and none may have run.
+    Pending,
+    /// One attempt is in flight; none before it may have run, or running again is harmless.
+    InFlight,
+    /// No attempt is in flight; an earlier one may have run.
+    PendingMayHaveRun,
+    /// One attempt is in flight; an earlier one may have run.
+    RetryInFlight,
+    /// The final answer is given; attempts may still be in flight.
+    Completed,
+}
+
+/// What happens to a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum RequestInput {
+    /// An attempt was sent.
+    AttemptSent,
+    /// An attempt succeeded.
+    Succeeded,
+    /// An attempt ended and did not run.
+    NotRun,
+    /// An attempt ended and may have run.
+    MayHaveRun,
+    /// No further attempt is made.
+    GivenUp,
+    /// The client has disconnected, or its answer has begun.
+    ClientGone,
+}
+
+/// What follows from an input.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum RequestStep {
+    /// Nothing.
+    Nothing,
+    /// The request is dispatched again.
+    Forward,
+    /// The client is told that nothing ran.
+    Reject,
+    /// The client is told that the request failed.
+    Fail,
+}
+
+/// One attempt of a request.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Attempt {
+    /// The index of its worker.
+    pub(crate) worker: usize,
+    pub(crate) sent_at: Nanos,
+    /// The wait that this dispatcher's earlier attempts were expected to cause.
+    pub(crate) expected_wait: f64,
+    pub(crate) started_at: Option<Nanos>,
+    pub(crate) in_flight: bool,
+}
+
+impl Attempt {
+    /// How much longer it has waited by now than this dispatcher's own work explains.
+    pub(crate) fn unexplained_delay(&self, now: Nanos) -> f64 {
+        ((now - self.sent_at) as f64 - self.expected_wait).max(0.0)
+    }
+}
+
+/// The attempt after which it is uncertain whether the request has run.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct UncertainAttempt {
+    /// The index of its worker.
+    pub(crate) worker: usize,
+    pub(crate) sent_at: Nanos,
+}
+
+/// What a request is expected to take of a worker.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RequestDemand {
+    /// Service time multiplied by slots.
+    pub(crate) work: f64,
+    pub(crate) service_time: f64,
+    /// Concurrency slots, or units of memory if these are more.
+    pub(crate) slots_required: f64,
+}
+
+/// A request that is not completed, or has attempts in flight.
+#[derive(Debug)]
+pub(crate) struct ActiveRequest {
+    pub(crate) request: Request,
+    pub(crate) idempotency: Idempotency,
+    pub(crate) state: RequestState,
+    pub(crate) demand: RequestDemand,
+    /// The work that counts against the allowance of a warming worker.
+    pub(crate) warm_up_work: f64,
+    /// The moment until which a completion meets the latency objective; the deadline at the latest.
+    pub(crate) objective_deadline: Nanos,
+    attempts: [Attempt; MAX_ATTEMPTS],
+    pub(crate) attempts_sent: usize,
+    pub(crate) first_uncertain_attempt: Option<UncertainAttempt>,
+    /// Whether a warm-up grant was requested for it.
+    pub(crate) grant_requested: bool,
+}
+
+impl ActiveRequest {
+    pub(crate) fn new(
+        request: Request,
+        idempotency: Idempotency,
+        demand: RequestDemand,
+        objective_deadline: Nanos,
+    ) -> Self {
+        let warm_up_multiple = if request.hint.is_some() {
+            1.0
+        } else {
+            UNHINTED_WARM_UP_MULTIPLE
+        };
+        ActiveRequest {
+            request,
+            idempotency,
+            state: RequestState::Pending,
+            demand,
+            warm_up_work: demand.work * warm_up_multiple,
+            objective_deadline,
+            attempts: [Attempt::default(); MAX_ATTEMPTS],
+            attempts_sent: 0,
+            first_uncertain_attempt: None,
+            grant_requested: false,
+        }
+    }
+
+    /// The attempts sent so far.
+    pub(crate) fn attempts(&self) -> &[Attempt] {
+        &self.attempts[..self.attempts_sent]
+    }
+
+    /// The attempts sent so far.
+    pub(crate) fn attempts_mut(&mut self) -> &mut [Attempt] {
+        &mut self.attempts[..self.attempts_sent]
+    }
+
+    /// Adds an attempt. There must be fewer than [`MAX_ATTEMPTS`].
+    pub(crate) fn push_attempt(&mut self, attempt: Attempt) {
+        self.attempts[self.attempts_sent] = attempt;
+        self.attempts_sent += 1;
+    }
+
+    /// How long it may wait from a moment on and still meet its latency objective, at a worker of this service-time
+    /// factor. Negative where it cannot.
+    pub(crate) fn time_to_spare(&self, from: Nanos, service_time_factor: f64) -> f64 {
+        self.objective_deadline.saturating_sub(from) as f64
+            - self.demand.service_time * service_time_factor
+    }
+}
