--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -5,27 +5,28 @@
 //! | --- | --- |
 //! | [`cluster`] | puts the machines together for one process |
 //! | [`membership`] | which members run (SWIM with Lifeguard) |
-//! | [`ranks`] | the rank of each member |
-//! | [`lease`] | which member may issue warm-up grants |
+//! | `ranks` | the rank of each member |
+//! | `lease` | which member may issue warm-up grants |
 //! | [`grants`] | what is granted for a warming worker, and which grants still count |
 //! | [`peer_load`] | how load reports are batched and judged |
 //! | [`register`] | how the quorum agrees on the fleet's settings (CASPaxos; not yet used by the dispatcher) |
 //! | [`datagram`], [`member`] | the format of datagrams and of what is known of a member |
 //! | [`config`], [`error`] | the cluster file of an operator, and what can be wrong |
-//! | [`simulated`] | many members on a virtual clock and network, for tests |
+//! | `simulated` | many members on a virtual clock and network, for tests |
 #![warn(missing_docs)]
 pub mod cluster;
 pub mod config;
 pub mod datagram;
 pub mod error;
 pub mod grants;
-pub mod lease;
+mod lease;
 pub mod member;
 pub mod membership;
-pub mod outbox;
+mod outbox;
 pub mod peer_load;
 mod quota;
-pub mod ranks;
+mod ranks;
 pub mod register;
-pub mod simulated;
+#[cfg(test)]
+mod simulated;
 mod time;
