--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -1,58 +1,139 @@
-//! What was taken in, sent and answered, counted for the log.
+//! What the dispatcher has accepted, sent and answered, counted for the log. `docs/on-call.md` says how to read it.
 use std::cell::Cell;
+use std::fmt;
 
-macro_rules! counters {
-    ($($name:ident)*) => {
-        #[derive(Default)]
-        pub struct Counters { $(pub $name: Counter,)* }
-
-        impl std::fmt::Display for Counters {
-            fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                f.write_str("counters:")?;
-                $(write!(f, " {}={}", stringify!($name), self.$name.get())?;)*
-                Ok(())
-            }
-        }
-    };
-}
-
+/// A number that only grows.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
+    /// Counts one.
     pub fn add(&self) {
         self.add_many(1);
     }
 
-    pub fn get(&self) -> u64 {
-        self.0.get()
-    }
-
+    /// Counts several.
     pub fn add_many(&self, count: usize) {
         self.0.set(self.0.get() + count as u64);
     }
-}
 
-// Their meaning stands in docs/on-call.md.
-counters! {
-    clients_accepted clients_idle_closed accept_paused accept_failed clients_rejected
-    requests requests_malformed requests_incomplete requests_duplicate clients_disconnected succeeded rejected failed answers_undelivered
-    attempts attempts_on_new_connection attempts_on_reused_connection attempts_started attempts_succeeded attempts_worker_error attempts_invalid_request attempts_at_capacity attempts_timed_out attempts_connect_failed
-    attempts_connection_lost attempts_not_sent succeeded_late
-    connects connects_failed pool_stale pool_broken pool_evicted no_descriptor health_checks
-    peer_loads_sent peer_loads_not_sent peer_loads_received peer_loads_dropped
-    member_datagrams_sent member_datagrams_received member_datagrams_lost warm_up_grants_requested warm_up_grants_received
-    lists watches_failed lists_malformed host_id_collisions invariant_violations
+    /// The number so far.
+    pub fn get(&self) -> u64 {
+        self.0.get()
+    }
 }
 
-/// What must hold: asserted in debug builds, counted in release builds.
-#[macro_export]
-macro_rules! invariant {
-    ($counters:expr, $holds:expr, $what:literal) => {
-        if !$holds {
-            debug_assert!(false, $what);
-            $counters.invariant_violations.add();
-            $crate::log::error!("invariant violated: {}", $what);
+macro_rules! counters {
+    ($($(#[$doc:meta])* $name:ident,)*) => {
+        /// All counters of one dispatcher. Displayed as `counters: name=value ...` in this order.
+        #[derive(Default)]
+        pub struct Counters { $($(#[$doc])* pub $name: Counter,)* }
+
+        impl fmt::Display for Counters {
+            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+                f.write_str("counters:")?;
+                $(write!(f, " {}={}", stringify!($name), self.$name.get())?;)*
+                Ok(())
+            }
         }
     };
 }
+
+counters! {
+    /// Connections accepted from clients.
+    clients_accepted,
+    /// Clients closed because they were idle for too long, or to free their descriptor.
+    clients_idle_closed,
+    /// Times that accepting paused because no descriptor was free.
+    accept_paused,
+    /// Failures of the system to accept a connection.
+    accept_failed,
+    /// Clients rejected because no descriptor became free for them.
+    clients_rejected,
+    /// Complete requests taken in.
+    requests,
+    /// Requests turned down as malformed.
+    requests_malformed,
+    /// Requests cut off because they were not complete in time.
+    requests_incomplete,
+    /// Requests turned down because their id is active or was sent before.
+    requests_duplicate,
+    /// Clients that disconnected before their answer.
+    clients_disconnected,
+    /// Requests answered with a worker's result.
+    succeeded,
+    /// Requests answered with the promise that nothing ran.
+    rejected,
+    /// Requests answered without that promise.
+    failed,
+    /// Answers that the client did not take.
+    answers_undelivered,
+    /// Attempts sent to workers.
+    attempts,
+    /// Attempts written to a new connection.
+    attempts_on_new_connection,
+    /// Attempts written to a connection from the pool.
+    attempts_on_reused_connection,
+    /// Attempts whose start the worker announced.
+    attempts_started,
+    /// Attempts that ended as `Succeeded`.
+    attempts_succeeded,
+    /// Attempts that ended as `WorkerError`.
+    attempts_worker_error,
+    /// Attempts that ended as `InvalidRequest`.
+    attempts_invalid_request,
+    /// Attempts that ended as `AtCapacity`.
+    attempts_at_capacity,
+    /// Attempts that ended as `TimedOut`.
+    attempts_timed_out,
+    /// Attempts that ended as `ConnectFailed`.
+    attempts_connect_failed,
+    /// Attempts that ended as `ConnectionLost` or `Cancelled`.
+    attempts_connection_lost,
+    /// Attempts that ended as `NotSent`.
+    attempts_not_sent,
+    /// Results that came after their request was answered or its client had left.
+    succeeded_late,
+    /// Connections to workers that were tried.
+    connects,
+    /// Connections to workers that were refused or did not come up in time.
+    connects_failed,
+    /// Pooled connections found expired or closed.
+    pool_stale,
+    /// Pooled connections that broke in use although they had looked reusable.
+    pool_broken,
+    /// Pooled connections dropped to free their descriptor.
+    pool_evicted,
+    /// Attempts that had to wait for a descriptor.
+    no_descriptor,
+    /// Health checks sent.
+    health_checks,
+    /// Load reports sent to other dispatchers.
+    peer_loads_sent,
+    /// Load reports that could not be sent, or exceeded the rate limit.
+    peer_loads_not_sent,
+    /// Load reports received from other dispatchers.
+    peer_loads_received,
+    /// Load reports dropped as malformed, from an unknown sender or beyond the rate limit.
+    peer_loads_dropped,
+    /// Datagrams sent to other members of the cluster.
+    member_datagrams_sent,
+    /// Datagrams received from other members of the cluster.
+    member_datagrams_received,
+    /// Datagrams of members that could not be sent, or exceeded the rate limit.
+    member_datagrams_lost,
+    /// Warm-up grants asked for.
+    warm_up_grants_requested,
+    /// Warm-up grants received.
+    warm_up_grants_received,
+    /// Endpoint lists taken in.
+    lists,
+    /// Watches on the endpoint list that failed.
+    watches_failed,
+    /// Endpoint lists passed over as malformed.
+    lists_malformed,
+    /// Hosts passed over because another host has the same worker id.
+    host_id_collisions,
+    /// Violations of an [`invariant!`](crate::invariant).
+    invariant_violations,
+}
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,7 @@
 //! The hub joins decisions and requests: what it is told goes in with the moment, what is to be done comes out. It alone
 //! calls `handle`; what follows from an action waits in a queue for its turn.
 use crate::counters::Counters;
-use crate::endpoints::EndpointTable;
+use crate::endpoints::{EndpointAddress, EndpointTable};
 use crate::invariant;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::policy::Dispatcher;
@@ -225,7 +225,7 @@
 
     /// Where a worker is dialled now.
     pub fn address_of(&self, worker: WorkerId) -> Option<SocketAddr> {
-        self.workers.reach(worker).map(|(_, address)| address)
+        self.workers.address_of(worker).map(|known| known.address)
     }
 
     fn arm(&mut self, at: Nanos, due: Due) {
@@ -308,12 +308,13 @@
 
     fn list(&mut self, now: Nanos, scope: ListScope, list: EndpointList, out: &mut Vec<Effect>) {
         self.ready |= scope != ListScope::Cached || !list.endpoints.is_empty();
-        let (endpoints, void, clashing) = self.workers.take(now, list);
+        let update = self.workers.apply(now, list);
         // Guards against an attempt that waits for its connection, and goes out over it after its worker was told to
         // drain: it has not run, and is placed anew. One whose last bytes are on their way loses 2 ms of its time.
-        let mut closed: FxHashSet<WorkerId> = void.iter().copied().collect();
+        let mut closed: FxHashSet<WorkerId> = update.stale_connections.iter().copied().collect();
         closed.extend(
-            endpoints
+            update
+                .endpoints
                 .iter()
                 .filter(|e| e.state != EndpointState::Ready)
                 .map(|e| e.worker),
@@ -322,12 +323,26 @@
             .iter()
             .for_each(|(_, active)| active.cancel_unsent(|worker| closed.contains(worker), out));
         // Connections to a process that is no more are not used again.
-        out.extend(void.into_iter().map(|worker| Effect::EvictIdle {
-            worker,
-            address: None,
-        }));
-        self.counters.host_id_collisions.add_many(clashing);
-        self.decide(now, Event::EndpointList { scope, endpoints }, out);
+        out.extend(
+            update
+                .stale_connections
+                .into_iter()
+                .map(|worker| Effect::EvictIdle {
+                    worker,
+                    address: None,
+                }),
+        );
+        self.counters
+            .host_id_collisions
+            .add_many(update.id_collisions);
+        self.decide(
+            now,
+            Event::EndpointList {
+                scope,
+                endpoints: update.endpoints,
+            },
+            out,
+        );
     }
 
     fn active(&mut self, request_id: RequestId) -> Option<&mut ActiveRequest> {
@@ -673,8 +688,8 @@
     fn post(&mut self, now: Nanos, request_id: RequestId, worker: WorkerId, out: &mut Vec<Effect>) {
         let known = self
             .workers
-            .reach(worker)
-            .map(|(host, address)| (host.to_string(), address));
+            .address_of(worker)
+            .map(|known| (known.host.to_string(), known.address));
         let connect_within = self.connect_within;
         let counters = self.counters.clone();
         let Some(active) = self.active(request_id) else {
@@ -723,7 +738,7 @@
 
     fn probe(&mut self, worker: WorkerId, out: &mut Vec<Effect>) {
         self.counters.health_checks.add();
-        let Some((host, address)) = self.workers.reach(worker) else {
+        let Some(EndpointAddress { host, address }) = self.workers.address_of(worker) else {
             let probed = HealthChecked {
                 worker,
                 outcome: Outcome::ConnectFailed,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,9 +1,13 @@
-//! What one dispatcher holds and what it makes of what it is told, without I/O: nothing here awaits, reads a clock
-//! or opens anything. `engine` is the machine in the middle; `pool` and `limits` say which connection is used again
-//! and who may still come in; `config` is what the operators hand over.
-/// For `invariant!`.
+//! One dispatcher as state machines without I/O: nothing here awaits, reads a clock or opens anything.
+//!
+//! [`engine`] turns inputs into effects around the decisions. [`pool`] and [`limits`] decide which connection is reused and
+//! which client may connect; [`config`] reads what the operators configure.
+
+/// For [`invariant!`].
 pub use log;
 
+mod invariant;
+
 pub mod config;
 pub mod counters;
 pub mod endpoints;
@@ -14,5 +18,3 @@
 
 #[cfg(test)]
 mod engine_tests;
-#[cfg(test)]
-mod tests;
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -1,76 +1,67 @@
-//! Descriptors and the bytes of requests, all counted here. What waits at the door makes room before anyone is kept out.
-use async_channel::{Receiver, Sender};
-use rosewall::mutation::{Mutation, is_active};
+//! Limits on descriptors and on the bytes of requests, and which idle client gives way to a new one.
+mod idle_clients;
+#[cfg(test)]
+mod tests;
+
+pub use idle_clients::{IdleClient, IdleRegistration};
+
+use async_channel::Receiver;
+use idle_clients::IdleClients;
 use rosewall::types::Nanos;
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Kept back for what is no connection of a client or worker: standard streams, the poller's three, signals,
-/// the listener, discovery's, and files opened for a moment; twice what was counted.
-const KEPT_BACK: usize = 32;
-
-/// Of those kept back, how many may be taken by clients that are only told that there is no room.
-const TO_TURN_AWAY: usize = 8;
-
-/// What a client's connection holds before its request is large: the buffer it is read by, a head and its task.
-const CLIENT_BYTES: usize = 32 * 1024;
+/// Descriptors for everything but connections of clients and workers: standard streams, the poller's three, signals, the
+/// listener, discovery's connection and files that are open for a moment; twice what these need.
+const RESERVED_DESCRIPTORS: usize = 32;
 
-/// Copies there may be of the bytes a client has sent: as read, as a body, as an attempt, and as much of an answer.
-const COPIES: usize = 4;
+/// How many of the reserved descriptors clients beyond the limit may use, each only for a rejection.
+const MAX_OVERFLOW_CLIENTS: usize = 8;
 
-/// A client that means to ask does so as it connects, within some round trips of a slow network. One that has not
-/// asked for so long goes before those that have.
-const MEANS_TO_ASK: Nanos = 100_000_000;
+/// What a client's connection needs before its request is large: a read buffer, a head and a task.
+const BYTES_PER_CLIENT: usize = 32 * 1024;
 
-/// Who waits for a client's bytes, oldest first, each with a way to tell it to close.
-type Waiting = BTreeMap<u64, (Nanos, Sender<()>)>;
-
-/// Who waits for a client's bytes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IdleClient {
-    /// One that has not asked yet.
-    AwaitingFirstRequest,
-    /// One that has asked before.
-    BetweenRequests,
-    /// One that is only told that there is no room: to close it gives no place.
-    Overflow,
-}
+/// How many copies of a request's bytes may exist: as read, as a body, as an attempt, and an answer of the same size.
+const COPIES_PER_REQUEST: usize = 4;
 
+/// The descriptors and request bytes of one process.
 #[derive(Default)]
 pub struct ResourceLimits {
-    most: Cell<usize>,
-    most_clients: Cell<usize>,
-    most_bytes: Cell<usize>,
-    used: Cell<usize>,
-    turned_away: Cell<usize>,
+    max_descriptors: Cell<usize>,
+    max_clients: Cell<usize>,
+    max_request_bytes: Cell<usize>,
+    descriptors: Cell<usize>,
+    overflow_clients: Cell<usize>,
     clients: Cell<usize>,
-    bytes: Cell<usize>,
-    /// Those that have not asked yet, those that have, and those that hold no place.
-    waiting: [RefCell<Waiting>; 3],
-    serial: Cell<u64>,
+    request_bytes: Cell<usize>,
+    idle: RefCell<IdleClients>,
+}
+
+enum PermitKind {
+    Client { reserved_bytes: Cell<usize> },
+    OverflowClient,
+    Worker,
 }
 
-/// One descriptor in use; given back when dropped.
+/// Permission to use one descriptor, returned when dropped.
 pub struct DescriptorPermit {
     limits: Rc<ResourceLimits>,
-    /// Whether it is one of those kept back.
-    kept_back: bool,
-    /// For a client, how many bytes of its requests are held.
-    client: Option<Cell<usize>>,
+    kind: PermitKind,
 }
 
 impl DescriptorPermit {
-    /// Counts the bytes that a client's requests hold now; false where there is no room for them.
+    /// Reserves memory for all bytes that the client's requests take now, in place of what was reserved before. False, with
+    /// nothing changed, where that exceeds the limit. Permits of other kinds need no reservation.
     pub fn reserve_bytes(&self, bytes: usize) -> bool {
-        let Some(held) = &self.client else {
+        let PermitKind::Client { reserved_bytes } = &self.kind else {
             return true;
         };
-        let all = self.limits.bytes.get() - held.get() + bytes * COPIES;
-        let fits = bytes * COPIES <= held.get() || all <= self.limits.most_bytes.get();
+        let needed = bytes * COPIES_PER_REQUEST;
+        let total = self.limits.request_bytes.get() - reserved_bytes.get() + needed;
+        let fits = needed <= reserved_bytes.get() || total <= self.limits.max_request_bytes.get();
         if fits {
-            self.limits.bytes.set(all);
-            held.set(bytes * COPIES);
+            self.limits.request_bytes.set(total);
+            reserved_bytes.set(needed);
         }
         fits
     }
@@ -78,155 +69,131 @@
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
-        if self.kept_back {
-            return self
-                .limits
-                .turned_away
-                .set(self.limits.turned_away.get() - 1);
-        }
-        self.limits.used.set(self.limits.used.get() - 1);
-        if let Some(held) = &self.client {
-            self.limits.bytes.set(self.limits.bytes.get() - held.get());
-            self.limits.clients.set(self.limits.clients.get() - 1);
+        let limits = &self.limits;
+        match &self.kind {
+            PermitKind::OverflowClient => decrease(&limits.overflow_clients, 1),
+            PermitKind::Worker => decrease(&limits.descriptors, 1),
+            PermitKind::Client { reserved_bytes } => {
+                decrease(&limits.descriptors, 1);
+                decrease(&limits.request_bytes, reserved_bytes.get());
+                decrease(&limits.clients, 1);
+            }
         }
     }
 }
 
 impl ResourceLimits {
-    pub fn new(sockets: usize, memory_mb: usize) -> Self {
+    /// Limits for a process that may use so many descriptors and so much memory.
+    pub fn new(max_descriptors: usize, memory_mb: usize) -> Self {
         let limits = ResourceLimits::default();
-        limits.set_limits(sockets, memory_mb);
+        limits.set_limits(max_descriptors, memory_mb);
         limits
     }
 
-    /// Sets the limits; what is over a lower one ends as it falls idle.
-    pub fn set_limits(&self, sockets: usize, memory_mb: usize) {
-        let (most, memory) = (
-            sockets.saturating_sub(KEPT_BACK).max(2),
-            memory_mb * 1024 * 1024,
-        );
-        self.most.set(most);
-        // Each client has one request at a time and a request one posting; some clients only wait. A quarter of the memory
-        // is for their connections, half for what they send, the rest for the program.
-        self.most_clients
-            .set((most * 3 / 5).min(memory / 4 / CLIENT_BYTES).max(1));
-        self.most_bytes.set(memory / 2);
+    /// Sets new limits. What exceeds a lower one is not closed, but ends as it becomes idle.
+    pub fn set_limits(&self, max_descriptors: usize, memory_mb: usize) {
+        let descriptors = max_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2);
+        let memory = memory_mb * 1024 * 1024;
+        self.max_descriptors.set(descriptors);
+        // Each client has one request at a time and a request one attempt; some clients only wait. A quarter of the memory
+        // is for client connections, half for requests, the rest for the program.
+        let clients_by_memory = memory / 4 / BYTES_PER_CLIENT;
+        self.max_clients
+            .set((descriptors * 3 / 5).min(clients_by_memory).max(1));
+        self.max_request_bytes.set(memory / 2);
     }
 
-    /// Whether one more client fits among the clients, whatever else is open.
+    /// Whether the limit on clients allows one more, whatever the number of descriptors in use.
     pub fn has_client_capacity(&self) -> bool {
-        self.clients.get() < self.most_clients.get()
+        self.clients.get() < self.max_clients.get()
     }
 
+    /// A permit for a client's connection; none where a limit is reached.
     pub fn acquire_client(self: &Rc<Self>) -> Option<DescriptorPermit> {
-        let slot = if self.has_client_capacity() {
-            self.slot(Some(Cell::new(0)))?
-        } else {
+        if !self.has_client_capacity() {
             return None;
-        };
-        self.clients.set(self.clients.get() + 1);
-        Some(slot)
+        }
+        let permit = self.acquire(PermitKind::Client {
+            reserved_bytes: Cell::new(0),
+        })?;
+        increase(&self.clients, 1);
+        Some(permit)
     }
 
-    /// One of the few for clients that are only told that there is no room. Guards against requests that wait at the door
-    /// past their deadline.
+    /// One of the few permits for clients beyond the limit. They are rejected at once, where they would otherwise wait
+    /// unaccepted past their deadline.
     pub fn acquire_overflow_client(self: &Rc<Self>) -> Option<DescriptorPermit> {
-        let taken = self.turned_away.get();
-        (taken < TO_TURN_AWAY).then(|| {
-            self.turned_away.set(taken + 1);
-            DescriptorPermit {
-                limits: self.clone(),
-                kept_back: true,
-                client: None,
-            }
-        })
+        if self.overflow_clients.get() >= MAX_OVERFLOW_CLIENTS {
+            return None;
+        }
+        increase(&self.overflow_clients, 1);
+        Some(self.permit(PermitKind::OverflowClient))
     }
 
+    /// A permit for a connection to a worker; none where all descriptors are in use.
     pub fn acquire_worker(self: &Rc<Self>) -> Option<DescriptorPermit> {
-        self.slot(None)
+        self.acquire(PermitKind::Worker)
     }
 
-    fn slot(self: &Rc<Self>, client: Option<Cell<usize>>) -> Option<DescriptorPermit> {
-        if self.used.get() >= self.most.get() {
+    fn acquire(self: &Rc<Self>, kind: PermitKind) -> Option<DescriptorPermit> {
+        if self.descriptors.get() >= self.max_descriptors.get() {
             return None;
         }
-        self.used.set(self.used.get() + 1);
-        Some(DescriptorPermit {
+        increase(&self.descriptors, 1);
+        Some(self.permit(kind))
+    }
+
+    fn permit(self: &Rc<Self>, kind: PermitKind) -> DescriptorPermit {
+        DescriptorPermit {
             limits: self.clone(),
-            kept_back: false,
-            client,
-        })
+            kind,
+        }
     }
 
-    /// Descriptors in use now.
+    /// How many permits exist now.
     pub fn descriptors_used(&self) -> usize {
-        self.used.get() + self.turned_away.get()
+        self.descriptors.get() + self.overflow_clients.get()
     }
 
+    /// How many clients have a permit now, without those beyond the limit.
     pub fn client_count(&self) -> usize {
         self.clients.get()
     }
 
-    /// A client waits until what is given back is dropped; the channel tells it to close.
+    /// Registers a client that waits for bytes, until the registration is dropped. The channel tells it to close.
     pub fn register_idle(
         self: &Rc<Self>,
         now: Nanos,
-        waiter: IdleClient,
+        client: IdleClient,
     ) -> (IdleRegistration, Receiver<()>) {
-        let serial = self.serial.get();
-        self.serial.set(serial + 1);
-        let (close, closed) = async_channel::bounded(1);
-        self.waiting[waiter as usize]
-            .borrow_mut()
-            .insert(serial, (now, close));
-        (
-            IdleRegistration {
-                limits: self.clone(),
-                waiter,
-                serial,
-            },
-            closed,
-        )
-    }
-
-    /// Whether there is a client whose place may fall free as it is closed.
+        let (serial, close) = self.idle.borrow_mut().register(now, client);
+        let registration = IdleRegistration {
+            limits: self.clone(),
+            client,
+            serial,
+        };
+        (registration, close)
+    }
+
+    fn unregister_idle(&self, client: IdleClient, serial: u64) {
+        self.idle.borrow_mut().unregister(client, serial);
+    }
+
+    /// Whether an idle client exists whose descriptor becomes free for others when it closes.
     pub fn has_evictable_client(&self) -> bool {
-        self.waiting[..2]
-            .iter()
-            .any(|waiting| !waiting.borrow().is_empty())
+        self.idle.borrow().has_evictable()
     }
 
-    /// Closes the client that has waited longest; false where none may be closed. Guards against silent connections by
-    /// the hundred that keep others out, or have those closed that are of use; and, as no one who came just now is
-    /// closed, against the loss of a first request that is on its way.
+    /// Tells the client that has been idle for longest to close; false where none may be closed.
     pub fn evict_idle_client(&self, now: Nanos) -> bool {
-        let [strangers, known, _] = &self.waiting;
-        let (mut strangers, mut known) = (strangers.borrow_mut(), known.borrow_mut());
-        let oldest = strangers
-            .first_key_value()
-            .map(|(_, (since, _))| now.saturating_sub(*since));
-        let stranger = oldest.is_some_and(|waited| {
-            waited >= MEANS_TO_ASK || is_active(Mutation::CloseWithoutAnswer)
-        });
-        let closed = if stranger {
-            strangers.pop_first()
-        } else {
-            known.pop_first()
-        };
-        closed.is_some_and(|(_, (_, close))| close.try_send(()).is_ok())
+        self.idle.borrow_mut().evict(now)
     }
 }
 
-pub struct IdleRegistration {
-    limits: Rc<ResourceLimits>,
-    waiter: IdleClient,
-    serial: u64,
+fn increase(cell: &Cell<usize>, amount: usize) {
+    cell.set(cell.get() + amount);
 }
 
-impl Drop for IdleRegistration {
-    fn drop(&mut self) {
-        self.limits.waiting[self.waiter as usize]
-            .borrow_mut()
-            .remove(&self.serial);
-    }
+fn decrease(cell: &Cell<usize>, amount: usize) {
+    cell.set(cell.get() - amount);
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,4 +1,7 @@
 //! Idle connections to workers, of whatever kind carries them: which one is used again, and for how long it may be.
+#[cfg(test)]
+mod tests;
+
 use rosewall::types::{Nanos, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- /dev/null
+++ b/crates/engine/src/pool/tests.rs
@@ -0,0 +1,127 @@
+//! Tests of the pool of idle connections.
+use super::{Pool, REST_AFTER_ANSWER, Reusable, Taken};
+use rosewall::types::{Nanos, WorkerId};
+use std::net::SocketAddr;
+use test_case::test_case;
+
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
+const WORKER: WorkerId = WorkerId {
+    addr: [10, 0, 0, 1],
+    port: 1,
+};
+
+struct Connection {
+    is_reusable: bool,
+}
+
+impl Reusable for Connection {
+    fn is_reusable(&self) -> bool {
+        self.is_reusable
+    }
+}
+
+fn address(port: u16) -> SocketAddr {
+    ([127, 0, 0, 1], port).into()
+}
+
+fn pool() -> Pool<Connection> {
+    Pool::new(30 * SECOND)
+}
+
+fn put(pool: &mut Pool<Connection>, now: Nanos, is_reusable: bool) {
+    pool.put(now, WORKER, address(9), Connection { is_reusable });
+}
+
+/// What broke, and how long ago.
+struct Break {
+    idle_seconds: u64,
+    seconds_ago: u64,
+}
+
+/// The limit is three fifths of the settings' 30 s, or of the idle time after which a connection broke, for half a minute.
+#[test_case(None, 17 => true; "within the limit of the settings")]
+#[test_case(None, 19 => false; "too old")]
+#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 20 }), 5 => true; "younger than what broke")]
+#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 20 }), 7 => false; "nearly as old as what broke")]
+#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 60 }), 7 => true; "the break is forgotten")]
+fn a_connection_is_reused_within_its_idle_timeout(
+    broken: Option<Break>,
+    idle_seconds: u64,
+) -> bool {
+    let now = 100 * SECOND;
+    let mut pool = pool();
+    put(&mut pool, now - idle_seconds * SECOND, true);
+    if let Some(broken) = broken {
+        let broke_at = now - broken.seconds_ago * SECOND;
+        pool.record_broken(broke_at, broke_at - broken.idle_seconds * SECOND);
+    }
+
+    pool.take(now, WORKER).connection.is_some()
+}
+
+#[test]
+fn a_connection_that_looks_closed_is_passed_over() {
+    let mut pool = pool();
+    put(&mut pool, SECOND, true);
+    put(&mut pool, SECOND, false);
+
+    let Taken { connection, stale } = pool.take(SECOND + REST_AFTER_ANSWER, WORKER);
+
+    assert!(
+        connection.is_some_and(|idle| idle.connection.is_reusable && idle.idle_since == SECOND)
+    );
+    assert_eq!(stale, 1);
+}
+
+#[test_case(&[100, 80, 5] => Some(80); "of those that have rested the one used last")]
+#[test_case(&[9, 5, 1] => Some(9); "of those that have not the one that rests longest")]
+#[test_case(&[10] => Some(10); "ten ms are a rest")]
+#[test_case(&[] => None; "there is none")]
+fn a_rested_connection_is_preferred(idle_ms: &[u64]) -> Option<u64> {
+    let now = SECOND;
+    let mut pool = pool();
+    for idle_ms in idle_ms {
+        put(&mut pool, now - idle_ms * MILLISECOND, true);
+    }
+
+    pool.take(now, WORKER)
+        .connection
+        .map(|idle| (now - idle.idle_since) / MILLISECOND)
+}
+
+/// Each attempt comes 1 ms after the last answer, so that its connection has not rested.
+#[test_case(1, 25 => true; "a few take an unrested one")]
+#[test_case(1, 26 => false; "with one more a new connection is opened")]
+#[test_case(45, 60 => true; "an attempt now and then takes an unrested one")]
+fn frequent_attempts_without_a_rested_connection_open_another(
+    interval_ms: u64,
+    attempts: u64,
+) -> bool {
+    let mut pool = pool();
+    (0..attempts).all(|attempt| {
+        let answered_at = SECOND + attempt * interval_ms * MILLISECOND;
+        put(&mut pool, answered_at, true);
+        pool.take(answered_at + MILLISECOND, WORKER)
+            .connection
+            .is_some()
+    })
+}
+
+#[test]
+fn only_connections_to_the_current_address_stay_when_a_worker_moves() {
+    let mut pool = pool();
+    for port in [9, 10] {
+        pool.put(
+            SECOND,
+            WORKER,
+            address(port),
+            Connection { is_reusable: true },
+        );
+    }
+
+    pool.evict_worker(WORKER, Some(address(9)));
+
+    assert!(pool.take(SECOND, WORKER).connection.is_some());
+    assert!(pool.take(SECOND, WORKER).connection.is_none());
+}
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -520,7 +520,7 @@
     fn peer_report(&mut self) {
         let delay = (5 + self.below(60)) * MILLISECOND;
         self.push(delay, Next::PeerReport);
-        let worker = rosewall_engine::endpoints::id(&format!("w{}", self.below(14)));
+        let worker = rosewall_engine::endpoints::worker_id(&format!("w{}", self.below(14)));
         let load = PeerLoad {
             worker,
             half_slots: self.below(9) as u8,
@@ -541,7 +541,7 @@
         });
         self.take(Input::FleetView(view));
         if self.below(2) == 0 {
-            let worker = rosewall_engine::endpoints::id(&format!("w{}", self.below(14)));
+            let worker = rosewall_engine::endpoints::worker_id(&format!("w{}", self.below(14)));
             let until = self.now + SECOND;
             self.take(Input::WarmUpGranted {
                 worker,
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -99,7 +99,7 @@
             None => None,
         };
         let workers = match &config.cluster {
-            Some(cluster_config) => EndpointTable::by_own_clock(
+            Some(cluster_config) => EndpointTable::with_clock_skew(
                 cluster_config.max_clock_skew,
                 settings.slow_start_duration,
             ),
