--- /dev/null
+++ b/crates/engine/src/engine/requests.rs
@@ -0,0 +1,163 @@
+//! The table of active requests, and the ids of those that were sent.
+use super::Effect;
+use rosewall::mutation::{Mutation, is_active};
+use rosewall::types::{Nanos, RequestId, WorkerId};
+use rosewall_protocol::client::ClientRequest;
+use rustc_hash::{FxHashMap, FxHashSet};
+use slab::Slab;
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+/// How many ids of completed requests are remembered: about 1 MB, and minutes of one dispatcher's traffic, which is longer
+/// than any client waits.
+const MAX_COMPLETED_IDS: usize = 8192;
+
+/// A request that is not answered, or has an attempt in flight.
+pub(super) struct ActiveRequest {
+    pub(super) request_id: RequestId,
+    pub(super) request: ClientRequest,
+    pub(super) deadline: Nanos,
+    /// Whether the final answer is still to be sent.
+    pub(super) answer_pending: bool,
+    /// By attempt index: the worker, while the attempt is in flight.
+    attempts: Vec<Option<WorkerId>>,
+}
+
+impl ActiveRequest {
+    pub(super) fn new(request_id: RequestId, request: ClientRequest, deadline: Nanos) -> Self {
+        ActiveRequest {
+            request_id,
+            request,
+            deadline,
+            answer_pending: true,
+            attempts: Vec::new(),
+        }
+    }
+
+    pub(super) fn attempt_count(&self) -> u8 {
+        self.attempts.len() as u8
+    }
+
+    pub(super) fn is_in_flight(&self, attempt_index: u8) -> bool {
+        self.attempts
+            .get(usize::from(attempt_index))
+            .is_some_and(Option::is_some)
+    }
+
+    /// Adds an attempt to this worker, or one that was not sent.
+    pub(super) fn add_attempt(&mut self, worker: Option<WorkerId>) {
+        self.attempts.push(worker);
+    }
+
+    /// Marks an attempt as ended; false if it was not in flight.
+    pub(super) fn end_attempt(&mut self, attempt_index: u8) -> bool {
+        self.attempts
+            .get_mut(usize::from(attempt_index))
+            .is_some_and(|worker| worker.take().is_some())
+    }
+
+    /// Cancels the attempts in flight to the workers that `selects` names, unless they are sent completely.
+    pub(super) fn cancel_unsent(
+        &self,
+        selects: impl Fn(&WorkerId) -> bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        for (attempt_index, worker) in self.attempts.iter().enumerate() {
+            if worker.as_ref().is_some_and(&selects) {
+                effects.push(Effect::CancelUnsent {
+                    request_id: self.request_id,
+                    attempt_index: attempt_index as u8,
+                });
+            }
+        }
+    }
+
+    fn is_complete(&self) -> bool {
+        !self.answer_pending && self.attempts.iter().all(Option::is_none)
+    }
+}
+
+#[derive(Default)]
+pub(super) struct RequestTable {
+    requests: Slab<ActiveRequest>,
+    slab_keys: FxHashMap<RequestId, usize>,
+    /// The clients' ids of active requests, and of completed ones that were sent.
+    ids: FxHashSet<Rc<str>>,
+    /// The ids of completed requests, the oldest first.
+    completed_ids: VecDeque<Rc<str>>,
+}
+
+impl RequestTable {
+    /// Reserves a client's id; false if it belongs to a request that is active or was sent before.
+    pub(super) fn reserve_id(&mut self, id: &str) -> bool {
+        self.ids.insert(id.into())
+    }
+
+    pub(super) fn insert(&mut self, active: ActiveRequest) {
+        let request_id = active.request_id;
+        let key = self.requests.insert(active);
+        self.slab_keys.insert(request_id, key);
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    pub(super) fn get(&self, request_id: RequestId) -> Option<&ActiveRequest> {
+        self.requests.get(*self.slab_keys.get(&request_id)?)
+    }
+
+    pub(super) fn get_mut(&mut self, request_id: RequestId) -> Option<&mut ActiveRequest> {
+        self.requests.get_mut(*self.slab_keys.get(&request_id)?)
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &ActiveRequest> {
+        self.requests.iter().map(|(_, active)| active)
+    }
+
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut ActiveRequest> {
+        self.requests.iter_mut().map(|(_, active)| active)
+    }
+
+    pub(super) fn is_in_flight(&self, request_id: RequestId, attempt_index: u8) -> bool {
+        self.get(request_id)
+            .is_some_and(|active| active.is_in_flight(attempt_index))
+    }
+
+    /// Marks the answer of a request as sent; false if it is not active or was answered before.
+    pub(super) fn take_pending_answer(&mut self, request_id: RequestId) -> bool {
+        self.get_mut(request_id)
+            .is_some_and(|active| std::mem::take(&mut active.answer_pending))
+    }
+
+    /// Removes a request that is answered and has no attempt in flight. Its id is remembered if the request was sent.
+    pub(super) fn remove_if_complete(&mut self, request_id: RequestId) {
+        let Some(active) = self.get(request_id) else {
+            return;
+        };
+        if is_active(Mutation::LeakRequest) && active.attempts.len() > 1 {
+            return;
+        }
+        if !active.is_complete() {
+            return;
+        }
+        if let Some(key) = self.slab_keys.remove(&request_id) {
+            let active = self.requests.remove(key);
+            self.retire_id(&active);
+        }
+    }
+
+    fn retire_id(&mut self, completed: &ActiveRequest) {
+        let id = completed.request.id.as_str();
+        if completed.attempts.is_empty() {
+            self.ids.remove(id);
+        } else {
+            self.completed_ids.extend(self.ids.get(id).cloned());
+        }
+        if self.completed_ids.len() > MAX_COMPLETED_IDS
+            && let Some(oldest) = self.completed_ids.pop_front()
+        {
+            self.ids.remove(&oldest);
+        }
+    }
+}
--- a/crates/engine/src/engine_tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -1,7 +1,7 @@
 //! The hub, told things at given moments; what it says is to be done.
-use super::counters::Counters;
-use super::endpoints::EndpointTable;
-use super::engine::{Effect, Engine, Input};
+use super::{Effect, Engine, Input};
+use crate::counters::Counters;
+use crate::endpoints::EndpointTable;
 use rosewall::Map;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{EndpointState, Nanos, Outcome};
@@ -136,7 +136,7 @@
         Input::AttemptProgress {
             request_id: 1,
             attempt_index: 0,
-            told: AttemptProgress::Succeeded(Vec::new()),
+            progress: AttemptProgress::Succeeded(Vec::new()),
         },
         &mut out,
     );
@@ -159,7 +159,7 @@
         Input::AttemptProgress {
             request_id: 1,
             attempt_index: 0,
-            told: AttemptProgress::Ended(outcome),
+            progress: AttemptProgress::Ended(outcome),
         },
         &mut out,
     );
@@ -189,7 +189,7 @@
         Input::AttemptProgress {
             request_id: 1,
             attempt_index: 0,
-            told: AttemptProgress::Succeeded(Vec::new()),
+            progress: AttemptProgress::Succeeded(Vec::new()),
         },
         &mut out,
     );
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -15,6 +15,3 @@
 pub mod limits;
 pub mod pool;
 pub mod rate_limit;
-
-#[cfg(test)]
-mod engine_tests;
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -223,7 +223,7 @@
                         port,
                     ],
                 );
-                add_numbers(digest, &[attempt.connect_within]);
+                add_numbers(digest, &[attempt.connect_timeout]);
                 add_bytes(digest, attempt.id.as_bytes());
                 add_bytes(digest, &attempt.message);
             }
@@ -385,7 +385,7 @@
             self.take(Input::AttemptProgress {
                 request_id: request,
                 attempt_index: attempt,
-                told,
+                progress: told,
             });
         }
     }
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -117,7 +117,7 @@
             } => Input::AttemptProgress {
                 request_id,
                 attempt_index,
-                told,
+                progress: told,
             },
             EngineEvent::Spare { worker, conn } => {
                 // One that leads elsewhere by now is of no use.
@@ -208,7 +208,7 @@
                 worker,
                 address,
                 host,
-                limit,
+                timeout: limit,
             } => {
                 context
                     .runtime
--- a/crates/runtime/src/worker.rs
+++ b/crates/runtime/src/worker.rs
@@ -166,7 +166,7 @@
         address,
         id,
         message,
-        connect_within,
+        connect_timeout: connect_within,
     } = attempt;
     let connect_within = Duration::from_nanos(connect_within);
     let tell = |told| {
