--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -9,7 +9,7 @@
 use rosewall::types::{FleetPosition, Nanos, Outcome, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::endpoints::EndpointTable;
-use rosewall_engine::engine::{Effect, Engine, Input};
+use rosewall_engine::engine::{Effect, Engine, Input, OutboundAttempt};
 use rosewall_protocol::client::{ClientEvent, RequestReader, encode_answer, encode_response};
 use rosewall_protocol::discovery::{
     EndpointListReader, Watch, decode_endpoint_list, encode_list_request,
@@ -92,6 +92,47 @@
     }
 }
 
+fn add_attempt(digest: &mut Sha256, attempt: &OutboundAttempt) {
+    let numbers = [
+        2,
+        u64::from(attempt.request_id),
+        u64::from(attempt.attempt_index),
+        worker_number(&attempt.worker),
+        u64::from(attempt.address.port()),
+    ];
+    add_numbers(digest, &numbers);
+    add_numbers(digest, &[attempt.connect_timeout]);
+    add_bytes(digest, attempt.id.as_bytes());
+    add_bytes(digest, &attempt.message);
+}
+
+fn add_attempt_key(digest: &mut Sha256, tag: u64, request_id: RequestId, attempt_index: u8) {
+    add_numbers(
+        digest,
+        &[tag, u64::from(request_id), u64::from(attempt_index)],
+    );
+}
+
+fn add_load(digest: &mut Sha256, load: &PeerLoad) {
+    let numbers = [
+        u64::from(load.half_slots),
+        u64::from(load.work),
+        u64::from(load.speed_code),
+    ];
+    add_numbers(digest, &numbers);
+}
+
+fn add_list_requests(digest: &mut Sha256, version: u64) {
+    let host = "10.2.0.1:8500";
+    let watch = Watch {
+        version,
+        wait_ms: 5,
+    };
+    add_numbers(digest, &[11]);
+    add_bytes(digest, &encode_list_request(host, None));
+    add_bytes(digest, &encode_list_request(host, Some(watch)));
+}
+
 enum Next {
     Arrival,
     List,
@@ -205,66 +246,31 @@
         let keeps_open = self.effects.is_multiple_of(3);
         let digest = &mut self.digest;
         match effect {
-            Effect::Answer {
-                request_id,
-                answer: config,
-            } => {
+            Effect::Answer { request_id, answer } => {
                 add_numbers(digest, &[1, u64::from(*request_id)]);
-                add_bytes(digest, &encode_answer(config, keeps_open));
-            }
-            Effect::SendAttempt(attempt) => {
-                let (index, port) = (
-                    u64::from(attempt.attempt_index),
-                    u64::from(attempt.address.port()),
-                );
-                add_numbers(
-                    digest,
-                    &[
-                        2,
-                        u64::from(attempt.request_id),
-                        index,
-                        worker_number(&attempt.worker),
-                        port,
-                    ],
-                );
-                add_numbers(digest, &[attempt.connect_timeout]);
-                add_bytes(digest, attempt.id.as_bytes());
-                add_bytes(digest, &attempt.message);
+                add_bytes(digest, &encode_answer(answer, keeps_open));
             }
+            Effect::SendAttempt(attempt) => add_attempt(digest, attempt),
             Effect::CancelUnsent {
                 request_id,
                 attempt_index,
-            } => add_numbers(
-                digest,
-                &[3, u64::from(*request_id), u64::from(*attempt_index)],
-            ),
+            } => add_attempt_key(digest, 3, *request_id, *attempt_index),
             Effect::Abort {
                 request_id,
                 attempt_index,
-            } => add_numbers(
-                digest,
-                &[4, u64::from(*request_id), u64::from(*attempt_index)],
-            ),
+            } => add_attempt_key(digest, 4, *request_id, *attempt_index),
             Effect::Finished {
                 request_id,
                 attempt_index,
-            } => add_numbers(
-                digest,
-                &[5, u64::from(*request_id), u64::from(*attempt_index)],
-            ),
+            } => add_attempt_key(digest, 5, *request_id, *attempt_index),
             Effect::CheckHealth { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
             Effect::EvictIdle { worker, address } => {
                 let port = address.map_or(0, |address| u64::from(address.port()));
                 add_numbers(digest, &[7, worker_number(worker), port]);
             }
             Effect::SendPeerLoad { to, load } => {
-                let numbers = [
-                    u64::from(load.half_slots),
-                    u64::from(load.work),
-                    u64::from(load.speed_code),
-                ];
                 add_numbers(digest, &[8, u64::from(*to), worker_number(&load.worker)]);
-                add_numbers(digest, &numbers);
+                add_load(digest, load);
             }
             Effect::RequestWarmUpGrant { worker, work } => {
                 add_numbers(digest, &[9, worker_number(worker), *work])
@@ -276,20 +282,7 @@
             } => {
                 add_numbers(digest, &[10, worker_number(worker), *work, *window]);
             }
-            Effect::WatchEndpoints => {
-                add_numbers(digest, &[11]);
-                add_bytes(digest, &encode_list_request("10.2.0.1:8500", None));
-                add_bytes(
-                    digest,
-                    &encode_list_request(
-                        "10.2.0.1:8500",
-                        Some(Watch {
-                            version: self.list_number,
-                            wait_ms: 5,
-                        }),
-                    ),
-                );
-            }
+            Effect::WatchEndpoints => add_list_requests(digest, self.list_number),
         }
     }
 
@@ -316,59 +309,27 @@
             _ if hung => return,
             _ => (line("done") + "0\r\n\r\n", false),
         };
+        let answer = |bytes: &str, closes: bool| Next::Answer {
+            request,
+            attempt,
+            bytes: bytes.as_bytes().to_vec(),
+            closes,
+        };
         match self.below(50) {
             0 => {
-                let bytes =
-                    b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
-                return self.push(
-                    start,
-                    Next::Answer {
-                        request,
-                        attempt,
-                        bytes,
-                        closes: false,
-                    },
-                );
+                let busy = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+                self.push(start, answer(busy, false));
             }
             1 => {
-                let bytes = b"HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno".to_vec();
-                return self.push(
-                    start,
-                    Next::Answer {
-                        request,
-                        attempt,
-                        bytes,
-                        closes: true,
-                    },
-                );
+                let invalid = "HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno";
+                self.push(start, answer(invalid, true));
             }
-            2 => {
-                return self.push(
-                    start,
-                    Next::Answer {
-                        request,
-                        attempt,
-                        bytes: Vec::new(),
-                        closes: true,
-                    },
-                );
+            2 => self.push(start, answer("", true)),
+            _ => {
+                self.push(start, answer(&first, false));
+                self.push(start + run, answer(&second, closes));
             }
-            _ => {}
         }
-        let first = Next::Answer {
-            request,
-            attempt,
-            bytes: first.into_bytes(),
-            closes: false,
-        };
-        self.push(start, first);
-        let second = Next::Answer {
-            request,
-            attempt,
-            bytes: second.into_bytes(),
-            closes,
-        };
-        self.push(start + run, second);
     }
 
     fn answer(&mut self, request: RequestId, attempt: u8, bytes: &[u8], closes: bool) {
