--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -1,53 +1,51 @@
-//! The hub, told things at given moments; what it says is to be done.
+//! Tests of the engine: inputs at given moments, and the effects that follow.
 use super::{Effect, Engine, Input};
 use crate::counters::Counters;
 use crate::endpoints::EndpointTable;
 use rosewall::Map;
 use rosewall::policy::Dispatcher;
-use rosewall::types::{EndpointState, Nanos, Outcome};
+use rosewall::types::{EndpointState, Nanos, Outcome, RequestId};
 use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
 use rosewall_protocol::worker::AttemptProgress;
 use std::rc::Rc;
 use test_case::test_case;
 
-const MS: Nanos = 1_000_000;
-
-/// One class with this effect, and one worker that is listed so, or none.
-fn engine(effect: &str, state: Option<EndpointState>) -> Engine {
-    let settings = [
-        ("class.count", "1"),
-        ("class.0.idempotency", effect),
-        ("class.0.retry_scope", "all"),
-        ("class.0.latency_objective", "400000000"),
-        ("class.0.retry_window", "5000000000"),
-        ("class.0.priority_weight", "1"),
-        ("me", "0"),
-        ("dispatchers", "1"),
-        ("retry_after.allowed", "true"),
-        ("retry_after.max", "2000000000"),
-        ("health_check.allowed", "false"),
-        ("start_notes", "true"),
-        ("slow_start.from", "0.2"),
-        ("slow_start.duration", "1000000000"),
-        ("overload.multiple", "4"),
-        ("overload.window", "1000000000"),
-        ("attempts.max", "3"),
-        ("report.fields", ""),
-        ("endpoints.mode", "pushed"),
-    ];
-    let map: Map = settings
+const MILLISECOND: Nanos = 1_000_000;
+const REQUEST_TIMEOUT: Nanos = 500 * MILLISECOND;
+
+const SETTINGS: &[(&str, &str)] = &[
+    ("class.count", "1"),
+    ("class.0.retry_scope", "all"),
+    ("class.0.latency_objective", "400000000"),
+    ("class.0.retry_window", "5000000000"),
+    ("class.0.priority_weight", "1"),
+    ("me", "0"),
+    ("dispatchers", "1"),
+    ("retry_after.allowed", "true"),
+    ("retry_after.max", "2000000000"),
+    ("health_check.allowed", "false"),
+    ("start_notes", "true"),
+    ("slow_start.from", "0.2"),
+    ("slow_start.duration", "1000000000"),
+    ("overload.multiple", "4"),
+    ("overload.window", "1000000000"),
+    ("attempts.max", "3"),
+    ("report.fields", ""),
+    ("endpoints.mode", "pushed"),
+];
+
+fn settings(idempotency: &str) -> Map {
+    let mut settings: Map = SETTINGS
         .iter()
         .map(|(name, value)| (name.to_string(), value.to_string()))
         .collect();
-    let dispatcher = Dispatcher::start(0, 1, &map).unwrap();
-    let mut engine = Engine::new(
-        dispatcher,
-        Rc::new(Counters::default()),
-        250 * MS,
-        EndpointTable::default(),
-    );
-    let entry = |state| DiscoveredEndpoint {
+    settings.insert("class.0.idempotency".into(), idempotency.into());
+    settings
+}
+
+fn worker(state: EndpointState) -> DiscoveredEndpoint {
+    DiscoveredEndpoint {
         host: "a".into(),
         address: Some(([127, 0, 0, 1], 9).into()),
         state,
@@ -56,190 +54,195 @@
         group: 0,
         size: 1.0,
         born: 0,
-    };
-    let endpoints = state.into_iter().map(entry).collect();
-    engine.load_cached(
-        0,
-        EndpointList {
+    }
+}
+
+/// An engine, asked in the words of the tests.
+struct Fixture {
+    engine: Engine,
+}
+
+impl Fixture {
+    /// One class of this idempotency, and one worker of this state, or none.
+    fn new(idempotency: &str, worker_state: Option<EndpointState>) -> Self {
+        let dispatcher = Dispatcher::start(0, 1, &settings(idempotency)).unwrap();
+        let mut engine = Engine::new(
+            dispatcher,
+            Rc::new(Counters::default()),
+            250 * MILLISECOND,
+            EndpointTable::default(),
+        );
+        let list = EndpointList {
             version: 1,
             is_snapshot: true,
-            endpoints,
-        },
-        &mut Vec::new(),
-    );
-    engine
-}
+            endpoints: worker_state.into_iter().map(worker).collect(),
+        };
+        engine.load_cached(0, list, &mut Vec::new());
+        Fixture { engine }
+    }
+
+    fn non_idempotent_with_ready_worker() -> Self {
+        Fixture::new("non-idempotent", Some(EndpointState::Ready))
+    }
 
-fn request(id: &str) -> ClientRequest {
-    ClientRequest {
-        id: id.into(),
-        timeout: 500 * MS,
-        hint: Some(5 * MS),
-        slots: 1.0,
-        ..ClientRequest::default()
+    fn handle(&mut self, at_ms: u64, input: Input) -> Vec<String> {
+        let mut effects = Vec::new();
+        self.engine.handle(at_ms * MILLISECOND, input, &mut effects);
+        effects.into_iter().map(describe).collect()
+    }
+
+    /// A request with this id of its client arrives at 1 ms.
+    fn arrive(&mut self, request_id: RequestId, id: &str) -> Vec<String> {
+        let request = ClientRequest {
+            id: id.into(),
+            timeout: REQUEST_TIMEOUT,
+            hint: Some(5 * MILLISECOND),
+            slots: 1.0,
+            ..ClientRequest::default()
+        };
+        let arrived = Input::RequestArrived {
+            request_id,
+            at: MILLISECOND,
+            request,
+        };
+        self.handle(1, arrived)
+    }
+
+    /// The first attempt of request 1 progresses.
+    fn progress(&mut self, at_ms: u64, progress: AttemptProgress) -> Vec<String> {
+        let input = Input::AttemptProgress {
+            request_id: 1,
+            attempt_index: 0,
+            progress,
+        };
+        self.handle(at_ms, input)
+    }
+
+    fn active_requests(&self) -> usize {
+        self.engine.active_request_count()
     }
 }
 
-/// The effects in words, in order.
-fn words(effects: &mut Vec<Effect>) -> Vec<String> {
-    let word = |effect| match effect {
+fn describe(effect: Effect) -> String {
+    match effect {
         Effect::Answer { request_id, answer } => match answer {
-            Answer::Succeeded(_) => format!("settled {request_id}"),
-            Answer::Rejected { .. } => format!("declined {request_id}"),
-            Answer::Failed => format!("reversed {request_id}"),
-            Answer::DuplicateId => format!("known {request_id}"),
+            Answer::Succeeded(_) => format!("succeeded {request_id}"),
+            Answer::Rejected { .. } => format!("rejected {request_id}"),
+            Answer::Failed => format!("failed {request_id}"),
+            Answer::DuplicateId => format!("duplicate {request_id}"),
         },
         Effect::SendAttempt(attempt) => {
-            format!("post {} {}", attempt.request_id, attempt.attempt_index)
+            format!("send {} {}", attempt.request_id, attempt.attempt_index)
         }
         Effect::CancelUnsent {
             request_id,
             attempt_index,
-        } => format!("off {request_id} {attempt_index}"),
+        } => format!("cancel {request_id} {attempt_index}"),
         Effect::Abort {
             request_id,
             attempt_index,
-        } => format!("cut {request_id} {attempt_index}"),
+        } => format!("abort {request_id} {attempt_index}"),
         Effect::Finished {
             request_id,
             attempt_index,
-        } => format!("done {request_id} {attempt_index}"),
+        } => format!("finished {request_id} {attempt_index}"),
         _ => "other".to_string(),
-    };
-    effects.drain(..).map(word).collect()
-}
-
-fn arrive(engine: &mut Engine, request_id: u32, id: &str) -> Vec<String> {
-    let mut out = Vec::new();
-    engine.handle(
-        MS,
-        Input::RequestArrived {
-            request_id,
-            at: MS,
-            request: request(id),
-        },
-        &mut out,
-    );
-    words(&mut out)
+    }
 }
 
 #[test]
-fn an_id_in_hand_or_posted_is_known_and_one_never_posted_is_not() {
-    let mut one = engine("non-idempotent", Some(EndpointState::Ready));
-    assert_eq!(
-        (arrive(&mut one, 1, "a"), arrive(&mut one, 2, "a")),
-        (vec!["post 1 0".into()], vec!["known 2".into()])
-    );
-    let mut out = Vec::new();
-    one.handle(
-        9 * MS,
-        Input::AttemptProgress {
-            request_id: 1,
-            attempt_index: 0,
-            progress: AttemptProgress::Succeeded(Vec::new()),
-        },
-        &mut out,
-    );
+fn an_id_that_is_active_or_was_sent_is_a_duplicate() {
+    let mut fixture = Fixture::non_idempotent_with_ready_worker();
+
+    assert_eq!(fixture.arrive(1, "a"), ["send 1 0"]);
+    assert_eq!(fixture.arrive(2, "a"), ["duplicate 2"]);
     assert_eq!(
-        (words(&mut out), one.active_request_count()),
-        (vec!["settled 1".to_string(), "done 1 0".into()], 0)
+        fixture.progress(9, AttemptProgress::Succeeded(Vec::new())),
+        ["succeeded 1", "finished 1 0"]
     );
-    assert_eq!(arrive(&mut one, 3, "a"), ["known 3"]);
+    assert_eq!(fixture.active_requests(), 0);
+    assert_eq!(fixture.arrive(3, "a"), ["duplicate 3"]);
 }
 
-/// What breaks after it may have run is not sent again where that could do harm.
-#[test_case("non-idempotent", Outcome::ConnectionLost => vec!["done 1 0", "reversed 1"]; "once-only, may have run")]
-#[test_case("non-idempotent", Outcome::AtCapacity => vec!["done 1 0", "post 1 1"]; "once-only, proven unrun")]
-#[test_case("idempotent", Outcome::ConnectionLost => vec!["done 1 0", "post 1 1"]; "repeatable, may have run")]
-fn what_follows_an_end(effect: &str, outcome: Outcome) -> Vec<&'static str> {
-    let (mut engine, mut out) = (engine(effect, Some(EndpointState::Ready)), Vec::new());
-    arrive(&mut engine, 1, "a");
-    engine.handle(
-        5 * MS,
-        Input::AttemptProgress {
-            request_id: 1,
-            attempt_index: 0,
-            progress: AttemptProgress::Ended(outcome),
-        },
-        &mut out,
-    );
-    let known = ["done 1 0", "reversed 1", "post 1 1", "declined 1"];
-    words(&mut out)
-        .iter()
-        .map(|word| {
-            *known
-                .iter()
-                .find(|known| *known == word)
-                .unwrap_or(&"other")
-        })
-        .collect()
+#[test_case("non-idempotent", Outcome::ConnectionLost, &["finished 1 0", "failed 1"]; "non-idempotent, may have run")]
+#[test_case("non-idempotent", Outcome::AtCapacity, &["finished 1 0", "send 1 1"]; "non-idempotent, proven not to have run")]
+#[test_case("idempotent", Outcome::ConnectionLost, &["finished 1 0", "send 1 1"]; "idempotent, may have run")]
+fn a_request_that_may_have_run_is_retried_only_if_idempotent(
+    idempotency: &str,
+    outcome: Outcome,
+    expected: &[&str],
+) {
+    let mut fixture = Fixture::new(idempotency, Some(EndpointState::Ready));
+    fixture.arrive(1, "a");
+
+    let effects = fixture.progress(5, AttemptProgress::Ended(outcome));
+
+    assert_eq!(effects, expected);
 }
 
 #[test]
-fn a_client_that_leaves_has_its_posting_called_off_and_gets_no_answer() {
-    let (mut engine, mut out) = (
-        engine("non-idempotent", Some(EndpointState::Ready)),
-        Vec::new(),
-    );
-    arrive(&mut engine, 1, "a");
-    engine.handle(5 * MS, Input::ClientDisconnected(1), &mut out);
-    assert_eq!(words(&mut out), ["off 1 0"]);
-    engine.handle(
-        6 * MS,
-        Input::AttemptProgress {
-            request_id: 1,
-            attempt_index: 0,
-            progress: AttemptProgress::Succeeded(Vec::new()),
-        },
-        &mut out,
+fn a_client_that_disconnects_has_its_attempt_cancelled_and_gets_no_answer() {
+    let mut fixture = Fixture::non_idempotent_with_ready_worker();
+    fixture.arrive(1, "a");
+
+    assert_eq!(
+        fixture.handle(5, Input::ClientDisconnected(1)),
+        ["cancel 1 0"]
     );
     assert_eq!(
-        (words(&mut out), engine.active_request_count()),
-        (vec!["done 1 0".to_string()], 0)
+        fixture.progress(6, AttemptProgress::Succeeded(Vec::new())),
+        ["finished 1 0"]
     );
+    assert_eq!(fixture.active_requests(), 0);
 }
 
 #[test]
-fn at_its_deadline_an_attempt_is_cut_and_the_request_answered_before_its_client_gives_up() {
-    let (mut engine, mut out) = (
-        engine("non-idempotent", Some(EndpointState::Ready)),
-        Vec::new(),
-    );
-    arrive(&mut engine, 1, "a");
-    let mut at = 0;
-    while let Some(due) = engine.next_timer().filter(|due| *due < 2_000 * MS) {
-        at = due;
-        engine.fire_next_timer(due, &mut out);
-        if !out.is_empty() {
-            break;
-        }
+fn at_its_deadline_an_attempt_is_aborted_and_the_request_answered_before_its_client_gives_up() {
+    let mut fixture = Fixture::non_idempotent_with_ready_worker();
+    fixture.arrive(1, "a");
+
+    let mut effects = Vec::new();
+    let mut answered_at = 0;
+    while let Some(timer) = fixture.engine.next_timer()
+        && timer < 2_000 * MILLISECOND
+        && effects.is_empty()
+    {
+        answered_at = timer;
+        fixture.engine.fire_next_timer(timer, &mut effects);
     }
-    assert_eq!(
-        (words(&mut out), at),
-        (vec!["cut 1 0".to_string(), "reversed 1".into()], 481 * MS)
-    );
+
+    let effects: Vec<_> = effects.into_iter().map(describe).collect();
+    assert_eq!(effects, ["abort 1 0", "failed 1"]);
+    assert_eq!(answered_at, 481 * MILLISECOND);
 }
 
 #[test]
-fn a_stop_brings_all_forward_to_its_moment() {
-    let (mut engine, mut out) = (
-        engine("non-idempotent", Some(EndpointState::Ready)),
-        Vec::new(),
-    );
-    arrive(&mut engine, 1, "a");
-    engine.handle(10 * MS, Input::ShutDown(100 * MS), &mut out);
-    while engine.next_timer().is_some_and(|due| due <= 100 * MS) {
-        engine.fire_next_timer(100 * MS, &mut out);
+fn a_shutdown_brings_deadlines_forward_to_its_own() {
+    let mut fixture = Fixture::non_idempotent_with_ready_worker();
+    fixture.arrive(1, "a");
+    let shutdown_deadline = 100 * MILLISECOND;
+
+    let effects = fixture.handle(10, Input::ShutDown(shutdown_deadline));
+    assert_eq!(effects, Vec::<String>::new());
+    let mut effects = Vec::new();
+    while fixture
+        .engine
+        .next_timer()
+        .is_some_and(|timer| timer <= shutdown_deadline)
+    {
+        fixture
+            .engine
+            .fire_next_timer(shutdown_deadline, &mut effects);
     }
-    assert_eq!(
-        (words(&mut out), engine.active_request_count()),
-        (vec!["cut 1 0".to_string(), "reversed 1".into()], 0)
-    );
+
+    let effects: Vec<_> = effects.into_iter().map(describe).collect();
+    assert_eq!(effects, ["abort 1 0", "failed 1"]);
+    assert_eq!(fixture.active_requests(), 0);
 }
 
 #[test_case(None; "no worker is known")]
 #[test_case(Some(EndpointState::Draining); "the only one drains")]
-fn nothing_is_posted_without_a_worker_that_is_ready(state: Option<EndpointState>) {
-    let mut engine = engine("non-idempotent", state);
-    assert_eq!(arrive(&mut engine, 1, "a"), Vec::<String>::new());
+fn nothing_is_sent_without_a_worker_that_is_ready(worker_state: Option<EndpointState>) {
+    let mut fixture = Fixture::new("non-idempotent", worker_state);
+    assert_eq!(fixture.arrive(1, "a"), Vec::<String>::new());
 }
