--- a/crates/log-stats/src/main.rs
+++ b/crates/log-stats/src/main.rs
@@ -1,8 +1,9 @@
-//! The command: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug`, and prints its sums by second.
+//! The command: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug`, and prints statistics over them.
 use clap::Parser;
-use rosewall_log_stats::Tally;
+use rosewall_log_stats::Statistics;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use std::time::Duration;
 
 #[derive(Parser)]
 #[command(
@@ -15,16 +16,23 @@
     #[arg(required = true)]
     logs: Vec<PathBuf>,
     /// How long a worker counts as cold after its start, in seconds
-    #[arg(long, default_value_t = 20.0)]
-    cold: f64,
+    #[arg(long, value_name = "SECONDS", default_value = "20", value_parser = parse_seconds)]
+    cold: Duration,
+}
+
+fn parse_seconds(text: &str) -> Result<Duration, String> {
+    let seconds: f64 = text
+        .parse()
+        .map_err(|error| format!("{error}, expected a number of seconds"))?;
+    Ok(Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX))
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let mut tally = Tally::new(cli.cold);
+    let mut statistics = Statistics::new(cli.cold);
     for path in &cli.logs {
         match std::fs::read(path) {
-            Ok(text) => tally.read(&String::from_utf8_lossy(&text)),
+            Ok(text) => statistics.add_log(&String::from_utf8_lossy(&text)),
             Err(error) => {
                 eprintln!(
                     "rosewall-log-stats: cannot read {}: {error}",
@@ -34,6 +42,6 @@
             }
         }
     }
-    print!("{tally}");
+    print!("{statistics}");
     ExitCode::SUCCESS
 }
