--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -202,7 +202,7 @@
         .is_some_and(|allowed| allowed != "false");
     if allowed {
         log::warn!(
-            "no talk between dispatchers: the settings allow it, but the file gives no addresses for it"
+            "load reports between dispatchers are off: the settings allow them, but the file has neither talk nor cluster"
         );
         settings.insert(PEER_LOAD_ALLOWED.into(), "false".into());
     }
--- a/crates/engine/src/config/error.rs
+++ b/crates/engine/src/config/error.rs
@@ -7,7 +7,7 @@
 /// Why a configuration cannot be used. The messages name the key or setting, its value and what is expected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The text is not JSON, or a key is missing, unknown or of the wrong form.
+    /// The text is not JSON, or a key is missing or of the wrong form; the text names it, line and column.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// The seed cannot be read.
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -83,7 +83,7 @@
 }
 
 impl ResourceLimits {
-    /// Limits for a process that may use so many descriptors and so much memory.
+    /// Limits for a process that may use `max_descriptors` and `memory_mb` MiB of memory.
     pub fn new(max_descriptors: usize, memory_mb: usize) -> Self {
         let limits = ResourceLimits::default();
         limits.set_limits(max_descriptors, memory_mb);
