--- a/crates/engine/src/config/error.rs
+++ b/crates/engine/src/config/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The text is not JSON, or a key is missing or of the wrong form; the text names it, line and column.
-    #[error("{0}")]
+    #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The seed cannot be read.
     #[error("seed {value:?} is no number: expected up to 16 hexadecimal digits")]
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -52,8 +52,8 @@
     }
 }
 
-fn below(chance: &mut Pcg, limit: u64) -> u64 {
-    (chance.unit() * limit as f64) as u64
+fn below(rng: &mut Pcg, limit: u64) -> u64 {
+    (rng.unit() * limit as f64) as u64
 }
 
 fn add_numbers(digest: &mut Sha256, numbers: &[u64]) {
@@ -153,14 +153,14 @@
 struct Model {
     engine: Engine,
     names: Names,
-    intake: RequestReader,
-    replies: BTreeMap<(RequestId, u8), AttemptResponseReader>,
+    request_reader: RequestReader,
+    response_readers: BTreeMap<(RequestId, u8), AttemptResponseReader>,
     now: Nanos,
     queue: BTreeMap<(Nanos, u64), Next>,
     serial: u64,
     next_request: RequestId,
     list_number: u64,
-    chance: Pcg,
+    rng: Pcg,
     digest: Sha256,
     effects: u64,
 }
@@ -178,14 +178,14 @@
                 EndpointTable::default(),
             ),
             names: names(),
-            intake: RequestReader::default(),
-            replies: BTreeMap::new(),
+            request_reader: RequestReader::default(),
+            response_readers: BTreeMap::new(),
             now: SECOND,
             queue: BTreeMap::new(),
             serial: 0,
             next_request: 0,
             list_number: 10,
-            chance: Pcg::new(seed),
+            rng: Pcg::new(seed),
             digest: Sha256::new(),
             effects: 0,
         };
@@ -208,7 +208,7 @@
     }
 
     fn below(&mut self, limit: u64) -> u64 {
-        below(&mut self.chance, limit)
+        below(&mut self.rng, limit)
     }
 
     fn push(&mut self, delay: Nanos, next: Next) {
@@ -216,7 +216,7 @@
         self.queue.insert((self.now + delay, self.serial), next);
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let mut effects = Vec::new();
         self.engine.handle(self.now, input, &mut effects);
         self.carry_out(effects);
@@ -237,8 +237,8 @@
                 );
             }
         }
-        if let Some(due) = self.engine.next_timer() {
-            self.push(due.saturating_sub(self.now), Next::Timers);
+        if let Some(timer) = self.engine.next_timer() {
+            self.push(timer.saturating_sub(self.now), Next::Timers);
         }
     }
 
@@ -288,7 +288,7 @@
 
     /// A worker takes an attempt, and answers in the protocol's lines, or breaks off.
     fn work(&mut self, request: RequestId, attempt: u8, worker: WorkerId, id: String) {
-        self.replies
+        self.response_readers
             .insert((request, attempt), AttemptResponseReader::new(id.clone()));
         let hung = worker.port % 7 == 3;
         let start = (1 + self.below(40)) * MILLISECOND;
@@ -333,36 +333,36 @@
     }
 
     fn answer(&mut self, request: RequestId, attempt: u8, bytes: &[u8], closes: bool) {
-        let Some(mut reply) = self.replies.remove(&(request, attempt)) else {
+        let Some(mut reader) = self.response_readers.remove(&(request, attempt)) else {
             return;
         };
         let piece = 1 + self.below(40) as usize;
-        let mut told = Vec::new();
+        let mut all_progress = Vec::new();
         for piece in bytes.chunks(piece) {
-            reply.feed(piece);
-            told.extend(std::iter::from_fn(|| reply.next_progress()));
+            reader.feed(piece);
+            all_progress.extend(std::iter::from_fn(|| reader.next_progress()));
         }
         if closes {
-            told.extend(reply.connection_closed());
+            all_progress.extend(reader.connection_closed());
         }
         let flags = [
-            u64::from(reply.is_finished()),
-            u64::from(reply.is_reusable()),
+            u64::from(reader.is_finished()),
+            u64::from(reader.is_reusable()),
         ];
         add_numbers(&mut self.digest, &flags);
-        self.replies.insert((request, attempt), reply);
-        for told in told {
-            match &told {
+        self.response_readers.insert((request, attempt), reader);
+        for progress in all_progress {
+            match &progress {
                 AttemptProgress::Started => add_numbers(&mut self.digest, &[21]),
                 AttemptProgress::Succeeded(result) => add_bytes(&mut self.digest, result),
                 AttemptProgress::Ended(outcome) => {
                     add_numbers(&mut self.digest, &[22, outcome_number(*outcome)])
                 }
             }
-            self.take(Input::AttemptProgress {
+            self.handle_input(Input::AttemptProgress {
                 request_id: request,
                 attempt_index: attempt,
-                progress: told,
+                progress,
             });
         }
     }
@@ -373,7 +373,7 @@
         let class = ["thumb", "charge", "mail", "none"]
             [self.below(40).min(3 * self.below(40)) as usize % 4];
         let number = self.below(4_000);
-        let timeout = 0.05 + self.chance.unit() * 2.0;
+        let timeout = 0.05 + self.rng.unit() * 2.0;
         let mut text = format!(
             "POST /api/{number} HTTP/1.1\r\nRequest-Id: id{number}\r\nRequest-Class: {class}\r\nTenant: zeta\r\n\
              Request-Timeout: {timeout:.3}\r\nIdempotency-Key: k{number}\r\n"
@@ -399,20 +399,20 @@
         }
         let piece = 1 + self.below(90) as usize;
         for piece in bytes.chunks(piece) {
-            self.intake.feed(piece);
-            while let Some(heard) = self.intake.next_event(&self.names) {
-                self.hear(heard);
+            self.request_reader.feed(piece);
+            while let Some(event) = self.request_reader.next_event(&self.names) {
+                self.handle_client_event(event);
             }
         }
         let flags = [
-            u64::from(self.intake.is_idle()),
-            self.intake.buffered_bytes() as u64,
+            u64::from(self.request_reader.is_idle()),
+            self.request_reader.buffered_bytes() as u64,
         ];
         add_numbers(&mut self.digest, &flags);
     }
 
-    fn hear(&mut self, heard: ClientEvent) {
-        match heard {
+    fn handle_client_event(&mut self, event: ClientEvent) {
+        match event {
             ClientEvent::ContinueExpected => add_numbers(&mut self.digest, &[31]),
             ClientEvent::ReadinessCheck { keep_alive } => {
                 add_numbers(&mut self.digest, &[32, u64::from(keep_alive)])
@@ -422,7 +422,7 @@
                     &mut self.digest,
                     &encode_response(status, "", reason.as_bytes(), false),
                 );
-                self.intake = RequestReader::default();
+                self.request_reader = RequestReader::default();
             }
             ClientEvent::Request(request) => {
                 self.next_request += 1;
@@ -431,7 +431,7 @@
                     let delay = self.below(300) * MILLISECOND;
                     self.push(delay, Next::Disconnect(request_id));
                 }
-                self.take(Input::RequestArrived {
+                self.handle_input(Input::RequestArrived {
                     request_id,
                     at: self.now,
                     request,
@@ -440,12 +440,12 @@
         }
     }
 
-    fn list_text(&mut self, whole: bool) -> String {
+    fn list_text(&mut self, is_snapshot: bool) -> String {
         self.list_number += 1 + self.below(3);
         let number = self.list_number - 4 * u64::from(self.below(9) == 0);
         let mut hosts = Vec::new();
         for at in 0..14 {
-            if !whole && self.below(3) != 0 {
+            if !is_snapshot && self.below(3) != 0 {
                 continue;
             }
             let health = match self.below(30) {
@@ -473,14 +473,14 @@
         } else {
             hosts.join(",")
         };
-        format!("{{\"seq\":{number},\"whole\":{whole},\"hosts\":[{hosts}]}}")
+        format!("{{\"seq\":{number},\"whole\":{is_snapshot},\"hosts\":[{hosts}]}}")
     }
 
     fn list(&mut self) {
         let delay = (100 + self.below(800)) * MILLISECOND;
         self.push(delay, Next::List);
-        let whole = self.below(4) == 0;
-        let text = self.list_text(whole);
+        let is_snapshot = self.below(4) == 0;
+        let text = self.list_text(is_snapshot);
         let bytes = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
@@ -496,8 +496,8 @@
             {
                 add_numbers(&mut self.digest, &[41, u64::from(reusable)]);
                 match decode_endpoint_list(&text, &self.names) {
-                    Ok(list) => self.take(Input::EndpointList(list)),
-                    Err(_) => self.take(Input::EndpointListFailed),
+                    Ok(list) => self.handle_input(Input::EndpointList(list)),
+                    Err(_) => self.handle_input(Input::EndpointListFailed),
                 }
             }
         }
@@ -514,7 +514,7 @@
             speed_code: 100 + self.below(50) as u8,
         };
         let from = self.below(12) as u16;
-        self.take(Input::PeerLoad { from, load });
+        self.handle_input(Input::PeerLoad { from, load });
     }
 
     fn peer_view(&mut self) {
@@ -525,11 +525,11 @@
             rank: 3,
             dispatchers: count,
         });
-        self.take(Input::FleetView(view));
+        self.handle_input(Input::FleetView(view));
         if self.below(2) == 0 {
             let worker = rosewall_engine::endpoints::worker_id(&format!("w{}", self.below(14)));
             let until = self.now + SECOND;
-            self.take(Input::WarmUpGranted {
+            self.handle_input(Input::WarmUpGranted {
                 worker,
                 work: 90 * MILLISECOND,
                 until,
@@ -542,8 +542,8 @@
         while self.engine.fire_next_timer(self.now, &mut effects) {}
         if !effects.is_empty() {
             self.carry_out(effects);
-        } else if let Some(due) = self.engine.next_timer().filter(|due| *due > self.now) {
-            self.push(due - self.now, Next::Timers);
+        } else if let Some(timer) = self.engine.next_timer().filter(|timer| *timer > self.now) {
+            self.push(timer - self.now, Next::Timers);
         }
     }
 
@@ -554,7 +554,7 @@
             Next::Timers => self.run_timers(),
             Next::PeerReport => self.peer_report(),
             Next::PeerView => self.peer_view(),
-            Next::Disconnect(request) => self.take(Input::ClientDisconnected(request)),
+            Next::Disconnect(request) => self.handle_input(Input::ClientDisconnected(request)),
             Next::Answer {
                 request,
                 attempt,
@@ -563,13 +563,13 @@
             } => {
                 self.answer(request, attempt, &bytes, closes);
             }
-            Next::Stop => self.take(Input::ShutDown(self.now + 2 * SECOND)),
+            Next::Stop => self.handle_input(Input::ShutDown(self.now + 2 * SECOND)),
         }
     }
 
-    fn play(mut self, until: Nanos) -> (u64, String) {
+    fn run(mut self, end: Nanos) -> (u64, String) {
         while let Some(((at, _), next)) = self.queue.pop_first() {
-            if at > until {
+            if at > end {
                 break;
             }
             self.now = at;
@@ -598,8 +598,8 @@
 #[test_case("warm_up_grants=true endpoints.mode=pushed" =>
     "33625 effects, b5ce976889a39cb2 ec1366f6b53d22ab abe7e42744fadfe5 22c6b42ae6f53bb7"; "warm-up grants and a pushed list")]
 fn bytes_and_commands_are_the_same(overrides: &str) -> String {
-    let plays = (0..4).map(|seed| Model::new(overrides, seed).play(18 * SECOND));
-    let (effects, digests): (Vec<u64>, Vec<String>) = plays.unzip();
+    let runs = (0..4).map(|seed| Model::new(overrides, seed).run(18 * SECOND));
+    let (effects, digests): (Vec<u64>, Vec<String>) = runs.unzip();
     format!(
         "{} effects, {}",
         effects.iter().sum::<u64>(),
