--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -9,7 +9,7 @@
 use rosewall::types::{FleetPosition, Nanos, Outcome, PeerLoad, RequestId, WorkerId};
 use rosewall_engine::counters::Counters;
 use rosewall_engine::endpoints::EndpointTable;
-use rosewall_engine::engine::{Effect, Engine, Input};
+use rosewall_engine::engine::{Effect, Engine, Input, OutboundAttempt};
 use rosewall_protocol::client::{ClientEvent, RequestReader, encode_answer, encode_response};
 use rosewall_protocol::discovery::{
     EndpointListReader, Watch, decode_endpoint_list, encode_list_request,
@@ -52,8 +52,8 @@
     }
 }
 
-fn below(chance: &mut Pcg, limit: u64) -> u64 {
-    (chance.unit() * limit as f64) as u64
+fn below(rng: &mut Pcg, limit: u64) -> u64 {
+    (rng.unit() * limit as f64) as u64
 }
 
 fn add_numbers(digest: &mut Sha256, numbers: &[u64]) {
@@ -92,6 +92,47 @@
     }
 }
 
+fn add_attempt(digest: &mut Sha256, attempt: &OutboundAttempt) {
+    let numbers = [
+        2,
+        u64::from(attempt.request_id),
+        u64::from(attempt.attempt_index),
+        worker_number(&attempt.worker),
+        u64::from(attempt.address.port()),
+    ];
+    add_numbers(digest, &numbers);
+    add_numbers(digest, &[attempt.connect_timeout]);
+    add_bytes(digest, attempt.id.as_bytes());
+    add_bytes(digest, &attempt.message);
+}
+
+fn add_attempt_key(digest: &mut Sha256, tag: u64, request_id: RequestId, attempt_index: u8) {
+    add_numbers(
+        digest,
+        &[tag, u64::from(request_id), u64::from(attempt_index)],
+    );
+}
+
+fn add_load(digest: &mut Sha256, load: &PeerLoad) {
+    let numbers = [
+        u64::from(load.half_slots),
+        u64::from(load.work_units),
+        u64::from(load.speed_code),
+    ];
+    add_numbers(digest, &numbers);
+}
+
+fn add_list_requests(digest: &mut Sha256, version: u64) {
+    let host = "10.2.0.1:8500";
+    let watch = Watch {
+        version,
+        wait_ms: 5,
+    };
+    add_numbers(digest, &[11]);
+    add_bytes(digest, &encode_list_request(host, None));
+    add_bytes(digest, &encode_list_request(host, Some(watch)));
+}
+
 enum Next {
     Arrival,
     List,
@@ -112,14 +153,14 @@
 struct Model {
     engine: Engine,
     names: Names,
-    intake: RequestReader,
-    replies: BTreeMap<(RequestId, u8), AttemptResponseReader>,
+    request_reader: RequestReader,
+    response_readers: BTreeMap<(RequestId, u8), AttemptResponseReader>,
     now: Nanos,
     queue: BTreeMap<(Nanos, u64), Next>,
     serial: u64,
     next_request: RequestId,
     list_number: u64,
-    chance: Pcg,
+    rng: Pcg,
     digest: Sha256,
     effects: u64,
 }
@@ -137,14 +178,14 @@
                 EndpointTable::default(),
             ),
             names: names(),
-            intake: RequestReader::default(),
-            replies: BTreeMap::new(),
+            request_reader: RequestReader::default(),
+            response_readers: BTreeMap::new(),
             now: SECOND,
             queue: BTreeMap::new(),
             serial: 0,
             next_request: 0,
             list_number: 10,
-            chance: Pcg::new(seed),
+            rng: Pcg::new(seed),
             digest: Sha256::new(),
             effects: 0,
         };
@@ -167,7 +208,7 @@
     }
 
     fn below(&mut self, limit: u64) -> u64 {
-        below(&mut self.chance, limit)
+        below(&mut self.rng, limit)
     }
 
     fn push(&mut self, delay: Nanos, next: Next) {
@@ -175,7 +216,7 @@
         self.queue.insert((self.now + delay, self.serial), next);
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let mut effects = Vec::new();
         self.engine.handle(self.now, input, &mut effects);
         self.carry_out(effects);
@@ -196,8 +237,8 @@
                 );
             }
         }
-        if let Some(due) = self.engine.next_timer() {
-            self.push(due.saturating_sub(self.now), Next::Timers);
+        if let Some(timer) = self.engine.next_timer() {
+            self.push(timer.saturating_sub(self.now), Next::Timers);
         }
     }
 
@@ -205,66 +246,31 @@
         let keeps_open = self.effects.is_multiple_of(3);
         let digest = &mut self.digest;
         match effect {
-            Effect::Answer {
-                request_id,
-                answer: config,
-            } => {
+            Effect::Answer { request_id, answer } => {
                 add_numbers(digest, &[1, u64::from(*request_id)]);
-                add_bytes(digest, &encode_answer(config, keeps_open));
-            }
-            Effect::SendAttempt(attempt) => {
-                let (index, port) = (
-                    u64::from(attempt.attempt_index),
-                    u64::from(attempt.address.port()),
-                );
-                add_numbers(
-                    digest,
-                    &[
-                        2,
-                        u64::from(attempt.request_id),
-                        index,
-                        worker_number(&attempt.worker),
-                        port,
-                    ],
-                );
-                add_numbers(digest, &[attempt.connect_within]);
-                add_bytes(digest, attempt.id.as_bytes());
-                add_bytes(digest, &attempt.message);
+                add_bytes(digest, &encode_answer(answer, keeps_open));
             }
+            Effect::SendAttempt(attempt) => add_attempt(digest, attempt),
             Effect::CancelUnsent {
                 request_id,
                 attempt_index,
-            } => add_numbers(
-                digest,
-                &[3, u64::from(*request_id), u64::from(*attempt_index)],
-            ),
+            } => add_attempt_key(digest, 3, *request_id, *attempt_index),
             Effect::Abort {
                 request_id,
                 attempt_index,
-            } => add_numbers(
-                digest,
-                &[4, u64::from(*request_id), u64::from(*attempt_index)],
-            ),
+            } => add_attempt_key(digest, 4, *request_id, *attempt_index),
             Effect::Finished {
                 request_id,
                 attempt_index,
-            } => add_numbers(
-                digest,
-                &[5, u64::from(*request_id), u64::from(*attempt_index)],
-            ),
+            } => add_attempt_key(digest, 5, *request_id, *attempt_index),
             Effect::CheckHealth { worker, .. } => add_numbers(digest, &[6, worker_number(worker)]),
             Effect::EvictIdle { worker, address } => {
                 let port = address.map_or(0, |address| u64::from(address.port()));
                 add_numbers(digest, &[7, worker_number(worker), port]);
             }
             Effect::SendPeerLoad { to, load } => {
-                let numbers = [
-                    u64::from(load.half_slots),
-                    u64::from(load.work),
-                    u64::from(load.speed_code),
-                ];
                 add_numbers(digest, &[8, u64::from(*to), worker_number(&load.worker)]);
-                add_numbers(digest, &numbers);
+                add_load(digest, load);
             }
             Effect::RequestWarmUpGrant { worker, work } => {
                 add_numbers(digest, &[9, worker_number(worker), *work])
@@ -276,26 +282,13 @@
             } => {
                 add_numbers(digest, &[10, worker_number(worker), *work, *window]);
             }
-            Effect::WatchEndpoints => {
-                add_numbers(digest, &[11]);
-                add_bytes(digest, &encode_list_request("10.2.0.1:8500", None));
-                add_bytes(
-                    digest,
-                    &encode_list_request(
-                        "10.2.0.1:8500",
-                        Some(Watch {
-                            version: self.list_number,
-                            wait_ms: 5,
-                        }),
-                    ),
-                );
-            }
+            Effect::WatchEndpoints => add_list_requests(digest, self.list_number),
         }
     }
 
     /// A worker takes an attempt, and answers in the protocol's lines, or breaks off.
     fn work(&mut self, request: RequestId, attempt: u8, worker: WorkerId, id: String) {
-        self.replies
+        self.response_readers
             .insert((request, attempt), AttemptResponseReader::new(id.clone()));
         let hung = worker.port % 7 == 3;
         let start = (1 + self.below(40)) * MILLISECOND;
@@ -316,92 +309,60 @@
             _ if hung => return,
             _ => (line("done") + "0\r\n\r\n", false),
         };
+        let answer = |bytes: &str, closes: bool| Next::Answer {
+            request,
+            attempt,
+            bytes: bytes.as_bytes().to_vec(),
+            closes,
+        };
         match self.below(50) {
             0 => {
-                let bytes =
-                    b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
-                return self.push(
-                    start,
-                    Next::Answer {
-                        request,
-                        attempt,
-                        bytes,
-                        closes: false,
-                    },
-                );
+                let busy = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+                self.push(start, answer(busy, false));
             }
             1 => {
-                let bytes = b"HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno".to_vec();
-                return self.push(
-                    start,
-                    Next::Answer {
-                        request,
-                        attempt,
-                        bytes,
-                        closes: true,
-                    },
-                );
+                let invalid = "HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno";
+                self.push(start, answer(invalid, true));
             }
-            2 => {
-                return self.push(
-                    start,
-                    Next::Answer {
-                        request,
-                        attempt,
-                        bytes: Vec::new(),
-                        closes: true,
-                    },
-                );
+            2 => self.push(start, answer("", true)),
+            _ => {
+                self.push(start, answer(&first, false));
+                self.push(start + run, answer(&second, closes));
             }
-            _ => {}
         }
-        let first = Next::Answer {
-            request,
-            attempt,
-            bytes: first.into_bytes(),
-            closes: false,
-        };
-        self.push(start, first);
-        let second = Next::Answer {
-            request,
-            attempt,
-            bytes: second.into_bytes(),
-            closes,
-        };
-        self.push(start + run, second);
     }
 
     fn answer(&mut self, request: RequestId, attempt: u8, bytes: &[u8], closes: bool) {
-        let Some(mut reply) = self.replies.remove(&(request, attempt)) else {
+        let Some(mut reader) = self.response_readers.remove(&(request, attempt)) else {
             return;
         };
         let piece = 1 + self.below(40) as usize;
-        let mut told = Vec::new();
+        let mut all_progress = Vec::new();
         for piece in bytes.chunks(piece) {
-            reply.feed(piece);
-            told.extend(std::iter::from_fn(|| reply.next_progress()));
+            reader.feed(piece);
+            all_progress.extend(std::iter::from_fn(|| reader.next_progress()));
         }
         if closes {
-            told.extend(reply.connection_closed());
+            all_progress.extend(reader.connection_closed());
         }
         let flags = [
-            u64::from(reply.is_finished()),
-            u64::from(reply.is_reusable()),
+            u64::from(reader.is_finished()),
+            u64::from(reader.is_reusable()),
         ];
         add_numbers(&mut self.digest, &flags);
-        self.replies.insert((request, attempt), reply);
-        for told in told {
-            match &told {
+        self.response_readers.insert((request, attempt), reader);
+        for progress in all_progress {
+            match &progress {
                 AttemptProgress::Started => add_numbers(&mut self.digest, &[21]),
                 AttemptProgress::Succeeded(result) => add_bytes(&mut self.digest, result),
                 AttemptProgress::Ended(outcome) => {
                     add_numbers(&mut self.digest, &[22, outcome_number(*outcome)])
                 }
             }
-            self.take(Input::AttemptProgress {
+            self.handle_input(Input::AttemptProgress {
                 request_id: request,
                 attempt_index: attempt,
-                told,
+                progress,
             });
         }
     }
@@ -412,7 +373,7 @@
         let class = ["thumb", "charge", "mail", "none"]
             [self.below(40).min(3 * self.below(40)) as usize % 4];
         let number = self.below(4_000);
-        let timeout = 0.05 + self.chance.unit() * 2.0;
+        let timeout = 0.05 + self.rng.unit() * 2.0;
         let mut text = format!(
             "POST /api/{number} HTTP/1.1\r\nRequest-Id: id{number}\r\nRequest-Class: {class}\r\nTenant: zeta\r\n\
              Request-Timeout: {timeout:.3}\r\nIdempotency-Key: k{number}\r\n"
@@ -438,20 +399,20 @@
         }
         let piece = 1 + self.below(90) as usize;
         for piece in bytes.chunks(piece) {
-            self.intake.feed(piece);
-            while let Some(heard) = self.intake.next_event(&self.names) {
-                self.hear(heard);
+            self.request_reader.feed(piece);
+            while let Some(event) = self.request_reader.next_event(&self.names) {
+                self.handle_client_event(event);
             }
         }
         let flags = [
-            u64::from(self.intake.is_idle()),
-            self.intake.buffered_bytes() as u64,
+            u64::from(self.request_reader.is_idle()),
+            self.request_reader.buffered_bytes() as u64,
         ];
         add_numbers(&mut self.digest, &flags);
     }
 
-    fn hear(&mut self, heard: ClientEvent) {
-        match heard {
+    fn handle_client_event(&mut self, event: ClientEvent) {
+        match event {
             ClientEvent::ContinueExpected => add_numbers(&mut self.digest, &[31]),
             ClientEvent::ReadinessCheck { keep_alive } => {
                 add_numbers(&mut self.digest, &[32, u64::from(keep_alive)])
@@ -461,7 +422,7 @@
                     &mut self.digest,
                     &encode_response(status, "", reason.as_bytes(), false),
                 );
-                self.intake = RequestReader::default();
+                self.request_reader = RequestReader::default();
             }
             ClientEvent::Request(request) => {
                 self.next_request += 1;
@@ -470,7 +431,7 @@
                     let delay = self.below(300) * MILLISECOND;
                     self.push(delay, Next::Disconnect(request_id));
                 }
-                self.take(Input::RequestArrived {
+                self.handle_input(Input::RequestArrived {
                     request_id,
                     at: self.now,
                     request,
@@ -479,12 +440,12 @@
         }
     }
 
-    fn list_text(&mut self, whole: bool) -> String {
+    fn list_text(&mut self, is_snapshot: bool) -> String {
         self.list_number += 1 + self.below(3);
         let number = self.list_number - 4 * u64::from(self.below(9) == 0);
         let mut hosts = Vec::new();
         for at in 0..14 {
-            if !whole && self.below(3) != 0 {
+            if !is_snapshot && self.below(3) != 0 {
                 continue;
             }
             let health = match self.below(30) {
@@ -512,14 +473,14 @@
         } else {
             hosts.join(",")
         };
-        format!("{{\"seq\":{number},\"whole\":{whole},\"hosts\":[{hosts}]}}")
+        format!("{{\"seq\":{number},\"whole\":{is_snapshot},\"hosts\":[{hosts}]}}")
     }
 
     fn list(&mut self) {
         let delay = (100 + self.below(800)) * MILLISECOND;
         self.push(delay, Next::List);
-        let whole = self.below(4) == 0;
-        let text = self.list_text(whole);
+        let is_snapshot = self.below(4) == 0;
+        let text = self.list_text(is_snapshot);
         let bytes = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
@@ -535,8 +496,8 @@
             {
                 add_numbers(&mut self.digest, &[41, u64::from(reusable)]);
                 match decode_endpoint_list(&text, &self.names) {
-                    Ok(list) => self.take(Input::EndpointList(list)),
-                    Err(_) => self.take(Input::EndpointListFailed),
+                    Ok(list) => self.handle_input(Input::EndpointList(list)),
+                    Err(_) => self.handle_input(Input::EndpointListFailed),
                 }
             }
         }
@@ -545,15 +506,15 @@
     fn peer_report(&mut self) {
         let delay = (5 + self.below(60)) * MILLISECOND;
         self.push(delay, Next::PeerReport);
-        let worker = rosewall_engine::endpoints::id(&format!("w{}", self.below(14)));
+        let worker = rosewall_engine::endpoints::worker_id(&format!("w{}", self.below(14)));
         let load = PeerLoad {
             worker,
             half_slots: self.below(9) as u8,
-            work: self.below(100) as u16,
+            work_units: self.below(100) as u16,
             speed_code: 100 + self.below(50) as u8,
         };
         let from = self.below(12) as u16;
-        self.take(Input::PeerLoad { from, load });
+        self.handle_input(Input::PeerLoad { from, load });
     }
 
     fn peer_view(&mut self) {
@@ -564,11 +525,11 @@
             rank: 3,
             dispatchers: count,
         });
-        self.take(Input::FleetView(view));
+        self.handle_input(Input::FleetView(view));
         if self.below(2) == 0 {
-            let worker = rosewall_engine::endpoints::id(&format!("w{}", self.below(14)));
+            let worker = rosewall_engine::endpoints::worker_id(&format!("w{}", self.below(14)));
             let until = self.now + SECOND;
-            self.take(Input::WarmUpGranted {
+            self.handle_input(Input::WarmUpGranted {
                 worker,
                 work: 90 * MILLISECOND,
                 until,
@@ -581,8 +542,8 @@
         while self.engine.fire_next_timer(self.now, &mut effects) {}
         if !effects.is_empty() {
             self.carry_out(effects);
-        } else if let Some(due) = self.engine.next_timer().filter(|due| *due > self.now) {
-            self.push(due - self.now, Next::Timers);
+        } else if let Some(timer) = self.engine.next_timer().filter(|timer| *timer > self.now) {
+            self.push(timer - self.now, Next::Timers);
         }
     }
 
@@ -593,7 +554,7 @@
             Next::Timers => self.run_timers(),
             Next::PeerReport => self.peer_report(),
             Next::PeerView => self.peer_view(),
-            Next::Disconnect(request) => self.take(Input::ClientDisconnected(request)),
+            Next::Disconnect(request) => self.handle_input(Input::ClientDisconnected(request)),
             Next::Answer {
                 request,
                 attempt,
@@ -602,13 +563,13 @@
             } => {
                 self.answer(request, attempt, &bytes, closes);
             }
-            Next::Stop => self.take(Input::ShutDown(self.now + 2 * SECOND)),
+            Next::Stop => self.handle_input(Input::ShutDown(self.now + 2 * SECOND)),
         }
     }
 
-    fn play(mut self, until: Nanos) -> (u64, String) {
+    fn run(mut self, end: Nanos) -> (u64, String) {
         while let Some(((at, _), next)) = self.queue.pop_first() {
-            if at > until {
+            if at > end {
                 break;
             }
             self.now = at;
@@ -637,8 +598,8 @@
 #[test_case("warm_up_grants=true endpoints.mode=pushed" =>
     "33625 effects, b5ce976889a39cb2 ec1366f6b53d22ab abe7e42744fadfe5 22c6b42ae6f53bb7"; "warm-up grants and a pushed list")]
 fn bytes_and_commands_are_the_same(overrides: &str) -> String {
-    let plays = (0..4).map(|seed| Model::new(overrides, seed).play(18 * SECOND));
-    let (effects, digests): (Vec<u64>, Vec<String>) = plays.unzip();
+    let runs = (0..4).map(|seed| Model::new(overrides, seed).run(18 * SECOND));
+    let (effects, digests): (Vec<u64>, Vec<String>) = runs.unzip();
     format!(
         "{} effects, {}",
         effects.iter().sum::<u64>(),
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -178,13 +178,13 @@
         let membership = cluster.membership();
         let counts = cluster.counts;
         let (rank, count) = cluster
-            .view()
+            .position()
             .map_or((0, 0), |view| (view.rank, view.dispatchers));
         write!(
             f,
             "members: rank={rank} count={count} digest={:08x} incarnation={}",
             membership.digest(),
-            membership.me.incarnation
+            membership.own_record().incarnation
         )?;
         write!(
             f,
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -137,7 +137,7 @@
             } => Input::AttemptProgress {
                 request_id,
                 attempt_index,
-                told: progress,
+                progress,
             },
             EngineEvent::ConnectionIdle { worker, connection } => {
                 // The worker may have another address by now.
@@ -209,9 +209,9 @@
                 worker,
                 address,
                 host,
-                limit,
+                timeout,
             } => {
-                let check = check_health(context.clone(), worker, address, host, limit);
+                let check = check_health(context.clone(), worker, address, host, timeout);
                 context.runtime.spawn(check).detach();
             }
             Effect::EvictIdle { worker, address } => {
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -241,9 +241,10 @@
 
 fn endpoint_table(config: &Config) -> EndpointTable {
     match &config.cluster {
-        Some(cluster) => {
-            EndpointTable::by_own_clock(cluster.max_clock_skew, config.runtime.slow_start_duration)
-        }
+        Some(cluster) => EndpointTable::with_clock_skew(
+            cluster.max_clock_skew,
+            config.runtime.slow_start_duration,
+        ),
         None => EndpointTable::default(),
     }
 }
--- a/crates/runtime/src/worker/attempt.rs
+++ b/crates/runtime/src/worker/attempt.rs
@@ -68,7 +68,7 @@
         address,
         id,
         message,
-        connect_within,
+        connect_timeout,
     } = attempt;
     let report = |progress| {
         context.report(EngineEvent::AttemptProgress {
@@ -82,7 +82,7 @@
         bytes: &message,
         cancelled: &cancelled,
     };
-    let connect_timeout = Duration::from_nanos(connect_within);
+    let connect_timeout = Duration::from_nanos(connect_timeout);
     let sent = match send(&context, pooled, address, connect_timeout, &request).await {
         Ok(sent) => sent,
         Err(outcome) => return report(AttemptProgress::Ended(outcome)),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -44,12 +44,6 @@
     },
 }
 
-impl From<SettingsError> for String {
-    fn from(error: SettingsError) -> Self {
-        error.to_string()
-    }
-}
-
 /// Reads one setting.
 ///
 /// # Errors
