--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -1,5 +1,8 @@
 //! A stand-in for discovery: one agent beside each dispatcher, which learns of changes late and publishes them as the
 //! protocol has it, or, under a fault, is silent, publishes wrong or older lists, or moves to another address.
+mod faults;
+mod list;
+
 use crate::checker::{PublishedState, WorkerIndex};
 use crate::context::Context;
 use crate::http::{Inbox, Message};
@@ -8,9 +11,10 @@
 use crate::time::MS;
 use async_channel::Sender;
 use futures_lite::{AsyncWriteExt, FutureExt};
+pub use list::Endpoint;
+use list::{EndpointList, render};
 use rosewall::types::{EndpointState, Nanos};
 use rosewall_runtime::traits::Listener;
-use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,29 +26,6 @@
 /// A body that no dispatcher can parse.
 const MALFORMED_BODY: &str = "{\"seq\":9,\"whole\":true,\"hosts\":[{}]}";
 
-/// What a list says of one worker.
-#[derive(Clone, Debug)]
-pub struct Endpoint {
-    /// Whether it takes requests.
-    pub state: EndpointState,
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// When its process started; 0 for one that has long been up.
-    pub started_at: Nanos,
-    /// Its zone.
-    pub zone: usize,
-    /// Its cell.
-    pub cell: usize,
-}
-
-#[derive(Clone, Default)]
-struct EndpointList {
-    version: u64,
-    endpoints: Vec<Option<Endpoint>>,
-    /// The version at which each endpoint changed last.
-    changed_at: Vec<u64>,
-}
-
 /// A list that was current at a moment.
 struct PastList {
     at: Nanos,
@@ -326,71 +307,6 @@
     }
 }
 
-/// The faults of an agent.
-impl DiscoveryAgent {
-    /// Answers nothing at one address until the moment.
-    pub fn silence(&self, address: usize, until: Nanos) {
-        self.silent_until.borrow_mut()[address] = until;
-    }
-
-    /// Never answers the polls that are open now.
-    pub fn forget_open_polls(&self) {
-        self.forgotten.set(self.forgotten.get() + 1);
-        self.notify_polls();
-    }
-
-    /// What it has counts as published, whether or not it was polled.
-    pub fn record_current_as_published(&self) {
-        let list = self.current.borrow().clone();
-        self.record_published(&list, None, self.dispatcher_host.get());
-    }
-
-    /// Learns of changes later until the moment.
-    pub fn delay_changes(&self, until: Nanos, by: Nanos) {
-        self.delay.set(Delay { until, by });
-    }
-
-    /// Shows the list of some time ago, for as long.
-    pub fn show_stale_list(self: &Rc<Self>, age: Nanos) {
-        let now = self.context.kernel.now();
-        let then = now.saturating_sub(age);
-        let history = self.history.borrow();
-        let Some(past) = history.iter().rev().find(|past| past.at <= then) else {
-            return;
-        };
-        *self.stale.borrow_mut() = Some(StaleList {
-            until: now + age,
-            list: past.list.clone(),
-        });
-        self.notify_polls_now_and_at(now + age);
-    }
-
-    /// Omits these workers until the moment.
-    pub fn omit_workers(self: &Rc<Self>, workers: Vec<WorkerIndex>, until: Nanos) {
-        *self.omission.borrow_mut() = Omission { until, workers };
-        self.current.borrow_mut().version += 1;
-        self.notify_polls_now_and_at(until);
-    }
-
-    /// Answers with what cannot be parsed until the moment.
-    pub fn send_malformed_lists(&self, until: Nanos) {
-        self.malformed_until.set(until);
-        self.notify_polls();
-    }
-
-    fn notify_polls_now_and_at(self: &Rc<Self>, at: Nanos) {
-        self.notify_polls();
-        let agent = self.clone();
-        self.context.kernel.spawn(async move {
-            let kernel = &agent.context.kernel;
-            kernel.sleep_until(ENVIRONMENT, at).await;
-            // A new version, so that what was shown wrongly is published anew.
-            agent.current.borrow_mut().version += 1;
-            agent.notify_polls();
-        });
-    }
-}
-
 /// What a dispatcher polls for.
 struct Poll {
     /// The version that it has.
@@ -418,36 +334,3 @@
         }
     }
 }
-
-/// A list as it goes over the wire: a snapshot, or the changes since a version.
-fn render(list: &EndpointList, since: Option<u64>) -> String {
-    let changed = |worker: &WorkerIndex| since.is_none_or(|since| list.changed_at[*worker] > since);
-    let hosts: Vec<_> = (0..list.endpoints.len())
-        .filter(changed)
-        .filter_map(|worker| {
-            let endpoint = list.endpoints[worker].as_ref()?;
-            // A snapshot does not name removed workers.
-            let omitted = since.is_none() && endpoint.state == EndpointState::Removed;
-            (!omitted).then(|| render_endpoint(worker, endpoint))
-        })
-        .collect();
-    json!({"seq": list.version, "whole": since.is_none(), "hosts": hosts}).to_string()
-}
-
-fn render_endpoint(worker: WorkerIndex, endpoint: &Endpoint) -> serde_json::Value {
-    let health = match endpoint.state {
-        EndpointState::Ready => "ready",
-        EndpointState::Draining => "draining",
-        EndpointState::Removed => "gone",
-    };
-    json!({
-        "host": format!("w{worker:03}"),
-        "dial": endpoint.address.to_string(),
-        "site": format!("z{}", endpoint.zone),
-        "class": "k",
-        "block": endpoint.cell,
-        "health": health,
-        "share": 1.0,
-        "born_ms": endpoint.started_at / MS,
-    })
-}
--- /dev/null
+++ b/crates/simulation/src/discovery/faults.rs
@@ -0,0 +1,70 @@
+//! The faults of a discovery agent.
+use super::{Delay, DiscoveryAgent, Omission, StaleList};
+use crate::checker::WorkerIndex;
+use crate::kernel::ENVIRONMENT;
+use rosewall::types::Nanos;
+use std::rc::Rc;
+
+impl DiscoveryAgent {
+    /// Answers nothing at one address until the moment.
+    pub fn silence(&self, address: usize, until: Nanos) {
+        self.silent_until.borrow_mut()[address] = until;
+    }
+
+    /// Never answers the polls that are open now.
+    pub fn forget_open_polls(&self) {
+        self.forgotten.set(self.forgotten.get() + 1);
+        self.notify_polls();
+    }
+
+    /// What it has counts as published, whether or not it was polled.
+    pub fn record_current_as_published(&self) {
+        let list = self.current.borrow().clone();
+        self.record_published(&list, None, self.dispatcher_host.get());
+    }
+
+    /// Learns of changes later until the moment.
+    pub fn delay_changes(&self, until: Nanos, by: Nanos) {
+        self.delay.set(Delay { until, by });
+    }
+
+    /// Shows the list of some time ago, for as long.
+    pub fn show_stale_list(self: &Rc<Self>, age: Nanos) {
+        let now = self.context.kernel.now();
+        let then = now.saturating_sub(age);
+        let history = self.history.borrow();
+        let Some(past) = history.iter().rev().find(|past| past.at <= then) else {
+            return;
+        };
+        *self.stale.borrow_mut() = Some(StaleList {
+            until: now + age,
+            list: past.list.clone(),
+        });
+        self.notify_polls_now_and_at(now + age);
+    }
+
+    /// Omits these workers until the moment.
+    pub fn omit_workers(self: &Rc<Self>, workers: Vec<WorkerIndex>, until: Nanos) {
+        *self.omission.borrow_mut() = Omission { until, workers };
+        self.current.borrow_mut().version += 1;
+        self.notify_polls_now_and_at(until);
+    }
+
+    /// Answers with what cannot be parsed until the moment.
+    pub fn send_malformed_lists(&self, until: Nanos) {
+        self.malformed_until.set(until);
+        self.notify_polls();
+    }
+
+    fn notify_polls_now_and_at(self: &Rc<Self>, at: Nanos) {
+        self.notify_polls();
+        let agent = self.clone();
+        self.context.kernel.spawn(async move {
+            let kernel = &agent.context.kernel;
+            kernel.sleep_until(ENVIRONMENT, at).await;
+            // A new version, so that what was shown wrongly is published anew.
+            agent.current.borrow_mut().version += 1;
+            agent.notify_polls();
+        });
+    }
+}
