--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -54,7 +54,8 @@
                 endpoints: Vec::new(),
             }
         });
-        let dispatcher = Dispatcher::start(now, config.seed, &config.settings)?;
+        let dispatcher = Dispatcher::start(now, config.seed, &config.settings)
+            .map_err(|error| error.to_string())?;
         let talk = match &config.peer_load {
             Some(talk) => {
                 let socket = runtime.bind_datagram_socket(talk.listen, None);
