--- a/crates/simulation/src/client/exchange.rs
+++ b/crates/simulation/src/client/exchange.rs
@@ -4,6 +4,7 @@
 use crate::http::Message;
 use crate::kernel::ENVIRONMENT;
 use crate::time::MS;
+use crate::timeline::TimelineEvent;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rosewall::types::Nanos;
 
@@ -45,12 +46,17 @@
     pub(super) async fn send_request(&self, dispatcher: usize, spec: RequestSpec) -> ClientOutcome {
         let kernel = &self.context.kernel;
         let request = self.create_request(&spec, None);
-        kernel.record("asks", request as u64, dispatcher as u64, || {
-            format!(
-                "request {request:08x} of class {} at dispatcher {dispatcher}",
-                spec.class
-            )
-        });
+        kernel.record(
+            TimelineEvent::RequestCreated,
+            request as u64,
+            dispatcher as u64,
+            || {
+                format!(
+                    "request {request:08x} of class {} at dispatcher {dispatcher}",
+                    spec.class
+                )
+            },
+        );
         let body_len = kernel.random(|rng| {
             if rng.chance(LARGE_BODY_SHARE) {
                 LARGE_BODY_BYTES
@@ -116,8 +122,8 @@
             Some(_) => {
                 let unread = sent.bytes_read() <= offset;
                 if unread && offset > 0 && source == ConnectionSource::IdleOrNew {
-                    kernel.record("crossed", request as u64, 0, || {
-                        format!("request {request:08x} by a close; sent again")
+                    kernel.record(TimelineEvent::RequestResent, request as u64, 0, || {
+                        format!("request {request:08x}: its idle connection was closed")
                     });
                     return None;
                 }
@@ -148,9 +154,12 @@
     pub(super) fn record_response(&self, request: RequestIndex, message: &Message) {
         let kernel = &self.context.kernel;
         let status = message.status;
-        kernel.record("answered", request as u64, status.into(), || {
-            format!("request {request:08x} with {status}")
-        });
+        kernel.record(
+            TimelineEvent::ResponseReceived,
+            request as u64,
+            status.into(),
+            || format!("request {request:08x} with {status}"),
+        );
         self.check_response(request, message);
     }
 
@@ -171,7 +180,7 @@
 
     fn connection_lost(&self, request: RequestIndex) -> ClientOutcome {
         let kernel = &self.context.kernel;
-        kernel.record("lost", request as u64, 0, || {
+        kernel.record(TimelineEvent::ResponseLost, request as u64, 0, || {
             format!("request {request:08x}: its connection ended")
         });
         self.response_lost(request, "its connection ended");
@@ -180,8 +189,8 @@
 
     fn disconnect(&self, request: RequestIndex, connection: ClientConnection) -> ClientOutcome {
         let kernel = &self.context.kernel;
-        kernel.record("left", request as u64, 0, || {
-            format!("the client of request {request:08x}")
+        kernel.record(TimelineEvent::ClientDisconnected, request as u64, 0, || {
+            format!("request {request:08x}")
         });
         self.context
             .checker
@@ -195,8 +204,8 @@
 
     fn timed_out(&self, request: RequestIndex) -> ClientOutcome {
         let kernel = &self.context.kernel;
-        kernel.record("unanswered", request as u64, 0, || {
-            format!("request {request:08x} until its client gave up")
+        kernel.record(TimelineEvent::RequestTimedOut, request as u64, 0, || {
+            format!("request {request:08x}")
         });
         self.response_lost(request, "nothing came before its deadline");
         ClientOutcome::Failed
--- a/crates/simulation/src/client/misbehaving.rs
+++ b/crates/simulation/src/client/misbehaving.rs
@@ -7,6 +7,7 @@
 use crate::rng::Rng;
 use crate::scenario::Misbehaviour;
 use crate::time::{MS, SECOND};
+use crate::timeline::TimelineEvent;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use rosewall::types::Nanos;
 use rosewall_runtime::traits::{Readiness, Stream};
@@ -79,11 +80,12 @@
         mut rng: Rng,
     ) -> Option<()> {
         let stream = self.connect(dispatcher).await?;
-        self.context
-            .kernel
-            .record("misbehaves", kind as u64, dispatcher as u64, || {
-                format!("a client at dispatcher {dispatcher}: {kind:?}")
-            });
+        self.context.kernel.record(
+            TimelineEvent::ClientMisbehaves,
+            kind as u64,
+            dispatcher as u64,
+            || format!("a client at dispatcher {dispatcher}: {kind:?}"),
+        );
         let spec = RequestSpec {
             class: rng.index(self.scenario.classes.len()),
             work: 5 * MS,
@@ -309,9 +311,12 @@
         stream.write_all(text.as_bytes()).await.ok()?;
         let message = Inbox::default().response(&mut stream).await.ok()??;
         let status = message.status;
-        kernel.record("again", request as u64, status.into(), || {
-            format!("the second of request {request:08x} with {status}")
-        });
+        kernel.record(
+            TimelineEvent::ReusedIdAnswered,
+            request as u64,
+            status.into(),
+            || format!("request {request:08x} with {status}"),
+        );
         if status == 200 {
             self.context
                 .checker
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -9,6 +9,7 @@
 use crate::kernel::ENVIRONMENT;
 use crate::network::{HostId, VirtualListener, VirtualStream};
 use crate::time::MS;
+use crate::timeline::TimelineEvent;
 use async_channel::Sender;
 use futures_lite::{AsyncWriteExt, FutureExt};
 pub use list::Endpoint;
@@ -224,10 +225,15 @@
             };
             checker.endpoint_published(kernel.now(), host, worker, published);
         }
-        kernel.record("told", host as u64, list.version, || {
-            let version = list.version;
-            format!("dispatcher host {host} of list {version} since {since:?}")
-        });
+        kernel.record(
+            TimelineEvent::EndpointsPublished,
+            host as u64,
+            list.version,
+            || {
+                let version = list.version;
+                format!("list {version} since {since:?} to dispatcher host {host}")
+            },
+        );
     }
 
     async fn accept(self: Rc<Self>, listener: VirtualListener, address: usize) {
--- a/crates/simulation/src/kernel.rs
+++ b/crates/simulation/src/kernel.rs
@@ -1,6 +1,7 @@
 //! The virtual clock and the event queue. Events of one instant happen in an order that the seed draws. The kernel
 //! knows neither the network nor the checker: it hands out events, and [`crate::context`] acts on them.
 use crate::rng::Rng;
+use crate::timeline::{Timeline, TimelineEntry, TimelineEvent};
 use async_executor::{LocalExecutor, Task};
 use rosewall::types::Nanos;
 use rustc_hash::FxHashMap;
@@ -18,9 +19,6 @@
 /// The owner of everything that is no dispatcher: clients, workers, discovery.
 pub const ENVIRONMENT: Owner = 0;
 
-const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-const FNV_PRIME: u64 = 0x0100_0000_01b3;
-
 /// Something that happens at a moment.
 pub enum Event {
     /// A timer fires.
@@ -61,14 +59,6 @@
     serial: u64,
 }
 
-/// One line of the timeline.
-pub struct TimelineEntry {
-    /// When it was recorded.
-    pub at: Nanos,
-    /// What happened.
-    pub text: String,
-}
-
 /// The virtual clock, the event queue, the randomness of the simulation and its timeline.
 pub struct Kernel {
     now: Cell<Nanos>,
@@ -79,8 +69,7 @@
     runnable: RefCell<Vec<Owner>>,
     /// How many timers each owner waits for.
     timers: RefCell<FxHashMap<Owner, usize>>,
-    digest: Cell<u64>,
-    timeline: Option<RefCell<Vec<TimelineEntry>>>,
+    timeline: RefCell<Timeline>,
 }
 
 impl Kernel {
@@ -98,8 +87,7 @@
             executor: Rc::downgrade(executor),
             runnable: RefCell::default(),
             timers: RefCell::default(),
-            digest: Cell::new(FNV_OFFSET_BASIS),
-            timeline: trace.then(RefCell::default),
+            timeline: RefCell::new(Timeline::new(trace)),
         })
     }
 
@@ -110,15 +98,12 @@
 
     /// A digest of the timeline so far.
     pub fn digest(&self) -> u64 {
-        self.digest.get()
+        self.timeline.borrow().digest()
     }
 
-    /// The timeline, where it is recorded.
+    /// Takes the lines of the timeline, where they were collected.
     pub fn take_timeline(&self) -> Vec<TimelineEntry> {
-        self.timeline
-            .as_ref()
-            .map(RefCell::take)
-            .unwrap_or_default()
+        self.timeline.borrow_mut().take_entries()
     }
 
     /// Draws from the simulation's main stream.
@@ -135,24 +120,11 @@
         }
     }
 
-    /// Adds a line to the timeline. `label`, `a` and `b` go into the digest.
-    pub fn record(&self, label: &'static str, a: u64, b: u64, text: impl FnOnce() -> String) {
-        let mut hash = self.digest.get();
-        for part in [
-            self.now.get(),
-            label.len() as u64 ^ u64::from(label.as_bytes()[0]) << 8,
-            a,
-            b,
-        ] {
-            hash = (hash ^ part).wrapping_mul(FNV_PRIME).rotate_left(23);
-        }
-        self.digest.set(hash);
-        if let Some(timeline) = &self.timeline {
-            timeline.borrow_mut().push(TimelineEntry {
-                at: self.now.get(),
-                text: format!("{label} {}", text()),
-            });
-        }
+    /// Records an event of this moment in the timeline; `a` and `b` go into the digest with it.
+    pub fn record(&self, event: TimelineEvent, a: u64, b: u64, text: impl FnOnce() -> String) {
+        self.timeline
+            .borrow_mut()
+            .record(self.now.get(), event, [a, b], text);
     }
 
     /// Has an owner's executor run before the next event.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod shrink;
 pub mod simulation;
 mod time;
+mod timeline;
 mod worker;
 
 use serde::Serializer;
--- a/crates/simulation/src/simulation/dispatchers.rs
+++ b/crates/simulation/src/simulation/dispatchers.rs
@@ -7,6 +7,7 @@
 use crate::network::HostId;
 use crate::rng::Rng;
 use crate::time::MS;
+use crate::timeline::TimelineEvent;
 use async_executor::LocalExecutor;
 use rosewall::types::Nanos;
 use rosewall_runtime::node::Node;
@@ -69,9 +70,12 @@
         self.agents[dispatcher].set_dispatcher(host);
         let endpoints = self.agents[dispatcher].publish_initial_list(host);
         let started = self.start_node(dispatcher, host, &endpoints);
-        kernel.record("starts", dispatcher as u64, host as u64, || {
-            format!("dispatcher {dispatcher} as host {host}")
-        });
+        kernel.record(
+            TimelineEvent::DispatcherStarted,
+            dispatcher as u64,
+            host as u64,
+            || format!("dispatcher {dispatcher} as host {host}"),
+        );
         if let Err(error) = started {
             self.context
                 .report_violation(Rule::Program, format!("no start: {error}"));
@@ -149,11 +153,12 @@
     /// Kills a dispatcher's process.
     pub fn kill_dispatcher(&self, dispatcher: usize) {
         let host = self.dispatchers.borrow()[dispatcher].host;
-        self.context
-            .kernel
-            .record("killed", dispatcher as u64, host as u64, || {
-                format!("dispatcher {dispatcher}")
-            });
+        self.context.kernel.record(
+            TimelineEvent::DispatcherKilled,
+            dispatcher as u64,
+            host as u64,
+            || format!("dispatcher {dispatcher}"),
+        );
         self.context.checker.borrow_mut().dispatcher_killed(host);
         self.context.network.kill_host(host);
         self.take_down(dispatcher);
@@ -172,7 +177,12 @@
             return;
         };
         let text = || format!("dispatcher {dispatcher}");
-        kernel.record("stops", dispatcher as u64, host as u64, text);
+        kernel.record(
+            TimelineEvent::DispatcherStopping,
+            dispatcher as u64,
+            host as u64,
+            text,
+        );
         let (end, ended) = async_channel::bounded::<()>(1);
         let stop = async move {
             node.stop().await;
@@ -187,7 +197,12 @@
             let text = format!("dispatcher {dispatcher} did not end in time");
             self.context.report_violation(Rule::Shutdown, text);
         }
-        kernel.record("stopped", dispatcher as u64, host as u64, text);
+        kernel.record(
+            TimelineEvent::DispatcherStopped,
+            dispatcher as u64,
+            host as u64,
+            text,
+        );
         // What it had not answered by its end is lost, which is a violation: it was not killed.
         self.take_down(dispatcher);
     }
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -8,6 +8,7 @@
 use crate::network::{DatagramConditions, Network, NetworkConditions};
 use crate::scenario::Scenario;
 use crate::time::MS;
+use crate::timeline::TimelineEvent;
 use crate::worker::{ProcessStart, WorkerProcess};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -133,9 +134,12 @@
             overloaded: self.overloaded.clone(),
         };
         let process = WorkerProcess::start(&self.context, &self.scenario, start);
-        kernel.record("born", worker as u64, started_at, || {
-            format!("worker {worker}")
-        });
+        kernel.record(
+            TimelineEvent::WorkerRestarted,
+            worker as u64,
+            started_at,
+            || format!("worker {worker}"),
+        );
         self.workers.borrow_mut()[worker] = process;
         self.publish_endpoint(worker, EndpointState::Ready, START_NOTICE);
     }
@@ -153,7 +157,9 @@
         process.terminate();
         self.context
             .kernel
-            .record("dies", worker as u64, 0, || format!("worker {worker}"));
+            .record(TimelineEvent::WorkerTerminated, worker as u64, 0, || {
+                format!("worker {worker}")
+            });
         self.publish_endpoint(worker, EndpointState::Removed, END_NOTICE);
         if restart_after > 0 {
             self.context.kernel.sleep(restart_after).await;
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -5,6 +5,7 @@
 use crate::network::ResetScope;
 use crate::scenario::{Fault, FaultKind};
 use crate::time::{MS, from_ms};
+use crate::timeline::TimelineEvent;
 use crate::worker::{FaultInterval, WorkerProcess};
 use rosewall::types::{EndpointState, Nanos};
 use std::ops::RangeInclusive;
@@ -40,16 +41,21 @@
         kernel
             .sleep_until(crate::kernel::ENVIRONMENT, START + from_ms(fault.at_ms))
             .await;
-        kernel.record("fault", fault.kind as u64, fault.target as u64, || {
-            let Fault {
-                kind,
-                target,
-                duration_ms,
-                share,
-                ..
-            } = fault;
-            format!("{kind:?} at {target} for {duration_ms} ms, share {share}")
-        });
+        kernel.record(
+            TimelineEvent::FaultInjected,
+            fault.kind as u64,
+            fault.target as u64,
+            || {
+                let Fault {
+                    kind,
+                    target,
+                    duration_ms,
+                    share,
+                    ..
+                } = fault;
+                format!("{kind:?} at {target} for {duration_ms} ms, share {share}")
+            },
+        );
         let duration = from_ms(fault.duration_ms);
         let active = ActiveFault {
             duration,
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -10,6 +10,7 @@
 use crate::network::{HostId, VirtualListener, VirtualStream};
 use crate::scenario::{Scenario, WorkerSpec};
 use crate::time::MS;
+use crate::timeline::TimelineEvent;
 use async_channel::{Receiver, Sender};
 use execution::Execution;
 use futures_lite::{AsyncWriteExt, FutureExt};
@@ -306,12 +307,17 @@
             cell: self.spec.cell,
         };
         let recorded = request.unwrap_or(usize::MAX) as u64;
-        kernel.record("arrived", recorded, worker as u64, || {
-            format!(
-                "request {id} at worker {worker}, by dispatcher host {}",
-                origin.host
-            )
-        });
+        kernel.record(
+            TimelineEvent::AttemptArrived,
+            recorded,
+            worker as u64,
+            || {
+                format!(
+                    "request {id} at worker {worker}, by dispatcher host {}",
+                    origin.host
+                )
+            },
+        );
         let attempt =
             checker
                 .borrow_mut()
@@ -341,14 +347,14 @@
         let worker = arrival.worker;
         let overloaded = checker.borrow_mut().work_arrived(kernel.now(), &arrival);
         if overloaded {
-            kernel.record("falls", worker as u64, 0, || {
-                format!("worker {worker} over under its load")
+            kernel.record(TimelineEvent::WorkerOverloaded, worker as u64, 0, || {
+                format!("worker {worker}")
             });
             let _ = self.start.overloaded.try_send(worker);
         }
     }
 
-    /// Draws in a fixed order, whatever the outcome, so that one fault does not shift the draws of another.
+    /// Draws for each fault, also where one alone decides, so that the draws do not depend on the outcome.
     fn attempt_faults(&self, execution: &Execution) -> AttemptFaults {
         let kernel = &self.context.kernel;
         let faults = self.faults.borrow();
--- a/crates/simulation/src/worker/execution.rs
+++ b/crates/simulation/src/worker/execution.rs
@@ -4,6 +4,7 @@
 use crate::checker::RequestIndex;
 use crate::context::Context;
 use crate::network::VirtualStream;
+use crate::timeline::TimelineEvent;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rosewall::types::Nanos;
 use std::rc::Rc;
@@ -48,9 +49,12 @@
     pub fn record_start(&self) {
         let kernel = &self.context().kernel;
         let worker = self.process.start.worker;
-        kernel.record("runs", self.request as u64, worker as u64, || {
-            format!("request {} at worker {worker}", self.id)
-        });
+        kernel.record(
+            TimelineEvent::ExecutionStarted,
+            self.request as u64,
+            worker as u64,
+            || format!("request {} at worker {worker}", self.id),
+        );
         let mut checker = self.context().checker.borrow_mut();
         checker.execution_started(kernel.now(), self.request);
     }
--- a/crates/simulation/src/worker/malformed.rs
+++ b/crates/simulation/src/worker/malformed.rs
@@ -4,6 +4,7 @@
 use super::{Persistence, closed};
 use crate::network::VirtualStream;
 use crate::time::{MS, SECOND};
+use crate::timeline::TimelineEvent;
 use futures_lite::AsyncWriteExt;
 
 /// Whether a request runs beside a malformed response.
@@ -14,7 +15,7 @@
     Always,
 }
 
-#[derive(Clone, Copy, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Malformation {
     RejectedLine,
     Rejected503,
@@ -106,14 +107,17 @@
 }
 
 impl Execution {
-    /// Answers in a way that is drawn.
+    /// Sends a response that breaks the protocol in a randomly drawn way.
     pub async fn respond_malformed(&self, stream: &mut VirtualStream) -> Option<Persistence> {
         let kernel = &self.context().kernel;
         let number = kernel.random(|rng| rng.index(MALFORMATIONS.len()));
         let kind = MALFORMATIONS[number];
-        kernel.record("oddly", self.request as u64, number as u64, || {
-            format!("request {} is answered in way {number}", self.id)
-        });
+        kernel.record(
+            TimelineEvent::MalformedResponse,
+            self.request as u64,
+            number as u64,
+            || format!("request {}: {kind:?}", self.id),
+        );
         let runs = match kind.runs() {
             Runs::Never => false,
             Runs::Maybe => kernel.random(|rng| rng.chance(0.5)),
