--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -5,6 +5,8 @@
 mod record;
 mod responses;
 mod tally;
+#[cfg(test)]
+mod tests;
 mod warm_up;
 
 use crate::network::HostId;
--- a/crates/simulation/src/kernel.rs
+++ b/crates/simulation/src/kernel.rs
@@ -1,7 +1,7 @@
 //! The virtual clock and the event queue. Events of one instant happen in an order that the seed draws. The kernel
 //! knows neither the network nor the checker: it hands out events, and [`crate::context`] acts on them.
 use crate::rng::Rng;
-use crate::timeline::{Timeline, TimelineEntry, TimelineEvent};
+use crate::timeline::{Timeline, TimelineEntry, TimelineEvent, Trace};
 use async_executor::{LocalExecutor, Task};
 use rosewall::types::Nanos;
 use rustc_hash::FxHashMap;
@@ -78,7 +78,7 @@
         start: Nanos,
         seed: u64,
         executor: &Rc<LocalExecutor<'static>>,
-        trace: bool,
+        trace: Trace,
     ) -> Rc<Self> {
         Rc::new(Kernel {
             now: Cell::new(start),
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -12,6 +12,7 @@
 use crate::kernel::{ENVIRONMENT, Owner};
 use crate::scenario::Scenario;
 use crate::time::{MS, SECOND, from_ms};
+pub use crate::timeline::Trace;
 use async_executor::LocalExecutor;
 use dispatchers::{MAX_SHUTDOWN_DRAIN, SHUTDOWN_MARGIN, listen_address};
 use environment::Environment;
@@ -69,7 +70,7 @@
 }
 
 /// Plays a scenario.
-pub fn play(scenario: &Scenario, trace: bool) -> Report {
+pub fn play(scenario: &Scenario, trace: Trace) -> Report {
     Simulation::new(scenario, trace).run()
 }
 
@@ -83,7 +84,7 @@
 }
 
 impl Simulation {
-    fn new(scenario: &Scenario, trace: bool) -> Self {
+    fn new(scenario: &Scenario, trace: Trace) -> Self {
         let executor = Rc::new(LocalExecutor::new());
         let (environment, overloaded) = Environment::new(scenario, &executor, trace);
         let scenario = &environment.scenario;
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -8,7 +8,7 @@
 use crate::network::{DatagramConditions, Network, NetworkConditions};
 use crate::scenario::Scenario;
 use crate::time::MS;
-use crate::timeline::TimelineEvent;
+use crate::timeline::{TimelineEvent, Trace};
 use crate::worker::{ProcessStart, WorkerProcess};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -47,7 +47,7 @@
     pub fn new(
         scenario: &Scenario,
         executor: &Rc<LocalExecutor<'static>>,
-        trace: bool,
+        trace: Trace,
     ) -> (Rc<Self>, Receiver<WorkerIndex>) {
         let scenario = Rc::new(scenario.clone());
         let context = new_context(&scenario, executor, trace);
@@ -171,7 +171,7 @@
 fn new_context(
     scenario: &Scenario,
     executor: &Rc<LocalExecutor<'static>>,
-    trace: bool,
+    trace: Trace,
 ) -> Rc<Context> {
     let [min_latency_us, max_latency_us] = scenario.net.latency_us;
     let conditions = NetworkConditions {
--- a/crates/simulation/src/timeline.rs
+++ b/crates/simulation/src/timeline.rs
@@ -4,6 +4,15 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
+/// Whether the lines of the timeline are collected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Trace {
+    /// Only the digest is kept.
+    Off,
+    /// The lines are collected.
+    On,
+}
+
 /// What a line of the timeline records. The digest takes the place in this list: new kinds go to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimelineEvent {
@@ -91,11 +100,11 @@
 }
 
 impl Timeline {
-    /// An empty timeline, which collects its lines where `trace` says so.
-    pub fn new(trace: bool) -> Self {
+    /// An empty timeline.
+    pub fn new(trace: Trace) -> Self {
         Timeline {
             digest: FNV_OFFSET_BASIS,
-            entries: trace.then(Vec::new),
+            entries: (trace == Trace::On).then(Vec::new),
         }
     }
 
