--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -137,7 +137,7 @@
                 "set an IPv4 address of this machine whose port is free, or stop the process that has it"
             }
             ClusterError::DuplicateName { .. } => {
-                "rename one of the two; this one goes on serving, but is no member meanwhile"
+                "give one of the two another name; this one goes on serving, but is no member meanwhile"
             }
             ClusterError::VersionMismatch { .. } => {
                 "bring the dispatchers that send them to this program's version, or this one to theirs"
