--- a/crates/cluster/src/datagram/decoder.rs
+++ b/crates/cluster/src/datagram/decoder.rs
@@ -110,7 +110,7 @@
         Some(PeerLoad {
             worker: self.worker()?,
             half_slots: self.u8()?,
-            work: self.u16()?,
+            work_units: self.u16()?,
             speed_code: self.u8()?,
         })
     }
--- a/crates/cluster/src/datagram/encoder.rs
+++ b/crates/cluster/src/datagram/encoder.rs
@@ -155,7 +155,7 @@
             Part::PeerLoad { load, age } => {
                 self.worker(load.worker);
                 self.u8(load.half_slots);
-                self.u16(load.work);
+                self.u16(load.work_units);
                 self.bytes(&[load.speed_code, *age]);
             }
         }
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -20,7 +20,7 @@
     let load = PeerLoad {
         worker: worker(1),
         half_slots: 3,
-        work: 500,
+        work_units: 500,
         speed_code: 140,
     };
     vec![
--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -154,7 +154,7 @@
     /// link is down finds all workers silent.
     pub fn receive(&mut self, now: Nanos, from: &Name, mut load: PeerLoad, age: u8) -> PeerLoad {
         let completed = Nanos::from(age) * AGE_UNIT * Nanos::from(load.half_slots) / 2 / WORK_UNIT;
-        load.work = load.work.saturating_sub(completed.min(65_535) as u16);
+        load.work_units = load.work_units.saturating_sub(completed.min(65_535) as u16);
         let reporter = self.reporters.entry(from.clone()).or_default();
         let silent = load.speed_code == PeerLoad::SPEED_SILENT;
         let silent_workers = reporter.record(now, load.worker, silent);
--- a/crates/cluster/src/peer_load/tests.rs
+++ b/crates/cluster/src/peer_load/tests.rs
@@ -7,7 +7,7 @@
             port: 80,
         },
         half_slots: 2,
-        work,
+        work_units: work,
         speed_code: 140,
     }
 }
@@ -41,7 +41,7 @@
     let counted = LoadReceiver::default().receive(1, &"n1".into(), reported, 100);
 
     // 400 ms at two slots are 800 ms, in units of 16 ms.
-    assert_eq!(counted.work, 50);
+    assert_eq!(counted.work_units, 50);
 }
 
 #[test]
--- a/crates/engine/src/config/error.rs
+++ b/crates/engine/src/config/error.rs
@@ -7,8 +7,8 @@
 /// Why a configuration cannot be used. The messages name the key or setting, its value and what is expected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The text is not JSON, or a key is missing, unknown or of the wrong form.
-    #[error("{0}")]
+    /// The text is not JSON, or a key is missing or of the wrong form; the text names it, line and column.
+    #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The seed cannot be read.
     #[error("seed {value:?} is no number: expected up to 16 hexadecimal digits")]
--- a/crates/protocol/src/tests/peer_load.rs
+++ b/crates/protocol/src/tests/peer_load.rs
@@ -25,7 +25,7 @@
     let load = PeerLoad {
         worker,
         half_slots: 5,
-        work: 600,
+        work_units: 600,
         speed_code: 7,
     };
     let mut bytes = encode(0, &load).to_vec();
@@ -44,7 +44,7 @@
     let load = PeerLoad {
         worker,
         half_slots: 3,
-        work: 40,
+        work_units: 40,
         speed_code: PeerLoad::SPEED_UNKNOWN,
     };
     assert_eq!(
