--- a/crates/log-stats/src/statistics.rs
+++ b/crates/log-stats/src/statistics.rs
@@ -82,7 +82,8 @@
     }
 
     fn add_attempt(&mut self, at: UnixNanos, host: &str) {
-        let (dispatcher, warm_up) = (self.log_count, self.warm_up_nanos);
+        let dispatcher = self.log_count;
+        let warm_up = self.warm_up_nanos;
         let worker = self.worker(host);
         worker.attempts += 1;
         worker.dispatchers.insert(dispatcher);
