--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -14,7 +14,7 @@
 use rosewall_cluster::config::ClusterConfig;
 use rosewall_cluster::error::ClusterError;
 use rosewall_protocol::names::Names;
-use rosewall_settings::{Map, ours};
+use rosewall_settings::{Map, parse_settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -188,7 +188,7 @@
 
 fn read_settings(settings: &Value) -> Map {
     let pairs = settings_pairs::flatten(settings);
-    ours(
+    parse_settings(
         pairs
             .iter()
             .map(|(path, value)| (path.as_str(), value.as_str())),
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the configuration file's text.
 use super::Config;
 use super::runtime_settings::shutdown_timeout;
-use rosewall_settings::ours;
+use rosewall_settings::parse_settings;
 use test_case::test_case;
 
 const CONFIG: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ff","limits":{"memory_mb":192,"sockets":64},
@@ -45,7 +45,7 @@
     let paths: Vec<String> = (0..deadlines.len())
         .map(|at| format!("Schemes.{at}.ExpiryNs"))
         .collect();
-    shutdown_timeout(&ours(
+    shutdown_timeout(&parse_settings(
         paths
             .iter()
             .map(String::as_str)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,13 @@
-//! The users' setting names to ours. No other file knows their names.
+//! The operators' setting names and words, mapped to the names under which rosewall's programs read them. No other crate
+//! knows the operators' names; `docs/design.md` describes the settings.
+#![warn(missing_docs)]
 pub use rosewall::Map;
 
-/// Wire path to our name, for single values.
-const NAMES: &[(&str, &str)] = &[
+#[cfg(test)]
+mod tests;
+
+/// The paths of single settings, each with its name.
+const SETTINGS: &[(&str, &str)] = &[
     ("Me", "me"),
     ("Siblings", "dispatchers"),
     ("MyZone", "zone"),
@@ -36,9 +41,12 @@
     ("Parties.count", "tenant.count"),
 ];
 
-/// The last part of a path below `Schemes.N` or `Parties.N`, likewise.
-const PART_NAMES: &[(&str, &str)] = &[
-    ("Name", "name"),
+/// The lists of which each element has settings of its own, below `LIST.INDEX`.
+const LISTS: &[(&str, &str)] = &[("Schemes", "class"), ("Parties", "tenant")];
+
+/// The settings of one element of such a list, each with its name below `class.INDEX` or `tenant.INDEX`.
+const ELEMENT_SETTINGS: &[(&str, &str)] = &[
+    ("Name", ELEMENT_NAME),
     ("SlaTimeNs", "latency_objective"),
     ("AimStretch", "objective_stretch"),
     ("ExpiryNs", "deadline"),
@@ -51,14 +59,17 @@
     ("Portion", "share"),
 ];
 
-/// Lists with one value a class.
-const BY_CLASS: &[(&str, &str)] = &[
+/// The name that operators give an element. It may be any word, also one of [`WORDS`].
+const ELEMENT_NAME: &str = "name";
+
+/// The paths of settings that hold one value for each class, separated by commas, each with its name below `class.INDEX`.
+const CLASS_VALUES: &[(&str, &str)] = &[
     ("FamilyInfo.ClassStretch", "objective_stretch"),
     ("FamilyInfo.ClassKind", "worker_type"),
 ];
 
-/// Words that a value may hold.
-const VALUES: &[(&str, &str)] = &[
+/// The words that a value may hold, each with the word for it in the programs.
+const WORDS: &[(&str, &str)] = &[
     ("repeatable", "idempotent"),
     ("by_key", "idempotent-with-key"),
     ("referenced", "idempotent-with-key"),
@@ -72,56 +83,74 @@
     ("err_ps", "errors"),
 ];
 
-fn find<'a>(table: &[(&str, &'a str)], word: &str) -> Option<&'a str> {
+/// The path of the list of values in a load report, and the start of the paths that say what a site's own values are.
+const REPORT_FIELDS: &str = "Report.Fields";
+const REPORT_FIELD_MEANING: &str = "FamilyInfo.Report";
+
+fn find<'a>(table: &[(&str, &'a str)], key: &str) -> Option<&'a str> {
     table
         .iter()
-        .find(|(theirs, _)| *theirs == word)
-        .map(|(_, ours)| *ours)
+        .find(|(operators, _)| *operators == key)
+        .map(|(_, name)| *name)
 }
 
-/// The settings as a plain map under our names; what has no name here is left out.
-pub fn ours<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Map {
+/// The programs' word for an operators' word; any other value stays as it is.
+fn translate(word: &str) -> &str {
+    find(WORDS, word).unwrap_or(word)
+}
+
+/// The settings as a map under the programs' names, from pairs of path and value. Settings without a name are left out.
+pub fn parse_settings<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Map {
     let mut map = Map::new();
-    let mut report_words = Map::new();
+    let mut report_meanings = Map::new();
     for (path, value) in pairs {
-        let ours = find(VALUES, value).unwrap_or(value).to_string();
-        if let Some(name) = find(NAMES, path) {
-            map.insert(name.to_string(), ours);
-        } else if let Some(name) = find(BY_CLASS, path) {
-            for (at, one) in value.split(',').enumerate() {
-                map.entry(format!("class.{at}.{name}"))
-                    .or_insert_with(|| one.to_string());
-            }
-        } else if let Some((prefix, part)) = path.rsplit_once('.')
-            && let Some(name) = find(PART_NAMES, part)
-        {
-            let (list, at) = prefix.split_once('.').unwrap_or((prefix, ""));
-            // A name may be any word, also one that has another meaning as a value.
-            let ours = if name == "name" {
-                value.to_string()
-            } else {
-                ours
-            };
-            match list {
-                "Schemes" => map.insert(format!("class.{at}.{name}"), ours),
-                "Parties" => map.insert(format!("tenant.{at}.{name}"), ours),
-                _ => None,
-            };
-        } else if let Some(field) = path.strip_prefix("FamilyInfo.Report") {
-            report_words.insert(field.to_lowercase(), value.replace('_', "-"));
-        } else if path == "Report.Fields" {
+        if let Some(name) = find(SETTINGS, path) {
+            map.insert(name.to_string(), translate(value).to_string());
+        } else if let Some(name) = find(CLASS_VALUES, path) {
+            insert_class_values(&mut map, name, value);
+        } else if let Some((element, name)) = element_setting(path) {
+            insert_element_setting(&mut map, element, name, value);
+        } else if let Some(field) = path.strip_prefix(REPORT_FIELD_MEANING) {
+            report_meanings.insert(field.to_lowercase(), value.replace('_', "-"));
+        } else if path == REPORT_FIELDS {
+            let fields: Vec<&str> = value.split(',').map(translate).collect();
             map.insert("report.wire_fields".into(), value.to_string());
-            let words = value
-                .split(',')
-                .map(|word| find(VALUES, word).unwrap_or(word));
-            map.insert("report.fields".into(), words.collect::<Vec<_>>().join(","));
+            map.insert("report.fields".into(), fields.join(","));
         }
     }
     if let Some(fields) = map.get_mut("report.fields") {
-        let words = fields
+        let meanings: Vec<&str> = fields
             .split(',')
-            .map(|word| report_words.get(word).map_or(word, String::as_str));
-        *fields = words.collect::<Vec<_>>().join(",");
+            .map(|field| report_meanings.get(field).map_or(field, String::as_str))
+            .collect();
+        *fields = meanings.join(",");
     }
     map
 }
+
+/// Inserts one value for each class. A class's own setting has precedence.
+fn insert_class_values(map: &mut Map, name: &str, values: &str) {
+    for (index, value) in values.split(',').enumerate() {
+        map.entry(format!("class.{index}.{name}"))
+            .or_insert_with(|| value.to_string());
+    }
+}
+
+/// The element that a path refers to, and the name of the setting, if it is a setting of elements.
+fn element_setting(path: &str) -> Option<(&str, &'static str)> {
+    let (element, setting) = path.rsplit_once('.')?;
+    Some((element, find(ELEMENT_SETTINGS, setting)?))
+}
+
+/// Inserts a setting of an element. Elements of unknown lists are left out.
+fn insert_element_setting(map: &mut Map, element: &str, name: &str, value: &str) {
+    let (list, index) = element.split_once('.').unwrap_or((element, ""));
+    let value = if name == ELEMENT_NAME {
+        value
+    } else {
+        translate(value)
+    };
+    if let Some(list) = find(LISTS, list) {
+        map.insert(format!("{list}.{index}.{name}"), value.to_string());
+    }
+}
--- /dev/null
+++ b/crates/settings/src/tests.rs
@@ -0,0 +1,42 @@
+use super::{Map, parse_settings};
+
+fn value<'a>(map: &'a Map, name: &str) -> Option<&'a str> {
+    map.get(name).map(String::as_str)
+}
+
+#[test]
+fn settings_of_classes_and_tenants_are_named_by_their_index() {
+    let map = parse_settings([
+        ("Schemes.1.Idempotency", "by_key"),
+        ("Schemes.1.Name", "once"),
+        ("Parties.0.Portion", "0.5"),
+        ("Elsewhere.0.Portion", "0.5"),
+    ]);
+    assert_eq!(
+        value(&map, "class.1.idempotency"),
+        Some("idempotent-with-key")
+    );
+    assert_eq!(value(&map, "class.1.name"), Some("once"));
+    assert_eq!(value(&map, "tenant.0.share"), Some("0.5"));
+    assert_eq!(map.len(), 3);
+}
+
+#[test]
+fn values_for_each_class_yield_to_a_class_setting() {
+    let map = parse_settings([
+        ("Schemes.0.AimStretch", "3"),
+        ("FamilyInfo.ClassStretch", "1,2"),
+    ]);
+    assert_eq!(value(&map, "class.0.objective_stretch"), Some("3"));
+    assert_eq!(value(&map, "class.1.objective_stretch"), Some("2"));
+}
+
+#[test]
+fn report_fields_get_the_meaning_that_the_site_gives_them() {
+    let map = parse_settings([
+        ("Report.Fields", "load_share,x0"),
+        ("FamilyInfo.ReportX0", "free_slots"),
+    ]);
+    assert_eq!(value(&map, "report.fields"), Some("busy,free-slots"));
+    assert_eq!(value(&map, "report.wire_fields"), Some("load_share,x0"));
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/actions.rs
@@ -0,0 +1,76 @@
+//! From actions to the records of a reply.
+use crate::codec::Reply;
+use crate::codes::{PEER_LOAD_LENGTH, action};
+use rosewall::types::{Action, PeerLoad, RequestId, WorkerId};
+
+/// An attempt has no time-out of its own: it lasts until the client gives up.
+const NO_TIMEOUT: u64 = 0;
+
+/// Subscribes to changes of the endpoint list.
+const WATCH: u8 = 1;
+
+/// The following records are those of this instance.
+pub fn write_instance(instance: u32, reply: &mut Reply) {
+    reply.record(action::INSTANCE, &[&instance.to_le_bytes()]);
+}
+
+/// Adds one action to the reply.
+pub fn write(action: &Action, reply: &mut Reply) {
+    match action {
+        Action::SendAttempt { request_id, worker } => send_attempt(*request_id, *worker, reply),
+        // The decisions ask for no health checks; the protocol has them.
+        Action::CheckHealth { worker } => reply.record(
+            action::CHECK_HEALTH,
+            &[&worker.addr, &worker.port.to_le_bytes()],
+        ),
+        Action::Reject {
+            request_id,
+            retry_after,
+        } => reply.record(
+            action::REJECT,
+            &[&request_id.to_le_bytes(), &retry_after.to_le_bytes()],
+        ),
+        Action::Fail { request_id } => reply.record(action::FAIL, &[&request_id.to_le_bytes()]),
+        Action::WatchEndpoints => reply.record(action::WATCH_ENDPOINTS, &[&[WATCH]]),
+        Action::SendPeerLoad { to, load } => send_peer_load(*to, load, reply),
+        // The simulator's dispatchers are not members of a cluster, so there is no one to ask or to tell.
+        Action::RequestWarmUpGrant { .. } | Action::SetWarmUpBudget { .. } => {}
+        Action::SetTimer { at, token } => reply.record(
+            action::SET_TIMER,
+            &[&at.to_le_bytes(), &token.to_le_bytes()],
+        ),
+        Action::Log(text) => log(text, reply),
+    }
+}
+
+fn send_attempt(request_id: RequestId, worker: WorkerId, reply: &mut Reply) {
+    reply.record(
+        action::SEND_ATTEMPT,
+        &[
+            &request_id.to_le_bytes(),
+            &worker.addr,
+            &worker.port.to_le_bytes(),
+            &NO_TIMEOUT.to_le_bytes(),
+        ],
+    );
+}
+
+fn send_peer_load(to: u16, load: &PeerLoad, reply: &mut Reply) {
+    reply.record(
+        action::PEER_MESSAGE,
+        &[
+            &to.to_le_bytes(),
+            &PEER_LOAD_LENGTH.to_le_bytes(),
+            &load.worker.addr,
+            &load.worker.port.to_le_bytes(),
+            &[load.half_slots],
+            &load.work_units.to_le_bytes(),
+            &[load.speed_code],
+        ],
+    );
+}
+
+fn log(text: &str, reply: &mut Reply) {
+    let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
+    reply.record(action::LOG, &[&(bytes.len() as u16).to_le_bytes(), bytes]);
+}
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -1,9 +1,8 @@
 //! Frames and records as bytes. Knows their layout and nothing of their meaning.
+use crate::error::{AdapterError, FieldError};
 use std::io::{self, Read, Write};
 
-pub type Fault = String;
-
-/// Reads fields one after another from a stretch of bytes.
+/// Reads fields one after another from the bytes of a batch or record.
 pub struct Fields<'a> {
     bytes: &'a [u8],
 }
@@ -13,112 +12,122 @@
         Self { bytes }
     }
 
+    /// Whether all fields have been read.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    pub fn take(&mut self, count: usize) -> Result<&'a [u8], Fault> {
-        let (head, rest) = self.bytes.split_at_checked(count).ok_or_else(|| {
-            format!(
-                "a field of {count} bytes overruns its end by {}",
-                count - self.bytes.len()
-            )
+    /// Reads a field of a given length.
+    pub fn take(&mut self, length: usize) -> Result<&'a [u8], FieldError> {
+        let (field, rest) = self.bytes.split_at_checked(length).ok_or(FieldError {
+            length,
+            excess: length.saturating_sub(self.bytes.len()),
         })?;
         self.bytes = rest;
-        Ok(head)
+        Ok(field)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Fault> {
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], FieldError> {
         let mut out = [0; N];
         out.copy_from_slice(self.take(N)?);
         Ok(out)
     }
 
-    pub fn u8(&mut self) -> Result<u8, Fault> {
+    pub fn u8(&mut self) -> Result<u8, FieldError> {
         Ok(self.array::<1>()?[0])
     }
 
-    pub fn u16(&mut self) -> Result<u16, Fault> {
+    pub fn u16(&mut self) -> Result<u16, FieldError> {
         self.array().map(u16::from_le_bytes)
     }
 
-    pub fn u32(&mut self) -> Result<u32, Fault> {
+    pub fn u32(&mut self) -> Result<u32, FieldError> {
         self.array().map(u32::from_le_bytes)
     }
 
-    pub fn u64(&mut self) -> Result<u64, Fault> {
+    pub fn u64(&mut self) -> Result<u64, FieldError> {
         self.array().map(u64::from_le_bytes)
     }
 
-    pub fn f32(&mut self) -> Result<f32, Fault> {
+    pub fn f32(&mut self) -> Result<f32, FieldError> {
         self.array().map(f32::from_le_bytes)
     }
 
-    pub fn address(&mut self) -> Result<([u8; 4], u16), Fault> {
+    /// Reads an IPv4 address and a port.
+    pub fn address(&mut self) -> Result<([u8; 4], u16), FieldError> {
         Ok((self.array()?, self.u16()?))
     }
 
-    /// One record: its code and its fields.
-    pub fn record(&mut self) -> Result<(u8, Fields<'a>), Fault> {
+    /// Reads one record: its code and its fields.
+    pub fn record(&mut self) -> Result<(u8, Fields<'a>), AdapterError> {
         let code = self.u8()?;
         let length = self.u32()?;
         let fields = self
             .take(length as usize)
-            .map_err(|fault| format!("record of code {code}: {fault}"))?;
+            .map_err(|source| AdapterError::Record {
+                code,
+                source: source.into(),
+            })?;
         Ok((code, Fields::new(fields)))
     }
 }
 
-/// Reads one batch into `buffer`; false at an end of input that falls between batches.
-pub fn read_batch(input: &mut impl Read, buffer: &mut Vec<u8>) -> Result<bool, Fault> {
-    let mut length = [0; 4];
-    let mut have = 0;
-    while have < length.len() {
-        match input.read(&mut length[have..]) {
-            Ok(0) if have == 0 => return Ok(false),
-            Ok(0) => return Err("input ended inside a frame's length".into()),
-            Ok(count) => have += count,
-            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(error) => return Err(format!("cannot read: {error}")),
-        }
-    }
-    let length = u32::from_le_bytes(length);
+/// Reads one batch into `buffer`. Returns `false` where the input ends between two batches.
+pub fn read_batch(input: &mut impl Read, buffer: &mut Vec<u8>) -> Result<bool, AdapterError> {
+    let Some(length) = read_length(input)? else {
+        return Ok(false);
+    };
     buffer.clear();
-    // `take` keeps a false length from reserving memory that never fills.
-    let got = input
+    // Reading up to the length, instead of reserving it, keeps a false length from taking memory that never fills.
+    let read = input
         .take(length.into())
         .read_to_end(buffer)
-        .map_err(|error| format!("cannot read: {error}"))?;
-    if got < length as usize {
-        return Err(format!(
-            "input ended inside a frame: {got} of {length} bytes"
-        ));
+        .map_err(AdapterError::Read)?;
+    if read < length as usize {
+        return Err(AdapterError::TruncatedFrame { read, length });
     }
     Ok(true)
 }
 
-/// A reply under construction; its buffer is used again for the next one.
+/// The length of the next frame; none at the end of the input.
+fn read_length(input: &mut impl Read) -> Result<Option<u32>, AdapterError> {
+    let mut bytes = [0; 4];
+    let mut read = 0;
+    while read < bytes.len() {
+        match input.read(&mut bytes[read..]) {
+            Ok(0) if read == 0 => return Ok(None),
+            Ok(0) => return Err(AdapterError::TruncatedLength),
+            Ok(count) => read += count,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(AdapterError::Read(error)),
+        }
+    }
+    Ok(Some(u32::from_le_bytes(bytes)))
+}
+
+/// The length of a reply's header: the number of records and the length of what follows.
+const HEADER_LENGTH: usize = 8;
+
+/// A reply under construction. Its buffer is reused for the next one.
 pub struct Reply {
     bytes: Vec<u8>,
     records: u32,
 }
 
-const HEADER: usize = 8;
-
 impl Reply {
     pub fn new() -> Self {
         Self {
-            bytes: vec![0; HEADER],
+            bytes: vec![0; HEADER_LENGTH],
             records: 0,
         }
     }
 
     pub fn clear(&mut self) {
-        self.bytes.truncate(HEADER);
+        self.bytes.truncate(HEADER_LENGTH);
         self.records = 0;
     }
 
-    /// Adds a record from its fields, given as little-endian parts.
+    /// Adds a record whose fields are the parts, one after another.
     pub fn record(&mut self, code: u8, parts: &[&[u8]]) {
         let length: usize = parts.iter().map(|part| part.len()).sum();
         self.bytes.push(code);
@@ -129,13 +138,13 @@
         self.records += 1;
     }
 
-    pub fn write(&mut self, output: &mut impl Write) -> Result<(), Fault> {
-        let length = (self.bytes.len() - HEADER) as u32;
+    pub fn write(&mut self, output: &mut impl Write) -> Result<(), AdapterError> {
+        let length = (self.bytes.len() - HEADER_LENGTH) as u32;
         self.bytes[..4].copy_from_slice(&self.records.to_le_bytes());
-        self.bytes[4..HEADER].copy_from_slice(&length.to_le_bytes());
+        self.bytes[4..HEADER_LENGTH].copy_from_slice(&length.to_le_bytes());
         output
             .write_all(&self.bytes)
             .and_then(|()| output.flush())
-            .map_err(|e| format!("cannot write: {e}"))
+            .map_err(AdapterError::Write)
     }
 }
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,4 +1,9 @@
-use super::*;
+use crate::codec::{self, Fields, Reply};
+use crate::codes::{action, event};
+use crate::error::AdapterError;
+use crate::events::{self, Incoming};
+use crate::host::Host;
+use rosewall::types::Event;
 use test_case::test_case;
 
 const SETTINGS: &str = "Bounds.Probes=true\nMe=0\nBounds.MaxPostings=3\nBounds.MaxRetryAfterNs=2000000000\n\
@@ -20,11 +25,12 @@
     )
 }
 
-fn answer(records: &[Vec<u8>]) -> Result<Vec<u8>, Fault> {
+fn answer(records: &[Vec<u8>]) -> Result<Vec<u8>, AdapterError> {
     let count = (records.len() as u32).to_le_bytes();
     let bytes = [&5_u64.to_le_bytes()[..], &count, &records.concat()].concat();
-    let (mut reply, mut out) = (Reply::new(), Vec::new());
-    DiscoveredEndpoint::default().batch(&bytes, &mut reply)?;
+    let mut reply = Reply::new();
+    let mut out = Vec::new();
+    Host::default().handle_batch(&bytes, &mut reply)?;
     reply.write(&mut out)?;
     Ok(out)
 }
@@ -35,15 +41,13 @@
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    assert_eq!(answer(&[]), Ok(vec![0; 8]));
+    assert_eq!(answer(&[]).unwrap(), vec![0; 8]);
 }
 
 #[test]
 fn unknown_records_and_settings_are_skipped() {
-    assert_eq!(
-        answer(&[record(99, &[1, 2, 3]), on(3), create(SETTINGS)]),
-        Ok(vec![0; 8])
-    );
+    let records = [record(99, &[1, 2, 3]), on(3), create(SETTINGS)];
+    assert_eq!(answer(&records).unwrap(), vec![0; 8]);
 }
 
 #[test]
@@ -57,8 +61,8 @@
         list,
     ])
     .unwrap();
-    // Context, the beat's timer and the call for the list.
-    assert_eq!((out[0], out[8], out[17], out[38]), (3, 77, 74, 66));
+    let codes = [action::INSTANCE, action::SET_TIMER, action::WATCH_ENDPOINTS];
+    assert_eq!((out[0], [out[8], out[17], out[38]]), (3, codes));
 }
 
 #[test_case(vec![record(7, &[0; 8])] => "an event before any instance was named"; "no instance")]
@@ -70,33 +74,33 @@
 #[test_case(vec![on(3), create("")] => "setting class.count is missing"; "no settings")]
 #[test_case(vec![on(3), create(&SETTINGS.replace("=4.0", "=four"))]
     => "setting overload.multiple cannot be read: \"four\""; "unreadable setting")]
-fn malformed(records: Vec<Vec<u8>>) -> String {
-    answer(&records).unwrap_err()
+fn malformed_batches_are_refused(records: Vec<Vec<u8>>) -> String {
+    answer(&records).unwrap_err().to_string()
 }
 
 #[test_case(&[] => Ok(false); "end between frames")]
-#[test_case(&[1, 0] => Err("input ended inside a frame's length".into()); "end in the length")]
-#[test_case(&[4, 0, 0, 0, 1] => Err("input ended inside a frame: 1 of 4 bytes".into()); "end in a frame")]
-#[test_case(&[1, 0, 0, 0, 1] => Ok(true); "a whole frame")]
-fn reading(mut bytes: &[u8]) -> Result<bool, Fault> {
-    codec::read_batch(&mut bytes, &mut Vec::new())
+#[test_case(&[1, 0] => Err("input ended inside a frame's length".to_string()); "end in the length")]
+#[test_case(&[4, 0, 0, 0, 1] => Err("input ended inside a frame: 1 of 4 bytes".to_string()); "end in a frame")]
+#[test_case(&[1, 0, 0, 0, 1] => Ok(true); "a complete frame")]
+fn batches_are_read_whole_or_not_at_all(mut bytes: &[u8]) -> Result<bool, String> {
+    codec::read_batch(&mut bytes, &mut Vec::new()).map_err(|error| error.to_string())
 }
 
-/// A message from another version, or a spoilt one, must not end the adapter.
-#[test_case(&[3, 0, 10, 0, 10, 0, 0, 1, 9, 0, 4, 8, 0, 1] => true; "ours")]
+/// A message of another version must not end the adapter.
+#[test_case(&[3, 0, 10, 0, 10, 0, 0, 1, 9, 0, 4, 8, 0, 1] => true; "of this version")]
 #[test_case(&[3, 0, 4, 0, 1, 2, 3, 4] => false; "of another length")]
-fn messages(bytes: &[u8]) -> bool {
-    let incoming = translate::incoming(9, codec::Fields::new(bytes))
+fn peer_messages_of_another_version_are_ignored(bytes: &[u8]) -> bool {
+    let incoming = events::read(event::PEER_MESSAGE, Fields::new(bytes))
         .ok()
         .unwrap();
-    matches!(incoming, translate::Incoming::For(rosewall::types::Event::PeerLoad { from: 3, load })
+    matches!(incoming, Incoming::Event(Event::PeerLoad { from: 3, load })
         if load.half_slots == 4 && load.work_units == 8)
 }
 
 #[test_case("Bounds.Peers", "true", "peer_load.allowed"; "messages between dispatchers")]
-#[test_case("ScoreParts.TailPart", "0.2", "score.tail"; "the tail's part")]
+#[test_case("ScoreParts.TailPart", "0.2", "score.tail"; "the part of the tail")]
 #[test_case("ScoreParts.MissAllowed", "0.02", "score.miss_allowed"; "misses allowed")]
-fn settings_have_names_of_ours(theirs: &str, value: &str, ours: &str) {
-    let map = rosewall_settings::ours([(theirs, value)]);
-    assert_eq!(map.get(ours).map(String::as_str), Some(value));
+fn operators_settings_are_mapped(path: &str, value: &str, name: &str) {
+    let map = rosewall_settings::parse_settings([(path, value)]);
+    assert_eq!(map.get(name).map(String::as_str), Some(value));
 }
