--- /dev/null
+++ b/tests/deploy_file.rs
@@ -0,0 +1,28 @@
+//! The operators' bench measures the files that `policy` in `deploy/balancer.toml` names.
+use std::fs;
+use std::path::Path;
+
+/// The directories of which every file decides, or holds what decisions are made by.
+const DECIDING: &[&str] = &["src/policy", "src/state"];
+
+/// Fixtures of tests, which decide nothing.
+const EXCEPT: &[&str] = &["src/policy/test_support.rs"];
+
+#[test]
+fn the_deploy_file_names_every_file_that_decides() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let deploy_file = fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
+    let policy = deploy_file
+        .lines()
+        .find(|line| line.starts_with("policy ="))
+        .unwrap();
+    for directory in DECIDING {
+        for entry in fs::read_dir(root.join(directory)).unwrap() {
+            let name = entry.unwrap().file_name().into_string().unwrap();
+            let path = format!("{directory}/{name}");
+            if name.ends_with(".rs") && !EXCEPT.contains(&path.as_str()) {
+                assert!(policy.contains(&format!("\"{path}\"")), "{path}");
+            }
+        }
+    }
+}
