--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -1,10 +1,10 @@
 use super::{Dispatcher, Selection};
 use crate::policy::test_support::{
-    MS, attempt_ended, dispatcher, dispatcher_of, handle, overdue_request, request, settings,
-    start_recent_attempts, warm_endpoints,
+    MS, arrive, attempt_ended, dispatcher, dispatcher_of, handle, overdue_request, request,
+    settings, start_attempt, start_recent_attempts, warm_endpoints,
 };
 use crate::time::SECOND;
-use crate::types::{Action, Event, Nanos, Outcome, Request, RequestId};
+use crate::types::{Action, Nanos, Outcome, Request, RequestId};
 use test_case::test_case;
 
 /// A worker at which a request would wait for so long, and for such a part of its time to spare.
@@ -56,11 +56,7 @@
     let mut d = dispatcher_of(300, 0, warm_endpoints(200));
     let sent = |id: &RequestId| {
         let now = (10_000 + Nanos::from(*id) * gap) * MS;
-        let actions = handle(
-            &mut d,
-            now,
-            Event::RequestArrived(request(*id, 2, 100 * MS, now)),
-        );
+        let actions = arrive(&mut d, now, request(*id, 2, 100 * MS, now));
         matches!(actions[..], [Action::SendAttempt { .. }])
     };
     let sent = (0..16).filter(sent).count();
@@ -128,11 +124,7 @@
     ) = (2.6, 9.0, 200.0 * 1e6, now);
     d.unobserved_share = 0.0;
     start_recent_attempts(&mut d, now, 0.0, late);
-    let actions = handle(
-        &mut d,
-        now,
-        Event::RequestArrived(request(1, 0, 300 * MS, now)),
-    );
+    let actions = arrive(&mut d, now, request(1, 0, 300 * MS, now));
     matches!(actions[..], [Action::SendAttempt { .. }])
 }
 
@@ -142,23 +134,12 @@
     d.workers[0].service_time_factor = 4.0;
     for id in 1..=20 {
         let now = u64::from(id) * 1_000 * MS;
-        let actions = handle(
-            &mut d,
-            now,
-            Event::RequestArrived(request(id, 0, 300 * MS, now)),
-        );
+        let actions = arrive(&mut d, now, request(id, 0, 300 * MS, now));
         assert!(
             matches!(actions[..], [Action::SendAttempt { .. }]),
             "{actions:?}"
         );
-        handle(
-            &mut d,
-            now + MS,
-            Event::AttemptStarted {
-                request_id: id,
-                attempt_index: 0,
-            },
-        );
+        start_attempt(&mut d, now + MS, id);
         handle(
             &mut d,
             now + 900 * MS,
@@ -173,21 +154,14 @@
 #[test_case(100, 5_000 => false; "many times a small time to spare")]
 fn delays_count_relative_to_the_time_to_spare(hint: Nanos, wait: Nanos) -> bool {
     let mut d = dispatcher(1);
-    drop(handle(
+    drop(arrive(
         &mut d,
         MS,
-        Event::RequestArrived(Request {
+        Request {
             deadline: 60_000 * MS,
             ..request(1, 0, hint * MS, 0)
-        }),
-    ));
-    handle(
-        &mut d,
-        wait * MS,
-        Event::AttemptStarted {
-            request_id: 1,
-            attempt_index: 0,
         },
-    );
+    ));
+    start_attempt(&mut d, wait * MS, 1);
     d.start_delays.congestion(wait * MS, 1.0).delay < 0.2
 }
--- a/src/policy/diffeqal/tests.rs
+++ b/src/policy/diffeqal/tests.rs
@@ -1,7 +1,7 @@
 use super::{ShiftRatios, compute_interval_bounds, semi_geometric_shifts};
-use crate::policy::test_support::{MS, dispatcher, handle, request};
+use crate::policy::test_support::{MS, arrive, dispatcher, only_attempt, request};
 use crate::state::{BINS, bin_index};
-use crate::types::{Action, Event, Nanos};
+use crate::types::Nanos;
 use test_case::test_case;
 
 #[test_case(4, 0.1 => vec![-100, -17, 33, 83]; "the paper's example")]
@@ -74,14 +74,8 @@
     let worker_for = |hint: Nanos| {
         let mut d = dispatcher(10);
         d.classes[0].histogram[bin_index(1e6)] = 1e6;
-        let actions = handle(
-            &mut d,
-            MS,
-            Event::RequestArrived(request(1, 0, hint * MS, 0)),
-        );
-        let [Action::SendAttempt { worker, .. }] = actions[..] else {
-            panic!("{actions:?}")
-        };
+        let actions = arrive(&mut d, MS, request(1, 0, hint * MS, 0));
+        let worker = only_attempt(&actions);
         worker.addr[3]
     };
     let workers: std::collections::BTreeSet<u8> =
--- a/src/policy/endpoint_list/tests.rs
+++ b/src/policy/endpoint_list/tests.rs
@@ -1,5 +1,7 @@
 use super::Dispatcher;
-use crate::policy::test_support::{MS, dispatcher, endpoint, handle, request, settings, worker_id};
+use crate::policy::test_support::{
+    MS, arrive, dispatcher, endpoint, handle, list_endpoints, request, settings, worker_id,
+};
 use crate::timers::{POLL_TIMER, TICK_TIMER};
 use crate::types::{Action, EndpointState, Event, ListScope, Nanos};
 use test_case::test_case;
@@ -8,20 +10,9 @@
 #[test_case(EndpointState::Removed; "gone")]
 fn workers_that_leave_get_nothing_new(state: EndpointState) {
     let mut d = dispatcher(2);
-    handle(
-        &mut d,
-        MS,
-        Event::EndpointList {
-            scope: ListScope::Delta,
-            endpoints: vec![endpoint(0, state, 0)],
-        },
-    );
+    list_endpoints(&mut d, MS, ListScope::Delta, vec![endpoint(0, state, 0)]);
     for n in 0..20 {
-        let actions = handle(
-            &mut d,
-            2 * MS,
-            Event::RequestArrived(request(n, 0, 10 * MS, 0)),
-        );
+        let actions = arrive(&mut d, 2 * MS, request(n, 0, 10 * MS, 0));
         assert!(actions.iter().all(
             |action| !matches!(action, Action::SendAttempt { worker, .. } if *worker == worker_id(0))
         ));
@@ -31,13 +22,11 @@
 #[test]
 fn a_snapshot_removes_workers_that_it_does_not_list() {
     let mut d = dispatcher(2);
-    handle(
+    list_endpoints(
         &mut d,
         MS,
-        Event::EndpointList {
-            scope: ListScope::Snapshot,
-            endpoints: vec![endpoint(1, EndpointState::Ready, 0)],
-        },
+        ListScope::Snapshot,
+        vec![endpoint(1, EndpointState::Ready, 0)],
     );
     assert_eq!(d.workers[0].state, EndpointState::Removed);
 }
--- a/src/policy/lifecycle/tests.rs
+++ b/src/policy/lifecycle/tests.rs
@@ -1,5 +1,5 @@
 use super::next;
-use crate::policy::test_support::{MS, dispatcher, handle, request};
+use crate::policy::test_support::{MS, arrive, dispatcher, handle, request};
 use crate::settings::Idempotency::{self, Idempotent, IdempotentWithKey, NonIdempotent};
 use crate::state::RequestState::{Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight};
 use crate::state::{RequestInput, RequestState, RequestStep};
@@ -33,11 +33,7 @@
 #[test_case(2, false => vec!["reject"]; "non-idempotent and pending")]
 fn a_shutdown_brings_deadlines_forward(class: u8, out: bool) -> Vec<&'static str> {
     let mut d = dispatcher(if out { 2 } else { 0 });
-    let attempts_sent = handle(
-        &mut d,
-        0,
-        Event::RequestArrived(request(1, class, 100 * MS, 0)),
-    );
+    let attempts_sent = arrive(&mut d, 0, request(1, class, 100 * MS, 0));
     assert_eq!(attempts_sent.len(), usize::from(out));
     handle(&mut d, MS, Event::ShuttingDown { by: 50 * MS });
     let outcome = Outcome::TimedOut;
--- a/src/policy/load_report/tests.rs
+++ b/src/policy/load_report/tests.rs
@@ -1,4 +1,6 @@
-use crate::policy::test_support::{MS, attempt_ended, dispatcher, handle, request};
+use crate::policy::test_support::{
+    MS, arrive, attempt_ended, dispatcher, handle, request, start_attempt,
+};
 use crate::timers::TICK_TIMER;
 use crate::types::{Action, Event, Nanos, Outcome, Report};
 use test_case::test_case;
@@ -6,13 +8,7 @@
 #[test]
 fn late_reports_do_not_raise_slots() {
     let mut d = dispatcher(1);
-    (0..4).for_each(|n| {
-        drop(handle(
-            &mut d,
-            0,
-            Event::RequestArrived(request(n, 0, 100 * MS, 0)),
-        ))
-    });
+    (0..4).for_each(|n| drop(arrive(&mut d, 0, request(n, 0, 100 * MS, 0))));
     let report = Report {
         count: 2,
         values: [0.0, 2.0, 0.0, 0.0],
@@ -33,32 +29,10 @@
     completed: Nanos,
 ) -> f64 {
     let mut d = dispatcher(1);
-    (0..3).for_each(|n| {
-        drop(handle(
-            &mut d,
-            0,
-            Event::RequestArrived(request(n, 0, 100 * MS, 0)),
-        ))
-    });
-    (0..2).for_each(|request_id| {
-        drop(handle(
-            &mut d,
-            MS,
-            Event::AttemptStarted {
-                request_id,
-                attempt_index: 0,
-            },
-        ))
-    });
+    (0..3).for_each(|n| drop(arrive(&mut d, 0, request(n, 0, 100 * MS, 0))));
+    (0..2).for_each(|request_id| drop(start_attempt(&mut d, MS, request_id)));
     d.workers[0].started_at = restarted * MS;
-    handle(
-        &mut d,
-        third * MS,
-        Event::AttemptStarted {
-            request_id: 2,
-            attempt_index: 0,
-        },
-    );
+    start_attempt(&mut d, third * MS, 2);
     handle(
         &mut d,
         completed * MS,
@@ -96,19 +70,8 @@
     let mut d = dispatcher(2);
     for id in 1..=4 {
         let now = u64::from(id) * 500 * MS;
-        handle(
-            &mut d,
-            now,
-            Event::RequestArrived(request(id, 0, 100 * MS, now)),
-        );
-        handle(
-            &mut d,
-            now,
-            Event::AttemptStarted {
-                request_id: id,
-                attempt_index: 0,
-            },
-        );
+        arrive(&mut d, now, request(id, 0, 100 * MS, now));
+        start_attempt(&mut d, now, id);
         handle(
             &mut d,
             now + 200 * MS,
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -1,5 +1,7 @@
 use super::{CLASS_FAILURE_HALF_LIFE, FAILURE_HALF_LIFE};
-use crate::policy::test_support::{MS, attempt_ended, dispatcher, handle, request};
+use crate::policy::test_support::{
+    MS, arrive, attempt_ended, dispatcher, handle, only_attempt, request, start_attempt,
+};
 use crate::settings::Idempotency::Idempotent;
 use crate::time::SECOND;
 use crate::timers::attempt_timer;
@@ -10,7 +12,7 @@
 #[test_case(Outcome::WorkerError => (false, 0.5); "the worker may be")]
 fn only_failures_of_the_worker_raise_its_score(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
-    handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
+    arrive(&mut d, 0, request(1, 0, 100 * MS, 0));
     let ended = AttemptEnded {
         request_id: 1,
         attempt_index: 0,
@@ -27,25 +29,10 @@
 #[test_case(false => (true, 2.0); "nothing starts")]
 fn a_lost_attempt_counts_neither_as_load_nor_as_failure(starts: bool) -> (bool, f64) {
     let mut d = dispatcher(1);
-    handle(
-        &mut d,
-        MS,
-        Event::RequestArrived(request(1, 2, 100 * MS, MS)),
-    );
-    handle(
-        &mut d,
-        50 * MS,
-        Event::RequestArrived(request(2, 0, 100 * MS, 50 * MS)),
-    );
+    arrive(&mut d, MS, request(1, 2, 100 * MS, MS));
+    arrive(&mut d, 50 * MS, request(2, 0, 100 * MS, 50 * MS));
     if starts {
-        handle(
-            &mut d,
-            60 * MS,
-            Event::AttemptStarted {
-                request_id: 2,
-                attempt_index: 0,
-            },
-        );
+        start_attempt(&mut d, 60 * MS, 2);
     }
     handle(
         &mut d,
@@ -74,19 +61,8 @@
         } else {
             Outcome::Succeeded
         };
-        handle(
-            &mut d,
-            0,
-            Event::RequestArrived(request(n, class, 100 * MS, 0)),
-        );
-        handle(
-            &mut d,
-            0,
-            Event::AttemptStarted {
-                request_id: n,
-                attempt_index: 0,
-            },
-        );
+        arrive(&mut d, 0, request(n, class, 100 * MS, 0));
+        start_attempt(&mut d, 0, n);
         let ended = AttemptEnded {
             request_id: n,
             attempt_index: 0,
@@ -148,14 +124,8 @@
     d.workers[0].class_failure_scores[0].raise(0, CLASS_FAILURE_HALF_LIFE, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
-        let actions = handle(
-            &mut d,
-            now,
-            Event::RequestArrived(request(id, class, 50 * MS, now)),
-        );
-        let [Action::SendAttempt { worker, .. }] = actions[..] else {
-            panic!("{actions:?}")
-        };
+        let actions = arrive(&mut d, now, request(id, class, 50 * MS, now));
+        let worker = only_attempt(&actions);
         handle(&mut d, now, attempt_ended(id, 0, Outcome::Succeeded));
         worker == crate::policy::test_support::worker_id(0)
     })
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -1,9 +1,9 @@
 use super::{Dispatcher, GRANTED_SHARE};
 use crate::pcg::Pcg;
 use crate::policy::test_support::{
-    MS, attempt_ended, dispatcher, dispatcher_of, endpoint, exchanging_dispatcher_of_rank,
-    granting_dispatcher, handle, request, set_fleet_view, settings, start_recent_attempts,
-    warm_endpoints, worker_id,
+    MS, arrive, attempt_ended, dispatcher, dispatcher_of, endpoint, exchanging_dispatcher_of_rank,
+    granting_dispatcher, handle, list_endpoints, request, set_fleet_view, settings,
+    start_recent_attempts, warm_endpoints, worker_id,
 };
 use crate::settings::Idempotency::Idempotent;
 use crate::state::RequestState::InFlight;
@@ -28,19 +28,12 @@
     let mut d = dispatcher_of(12, rank, Vec::new());
     d.classes[0].settings.latency_objective = 90.0 * SECOND;
     let endpoints = vec![endpoint(0, EndpointState::Ready, started * MS)];
-    handle(
-        &mut d,
-        started * MS,
-        Event::EndpointList {
-            scope: ListScope::Delta,
-            endpoints,
-        },
-    );
+    list_endpoints(&mut d, started * MS, ListScope::Delta, endpoints);
     let one = |n| Request {
         deadline: 99_000 * MS,
         ..request(n, 0, 300 * MS, at * MS)
     };
-    let posts = (0..20).map(|n| handle(&mut d, at * MS, Event::RequestArrived(one(n))));
+    let posts = (0..20).map(|n| arrive(&mut d, at * MS, one(n)));
     posts
         .flatten()
         .filter(|action| matches!(action, Action::SendAttempt { .. }))
@@ -57,21 +50,9 @@
 ) -> bool {
     let mut d = Dispatcher::start(0, 7, &settings()).unwrap();
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
-    handle(
-        &mut d,
-        2_000 * MS,
-        Event::EndpointList {
-            scope: ListScope::Cached,
-            endpoints,
-        },
-    );
+    list_endpoints(&mut d, 2_000 * MS, ListScope::Cached, endpoints);
     start_recent_attempts(&mut d, at * MS, start_delay, 32);
-    !handle(
-        &mut d,
-        at * MS,
-        Event::RequestArrived(request(1, 0, 20 * MS, at * MS)),
-    )
-    .is_empty()
+    !arrive(&mut d, at * MS, request(1, 0, 20 * MS, at * MS)).is_empty()
         && d.requests
             .iter()
             .any(|(_, active)| active.attempts_sent == 1)
@@ -228,10 +209,10 @@
     completed: Option<Nanos>,
 ) -> usize {
     let mut d = dispatcher(1);
-    handle(
+    arrive(
         &mut d,
         attempts_sent * MS,
-        Event::RequestArrived(request(1, 2, 100 * MS, attempts_sent * MS)),
+        request(1, 2, 100 * MS, attempts_sent * MS),
     );
     completed.into_iter().for_each(|at| {
         drop(handle(
@@ -241,14 +222,7 @@
         ))
     });
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
-    handle(
-        &mut d,
-        900 * MS,
-        Event::EndpointList {
-            scope: ListScope::Delta,
-            endpoints,
-        },
-    );
+    list_endpoints(&mut d, 900 * MS, ListScope::Delta, endpoints);
     d.workers[0]
         .recent_work
         .iter()
@@ -263,14 +237,7 @@
     d.workers[0].started_at = 90 * MS;
     d.workers[0].recent_work = [sent_work(95, 1e8), sent_work(500, 2e8)].into();
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
-    handle(
-        &mut d,
-        900 * MS,
-        Event::EndpointList {
-            scope: ListScope::Delta,
-            endpoints,
-        },
-    );
+    list_endpoints(&mut d, 900 * MS, ListScope::Delta, endpoints);
     assert_eq!(d.workers[0].recent_work, [sent_work(500, 2e8)]);
 }
 
@@ -300,20 +267,13 @@
         samples: 1.0,
     };
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
-    handle(
-        &mut d,
-        100 * MS,
-        Event::EndpointList {
-            scope: ListScope::Delta,
-            endpoints,
-        },
-    );
+    list_endpoints(&mut d, 100 * MS, ListScope::Delta, endpoints);
     let one = |n| Request {
         hint,
         deadline: 99_000 * MS,
         ..request(n, 0, 0, 2_000 * MS)
     };
-    let posts = (0..20).map(|n| handle(&mut d, 2_000 * MS, Event::RequestArrived(one(n))));
+    let posts = (0..20).map(|n| arrive(&mut d, 2_000 * MS, one(n)));
     posts
         .flatten()
         .filter(|action| matches!(action, Action::SendAttempt { .. }))
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -52,14 +52,7 @@
     map.insert("dispatchers".into(), dispatchers.to_string());
     map.insert("me".into(), rank.to_string());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
-    d.handle(
-        0,
-        Event::EndpointList {
-            scope: ListScope::Cached,
-            endpoints,
-        },
-        &mut Vec::new(),
-    );
+    list_endpoints(&mut d, 0, ListScope::Cached, endpoints);
     d
 }
 
@@ -94,6 +87,39 @@
     actions
 }
 
+/// A request arrives.
+pub(crate) fn arrive(d: &mut Dispatcher, now: Nanos, request: Request) -> Vec<Action> {
+    handle(d, now, Event::RequestArrived(request))
+}
+
+/// An endpoint list arrives.
+pub(crate) fn list_endpoints(
+    d: &mut Dispatcher,
+    now: Nanos,
+    scope: ListScope,
+    endpoints: Vec<Endpoint>,
+) -> Vec<Action> {
+    handle(d, now, Event::EndpointList { scope, endpoints })
+}
+
+/// The first attempt of a request starts.
+pub(crate) fn start_attempt(d: &mut Dispatcher, now: Nanos, request_id: RequestId) -> Vec<Action> {
+    let attempt_index = 0;
+    let event = Event::AttemptStarted {
+        request_id,
+        attempt_index,
+    };
+    handle(d, now, event)
+}
+
+/// The worker of an attempt that must be the only action.
+pub(crate) fn only_attempt(actions: &[Action]) -> WorkerId {
+    let [Action::SendAttempt { worker, .. }] = actions else {
+        panic!("{actions:?}")
+    };
+    *worker
+}
+
 /// All of the latest attempts started at `now` with such a delay, and `late` of them too late.
 pub(crate) fn start_recent_attempts(d: &mut Dispatcher, now: Nanos, delay: f64, late: u32) {
     let wait = 2.0 * SECOND;
@@ -130,14 +156,7 @@
     map.insert("dispatchers".into(), dispatchers.to_string());
     map.insert("peer_load.allowed".into(), "true".into());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
-    d.handle(
-        0,
-        Event::EndpointList {
-            scope: ListScope::Cached,
-            endpoints: warm_endpoints(workers),
-        },
-        &mut Vec::new(),
-    );
+    list_endpoints(&mut d, 0, ListScope::Cached, warm_endpoints(workers));
     d
 }
 
@@ -168,14 +187,7 @@
         .into_iter()
         .map(|listed| Endpoint { zone: 1, ..listed })
         .collect();
-    d.handle(
-        0,
-        Event::EndpointList {
-            scope: ListScope::Cached,
-            endpoints,
-        },
-        &mut Vec::new(),
-    );
+    list_endpoints(&mut d, 0, ListScope::Cached, endpoints);
     d
 }
 
@@ -225,14 +237,7 @@
         }
     };
     let endpoints = (0..workers).map(entry).collect();
-    d.handle(
-        MS,
-        Event::EndpointList {
-            scope: ListScope::Snapshot,
-            endpoints,
-        },
-        &mut Vec::new(),
-    );
+    list_endpoints(&mut d, MS, ListScope::Snapshot, endpoints);
     d
 }
 
--- a/src/policy/worker_selection/tests.rs
+++ b/src/policy/worker_selection/tests.rs
@@ -1,7 +1,7 @@
 use super::Dispatcher;
 use crate::policy::test_support::{
-    MS, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle, request,
-    start_recent_attempts, warm_endpoints,
+    MS, arrive, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle, only_attempt,
+    request, start_attempt, start_recent_attempts, warm_endpoints,
 };
 use crate::state::{FleetMeans, Worker, bin_index};
 use crate::time::SECOND;
@@ -40,11 +40,7 @@
         [Action::SendAttempt { worker, .. }] => worker,
         _ => panic!("{actions:?}"),
     };
-    let first = posted_to(&handle(
-        &mut d,
-        MS,
-        Event::RequestArrived(request(1, 0, 100 * MS, MS)),
-    ));
+    let first = posted_to(&arrive(&mut d, MS, request(1, 0, 100 * MS, MS)));
     let ended = AttemptEnded {
         request_id: 1,
         attempt_index: 0,
@@ -62,7 +58,7 @@
 #[test]
 fn a_retry_goes_to_another_worker() {
     let mut d = dispatcher(2);
-    let mut actions = handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
+    let mut actions = arrive(&mut d, 0, request(1, 0, 100 * MS, 0));
     let ended = AttemptEnded {
         request_id: 1,
         attempt_index: 0,
@@ -70,9 +66,7 @@
         complete: false,
         report: Report::default(),
     };
-    let [Action::SendAttempt { worker: first, .. }] = actions[..] else {
-        panic!("{actions:?}")
-    };
+    let first = only_attempt(&actions);
     d.workers
         .iter_mut()
         .for_each(|worker| (worker.start_delay, worker.start_delay_at) = (0.1 * SECOND, 0));
@@ -97,14 +91,8 @@
     let time_to_spare = d.classes[0].settings.latency_objective + 10e6;
     (d.workers[last].start_delay, d.workers[last].start_delay_at) =
         (part * 0.3 * d.unobserved_share * time_to_spare, now);
-    let actions = handle(
-        &mut d,
-        now,
-        Event::RequestArrived(request(1, 0, 10 * MS, now)),
-    );
-    let [Action::SendAttempt { worker, .. }] = actions[..] else {
-        panic!("{actions:?}")
-    };
+    let actions = arrive(&mut d, now, request(1, 0, 10 * MS, now));
+    let worker = only_attempt(&actions);
     d.classes[0]
         .subset
         .iter()
@@ -135,14 +123,8 @@
     subset[..7].iter().for_each(|at| d.workers[*at].zone = 2);
     d.zone_delays.observe(1, 2e6);
     d.zone_delays.observe(2, 80e6);
-    let actions = handle(
-        &mut d,
-        now,
-        Event::RequestArrived(request(1, class, hint * MS, now)),
-    );
-    let [Action::SendAttempt { worker, .. }] = actions[..] else {
-        panic!("{actions:?}")
-    };
+    let actions = arrive(&mut d, now, request(1, class, hint * MS, now));
+    let worker = only_attempt(&actions);
     d.workers[d.worker_indices[&worker]].zone == 1
 }
 
@@ -152,15 +134,8 @@
     let at = d.classes[0].subset[0];
     d.classes[0].subset.truncate(1);
     d.workers[at].zone = 2;
-    handle(&mut d, 0, Event::RequestArrived(request(1, 0, 10 * MS, 0)));
-    handle(
-        &mut d,
-        80 * MS,
-        Event::AttemptStarted {
-            request_id: 1,
-            attempt_index: 0,
-        },
-    );
+    arrive(&mut d, 0, request(1, 0, 10 * MS, 0));
+    start_attempt(&mut d, 80 * MS, 1);
     assert_eq!(
         (d.zone_delays.extra(2), d.zone_delays.extra(1)),
         (80e6, 0.0)
@@ -184,14 +159,8 @@
             if id % 3 == 0 { 2 } else { 0 },
             Nanos::from(id) * 10_000 * MS,
         );
-        let actions = handle(
-            &mut d,
-            now,
-            Event::RequestArrived(request_without_hint(id, class, now)),
-        );
-        let [Action::SendAttempt { worker, .. }] = actions[..] else {
-            panic!("{actions:?}")
-        };
+        let actions = arrive(&mut d, now, request_without_hint(id, class, now));
+        let worker = only_attempt(&actions);
         subset[usize::from(class == 2)].push(worker.addr[3]);
         let report = Report::default();
         let end = AttemptEnded {
@@ -219,7 +188,7 @@
         deadline: now + 3_000 * MS,
         ..request_without_hint(1, 2, now)
     };
-    let actions = handle(&mut d, now, Event::RequestArrived(request));
+    let actions = arrive(&mut d, now, request);
     assert!(
         matches!(actions[..], [Action::SendAttempt { .. }]),
         "{actions:?}"
@@ -245,16 +214,9 @@
             hint: hint.map(|hint| hint * MS),
             ..request(id, class, 0, now)
         };
-        drop(handle(&mut d, now, Event::RequestArrived(request)));
+        drop(arrive(&mut d, now, request));
         let run = d.requests[d.request_keys[&id]].demand.service_time / MS as f64;
-        drop(handle(
-            &mut d,
-            now,
-            Event::AttemptStarted {
-                request_id: id,
-                attempt_index: 0,
-            },
-        ));
+        drop(start_attempt(&mut d, now, id));
         let report = Report::default();
         let end = AttemptEnded {
             request_id: id,
