--- a/src/policy/worker_selection.rs
+++ b/src/policy/worker_selection.rs
@@ -37,18 +37,25 @@
     pub(super) strain: f64,
 }
 
-/// A worker that may take the request, and what it would cost.
-struct Candidate {
-    selection: Selection,
-    cost: f64,
-    /// Whether the request can start about at once, at a worker that is no outlier.
-    is_suitable: bool,
+/// What a request can expect of a worker.
+struct Estimate {
+    /// The failure score that counts for the request.
+    failures: f64,
+    /// How long the request may wait there, 1 ns at least.
+    time_to_spare: f64,
+    /// The expected wait, in nanoseconds.
+    wait: f64,
+    /// The wait and the network delay as a part of the time to spare.
+    strain: f64,
 }
 
 /// What is the same for all workers that are considered for a request.
 struct SelectionContext<'a> {
+    now: Nanos,
     active: &'a ActiveRequest,
     class: &'a RequestClass,
+    /// The workers that are considered, by id.
+    workers: &'a [usize],
     /// The attempt to whose retry scope the request is bound.
     bound_to: Option<UncertainAttempt>,
     mean_work: f64,
@@ -61,7 +68,7 @@
 
 impl SelectionContext<'_> {
     /// Whether the request is bound to a retry scope and window that do not allow this worker now.
-    fn forbids_worker(&self, now: Nanos, workers: &[Worker], index: usize) -> bool {
+    fn forbids_worker(&self, workers: &[Worker], index: usize) -> bool {
         let Some(bound_to) = self.bound_to else {
             return false;
         };
@@ -72,7 +79,7 @@
             RetryScope::Zone => first.zone == worker.zone,
             RetryScope::Group => first.group == worker.group,
         };
-        !is_in_scope || now >= bound_to.sent_at + self.class.settings.retry_window
+        !is_in_scope || self.now >= bound_to.sent_at + self.class.settings.retry_window
     }
 }
 
@@ -101,34 +108,38 @@
     ) -> Option<Selection> {
         self.refresh_worker_loads(now);
         let context = self.selection_context(now, key);
-        // A retry that is bound to a scope may have to leave the subset.
-        let workers = if context.bound_to.is_some() {
-            &context.class.eligible_workers
-        } else {
-            &context.class.subset
-        };
         let mut missing_grant_for = None;
         let mut least_cost = f64::INFINITY;
         let mut selected = None;
-        for (place, distance) in places_outward(interval, workers.len()) {
-            let index = workers[place];
-            if context.forbids_worker(now, &self.workers, index) {
+        for (place, distance) in places_outward(interval, context.workers.len()) {
+            let index = context.workers[place];
+            if context.forbids_worker(&self.workers, index) {
                 continue;
             }
-            if self.exceeds_warm_up_allowance(now, &context, index) {
-                if missing_grant_for.is_none() && self.has_free_slot(now, &context, index) {
+            if self.exceeds_warm_up_allowance(&context, index) {
+                if missing_grant_for.is_none() && self.has_free_slot(&context, index) {
                     missing_grant_for = Some(index);
                 }
                 continue;
             }
-            let candidate = self.candidate(now, &context, index, distance);
-            if candidate.is_suitable {
-                selected = Some(candidate.selection);
+            let estimate = self.estimate(&context, index);
+            let wait = estimate.wait;
+            if self.is_suitable(&context, index, &estimate) {
+                selected = Some(Selection {
+                    worker: index,
+                    wait,
+                    strain: wait / estimate.time_to_spare,
+                });
                 break;
             }
-            if candidate.cost < least_cost {
-                least_cost = candidate.cost;
-                selected = Some(candidate.selection);
+            let cost = self.cost(&context, index, distance, &estimate);
+            if cost < least_cost {
+                least_cost = cost;
+                selected = Some(Selection {
+                    worker: index,
+                    wait,
+                    strain: self.admission_strain(&context, index, wait),
+                });
             }
         }
         self.missing_grant_for = missing_grant_for;
@@ -141,10 +152,11 @@
         let bound_to = active.first_uncertain_attempt.filter(|_| {
             active.idempotency == IdempotentWithKey && !is_active(Mutation::IgnoreRetryWindow)
         });
+        // A retry that is bound to a scope may have to leave the subset.
         let workers = if bound_to.is_some() {
-            class.eligible_workers.len()
+            &class.eligible_workers
         } else {
-            class.subset.len()
+            &class.subset
         };
         let Congestion { delay, late } = self.start_delays.congestion(now, self.rarity);
         let fleet_delay = self.unobserved_share * delay;
@@ -153,10 +165,12 @@
             / (MAX_DISPATCHERS_PER_WORKER - MIN_DISPATCHERS_PER_WORKER))
             .clamp(0.0, 1.0);
         let cost_per_place =
-            SUBSET_DISTANCE_COST * uncertainty * fleet_delay / workers.max(1) as f64;
+            SUBSET_DISTANCE_COST * uncertainty * fleet_delay / workers.len().max(1) as f64;
         SelectionContext {
+            now,
             active,
             class,
+            workers,
             bound_to,
             mean_work: class.mean_work(),
             fleet_delay,
@@ -169,21 +183,16 @@
         }
     }
 
-    fn exceeds_warm_up_allowance(
-        &self,
-        now: Nanos,
-        context: &SelectionContext,
-        index: usize,
-    ) -> bool {
+    fn exceeds_warm_up_allowance(&self, context: &SelectionContext, index: usize) -> bool {
         let worker = &self.workers[index];
-        self.warmth(worker, now) < 1.0
-            && self.warm_up_allowance(worker, now) < context.active.warm_up_work
+        self.warmth(worker, context.now) < 1.0
+            && self.warm_up_allowance(worker, context.now) < context.active.warm_up_work
             && !is_active(Mutation::IgnoreSlowStart)
     }
 
     /// Whether this dispatcher's part of a worker's slots, less what peers use, has place for the request. A larger
     /// request may have all of the part.
-    fn has_free_slot(&self, now: Nanos, context: &SelectionContext, index: usize) -> bool {
+    fn has_free_slot(&self, context: &SelectionContext, index: usize) -> bool {
         let worker = &self.workers[index];
         let sharing = if self.exchanges_load {
             1.0
@@ -192,72 +201,71 @@
         };
         let part = (worker.slots.round() / sharing).max(1.0);
         let slots_required = context.active.demand.slots_required;
-        worker.slots_in_use + worker.peer_load(now).slots + slots_required.min(part) <= part
+        worker.slots_in_use + worker.peer_load(context.now).slots + slots_required.min(part) <= part
     }
 
-    fn candidate(
-        &self,
-        now: Nanos,
-        context: &SelectionContext,
-        index: usize,
-        distance: usize,
-    ) -> Candidate {
+    /// What a request can expect of a worker.
+    fn estimate(&self, context: &SelectionContext, index: usize) -> Estimate {
         let active = context.active;
         let worker = &self.workers[index];
         let class_index = usize::from(active.request.class);
-        let failures = worker.failure_score_for(
-            now,
-            self.mean_failure_score,
-            class_index,
-            active.idempotency,
-        );
         let time_to_spare = active
-            .time_to_spare(now, worker.service_time_factor)
+            .time_to_spare(context.now, worker.service_time_factor)
             .max(1.0);
-        let fleet = self.fleet_means(now, context, index, time_to_spare);
-        let wait = worker.expected_wait(now, active.demand.slots_required, fleet);
-        let strain = wait / time_to_spare + self.zone_delays.part(worker.zone, time_to_spare);
-        let is_suitable = failures < MAX_FAILURE_SCORE
-            && strain < NEGLIGIBLE_STRAIN
-            && self.has_free_slot(now, context, index);
-        if is_suitable {
-            return Candidate {
-                selection: Selection {
-                    worker: index,
-                    wait,
-                    strain: wait / time_to_spare,
-                },
-                cost: 0.0,
-                is_suitable,
-            };
+        let fleet = self.fleet_means(context, index, time_to_spare);
+        let wait = worker.expected_wait(context.now, active.demand.slots_required, fleet);
+        Estimate {
+            failures: worker.failure_score_for(
+                context.now,
+                self.mean_failure_score,
+                class_index,
+                active.idempotency,
+            ),
+            time_to_spare,
+            wait,
+            strain: wait / time_to_spare + self.zone_delays.part(worker.zone, time_to_spare),
         }
-        let has_failed_there = active
+    }
+
+    /// Whether a request can start about at once, at a worker that is no outlier.
+    fn is_suitable(&self, context: &SelectionContext, index: usize, estimate: &Estimate) -> bool {
+        estimate.failures < MAX_FAILURE_SCORE
+            && estimate.strain < NEGLIGIBLE_STRAIN
+            && self.has_free_slot(context, index)
+    }
+
+    /// The cost of a worker that is not suitable, `distance` places away from the request's interval.
+    fn cost(
+        &self,
+        context: &SelectionContext,
+        index: usize,
+        distance: usize,
+        estimate: &Estimate,
+    ) -> f64 {
+        let worker = &self.workers[index];
+        let has_failed_there = context
+            .active
             .attempts()
             .iter()
             .any(|attempt| attempt.worker == index);
         // Own attempts count once more than in the wait, as other dispatchers see and do the same.
-        let own_load = (worker.remaining_work / time_to_spare + worker.slots_in_use) / worker.slots;
+        let own_load =
+            (worker.remaining_work / estimate.time_to_spare + worker.slots_in_use) / worker.slots;
         let distance_cost = context.cost_per_place * distance as f64;
-        let cost = strain + own_load + failures + f64::from(has_failed_there) + distance_cost;
-        // That a worker is slow is no overload. It counts for admission only as far as starts are late.
-        let factor = 1.0
-            + (worker.service_time_factor - 1.0)
-                * (LATE_FACTOR_SLOPE * context.late_starts).min(1.0);
-        Candidate {
-            selection: Selection {
-                worker: index,
-                wait,
-                strain: wait / active.time_to_spare(now, factor).max(1.0),
-            },
-            cost,
-            is_suitable,
-        }
+        estimate.strain + own_load + estimate.failures + f64::from(has_failed_there) + distance_cost
+    }
+
+    /// The strain for admission at a worker that is not suitable. That a worker is slow is no overload: it counts only as
+    /// far as starts are late.
+    fn admission_strain(&self, context: &SelectionContext, index: usize, wait: f64) -> f64 {
+        let lateness = (LATE_FACTOR_SLOPE * context.late_starts).min(1.0);
+        let factor = 1.0 + (self.workers[index].service_time_factor - 1.0) * lateness;
+        wait / context.active.time_to_spare(context.now, factor).max(1.0)
     }
 
     /// The means of the fleet for a worker. A warming worker is not as busy as the rest, as its load is limited.
     fn fleet_means(
         &self,
-        now: Nanos,
         context: &SelectionContext,
         index: usize,
         time_to_spare: f64,
@@ -266,7 +274,7 @@
             work: context.mean_work,
             ..FleetMeans::default()
         };
-        if self.warmth(&self.workers[index], now) < 1.0 {
+        if self.warmth(&self.workers[index], context.now) < 1.0 {
             return means;
         }
         FleetMeans {
