--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -6,7 +6,7 @@
 use super::worker_selection::Selection;
 use crate::start_delays::{AttemptId, SentAttempt};
 use crate::state::RequestState::{Pending, PendingMayHaveRun};
-use crate::state::{Attempt, RequestInput, RunningMean, UncertainAttempt, Worker};
+use crate::state::{Attempt, RequestInput, RunningMean, Worker};
 use crate::time::{SECOND, decay};
 use crate::timers::{attempt_of, attempt_timer};
 use crate::types::{Action, AttemptEnded, Nanos, Outcome, RequestId};
@@ -222,12 +222,7 @@
             classify_outcome(outcome)
         };
         if input == RequestInput::MayHaveRun {
-            let uncertain = UncertainAttempt {
-                worker: attempt.worker,
-                sent_at: attempt.sent_at,
-            };
-            let first = &mut self.requests[key].first_uncertain_attempt;
-            first.get_or_insert(uncertain);
+            self.requests[key].record_uncertain_attempt(&attempt);
         }
         self.apply_input(now, request_id, input, actions);
     }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -150,6 +150,15 @@
         self.attempts_sent += 1;
     }
 
+    /// Notes that an attempt may have run. Only the first one binds later attempts.
+    pub(crate) fn record_uncertain_attempt(&mut self, attempt: &Attempt) {
+        self.first_uncertain_attempt
+            .get_or_insert(UncertainAttempt {
+                worker: attempt.worker,
+                sent_at: attempt.sent_at,
+            });
+    }
+
     /// How long it may wait from a moment on and still meet its latency objective, at a worker of this service-time
     /// factor. Negative where it cannot.
     pub(crate) fn time_to_spare(&self, from: Nanos, service_time_factor: f64) -> f64 {
