--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -1,11 +1,7 @@
 //! Tests of the configuration file's text.
 use super::runtime_settings::shutdown_timeout;
-<<<<<<< HEAD
-use rosewall_settings::parse_settings;
-=======
 use super::{Config, EndpointsMode, RuntimeSettings};
-use rosewall_settings::ours;
->>>>>>> main
+use rosewall_settings::parse_settings;
 use test_case::test_case;
 
 /// A file with settings of each form.
