--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -68,10 +68,7 @@
         let attempt_index = active.attempts_sent;
         let expected_wait = worker.queue_wait(active.demand.slots_required, worker.peer_load(now));
         self.start_delays.record_sent(SentAttempt {
-            id: AttemptId {
-                request_id,
-                attempt_index: attempt_index as u8,
-            },
+            id: AttemptId::new(request_id, attempt_index as u8),
             sent_at: now,
             expected_wait,
             time_to_spare: active.time_to_spare(now, worker.service_time_factor),
@@ -131,11 +128,8 @@
         }
         worker.set_start_delay(now, attempt.unexplained_delay(now));
         self.zone_delays.observe(worker.zone, worker.start_delay);
-        let id = AttemptId {
-            request_id,
-            attempt_index,
-        };
-        self.start_delays.record_start(id, now);
+        self.start_delays
+            .record_start(AttemptId::new(request_id, attempt_index), now);
         let service_time = self.requests[key].demand.service_time;
         let overrun_after =
             OVERRUN_MULTIPLE * service_time * worker.service_time_factor + OVERRUN_TOLERANCE;
@@ -206,10 +200,8 @@
             self.observe_slots(now, key, attempt.worker);
         }
         self.requests[key].attempts_mut()[usize::from(attempt_index)].in_flight = false;
-        self.start_delays.record_end(AttemptId {
-            request_id,
-            attempt_index,
-        });
+        self.start_delays
+            .record_end(AttemptId::new(request_id, attempt_index));
         self.on_load_report(now, attempt.worker, report);
         let reason = self.learn_from_outcome(now, key, &attempt, outcome);
         self.report_load(now, attempt.worker, reason, actions);
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -1,6 +1,6 @@
-use super::{CLASS_FAILURE_HALF_LIFE, FAILURE_HALF_LIFE};
+use super::{CLASS_FAILURE_HALF_LIFE, Dispatcher, FAILURE_HALF_LIFE};
 use crate::policy::test_support::{
-    MS, arrive, attempt_ended, dispatcher, handle, only_attempt, request, start_attempt,
+    MS, arrive, attempt_ended, dispatcher, handle, only_attempt, request, start_attempt, worker_id,
 };
 use crate::settings::Idempotency::Idempotent;
 use crate::time::SECOND;
@@ -13,16 +13,9 @@
 fn only_failures_of_the_worker_raise_its_score(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
     arrive(&mut d, 0, request(1, 0, 100 * MS, 0));
-    let ended = AttemptEnded {
-        request_id: 1,
-        attempt_index: 0,
-        outcome,
-        complete: false,
-        report: Report::default(),
-    };
-    let reversed =
-        handle(&mut d, 0, Event::AttemptEnded(ended)) == [Action::Fail { request_id: 1 }];
-    (reversed, d.workers[0].failure_score.value)
+    let actions = handle(&mut d, 0, attempt_ended(1, 0, outcome));
+    let has_failed = actions == [Action::Fail { request_id: 1 }];
+    (has_failed, d.workers[0].failure_score.value)
 }
 
 #[test_case(true => (false, 1.0); "overtaken by a later attempt")]
@@ -83,17 +76,13 @@
         .iter_mut()
         .for_each(|worker| worker.failure_score.raise(0, FAILURE_HALF_LIFE, 0.8));
     d.on_tick(0, &mut Vec::new());
-    assert!(d.workers.iter().all(|worker| worker.failure_score_for(
-        0,
-        d.mean_failure_score,
-        0,
-        Idempotent
-    ) == 0.0));
+    let score = |d: &Dispatcher, index: usize| {
+        d.workers[index].failure_score_for(0, d.mean_failure_score, 0, Idempotent)
+    };
+    assert!((0..3).all(|index| score(&d, index) == 0.0));
     d.workers[1].failure_score.raise(0, FAILURE_HALF_LIFE, 0.9);
     d.on_tick(0, &mut Vec::new());
-    let doubts = [1, 0]
-        .map(|at: usize| d.workers[at].failure_score_for(0, d.mean_failure_score, 0, Idempotent));
-    assert!(doubts[0] > 0.1 && doubts[1] == 0.0);
+    assert!(score(&d, 1) > 0.1 && score(&d, 0) == 0.0);
 }
 
 #[test_case(0, 0 => true; "not heard of: others' requests may be ahead")]
@@ -103,7 +92,8 @@
     now: Nanos,
 ) -> bool {
     let mut d = dispatcher(1);
-    (d.unobserved_share, d.workers[0].last_response_at) = (1.0, last_response_at * MS);
+    d.unobserved_share = 1.0;
+    d.workers[0].last_response_at = last_response_at * MS;
     let now = now.max(1) * MS + 60_000 * MS * u64::from(last_response_at == 0);
     let mut actions = Vec::new();
     d.handle(
@@ -127,6 +117,6 @@
         let actions = arrive(&mut d, now, request(id, class, 50 * MS, now));
         let worker = only_attempt(&actions);
         handle(&mut d, now, attempt_ended(id, 0, Outcome::Succeeded));
-        worker == crate::policy::test_support::worker_id(0)
+        worker == worker_id(0)
     })
 }
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -124,10 +124,7 @@
 pub(crate) fn start_recent_attempts(d: &mut Dispatcher, now: Nanos, delay: f64, late: u32) {
     let wait = 2.0 * SECOND;
     for request in 0..32 {
-        let id = AttemptId {
-            request_id: 1_000_000 + request,
-            attempt_index: 0,
-        };
+        let id = AttemptId::new(1_000_000 + request, 0);
         let time_to_spare = if request >= 32 - late {
             0.5 * wait
         } else {
--- a/src/policy/worker_selection.rs
+++ b/src/policy/worker_selection.rs
@@ -123,23 +123,21 @@
                 continue;
             }
             let estimate = self.estimate(&context, index);
-            let wait = estimate.wait;
-            if self.is_suitable(&context, index, &estimate) {
-                selected = Some(Selection {
+            let select = |strain| {
+                Some(Selection {
                     worker: index,
-                    wait,
-                    strain: wait / estimate.time_to_spare,
-                });
+                    wait: estimate.wait,
+                    strain,
+                })
+            };
+            if self.is_suitable(&context, index, &estimate) {
+                selected = select(estimate.wait / estimate.time_to_spare);
                 break;
             }
             let cost = self.cost(&context, index, distance, &estimate);
             if cost < least_cost {
                 least_cost = cost;
-                selected = Some(Selection {
-                    worker: index,
-                    wait,
-                    strain: self.admission_strain(&context, index, wait),
-                });
+                selected = select(self.admission_strain(&context, index, estimate.wait));
             }
         }
         self.missing_grant_for = missing_grant_for;
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -33,6 +33,15 @@
     pub(crate) attempt_index: u8,
 }
 
+impl AttemptId {
+    pub(crate) fn new(request_id: RequestId, attempt_index: u8) -> Self {
+        AttemptId {
+            request_id,
+            attempt_index,
+        }
+    }
+}
+
 /// An attempt as it is sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -6,10 +6,7 @@
 
 /// Sends attempt `request` at `at` ms: it has 100 ms to spare, of which nothing is expected to be spent.
 fn send(delays: &mut StartDelays, request: RequestId, at: Nanos) -> AttemptId {
-    let id = AttemptId {
-        request_id: request,
-        attempt_index: 0,
-    };
+    let id = AttemptId::new(request, 0);
     delays.record_sent(SentAttempt {
         id,
         sent_at: at * MS,
@@ -89,10 +86,7 @@
 #[test]
 fn starts_that_an_idle_worker_makes_late_count_as_in_time() {
     let mut delays = StartDelays::default();
-    let id = AttemptId {
-        request_id: 1,
-        attempt_index: 0,
-    };
+    let id = AttemptId::new(1, 0);
     delays.record_sent(SentAttempt {
         id,
         sent_at: 0,
@@ -109,10 +103,7 @@
     let mut delays = StartDelays::default();
     send_all(&mut delays, 0..1_000, 0);
     assert_eq!(delays.attempts.len(), MAX_ATTEMPTS);
-    let id = AttemptId {
-        request_id: 999,
-        attempt_index: 0,
-    };
+    let id = AttemptId::new(999, 0);
     delays.record_start(id, MS);
     let before = delays.congestion(MS, RARITY);
     delays.record_end(id);
