--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -1,5 +1,7 @@
-use super::{CLASS_FAILURE_HALF_LIFE, FAILURE_HALF_LIFE};
-use crate::policy::test_support::{MS, attempt_ended, dispatcher, handle, request};
+use super::{CLASS_FAILURE_HALF_LIFE, Dispatcher, FAILURE_HALF_LIFE};
+use crate::policy::test_support::{
+    MS, arrive, attempt_ended, dispatcher, handle, only_attempt, request, start_attempt, worker_id,
+};
 use crate::settings::Idempotency::Idempotent;
 use crate::time::SECOND;
 use crate::timers::attempt_timer;
@@ -10,42 +12,20 @@
 #[test_case(Outcome::WorkerError => (false, 0.5); "the worker may be")]
 fn only_failures_of_the_worker_raise_its_score(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
-    handle(&mut d, 0, Event::RequestArrived(request(1, 0, 100 * MS, 0)));
-    let ended = AttemptEnded {
-        request_id: 1,
-        attempt_index: 0,
-        outcome,
-        complete: false,
-        report: Report::default(),
-    };
-    let reversed =
-        handle(&mut d, 0, Event::AttemptEnded(ended)) == [Action::Fail { request_id: 1 }];
-    (reversed, d.workers[0].failure_score.value)
+    arrive(&mut d, 0, request(1, 0, 100 * MS, 0));
+    let actions = handle(&mut d, 0, attempt_ended(1, 0, outcome));
+    let has_failed = actions == [Action::Fail { request_id: 1 }];
+    (has_failed, d.workers[0].failure_score.value)
 }
 
 #[test_case(true => (false, 1.0); "overtaken by a later attempt")]
 #[test_case(false => (true, 2.0); "nothing starts")]
 fn a_lost_attempt_counts_neither_as_load_nor_as_failure(starts: bool) -> (bool, f64) {
     let mut d = dispatcher(1);
-    handle(
-        &mut d,
-        MS,
-        Event::RequestArrived(request(1, 2, 100 * MS, MS)),
-    );
-    handle(
-        &mut d,
-        50 * MS,
-        Event::RequestArrived(request(2, 0, 100 * MS, 50 * MS)),
-    );
+    arrive(&mut d, MS, request(1, 2, 100 * MS, MS));
+    arrive(&mut d, 50 * MS, request(2, 0, 100 * MS, 50 * MS));
     if starts {
-        handle(
-            &mut d,
-            60 * MS,
-            Event::AttemptStarted {
-                request_id: 2,
-                attempt_index: 0,
-            },
-        );
+        start_attempt(&mut d, 60 * MS, 2);
     }
     handle(
         &mut d,
@@ -74,19 +54,8 @@
         } else {
             Outcome::Succeeded
         };
-        handle(
-            &mut d,
-            0,
-            Event::RequestArrived(request(n, class, 100 * MS, 0)),
-        );
-        handle(
-            &mut d,
-            0,
-            Event::AttemptStarted {
-                request_id: n,
-                attempt_index: 0,
-            },
-        );
+        arrive(&mut d, 0, request(n, class, 100 * MS, 0));
+        start_attempt(&mut d, 0, n);
         let ended = AttemptEnded {
             request_id: n,
             attempt_index: 0,
@@ -107,17 +76,13 @@
         .iter_mut()
         .for_each(|worker| worker.failure_score.raise(0, FAILURE_HALF_LIFE, 0.8));
     d.on_tick(0, &mut Vec::new());
-    assert!(d.workers.iter().all(|worker| worker.failure_score_for(
-        0,
-        d.mean_failure_score,
-        0,
-        Idempotent
-    ) == 0.0));
+    let score = |d: &Dispatcher, index: usize| {
+        d.workers[index].failure_score_for(0, d.mean_failure_score, 0, Idempotent)
+    };
+    assert!((0..3).all(|index| score(&d, index) == 0.0));
     d.workers[1].failure_score.raise(0, FAILURE_HALF_LIFE, 0.9);
     d.on_tick(0, &mut Vec::new());
-    let doubts = [1, 0]
-        .map(|at: usize| d.workers[at].failure_score_for(0, d.mean_failure_score, 0, Idempotent));
-    assert!(doubts[0] > 0.1 && doubts[1] == 0.0);
+    assert!(score(&d, 1) > 0.1 && score(&d, 0) == 0.0);
 }
 
 #[test_case(0, 0 => true; "not heard of: others' requests may be ahead")]
@@ -127,7 +92,8 @@
     now: Nanos,
 ) -> bool {
     let mut d = dispatcher(1);
-    (d.unobserved_share, d.workers[0].last_response_at) = (1.0, last_response_at * MS);
+    d.unobserved_share = 1.0;
+    d.workers[0].last_response_at = last_response_at * MS;
     let now = now.max(1) * MS + 60_000 * MS * u64::from(last_response_at == 0);
     let mut actions = Vec::new();
     d.handle(
@@ -148,15 +114,9 @@
     d.workers[0].class_failure_scores[0].raise(0, CLASS_FAILURE_HALF_LIFE, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
-        let actions = handle(
-            &mut d,
-            now,
-            Event::RequestArrived(request(id, class, 50 * MS, now)),
-        );
-        let [Action::SendAttempt { worker, .. }] = actions[..] else {
-            panic!("{actions:?}")
-        };
+        let actions = arrive(&mut d, now, request(id, class, 50 * MS, now));
+        let worker = only_attempt(&actions);
         handle(&mut d, now, attempt_ended(id, 0, Outcome::Succeeded));
-        worker == crate::policy::test_support::worker_id(0)
+        worker == worker_id(0)
     })
 }
