--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -154,14 +154,14 @@
 #[test_case(100, 5_000 => false; "many times a small time to spare")]
 fn delays_count_relative_to_the_time_to_spare(hint: Nanos, wait: Nanos) -> bool {
     let mut d = dispatcher(1);
-    drop(arrive(
+    arrive(
         &mut d,
         MS,
         Request {
             deadline: 60_000 * MS,
             ..request(1, 0, hint * MS, 0)
         },
-    ));
+    );
     start_attempt(&mut d, wait * MS, 1);
     d.start_delays.congestion(wait * MS, 1.0).delay < 0.2
 }
--- a/src/policy/diffeqal/tests.rs
+++ b/src/policy/diffeqal/tests.rs
@@ -2,13 +2,14 @@
 use crate::policy::test_support::{MS, arrive, dispatcher, only_attempt, request};
 use crate::state::{BINS, bin_index};
 use crate::types::Nanos;
+use std::collections::BTreeSet;
 use test_case::test_case;
 
 #[test_case(4, 0.1 => vec![-100, -17, 33, 83]; "the paper's example")]
 #[test_case(4, 0.2 => vec![-200, -33, 67, 167]; "twice the shift")]
 #[test_case(1, 0.4 => vec![0]; "one worker")]
 #[test_case(0, 0.4 => Vec::<i64>::new(); "no worker")]
-fn shifts_sum_to_nothing_from_minus_the_ratio(count: usize, ratio: f64) -> Vec<i64> {
+fn shifts_sum_to_zero_and_start_at_minus_the_ratio(count: usize, ratio: f64) -> Vec<i64> {
     semi_geometric_shifts(count, ratio)
         .map(|shift| (shift * 1000.0).round() as i64)
         .collect()
@@ -30,8 +31,11 @@
     interval_weights: &[f64],
     filled: &[(usize, f64)],
 ) -> Vec<i64> {
-    let (mut bins, mut interval_bounds) = ([0.0; BINS], Vec::new());
-    filled.iter().for_each(|(bin, work)| bins[*bin] = *work);
+    let mut bins = [0.0; BINS];
+    for (bin, work) in filled {
+        bins[*bin] = *work;
+    }
+    let mut interval_bounds = Vec::new();
     compute_interval_bounds(
         &bins,
         &bins,
@@ -41,17 +45,18 @@
     );
     interval_bounds
         .iter()
-        .map(|end| end.round() as i64)
+        .map(|bound| bound.round() as i64)
         .collect()
 }
 
 #[test]
 fn class_shifts_keep_the_total_work_of_a_class() {
-    let (mut all_work, mut class_work, mut interval_bounds) =
-        ([0.0; BINS], [0.0; BINS], Vec::new());
-    (8..40).for_each(|bin| {
-        (all_work[bin], class_work[bin]) = (10.0, if bin < 24 { 5.0 } else { 1.0 })
-    });
+    let mut all_work = [0.0; BINS];
+    let mut class_work = [0.0; BINS];
+    all_work[8..40].fill(10.0);
+    class_work[8..24].fill(5.0);
+    class_work[24..40].fill(1.0);
+    let mut interval_bounds = Vec::new();
     compute_interval_bounds(
         &all_work,
         &class_work,
@@ -59,13 +64,8 @@
         semi_geometric_shifts(2, 0.4),
         &mut interval_bounds,
     );
-    assert_eq!(
-        interval_bounds
-            .iter()
-            .map(|end| end.round())
-            .collect::<Vec<_>>(),
-        [48.0, 70.0]
-    );
+    let rounded: Vec<f64> = interval_bounds.iter().map(|bound| bound.round()).collect();
+    assert_eq!(rounded, [48.0, 70.0]);
 }
 
 /// Otherwise such requests of many dispatchers that have seen few each would all go to the last worker.
@@ -74,11 +74,8 @@
     let worker_for = |hint: Nanos| {
         let mut d = dispatcher(10);
         d.classes[0].histogram[bin_index(1e6)] = 1e6;
-        let actions = arrive(&mut d, MS, request(1, 0, hint * MS, 0));
-        let worker = only_attempt(&actions);
-        worker.addr[3]
+        only_attempt(&arrive(&mut d, MS, request(1, 0, hint * MS, 0))).addr[3]
     };
-    let workers: std::collections::BTreeSet<u8> =
-        (0..40).map(|step| worker_for(100 + 5 * step)).collect();
+    let workers: BTreeSet<u8> = (0..40).map(|step| worker_for(100 + 5 * step)).collect();
     assert!(workers.len() > 6, "{workers:?}");
 }
--- a/src/policy/dispatcher/tests.rs
+++ b/src/policy/dispatcher/tests.rs
@@ -47,11 +47,9 @@
     let actions: Vec<Action> = (1..40)
         .flat_map(|n| arrive(&mut d, 0, request(n, 2, 100 * MS, 0)))
         .collect();
-    let (attempts_sent, wanted) = (
-        actions
-            .iter()
-            .any(|action| matches!(action, Action::SendAttempt { .. })),
-        workers > 0,
-    );
-    assert!(attempts_sent == wanted && d.classes[2].subset.len() <= usize::from(workers));
+    let has_sent = actions
+        .iter()
+        .any(|action| matches!(action, Action::SendAttempt { .. }));
+    assert_eq!(has_sent, workers > 0);
+    assert!(d.classes[2].subset.len() <= usize::from(workers));
 }
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -127,7 +127,8 @@
 
     fn observe_free_slots(&mut self, worker_index: usize, free_slots: f64) {
         let worker = &self.workers[worker_index];
-        let (worker_type, slots) = (worker.worker_type, worker.slots);
+        let worker_type = worker.worker_type;
+        let slots = worker.slots;
         if free_slots > slots + FREE_SLOTS_TOLERANCE {
             self.raise_slots(
                 worker_type,
--- a/src/policy/load_report/tests.rs
+++ b/src/policy/load_report/tests.rs
@@ -1,14 +1,16 @@
 use crate::policy::test_support::{
-    MS, arrive, attempt_ended, dispatcher, handle, request, start_attempt,
+    MS, arrive, dispatcher, handle, request, start_attempt, succeeded,
 };
 use crate::timers::TICK_TIMER;
-use crate::types::{Action, Event, Nanos, Outcome, Report};
+use crate::types::{Action, Event, Nanos, Report};
 use test_case::test_case;
 
 #[test]
 fn late_reports_do_not_raise_slots() {
     let mut d = dispatcher(1);
-    (0..4).for_each(|n| drop(arrive(&mut d, 0, request(n, 0, 100 * MS, 0))));
+    for id in 0..4 {
+        arrive(&mut d, 0, request(id, 0, 100 * MS, 0));
+    }
     let report = Report {
         count: 2,
         values: [0.0, 2.0, 0.0, 0.0],
@@ -29,15 +31,15 @@
     completed: Nanos,
 ) -> f64 {
     let mut d = dispatcher(1);
-    (0..3).for_each(|n| drop(arrive(&mut d, 0, request(n, 0, 100 * MS, 0))));
-    (0..2).for_each(|request_id| drop(start_attempt(&mut d, MS, request_id)));
+    for id in 0..3 {
+        arrive(&mut d, 0, request(id, 0, 100 * MS, 0));
+    }
+    for id in 0..2 {
+        start_attempt(&mut d, MS, id);
+    }
     d.workers[0].started_at = restarted * MS;
     start_attempt(&mut d, third * MS, 2);
-    handle(
-        &mut d,
-        completed * MS,
-        attempt_ended(0, 0, Outcome::Succeeded),
-    );
+    handle(&mut d, completed * MS, succeeded(0));
     d.workers[0].slots
 }
 
@@ -54,10 +56,9 @@
     };
     d.on_load_report(MS, 0, report);
     let worker = &d.workers[0];
-    assert_eq!(
-        (worker.slots, worker.other_slots, worker.other_slots_at),
-        (2.0, 0.0, 0)
-    );
+    assert_eq!(worker.slots, 2.0);
+    assert_eq!(worker.other_slots, 0.0);
+    assert_eq!(worker.other_slots_at, 0);
     let actions = handle(&mut d, MS, Event::TimerFired { token: TICK_TIMER });
     assert!(
         actions.contains(&Action::Log("2 invalid values in load reports".into())),
@@ -72,22 +73,14 @@
         let now = u64::from(id) * 500 * MS;
         arrive(&mut d, now, request(id, 0, 100 * MS, now));
         start_attempt(&mut d, now, id);
-        handle(
-            &mut d,
-            now + 200 * MS,
-            attempt_ended(id, 0, Outcome::Succeeded),
-        );
+        handle(&mut d, now + 200 * MS, succeeded(id));
     }
     handle(&mut d, 3_000 * MS, Event::TimerFired { token: TICK_TIMER });
-    assert!(
-        d.workers
-            .iter()
-            .all(|worker| worker.service_time_factor > 1.4),
-        "{:?}",
-        d.workers
-            .iter()
-            .map(|w| w.service_time_factor)
-            .collect::<Vec<_>>()
-    );
+    let factors: Vec<f64> = d
+        .workers
+        .iter()
+        .map(|worker| worker.service_time_factor)
+        .collect();
+    assert!(factors.iter().all(|factor| *factor > 1.4), "{factors:?}");
     assert!(d.workers.iter().any(|worker| worker.factor_samples == 0.0));
 }
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -70,7 +70,7 @@
     } else {
         dispatcher(1)
     };
-    drop(arrive(&mut d, MS, request(1, 2, 100 * MS, 0)));
+    arrive(&mut d, MS, request(1, 2, 100 * MS, 0));
     start_attempt(&mut d, MS, 1);
     d.refresh_worker_loads((age + 1) * MS);
     (d.workers[0].observed_service_time_factor().factor * 100.0).round() as i64
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -2,7 +2,7 @@
 use crate::pcg::Pcg;
 use crate::policy::test_support::{
     MS, arrive, attempt_ended, dispatcher, dispatcher_of, endpoint, exchanging_dispatcher_of_rank,
-    handle, list_endpoints, request, settings, start_recent_attempts, warm_endpoints,
+    handle, list_endpoints, request, settings, start_recent_attempts, succeeded, warm_endpoints,
 };
 use crate::settings::Idempotency::Idempotent;
 use crate::state::RequestState::InFlight;
@@ -163,10 +163,8 @@
             d.update_fleet_estimates(at);
             d.warm_up_allowance(&d.workers[9], at).max(0.0)
         };
-        let (sum, warmth) = (
-            users.iter_mut().map(budget).sum::<f64>(),
-            0.2 + 0.8 * at as f64 / 10e9,
-        );
+        let sum = users.iter_mut().map(budget).sum::<f64>();
+        let warmth = 0.2 + 0.8 * at as f64 / 10e9;
         assert!(
             warmth >= 1.0 || sum <= 3.0 * 2.0 * warmth * SECOND,
             "{sum} at {at}"
@@ -205,29 +203,18 @@
 #[test_case(500, Some(600) => 1; "and completed since")]
 #[test_case(50, None => 0; "to the process before")]
 #[test_case(50, Some(60) => 0; "to the process before, and completed since")]
-fn work_sent_before_a_start_was_known_counts(
-    attempts_sent: Nanos,
-    completed: Option<Nanos>,
-) -> usize {
+fn work_sent_before_a_start_was_known_counts(sent_at: Nanos, completed: Option<Nanos>) -> usize {
     let mut d = dispatcher(1);
-    arrive(
-        &mut d,
-        attempts_sent * MS,
-        request(1, 2, 100 * MS, attempts_sent * MS),
-    );
-    completed.into_iter().for_each(|at| {
-        drop(handle(
-            &mut d,
-            at * MS,
-            attempt_ended(1, 0, Outcome::Succeeded),
-        ))
-    });
+    arrive(&mut d, sent_at * MS, request(1, 2, 100 * MS, sent_at * MS));
+    if let Some(at) = completed {
+        handle(&mut d, at * MS, succeeded(1));
+    }
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
     list_endpoints(&mut d, 900 * MS, ListScope::Delta, endpoints);
     d.workers[0]
         .recent_work
         .iter()
-        .filter(|sent| **sent == sent_work(attempts_sent, 1e8))
+        .filter(|sent| **sent == sent_work(sent_at, 1e8))
         .count()
 }
 
--- a/src/policy/slow_start/tests/grants.rs
+++ b/src/policy/slow_start/tests/grants.rs
@@ -11,7 +11,8 @@
 #[test_case(&[true, false, true, false, true, false, true, false, true, false, true, false], 0.95; "every other")]
 fn reserved_and_granted_shares_together_keep_the_budget(has_view: &[bool], limit: f64) {
     for at in 0..10 {
-        let (mut sum, now) = (0.0, 3_000 * MS);
+        let now = 3_000 * MS;
+        let mut sum = 0.0;
         for (rank, has_view) in has_view.iter().enumerate() {
             // Views differ, and more run than the settings know of.
             for rank in [rank as u16, rank as u16 + 12] {
--- a/src/policy/subset/tests.rs
+++ b/src/policy/subset/tests.rs
@@ -41,14 +41,15 @@
     dispatchers: u32,
     workers: u8,
 ) -> (usize, usize, usize) {
-    let (mut users, mut subset) = (vec![0; usize::from(workers)], 0);
+    let mut users = vec![0; usize::from(workers)];
+    let mut size = 0;
     for rank in 0..dispatchers {
         let d = dispatcher_of(dispatchers, rank, warm_endpoints(workers));
-        subset = d.classes[0].subset.len();
+        size = d.classes[0].subset.len();
         d.classes[0].subset.iter().for_each(|at| users[*at] += 1);
     }
     (
-        subset,
+        size,
         users.iter().copied().min().unwrap(),
         users.iter().copied().max().unwrap(),
     )
@@ -80,14 +81,15 @@
 #[test_case(7, 3; "three workers")]
 fn dispatchers_of_two_workers_differ_by_one_at_most(dispatchers: u16, workers: u8) {
     let mut count = vec![0; usize::from(workers)];
-    for active in subsets(dispatchers, workers) {
-        let mut apart = active.clone();
-        apart.dedup();
-        assert_eq!(apart.len(), active.len(), "a worker twice in one subset");
-        active.iter().for_each(|at| count[*at] += 1);
+    for subset in subsets(dispatchers, workers) {
+        let mut distinct = subset.clone();
+        distinct.dedup();
+        assert_eq!(distinct.len(), subset.len(), "a worker twice in one subset");
+        subset.iter().for_each(|at| count[*at] += 1);
     }
-    let (fewest, limit) = (count.iter().min().unwrap(), count.iter().max().unwrap());
-    assert!(limit - fewest <= 1, "{count:?}");
+    let fewest = count.iter().min().unwrap();
+    let most = count.iter().max().unwrap();
+    assert!(most - fewest <= 1, "{count:?}");
 }
 
 /// Within a power of two of dispatchers.
--- a/src/policy/worker_selection/tests.rs
+++ b/src/policy/worker_selection/tests.rs
@@ -1,7 +1,7 @@
 use super::Dispatcher;
 use crate::policy::test_support::{
-    MS, arrive, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle, only_attempt,
-    request, start_attempt, start_recent_attempts, warm_endpoints,
+    MS, arrive, attempt_ended, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle,
+    only_attempt, request, start_attempt, start_recent_attempts, succeeded, warm_endpoints,
 };
 use crate::state::{FleetMeans, Worker, bin_index};
 use crate::time::SECOND;
@@ -32,50 +32,30 @@
 }
 
 /// It answers at once and would look idle.
-#[test_case(Outcome::AtCapacity; "full")]
-#[test_case(Outcome::ConnectFailed; "dead")]
+#[test_case(Outcome::AtCapacity; "at capacity")]
+#[test_case(Outcome::ConnectFailed; "unreachable")]
 fn a_worker_that_accepts_nothing_is_passed_over(outcome: Outcome) {
     let mut d = dispatcher(3);
-    let posted_to = |actions: &[Action]| match actions[..] {
-        [Action::SendAttempt { worker, .. }] => worker,
-        _ => panic!("{actions:?}"),
-    };
-    let first = posted_to(&arrive(&mut d, MS, request(1, 0, 100 * MS, MS)));
-    let ended = AttemptEnded {
-        request_id: 1,
-        attempt_index: 0,
-        outcome,
-        complete: false,
-        report: Report::default(),
-    };
-    assert_ne!(
-        posted_to(&handle(&mut d, 2 * MS, Event::AttemptEnded(ended))),
-        first
-    );
+    let first = only_attempt(&arrive(&mut d, MS, request(1, 0, 100 * MS, MS)));
+
+    let actions = handle(&mut d, 2 * MS, attempt_ended(1, 0, outcome));
+
+    assert_ne!(only_attempt(&actions), first);
     assert!(d.workers[d.worker_indices[&first]].start_delay > 0.2 * SECOND);
 }
 
 #[test]
 fn a_retry_goes_to_another_worker() {
     let mut d = dispatcher(2);
-    let mut actions = arrive(&mut d, 0, request(1, 0, 100 * MS, 0));
-    let ended = AttemptEnded {
-        request_id: 1,
-        attempt_index: 0,
-        outcome: Outcome::WorkerError,
-        complete: false,
-        report: Report::default(),
-    };
-    let first = only_attempt(&actions);
-    d.workers
-        .iter_mut()
-        .for_each(|worker| (worker.start_delay, worker.start_delay_at) = (0.1 * SECOND, 0));
+    let first = only_attempt(&arrive(&mut d, 0, request(1, 0, 100 * MS, 0)));
+    for worker in &mut d.workers {
+        worker.set_start_delay(0, 0.1 * SECOND);
+    }
     d.mean_failure_score = 0.9;
-    actions = handle(&mut d, 0, Event::AttemptEnded(ended));
-    assert!(
-        matches!(actions[..], [Action::SendAttempt { worker, .. }] if worker != first),
-        "{actions:?}"
-    );
+
+    let actions = handle(&mut d, 0, attempt_ended(1, 0, Outcome::WorkerError));
+
+    assert_ne!(only_attempt(&actions), first);
 }
 
 /// The place in the subset of the worker selected for a request of 10 ms, where the whole fleet waits for three tenths of
@@ -85,14 +65,16 @@
     start_recent_attempts(&mut d, now, 0.3, 0);
     d.classes[0].histogram[bin_index(1e7)] = 1e7;
     d.classes[2].histogram[bin_index(2e9)] = 2e10;
-    (d.classes[0].request_count, d.classes[2].request_count) = (1.0, 10.0);
+    d.classes[0].request_count = 1.0;
+    d.classes[2].request_count = 10.0;
     let last = *d.classes[0].subset.last().unwrap();
     // Its latency objective and twice its service time.
     let time_to_spare = d.classes[0].settings.latency_objective + 10e6;
-    (d.workers[last].start_delay, d.workers[last].start_delay_at) =
-        (part * 0.3 * d.unobserved_share * time_to_spare, now);
-    let actions = arrive(&mut d, now, request(1, 0, 10 * MS, now));
-    let worker = only_attempt(&actions);
+    let delay = part * 0.3 * d.unobserved_share * time_to_spare;
+    d.workers[last].set_start_delay(now, delay);
+
+    let worker = only_attempt(&arrive(&mut d, now, request(1, 0, 10 * MS, now)));
+
     d.classes[0]
         .subset
         .iter()
@@ -153,29 +135,26 @@
 #[test]
 fn classes_without_completed_requests_differ_by_their_latency_objectives() {
     let mut d = dispatcher_of_large_fleet();
-    let mut subset = [Vec::new(), Vec::new()];
+    let mut workers = [Vec::new(), Vec::new()];
     for id in 0..60 {
-        let (class, now) = (
-            if id % 3 == 0 { 2 } else { 0 },
-            Nanos::from(id) * 10_000 * MS,
-        );
+        let class = if id % 3 == 0 { 2 } else { 0 };
+        let now = Nanos::from(id) * 10_000 * MS;
         let actions = arrive(&mut d, now, request_without_hint(id, class, now));
         let worker = only_attempt(&actions);
-        subset[usize::from(class == 2)].push(worker.addr[3]);
-        let report = Report::default();
+        workers[usize::from(class == 2)].push(worker.addr[3]);
         let end = AttemptEnded {
             request_id: id,
             attempt_index: 0,
             outcome: Outcome::AtCapacity,
             complete: true,
-            report,
+            report: Report::default(),
         };
         handle(&mut d, now + MS, Event::AttemptEnded(end));
     }
-    let mean = |subset: &[u8]| {
-        subset.iter().map(|worker| f64::from(*worker)).sum::<f64>() / subset.len() as f64
+    let mean = |workers: &[u8]| {
+        workers.iter().map(|worker| f64::from(*worker)).sum::<f64>() / workers.len() as f64
     };
-    assert!(mean(&subset[0]) + 60.0 < mean(&subset[1]), "{subset:?}");
+    assert!(mean(&workers[0]) + 60.0 < mean(&workers[1]), "{workers:?}");
 }
 
 /// A latency objective close to the deadline must not lead to rejections until one request has run.
@@ -214,19 +193,11 @@
             hint: hint.map(|hint| hint * MS),
             ..request(id, class, 0, now)
         };
-        drop(arrive(&mut d, now, request));
-        let run = d.requests[d.request_keys[&id]].demand.service_time / MS as f64;
-        drop(start_attempt(&mut d, now, id));
-        let report = Report::default();
-        let end = AttemptEnded {
-            request_id: id,
-            attempt_index: 0,
-            outcome: Outcome::Succeeded,
-            complete: true,
-            report,
-        };
-        drop(handle(&mut d, now + took * MS, Event::AttemptEnded(end)));
-        run.round() as u64
+        arrive(&mut d, now, request);
+        let expected = d.requests[d.request_keys[&id]].demand.service_time / MS as f64;
+        start_attempt(&mut d, now, id);
+        handle(&mut d, now + took * MS, succeeded(id));
+        expected.round() as u64
     };
     for (at, took) in [(1, 400), (2, 600)] {
         complete(at, 0, before, took);
--- a/src/state/inter_arrival/tests.rs
+++ b/src/state/inter_arrival/tests.rs
@@ -8,15 +8,16 @@
 #[test_case(300, 4 => true; "bursts of four are correlated")]
 #[test_case(300, 1 => false; "alternating intervals are not")]
 fn bursts_are_autocorrelated(arrivals: u64, burst: u64) -> bool {
-    let (mut inter_arrival_times, mut now) = (InterArrivalTimes::default(), 0);
+    let mut times = InterArrivalTimes::default();
+    let mut now = 0;
     for n in 0..arrivals {
         now += if (n / burst).is_multiple_of(2) {
             10 * MS
         } else {
             90 * MS
         };
-        inter_arrival_times.record_arrival(now);
+        times.record_arrival(now);
     }
-    inter_arrival_times.update_estimate(now);
-    inter_arrival_times.autocorrelation > 0.1
+    times.update_estimate(now);
+    times.autocorrelation > 0.1
 }
