--- a/src/mutation.rs
+++ b/src/mutation.rs
@@ -12,7 +12,7 @@
     IgnoreRetryWindow,
     /// A draining worker still gets new requests.
     IgnoreDraining,
-    /// A warming worker gets whatever its interval holds.
+    /// A warming worker gets all requests of its interval.
     IgnoreSlowStart,
     /// An answer that is ready at a shutdown is not written.
     DropAnswerAtShutdown,
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they are sent, and what their start, their delay and their end teach of a worker.
+//! Attempts: how they are sent, and what their start, delay and end show about a worker.
 use super::Dispatcher;
 use super::lifecycle::{classify_outcome, next};
 use super::outlier::{BUSY_WEIGHT, OVERRUN_WEIGHT, UNRESPONSIVE_WEIGHT};
@@ -94,7 +94,7 @@
     }
 
     /// When the start of an attempt is overdue. Another dispatcher's request of like size may be ahead at a worker that
-    /// was not heard of just before.
+    /// has not responded within the last second.
     fn start_overdue_at(&self, now: Nanos, key: usize, selection: Selection) -> Nanos {
         let worker = &self.workers[selection.worker];
         let service_times = if self.settings.reports_starts {
@@ -219,7 +219,7 @@
         self.apply_input(now, request_id, input, actions);
     }
 
-    /// Learns what the end of an attempt says of its worker, and says why its load is to be reported.
+    /// Learns from the end of an attempt, and returns the reason to report the load of its worker.
     fn learn_from_outcome(
         &mut self,
         now: Nanos,
--- a/src/policy/diffeqal.rs
+++ b/src/policy/diffeqal.rs
@@ -2,7 +2,7 @@
 //!
 //! After N. Mi, Q. Zhang, A. Riska and E. Smirni, "Load Balancing for Performance Differentiation in Dual-Priority
 //! Clustered Servers". Step one shifts work from the first workers to the last by `R`; step two shifts each class again
-//! by its own `R^c`. `docs/design.md` says what differs from the paper.
+//! by its own `R^c`. `docs/design.md` lists the differences from the paper.
 use super::Dispatcher;
 use crate::state::{BINS, Bins, work_below};
 use crate::types::Nanos;
@@ -70,7 +70,7 @@
     })
 }
 
-/// The bounds of the intervals, as cumulative work of one class. `weights` are the parts of all work that step one gives
+/// The bounds of the intervals, as cumulative work of one class. `weights` are the parts of all work that step one assigns
 /// to the workers; each keeps (1 + its class shift) times what it then has of the class.
 pub(super) fn compute_interval_bounds(
     all_work: &Bins,
@@ -161,7 +161,7 @@
         sum
     }
 
-    /// The part of all work that step one gives to a worker: by its shift, size, failures and warm-up.
+    /// The part of all work that step one assigns to a worker: by its shift, size, failures and warm-up.
     fn interval_weight(
         &self,
         now: Nanos,
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -77,7 +77,7 @@
             worker.remaining_work = 0.0;
             worker.overruns = Overruns::default();
         }
-        // One overrun alone says little, as hints are rough; those of several dispatchers do.
+        // Hints are rough: overruns count only where several dispatchers share what they observe.
         let counts_overruns = self.exchanges_load;
         for (_, active) in &self.requests {
             for attempt in active.attempts().iter().filter(|attempt| attempt.in_flight) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes up a worker's load report.
+    /// Updates the estimates from a worker's load report.
     pub(super) fn on_load_report(&mut self, now: Nanos, worker_index: usize, report: Report) {
         let is_valid = |value: &f32| (0.0..REPORT_VALUE_LIMIT).contains(value);
         let values = &report.values[..report.count.min(report.values.len())];
@@ -181,7 +181,7 @@
         self.raise_slots(worker.worker_type, slots_running);
     }
 
-    /// Logs how many invalid values load reports held, if any.
+    /// Logs the number of invalid values in load reports, if any.
     pub(super) fn log_invalid_reports(&mut self, actions: &mut Vec<Action>) {
         let count = std::mem::take(&mut self.invalid_report_values);
         if count > 0 {
--- a/src/policy/peer_load.rs
+++ b/src/policy/peer_load.rs
@@ -57,7 +57,7 @@
 }
 
 impl Dispatcher {
-    /// Takes up what another dispatcher reports of a worker.
+    /// Updates the estimates from what another dispatcher reports of a worker.
     pub(super) fn on_peer_load(&mut self, now: Nanos, from: u16, load: PeerLoad) {
         let Some(&index) = self.worker_indices.get(&load.worker) else {
             return;
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -24,11 +24,11 @@
             }
         })
     };
-    let mine = send_attempt(&mut d, 1, 900 * MS).unwrap();
+    let first = send_attempt(&mut d, 1, 900 * MS).unwrap();
     handle(&mut d, 910 * MS, succeeded(1));
     if let Some((half_slots, work)) = reported {
         // A repeated report counts once, one of an unknown worker not at all.
-        for worker in [mine, mine, worker_id(99)] {
+        for worker in [first, first, worker_id(99)] {
             let load = PeerLoad {
                 worker,
                 half_slots,
@@ -39,7 +39,7 @@
         }
     }
     assert!(d.workers.iter().all(|worker| worker.peer_loads.len() <= 1));
-    send_attempt(&mut d, 2, at * MS) == Some(mine)
+    send_attempt(&mut d, 2, at * MS) == Some(first)
 }
 
 #[test_case(PeerLoad::SPEED_UNKNOWN => (100, 0); "nothing known")]
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -18,13 +18,13 @@
 const GRANTED_SHARE: f64 = 0.5;
 
 /// The part reserved in total for dispatchers that know others. With the granted share it stays under two thirds, so that
-/// a third is left for those that have not heard of the worker's start.
+/// a third is left for those that do not know of the worker's start.
 const RESERVED_SHARE: f64 = 0.15;
 
 /// The part reserved in total for dispatchers that have never had a view of the fleet.
 const RESERVED_SHARE_WITHOUT_VIEW: f64 = 0.45;
 
-/// How many dispatchers divide the reserved share of one worker: each part must hold a request.
+/// How many dispatchers divide the reserved share of one worker: each part must be large enough for a request.
 const RESERVING_DISPATCHERS: f64 = 2.0;
 
 /// How long a request waits for a grant: ten times the round trip inside a data centre.
@@ -33,7 +33,7 @@
 /// How long after its warm-up a worker's budget is still set to 0.
 const BUDGET_CLEARED_FOR: Nanos = 5_000_000_000;
 
-/// The part of a warming worker's capacity that turns may use. The rest is for dispatchers that have not heard of its
+/// The part of a warming worker's capacity that turns may use. The rest is for dispatchers that do not know of its
 /// start and for requests that run longer than expected.
 const TURN_SHARE: f64 = 0.5;
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The turn by the schedule. Dispatchers of neighbouring ranks use different workers, so one in `turns` stands for all
+    /// The turn by the schedule. Dispatchers of neighbouring ranks use different workers, so one in `turns` represents all
     /// that use this one. More have a turn at once as the worker warms up; the allowance of each stays the same.
     fn scheduled_turn(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
         let warmth = self.warmth(worker, now);
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -18,7 +18,7 @@
 const SUBSET_SIZE: f64 = 8.0;
 
 impl Dispatcher {
-    /// Takes up the number and the rank of the dispatchers that run; without them those of the settings count.
+    /// Sets the number and the rank of the dispatchers that run; without a position those of the settings count.
     pub(super) fn set_fleet_position(&mut self, now: Nanos, position: Option<FleetPosition>) {
         let configured = FleetPosition {
             rank: self.settings.rank as u16,
@@ -103,7 +103,7 @@
 
     /// The subset by rank, where dispatchers come and go. The worker of a part moves on from one rank to the next, so
     /// that the numbers of dispatchers that use two workers differ by one at most, and a subset depends on the own rank
-    /// alone. Instead of an unreachable worker it holds the next reachable one that is warm.
+    /// alone. An unreachable worker is replaced by the next reachable one that is warm.
     fn ranked_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
         let count = eligible.len();
         let is_reachable = |place: usize| !self.workers[eligible[place]].is_unreachable(now);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -23,7 +23,7 @@
     Unreadable {
         /// The setting.
         name: String,
-        /// Its value as given.
+        /// Its value.
         value: String,
     },
     /// The value is below 0 or not a usable number.
@@ -37,7 +37,7 @@
     /// Dispatchers that exchange their load need ranks below their number.
     #[error("setting me is out of range: {rank} of {dispatchers} dispatchers")]
     RankOutOfRange {
-        /// The rank as given.
+        /// The rank.
         rank: f64,
         /// How many dispatchers there are.
         dispatchers: f64,
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -66,7 +66,7 @@
         (delay / time_to_spare).min(MAX_DELAY)
     }
 
-    /// Whether a start now is too late because of its wait. What would be late at an idle worker says nothing of queues.
+    /// Whether a start now is too late because of its wait. What would be late at an idle worker does not indicate a queue.
     fn is_late(&self, now: Nanos) -> bool {
         self.time_to_spare > 0.0 && self.age(now) > self.time_to_spare
     }
@@ -138,7 +138,7 @@
     }
 
     /// Notes that an attempt has ended. One that never started is forgotten: that its worker was full, unresponsive or
-    /// gone says nothing of others.
+    /// gone does not affect others.
     pub(crate) fn record_end(&mut self, id: AttemptId) {
         if let Some(index) = self.waiting_index(id) {
             self.attempts.remove(index);
@@ -146,7 +146,7 @@
     }
 
     /// The estimate as of now. `rarity` is 1 where many attempts are seen and higher where few are: starts then lose their
-    /// weight more slowly, with a half-life of so many seconds, and each attempt counts for more.
+    /// weight more slowly, with a half-life of `rarity` seconds, and each attempt counts for more.
     pub(crate) fn congestion(&self, now: Nanos, rarity: f64) -> Congestion {
         let late_weight = LATE_WEIGHT * rarity;
         let mut estimate = Congestion::default();
--- a/src/state/class.rs
+++ b/src/state/class.rs
@@ -18,7 +18,7 @@
     pub(crate) high_priority: bool,
     /// Recent work by size.
     pub(crate) histogram: Bins,
-    /// How many recent requests the histogram holds.
+    /// The number of recent requests in the histogram.
     pub(crate) request_count: f64,
     pub(crate) has_hints: bool,
     /// Service times of completed requests without hints. Starts at the latency objective: classes that have not
@@ -64,7 +64,7 @@
         self.request_count *= factor;
     }
 
-    /// How long a request is expected to run: as its hint says, else as earlier requests of the class did.
+    /// How long a request is expected to run: its hint, else the mean of earlier requests of the class.
     pub(crate) fn expected_service_time(
         &mut self,
         hint: Option<Nanos>,
--- a/src/state/peer_load_estimate.rs
+++ b/src/state/peer_load_estimate.rs
@@ -21,7 +21,7 @@
 }
 
 impl PeerLoadEstimate {
-    /// The load that is left by now at a worker with so many slots.
+    /// The load that is left by now at a worker with `worker_slots` slots.
     pub(crate) fn remaining(&self, now: Nanos, worker_slots: f64) -> Load {
         let Load { slots, work } = self.load;
         let done = now.saturating_sub(self.reported_at) as f64 * slots.min(worker_slots);
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -8,7 +8,7 @@
 /// How much more a request without a hint counts at a warming worker, as it may run longer than most.
 const UNHINTED_WARM_UP_MULTIPLE: f64 = 2.0;
 
-/// The state of a request. The state table in `policy::lifecycle` says how it changes.
+/// The state of a request. It changes by the state table in `policy::lifecycle`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestState {
     /// No attempt is in flight, and none may have run.
@@ -19,7 +19,7 @@
     PendingMayHaveRun,
     /// One attempt is in flight; an earlier one may have run.
     RetryInFlight,
-    /// The final answer is given; attempts may still be in flight.
+    /// The client has its final answer; attempts may still be in flight.
     Completed,
 }
 
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -48,7 +48,7 @@
     pub(crate) unused_work: f64,
 }
 
-/// The means of the whole fleet, which the estimates for one worker approach while nothing is heard of it.
+/// The means of the whole fleet, which the estimates for one worker approach while there is no news of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FleetMeans {
     /// The delay of starts, in nanoseconds.
@@ -95,7 +95,7 @@
     pub(crate) other_slots_at: Nanos,
     /// The load that was last reported to peers.
     pub(crate) last_sent_load: PeerLoadEstimate,
-    /// The loads that peers reported, one of each.
+    /// The latest load report of each peer.
     pub(crate) peer_loads: Vec<PeerLoadEstimate>,
     /// Consecutive failed connections, and the moment until which the worker is replaced in the subset.
     pub(crate) connect_failures: u32,
@@ -180,7 +180,7 @@
         self.queue_wait(slots_required, load) + start_delay
     }
 
-    /// Takes up a peer's report. Only the latest of each peer counts.
+    /// Stores a peer's report. Only the latest of each peer counts.
     pub(crate) fn record_peer_load(&mut self, now: Nanos, from: u16, load: PeerLoad) {
         let service_time_factor = load.service_time_factor();
         let reported = PeerLoadEstimate {
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -15,7 +15,7 @@
     u64::from(request_id) | (attempt_index as u64) << 32
 }
 
-/// The request and the attempt index that an attempt's timer stands for.
+/// The request and the attempt index of an attempt's timer.
 pub(crate) fn attempt_of(token: u64) -> (RequestId, usize) {
     (token as RequestId, (token >> 32) as usize)
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -40,7 +40,7 @@
     pub worker: WorkerId,
     /// Whether it takes requests.
     pub state: EndpointState,
-    /// The zone that it stands in.
+    /// Its zone.
     pub zone: u16,
     /// Its worker type. Workers of one type run the same classes and have like capacity.
     pub worker_type: u8,
@@ -127,7 +127,7 @@
     pub outcome: Outcome,
     /// Whether the request has its final answer, by this attempt or before.
     pub complete: bool,
-    /// The worker's load report, if the answer held one.
+    /// The worker's load report; empty if there was none.
     pub report: Report,
 }
 
@@ -209,7 +209,7 @@
     pub worker: WorkerId,
     /// How the check ended.
     pub outcome: Outcome,
-    /// The worker's load report, if the answer held one.
+    /// The worker's load report; empty if there was none.
     pub report: Report,
 }
 
@@ -297,7 +297,7 @@
     Reject {
         /// The request.
         request_id: RequestId,
-        /// How long the client should wait before it tries again; 0 to say nothing of it.
+        /// How long the client should wait before it tries again; 0 to leave it open.
         retry_after: Nanos,
     },
     /// Answer that the request failed and may have run.
