--- a/src/policy/endpoint_list/tests.rs
+++ b/src/policy/endpoint_list/tests.rs
@@ -22,63 +22,56 @@
 #[test]
 fn a_snapshot_removes_workers_that_it_does_not_list() {
     let mut d = dispatcher(2);
-    list_endpoints(
-        &mut d,
-        MS,
-        ListScope::Snapshot,
-        vec![endpoint(1, EndpointState::Ready, 0)],
-    );
+    let endpoints = vec![endpoint(1, EndpointState::Ready, 0)];
+    list_endpoints(&mut d, MS, ListScope::Snapshot, endpoints);
     assert_eq!(d.workers[0].state, EndpointState::Removed);
 }
 
+/// Handles an event and returns all actions, those for timers too.
+fn all_actions(d: &mut Dispatcher, now: Nanos, scope: ListScope) -> Vec<Action> {
+    let mut actions = Vec::new();
+    let event = Event::EndpointList {
+        scope,
+        endpoints: Vec::new(),
+    };
+    d.handle(now, event, &mut actions);
+    actions
+}
+
+/// When a dispatcher polls again after a failed poll.
+fn second_poll_at(seed: u64) -> Nanos {
+    let mut d = Dispatcher::start(0, seed, &settings()).unwrap();
+    assert!(all_actions(&mut d, 0, ListScope::Cached).contains(&Action::WatchEndpoints));
+    let actions = all_actions(&mut d, MS, ListScope::Failed);
+    let [
+        Action::SetTimer {
+            at,
+            token: POLL_TIMER,
+        },
+    ] = actions[..]
+    else {
+        panic!("{actions:?}")
+    };
+    assert!(handle(&mut d, at, Event::TimerFired { token: TICK_TIMER }).is_empty());
+    assert_eq!(
+        handle(&mut d, at, Event::TimerFired { token: POLL_TIMER }),
+        vec![Action::WatchEndpoints]
+    );
+    at
+}
+
 /// Dispatchers that started together must not poll together ever after.
 #[test]
 fn failed_polls_are_repeated_after_a_random_backoff() {
-    let mut at = Vec::new();
-    for seed in 0..50 {
-        let mut d = Dispatcher::start(0, seed, &settings()).unwrap();
-        let mut actions = Vec::new();
-        d.handle(
-            0,
-            Event::EndpointList {
-                scope: ListScope::Cached,
-                endpoints: Vec::new(),
-            },
-            &mut actions,
-        );
-        assert!(actions.contains(&Action::WatchEndpoints));
-        actions.clear();
-        d.handle(
-            MS,
-            Event::EndpointList {
-                scope: ListScope::Failed,
-                endpoints: Vec::new(),
-            },
-            &mut actions,
-        );
-        let [
-            Action::SetTimer {
-                at: again,
-                token: POLL_TIMER,
-            },
-        ] = actions[..]
-        else {
-            panic!("{actions:?}")
-        };
-        assert!(handle(&mut d, again, Event::TimerFired { token: TICK_TIMER }).is_empty());
-        assert_eq!(
-            handle(&mut d, again, Event::TimerFired { token: POLL_TIMER }),
-            vec![Action::WatchEndpoints]
-        );
-        at.push(again);
-    }
-    let fewest = |from: Nanos| {
-        at.iter()
+    let polls: Vec<Nanos> = (0..50).map(second_poll_at).collect();
+    let polls_within = |from: Nanos| {
+        polls
+            .iter()
             .filter(|at| (from..from + 25 * MS).contains(at))
             .count()
     };
     assert!(
-        (0..40).all(|part| fewest(part * 25 * MS) <= 10),
-        "many call as one"
+        (0..40).all(|part| polls_within(part * 25 * MS) <= 10),
+        "many poll together"
     );
 }
--- a/src/policy/lifecycle/tests.rs
+++ b/src/policy/lifecycle/tests.rs
@@ -1,10 +1,10 @@
 use super::next;
-use crate::policy::test_support::{MS, arrive, dispatcher, handle, request};
+use crate::policy::test_support::{MS, arrive, attempt_ended, dispatcher, handle, request};
 use crate::settings::Idempotency::{self, Idempotent, IdempotentWithKey, NonIdempotent};
 use crate::state::RequestState::{Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight};
 use crate::state::{RequestInput, RequestState, RequestStep};
 use crate::timers::attempt_timer;
-use crate::types::{Action, AttemptEnded, Event, Outcome, Report};
+use crate::types::{Action, Event, Outcome};
 use test_case::test_case;
 
 #[test_case(InFlight, RequestInput::NotRun, NonIdempotent => (Pending, RequestStep::Forward); "non-idempotent, proven not run")]
@@ -31,28 +31,25 @@
 #[test_case(1, true => vec!["fail"]; "with a key and in flight")]
 #[test_case(2, true => vec!["fail"]; "non-idempotent and in flight")]
 #[test_case(2, false => vec!["reject"]; "non-idempotent and pending")]
-fn a_shutdown_brings_deadlines_forward(class: u8, out: bool) -> Vec<&'static str> {
-    let mut d = dispatcher(if out { 2 } else { 0 });
-    let attempts_sent = arrive(&mut d, 0, request(1, class, 100 * MS, 0));
-    assert_eq!(attempts_sent.len(), usize::from(out));
-    handle(&mut d, MS, Event::ShuttingDown { by: 50 * MS });
-    let outcome = Outcome::TimedOut;
-    let event = match out {
-        true => Event::AttemptEnded(AttemptEnded {
-            request_id: 1,
-            attempt_index: 0,
-            outcome,
-            complete: false,
-            report: Report::default(),
-        }),
-        false => Event::TimerFired {
+fn a_shutdown_brings_deadlines_forward(class: u8, in_flight: bool) -> Vec<&'static str> {
+    let mut d = dispatcher(if in_flight { 2 } else { 0 });
+    let attempts = arrive(&mut d, 0, request(1, class, 100 * MS, 0));
+    assert_eq!(attempts.len(), usize::from(in_flight));
+    let event = if in_flight {
+        attempt_ended(1, 0, Outcome::TimedOut)
+    } else {
+        Event::TimerFired {
             token: attempt_timer(1, 0),
-        },
+        }
     };
-    let word = |action: &Action| match action {
+
+    handle(&mut d, MS, Event::ShuttingDown { by: 50 * MS });
+    let actions = handle(&mut d, 50 * MS, event);
+
+    let answer = |action: &Action| match action {
         Action::Reject { .. } => "reject",
         Action::Fail { .. } => "fail",
         _ => "other",
     };
-    handle(&mut d, 50 * MS, event).iter().map(word).collect()
+    actions.iter().map(answer).collect()
 }
