--- a/crates/engine/src/config/error.rs
+++ b/crates/engine/src/config/error.rs
@@ -1,5 +1,6 @@
 //! Why a configuration cannot be used.
 use rosewall::SettingsError;
+use rosewall_settings::operators_path;
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 use thiserror::Error;
@@ -18,11 +19,18 @@
         /// What is wrong with it.
         source: ParseIntError,
     },
-    /// A setting is missing, cannot be read or is out of range; the text names it and its value.
-    #[error(transparent)]
-    Setting(#[from] SettingsError),
+    /// A setting is missing, cannot be read or is out of range.
+    #[error("{source}{}", in_the_file(.path.as_deref()))]
+    Setting {
+        /// The path of the setting in the file, if operators can set it.
+        path: Option<String>,
+        /// The setting, its value and what is wrong with it.
+        source: SettingsError,
+    },
     /// The way in which endpoint lists come is not known.
-    #[error("setting endpoints.mode cannot be read: {value:?}, expected \"pushed\" or \"polled\"")]
+    #[error(
+        "setting endpoints.mode cannot be read: {value:?}, expected \"pushed\" or \"on_request\" (settings.RegistryMode in the file)"
+    )]
     EndpointsMode {
         /// The unknown word.
         value: String,
@@ -44,3 +52,23 @@
         rank: usize,
     },
 }
+
+impl From<SettingsError> for ConfigError {
+    fn from(source: SettingsError) -> Self {
+        let name = match &source {
+            SettingsError::Missing { name } | SettingsError::Unreadable { name, .. } => name,
+            SettingsError::OutOfRange { name, .. } => *name,
+            SettingsError::RankOutOfRange { .. } => "me",
+        };
+        ConfigError::Setting {
+            path: operators_path(name),
+            source,
+        }
+    }
+}
+
+fn in_the_file(path: Option<&str>) -> String {
+    path.map_or_else(String::new, |path| {
+        format!(" (settings.{path} in the file)")
+    })
+}
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -128,12 +128,12 @@
 }
 
 #[test_case("", "" => Ok(()); "valid")]
-#[test_case("\"Me\": 1", "\"Me\": 2" => Err("setting me is out of range: 2 of 2 dispatchers".into()); "a rank beyond the dispatchers")]
-#[test_case("\"Peers\": true", "\"Peers\": \"often\"" => Err("setting peer_load.allowed cannot be read: \"often\"".into()); "a wrong form")]
-#[test_case("\"ColdFrom\": 0.2", "\"ColdFrom\": -1" => Err("setting slow_start.from is out of range: -1".into()); "negative")]
-#[test_case("\"ColdFrom\": 0.2,", "" => Err("setting slow_start.from is missing".into()); "missing")]
-#[test_case("\"ExpiryNs\": 1,", "" => Err("setting class.0.deadline is missing".into()); "a class without a deadline")]
-#[test_case("\"pushed\"", "\"push\"" => Err("setting endpoints.mode cannot be read: \"push\", expected \"pushed\" or \"polled\"".into()); "an unknown mode")]
+#[test_case("\"Me\": 1", "\"Me\": 2" => Err("setting me is out of range: 2 of 2 dispatchers (settings.Me in the file)".into()); "a rank beyond the dispatchers")]
+#[test_case("\"Peers\": true", "\"Peers\": \"often\"" => Err("setting peer_load.allowed cannot be read: \"often\" (settings.Bounds.Peers in the file)".into()); "a wrong form")]
+#[test_case("\"ColdFrom\": 0.2", "\"ColdFrom\": -1" => Err("setting slow_start.from is out of range: -1 (settings.Contract.ColdFrom in the file)".into()); "negative")]
+#[test_case("\"ColdFrom\": 0.2,", "" => Err("setting slow_start.from is missing (settings.Contract.ColdFrom in the file)".into()); "missing")]
+#[test_case("\"ExpiryNs\": 1,", "" => Err("setting class.0.deadline is missing (settings.Schemes.0.ExpiryNs in the file)".into()); "a class without a deadline")]
+#[test_case("\"pushed\"", "\"push\"" => Err("setting endpoints.mode cannot be read: \"push\", expected \"pushed\" or \"on_request\" (settings.RegistryMode in the file)".into()); "an unknown mode")]
 #[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses for 2 dispatchers".into()); "a peer too many")]
 #[test_case("7001\", \"peers", "7009\", \"peers" => Err("talk.listen 127.0.0.1:7009 is not the address of number 1 in talk.peers".into()); "the address of another")]
 fn a_configuration_is_checked(from: &str, to: &str) -> Result<(), String> {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -128,6 +128,28 @@
     map
 }
 
+/// The operators' path of a setting, for messages about it; none for a name that no path leads to.
+pub fn operators_path(name: &str) -> Option<String> {
+    if name == "report.fields" {
+        return Some(REPORT_FIELDS.to_string());
+    }
+    if let Some(path) = find_path(SETTINGS, name) {
+        return Some(path.to_string());
+    }
+    let (element, setting) = name.rsplit_once('.')?;
+    let (list, index) = element.split_once('.')?;
+    let list = find_path(LISTS, list)?;
+    let setting = find_path(ELEMENT_SETTINGS, setting)?;
+    Some(format!("{list}.{index}.{setting}"))
+}
+
+fn find_path<'a>(table: &[(&'a str, &str)], name: &str) -> Option<&'a str> {
+    table
+        .iter()
+        .find(|(_, programs)| *programs == name)
+        .map(|(operators, _)| *operators)
+}
+
 /// Inserts one value for each class. A class's own setting has precedence.
 fn insert_class_values(map: &mut Map, name: &str, values: &str) {
     for (index, value) in values.split(',').enumerate() {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,4 @@
-use super::{Map, parse_settings};
+use super::{Map, operators_path, parse_settings};
 
 fn value<'a>(map: &'a Map, name: &str) -> Option<&'a str> {
     map.get(name).map(String::as_str)
@@ -40,3 +40,19 @@
     assert_eq!(value(&map, "report.fields"), Some("busy,free-slots"));
     assert_eq!(value(&map, "report.wire_fields"), Some("load_share,x0"));
 }
+
+#[test]
+fn a_setting_has_the_path_that_operators_know() {
+    let paths = [
+        ("slow_start.from", "Contract.ColdFrom"),
+        ("me", "Me"),
+        ("class.2.deadline", "Schemes.2.ExpiryNs"),
+        ("tenant.0.share", "Parties.0.Portion"),
+        ("report.fields", "Report.Fields"),
+    ];
+    for (name, path) in paths {
+        assert_eq!(operators_path(name).as_deref(), Some(path));
+    }
+    assert_eq!(operators_path("warm_up_grants"), None);
+    assert_eq!(operators_path("class.2.unknown"), None);
+}
