--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -90,19 +90,6 @@
     pub fn targets_worker(self) -> bool {
         self < FaultKind::EndpointsSilent
     }
-
-    /// Whether it is one of the endpoint list that a dispatcher gets.
-    pub fn affects_endpoint_list(self) -> bool {
-        matches!(
-            self,
-            FaultKind::EndpointsSilent
-                | FaultKind::EndpointsDelayed
-                | FaultKind::EndpointsStale
-                | FaultKind::EndpointsMissing
-                | FaultKind::EndpointsMalformed
-                | FaultKind::EndpointsForgetWatch
-        )
-    }
 }
 
 /// One fault.
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -2,11 +2,13 @@
 use super::START;
 use super::dispatchers::gossip_address;
 use super::environment::Environment;
+use crate::checker::WorkerIndex;
+use crate::kernel::ENVIRONMENT;
 use crate::network::ResetScope;
 use crate::scenario::{Fault, FaultKind};
 use crate::time::{MS, from_ms};
 use crate::timeline::TimelineEvent;
-use crate::worker::{FaultInterval, WorkerProcess};
+use crate::worker::{FaultInterval, WorkerFaults};
 use rosewall::types::{EndpointState, Nanos};
 use std::ops::RangeInclusive;
 use std::rc::Rc;
@@ -39,7 +41,7 @@
     pub async fn inject(self: Rc<Self>, fault: Fault) {
         let kernel = &self.context.kernel;
         kernel
-            .sleep_until(crate::kernel::ENVIRONMENT, START + from_ms(fault.at_ms))
+            .sleep_until(ENVIRONMENT, START + from_ms(fault.at_ms))
             .await;
         kernel.record(
             TimelineEvent::FaultInjected,
@@ -62,131 +64,140 @@
             until: kernel.now() + duration,
             fault,
         };
-        if active.fault.kind.targets_worker() {
-            let process = self.worker(active.fault.target);
-            self.inject_at_worker(&active, &process).await;
-        } else if active.fault.kind.affects_endpoint_list() {
-            self.inject_at_agent(&active).await;
-        } else {
-            self.inject_at_dispatcher(&active).await;
-        }
+        self.apply(&active).await;
     }
 
-    async fn inject_at_worker(&self, active: &ActiveFault, process: &WorkerProcess) {
-        let ActiveFault {
-            fault, duration, ..
-        } = active;
-        let worker = fault.target;
-        let network = &self.context.network;
-        match fault.kind {
-            FaultKind::ResetConnections => {
-                network.reset_links(process.host(), fault.share, ResetScope::OtherSide);
+    async fn apply(&self, active: &ActiveFault) {
+        let target = active.fault.target;
+        let interval = active.interval();
+        match active.fault.kind {
+            FaultKind::Stall => self.set_worker_fault(target, |faults| {
+                faults.stalled_until = interval.until;
+            }),
+            FaultKind::Slow => self.set_worker_fault(target, |faults| faults.slow = interval),
+            FaultKind::Errors => self.set_worker_fault(target, |faults| faults.errors = interval),
+            FaultKind::FailClass => self.set_worker_fault(target, |faults| {
+                faults.class_failures = interval;
+                faults.failing_class = active.fault.class;
+            }),
+            FaultKind::Unresponsive => {
+                self.set_worker_fault(target, |faults| faults.unresponsive = interval);
             }
-            FaultKind::ResetBothSides => {
-                network.reset_links(process.host(), fault.share, ResetScope::BothSides);
+            FaultKind::AtCapacity => {
+                self.set_worker_fault(target, |faults| faults.at_capacity = interval);
             }
-            FaultKind::Crash => self.terminate_worker(worker, process, *duration).await,
-            FaultKind::HostLost => {
-                network.set_unreachable(process.host(), true);
-                self.publish_endpoint(worker, EndpointState::Removed, HOST_LOST_NOTICE);
-                self.context.kernel.sleep(*duration).await;
-                // Once the host is back, what was open is reset.
-                network.set_unreachable(process.host(), false);
-                process.terminate();
-                self.restart_worker(worker);
+            FaultKind::MalformedResponses => {
+                self.set_worker_fault(target, |faults| faults.malformed = interval);
             }
-            FaultKind::Drain | FaultKind::DrainRejectQueued => {
-                process.draining.set(true);
-                self.publish_endpoint(worker, EndpointState::Draining, DRAIN_NOTICE);
-                if fault.kind == FaultKind::DrainRejectQueued {
-                    process.reject_queued();
-                }
-                self.context.kernel.sleep(*duration).await;
-                self.terminate_worker(worker, process, *duration).await;
+            FaultKind::ResetConnections => self.reset_connections(active, ResetScope::OtherSide),
+            FaultKind::ResetBothSides => self.reset_connections(active, ResetScope::BothSides),
+            FaultKind::Crash => self.crash_worker(active).await,
+            FaultKind::HostLost => self.lose_host(active).await,
+            FaultKind::Drain | FaultKind::DrainRejectQueued => self.drain_worker(active).await,
+            FaultKind::Restart => self.replace_process(target),
+            FaultKind::EndpointsSilent => self.silence_discovery(active),
+            FaultKind::EndpointsDelayed => {
+                self.agents[target].delay_changes(active.until, active.duration);
             }
-            FaultKind::Restart => {
-                process.terminate();
-                self.restart_worker(worker);
-            }
-            _ => set_worker_fault(active, process),
-        }
-    }
-
-    async fn inject_at_agent(&self, active: &ActiveFault) {
-        let ActiveFault {
-            fault,
-            duration,
-            until,
-        } = active;
-        let agent = &self.agents[fault.target];
-        match fault.kind {
-            FaultKind::EndpointsSilent => {
-                for address in 0..2 {
-                    agent.silence(address, *until);
-                }
+            FaultKind::EndpointsStale => self.agents[target].show_stale_list(active.duration),
+            FaultKind::EndpointsMissing => self.omit_endpoints(active),
+            FaultKind::EndpointsMalformed => self.agents[target].send_malformed_lists(active.until),
+            FaultKind::EndpointsForgetWatch => self.forget_watch(active).await,
+            FaultKind::Kill => self.kill_and_start(active).await,
+            FaultKind::Stop => self.stop_and_start(active).await,
+            FaultKind::Reload | FaultKind::ReloadUnreachable => self.move_discovery(active),
+            FaultKind::ReduceDescriptors => self.reduce_descriptors(active).await,
+            FaultKind::DropInbound => {
+                let network = &self.context.network;
+                network.drop_inbound_datagrams(gossip_address(target), active.until);
             }
-            FaultKind::EndpointsForgetWatch => {
-                agent.forget_open_polls();
-                self.context.kernel.sleep(*duration).await;
-                agent.record_current_as_published();
+            FaultKind::DropOutbound => {
+                let network = &self.context.network;
+                network.drop_outbound_datagrams(gossip_address(target), active.until);
             }
-            FaultKind::EndpointsDelayed => agent.delay_changes(*until, *duration),
-            FaultKind::EndpointsStale => agent.show_stale_list(*duration),
-            FaultKind::EndpointsMissing => {
-                let kernel = &self.context.kernel;
-                let omitted = (0..self.workers.borrow().len())
-                    .filter(|_| kernel.random(|rng| rng.chance(fault.share)))
-                    .collect();
-                agent.omit_workers(omitted, *until);
+            FaultKind::Partition => {
+                let side = (0..=target).map(gossip_address);
+                self.context.network.partition_datagrams(side, active.until);
             }
-            // The one that is left: `EndpointsMalformed`.
-            _ => agent.send_malformed_lists(*until),
         }
     }
+}
 
-    async fn inject_at_dispatcher(self: &Rc<Self>, active: &ActiveFault) {
-        let ActiveFault {
-            fault,
-            duration,
-            until,
-        } = active;
-        let dispatcher = fault.target;
+/// Faults of workers.
+impl Environment {
+    fn set_worker_fault(&self, worker: WorkerIndex, set: impl FnOnce(&mut WorkerFaults)) {
+        set(&mut self.worker(worker).faults.borrow_mut());
+    }
+
+    fn reset_connections(&self, active: &ActiveFault, scope: ResetScope) {
+        let host = self.worker(active.fault.target).host();
+        self.context
+            .network
+            .reset_links(host, active.fault.share, scope);
+    }
+
+    async fn crash_worker(&self, active: &ActiveFault) {
+        let worker = active.fault.target;
+        let process = self.worker(worker);
+        self.terminate_worker(worker, &process, active.duration)
+            .await;
+    }
+
+    async fn lose_host(&self, active: &ActiveFault) {
+        let worker = active.fault.target;
+        let process = self.worker(worker);
         let network = &self.context.network;
-        match fault.kind {
-            FaultKind::Kill => {
-                if self.is_running(dispatcher) {
-                    self.kill_dispatcher(dispatcher);
-                    self.context.kernel.sleep(*duration).await;
-                    self.start_dispatcher(dispatcher);
-                }
-            }
-            FaultKind::Stop => {
-                if self.is_running(dispatcher) {
-                    self.stop_dispatcher(dispatcher).await;
-                    self.context.kernel.sleep(*duration).await;
-                    self.start_dispatcher(dispatcher);
-                }
-            }
-            FaultKind::DropInbound => {
-                network.drop_inbound_datagrams(gossip_address(dispatcher), *until);
-            }
-            FaultKind::DropOutbound => {
-                network.drop_outbound_datagrams(gossip_address(dispatcher), *until);
-            }
-            FaultKind::Partition => {
-                network.partition_datagrams((0..=dispatcher).map(gossip_address), *until);
-            }
-            FaultKind::Reload | FaultKind::ReloadUnreachable => self.move_discovery(active),
-            // The one that is left: `ReduceDescriptors`.
-            _ => {
-                let descriptors = self.scenario.limits.sockets;
-                self.reload(dispatcher, (descriptors / 2).max(MIN_DESCRIPTORS));
-                self.context.kernel.sleep(*duration).await;
-                self.reload(dispatcher, descriptors);
-            }
+        network.set_unreachable(process.host(), true);
+        self.publish_endpoint(worker, EndpointState::Removed, HOST_LOST_NOTICE);
+        self.context.kernel.sleep(active.duration).await;
+        // Once the host is back, what was open is reset.
+        network.set_unreachable(process.host(), false);
+        process.terminate();
+        self.restart_worker(worker);
+    }
+
+    async fn drain_worker(&self, active: &ActiveFault) {
+        let worker = active.fault.target;
+        let process = self.worker(worker);
+        process.draining.set(true);
+        self.publish_endpoint(worker, EndpointState::Draining, DRAIN_NOTICE);
+        if active.fault.kind == FaultKind::DrainRejectQueued {
+            process.reject_queued();
+        }
+        self.context.kernel.sleep(active.duration).await;
+        self.terminate_worker(worker, &process, active.duration)
+            .await;
+    }
+
+    fn replace_process(&self, worker: WorkerIndex) {
+        self.worker(worker).terminate();
+        self.restart_worker(worker);
+    }
+}
+
+/// Faults of the endpoint list that a dispatcher gets.
+impl Environment {
+    fn silence_discovery(&self, active: &ActiveFault) {
+        for address in 0..2 {
+            self.agents[active.fault.target].silence(address, active.until);
         }
     }
 
+    fn omit_endpoints(&self, active: &ActiveFault) {
+        let kernel = &self.context.kernel;
+        let omitted = (0..self.workers.borrow().len())
+            .filter(|_| kernel.random(|rng| rng.chance(active.fault.share)))
+            .collect();
+        self.agents[active.fault.target].omit_workers(omitted, active.until);
+    }
+
+    async fn forget_watch(&self, active: &ActiveFault) {
+        let agent = &self.agents[active.fault.target];
+        agent.forget_open_polls();
+        self.context.kernel.sleep(active.duration).await;
+        agent.record_current_as_published();
+    }
+
     /// Configures a dispatcher with the other address of its discovery agent.
     fn move_discovery(&self, active: &ActiveFault) {
         let dispatcher = active.fault.target;
@@ -205,22 +216,31 @@
     }
 }
 
-/// The faults that change how a worker answers.
-fn set_worker_fault(active: &ActiveFault, process: &WorkerProcess) {
-    let interval = active.interval();
-    let mut faults = process.faults.borrow_mut();
-    match active.fault.kind {
-        FaultKind::Stall => faults.stalled_until = active.until,
-        FaultKind::Slow => faults.slow = interval,
-        FaultKind::Errors => faults.errors = interval,
-        FaultKind::FailClass => {
-            faults.class_failures = interval;
-            faults.failing_class = active.fault.class;
+/// Faults of dispatchers.
+impl Environment {
+    async fn kill_and_start(&self, active: &ActiveFault) {
+        let dispatcher = active.fault.target;
+        if self.is_running(dispatcher) {
+            self.kill_dispatcher(dispatcher);
+            self.context.kernel.sleep(active.duration).await;
+            self.start_dispatcher(dispatcher);
+        }
+    }
+
+    async fn stop_and_start(&self, active: &ActiveFault) {
+        let dispatcher = active.fault.target;
+        if self.is_running(dispatcher) {
+            self.stop_dispatcher(dispatcher).await;
+            self.context.kernel.sleep(active.duration).await;
+            self.start_dispatcher(dispatcher);
         }
-        FaultKind::Unresponsive => faults.unresponsive = interval,
-        FaultKind::AtCapacity => faults.at_capacity = interval,
-        FaultKind::MalformedResponses => faults.malformed = interval,
-        // All others are no matter of how it answers.
-        _ => {}
+    }
+
+    async fn reduce_descriptors(&self, active: &ActiveFault) {
+        let dispatcher = active.fault.target;
+        let descriptors = self.scenario.limits.sockets;
+        self.reload(dispatcher, (descriptors / 2).max(MIN_DESCRIPTORS));
+        self.context.kernel.sleep(active.duration).await;
+        self.reload(dispatcher, descriptors);
     }
 }
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -111,11 +111,8 @@
 
 /// Ends once the other side has closed the connection.
 async fn closed(stream: &VirtualStream) {
-    loop {
-        if stream.readable().await.is_err() || stream.readiness() == Readiness::Closed {
-            return;
-        }
-        // What can be read is the next, pipelined request; it waits.
+    if stream.readable().await.is_ok() && stream.readiness() != Readiness::Closed {
+        // What can be read is the next, pipelined request: it waits, and a close behind it goes unnoticed.
         std::future::pending::<()>().await;
     }
 }
