--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the configuration file's text.
 use super::runtime_settings::shutdown_timeout;
 use super::{Config, EndpointsMode, RuntimeSettings};
-use rosewall_settings::ours;
+use rosewall_settings::parse_settings;
 use test_case::test_case;
 
 /// A file with settings of each form.
@@ -81,7 +81,7 @@
     let paths: Vec<String> = (0..deadlines.len())
         .map(|at| format!("Schemes.{at}.ExpiryNs"))
         .collect();
-    shutdown_timeout(&ours(
+    shutdown_timeout(&parse_settings(
         paths
             .iter()
             .map(String::as_str)
