--- a/crates/protocol/src/http/body.rs
+++ b/crates/protocol/src/http/body.rs
@@ -5,21 +5,21 @@
 
 /// The longest line with the size of a chunk, in bytes.
 const MAX_SIZE_LINE_BYTES: usize = 256;
-/// The most bytes of trailers.
+/// The largest size of the trailers in bytes.
 const MAX_TRAILER_BYTES: usize = 4 * 1024;
 
 /// What is to be read next.
 #[derive(Debug, PartialEq)]
 enum State {
-    /// So many bytes of a body of known length.
+    /// The rest of a body of known length, in bytes.
     Length(usize),
     /// Everything up to the end of the connection.
     UntilClose,
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The rest of a chunk, in bytes.
     ChunkData(usize),
     ChunkEnd,
-    /// Trailers, of which so many bytes were read.
+    /// Trailers, with the number of their bytes that were read.
     Trailers(usize),
     Complete,
 }
@@ -209,7 +209,7 @@
     usize::try_from(length).map_err(|_| HttpError::BodyTooLarge)
 }
 
-/// Bytes on their way from a buffer to a body.
+/// Moves bytes from a buffer to a body.
 struct Transfer<'a> {
     bytes: &'a [u8],
     /// How many of them were used.
--- a/crates/protocol/src/http/mod.rs
+++ b/crates/protocol/src/http/mod.rs
@@ -13,7 +13,7 @@
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The largest body of a request or result in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The most header lines in one head.
+/// The largest number of header lines in one head.
 pub const MAX_HEADERS: usize = 64;
 
 /// Why a message is refused.
--- a/crates/protocol/src/worker/attempt.rs
+++ b/crates/protocol/src/worker/attempt.rs
@@ -8,7 +8,7 @@
 use rosewall::types::{Nanos, Outcome};
 use serde::Deserialize;
 
-/// The most bytes of one answer, all of its lines together.
+/// The largest answer in bytes, all of its lines together.
 const MAX_ANSWER_BYTES: usize = 16 * MAX_BODY_BYTES;
 
 /// What a worker reports of an attempt.
@@ -18,7 +18,7 @@
     Started,
     /// It ended with this result.
     Succeeded(Vec<u8>),
-    /// It ended in another way.
+    /// It ended without a result.
     Ended(Outcome),
 }
 
--- a/crates/rosewalld/tests/daemon/connections.rs
+++ b/crates/rosewalld/tests/daemon/connections.rs
@@ -66,9 +66,9 @@
         .discovery
         .tell(vec![host("a", &fleet.workers[0].dial, "gone")]);
     assert_eq!(fleet.daemon.client().ask("one", "thumb", 5.0).status, 200);
-    let mut reborn = host("b", &fleet.workers[1].dial, "ready");
-    reborn["born_ms"] = 1.into();
-    fleet.discovery.tell(vec![reborn]);
+    let mut restarted = host("b", &fleet.workers[1].dial, "ready");
+    restarted["born_ms"] = 1.into();
+    fleet.discovery.tell(vec![restarted]);
     assert_eq!(fleet.daemon.client().ask("two", "thumb", 5.0).status, 200);
     assert_eq!(fleet.workers[1].connections.load(Ordering::SeqCst), 2);
 }
--- a/crates/runtime/src/client/accept.rs
+++ b/crates/runtime/src/client/accept.rs
@@ -1,13 +1,12 @@
 //! Accepting connections within the limits on descriptors.
 use super::RETRY_PAUSE;
-use super::connection::{Acceptance, ClientConnection, Service};
+use super::connection::{Acceptance, Admission, ClientConnection, Service};
 use crate::context::Context;
 use crate::traits::{Listener, Runtime, nanos, sleep};
 use async_channel::Receiver;
 use futures_lite::FutureExt;
 use futures_lite::future::{poll_once, yield_now};
 use rosewall::types::Nanos;
-use rosewall_engine::limits::DescriptorPermit;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,7 +15,7 @@
 const BACKLOG: i32 = 1024;
 /// How long clients wait for a free slot before they are rejected: a few short requests' time, and short beside deadlines.
 const REJECT_AFTER: Duration = Duration::from_millis(50);
-/// How long connections are still accepted after the listener is told to end.
+/// How long the backlog is accepted after the signal to stop accepting.
 const BACKLOG_DRAIN_LIMIT: Duration = Duration::from_millis(500);
 
 /// Accepts connections until shutdown, and then those that the system has accepted already.
@@ -45,12 +44,10 @@
             sleep(&context.runtime, RETRY_PAUSE).await;
             continue;
         }
-        let Some((slot, service)) = find_slot(context, &mut full_since).await else {
+        let Some(admission) = find_slot(context, &mut full_since).await else {
             continue;
         };
-        accept_one(context, listener, slot, service, &mut full_since).await;
-        // The accepted client must read before the next slot is freed, or it would count as silent and be closed.
-        yield_now().await;
+        accept_one(context, listener, admission, &mut full_since).await;
     }
 }
 
@@ -58,9 +55,12 @@
 async fn find_slot<R: Runtime>(
     context: &Context<R>,
     full_since: &mut Option<Nanos>,
-) -> Option<(DescriptorPermit, Service)> {
+) -> Option<Admission> {
     if let Some(slot) = context.limits.acquire_client() {
-        return Some((slot, Service::Full));
+        return Some(Admission {
+            slot,
+            service: Service::Full,
+        });
     }
     if context.free_client_slot() {
         // The task of the client that is closed needs a turn to give its slot back.
@@ -72,7 +72,10 @@
     if now >= since + nanos(REJECT_AFTER)
         && let Some(slot) = context.limits.acquire_overflow_client()
     {
-        return Some((slot, Service::RejectOnly));
+        return Some(Admission {
+            slot,
+            service: Service::RejectOnly,
+        });
     }
     context.counters.accept_paused.add();
     sleep(&context.runtime, RETRY_PAUSE).await;
@@ -82,13 +85,12 @@
 async fn accept_one<R: Runtime>(
     context: &Rc<Context<R>>,
     listener: &R::Listener,
-    slot: DescriptorPermit,
-    service: Service,
+    admission: Admission,
     full_since: &mut Option<Nanos>,
 ) {
     match listener.accept() {
         Ok(stream) => {
-            spawn_connection(context, stream, slot, service, *full_since);
+            spawn_connection(context, stream, admission, *full_since);
             // Only an empty backlog ends a time without free slots: where slots become free now and then, those who
             // wait in the backlog still grow older.
             if poll_once(listener.wait_ready()).await.is_none() {
@@ -104,18 +106,20 @@
             sleep(&context.runtime, RETRY_PAUSE).await;
         }
     }
+    // The accepted client must read before the next slot is freed, or it would count as silent and be closed.
+    yield_now().await;
 }
 
 /// Accepts the connections of the backlog; those without a free slot are rejected.
 async fn drain_backlog<R: Runtime>(context: &Rc<Context<R>>, listener: &R::Listener) {
     let deadline = context.runtime.now() + nanos(BACKLOG_DRAIN_LIMIT);
     while context.runtime.now() < deadline {
-        let Some((slot, service)) = find_slot_at_shutdown(context) else {
+        let Some(admission) = find_slot_at_shutdown(context) else {
             sleep(&context.runtime, RETRY_PAUSE).await;
             continue;
         };
         match listener.accept() {
-            Ok(stream) => spawn_connection(context, stream, slot, service, None),
+            Ok(stream) => spawn_connection(context, stream, admission, None),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
             Err(error) => {
                 context.counters.accept_failed.add();
@@ -126,20 +130,25 @@
     }
 }
 
-fn find_slot_at_shutdown<R: Runtime>(context: &Context<R>) -> Option<(DescriptorPermit, Service)> {
+fn find_slot_at_shutdown<R: Runtime>(context: &Context<R>) -> Option<Admission> {
     if let Some(slot) = context.limits.acquire_client() {
-        return Some((slot, Service::Full));
+        return Some(Admission {
+            slot,
+            service: Service::Full,
+        });
     }
     let slot = context.limits.acquire_overflow_client()?;
-    Some((slot, Service::RejectOnly))
+    Some(Admission {
+        slot,
+        service: Service::RejectOnly,
+    })
 }
 
 /// Serves a connection in its own task. It may have waited in the backlog since `waiting_since`.
 fn spawn_connection<R: Runtime>(
     context: &Rc<Context<R>>,
     stream: R::Stream,
-    slot: DescriptorPermit,
-    service: Service,
+    admission: Admission,
     waiting_since: Option<Nanos>,
 ) {
     context.counters.clients_accepted.add();
@@ -150,7 +159,7 @@
     };
     let task_context = context.clone();
     let serve = async move {
-        let mut connection = ClientConnection::new(task_context, stream, slot, service, acceptance);
+        let mut connection = ClientConnection::new(task_context, stream, admission, acceptance);
         // An error is the client's doing or was counted.
         let _ = connection.serve().await;
     };
--- a/crates/runtime/src/client/connection.rs
+++ b/crates/runtime/src/client/connection.rs
@@ -35,14 +35,14 @@
 /// How much is read after an answer that ends a connection: twice what a request may hold.
 const LINGER_MAX_BYTES: usize = 160 * 1024;
 /// What a client sends beyond the buffers is discarded at this many bytes for each pause: fast enough to find within
-/// 0.3 s that a client with some MB under way has left, slow enough that one that never ends costs little CPU.
+/// 0.3 s that a client with some MB in transit has disconnected, slow enough that one that never ends costs little CPU.
 const DISCARD_BURST_BYTES: usize = 64 * 1024;
 /// The pause between two bursts.
 const DISCARD_PAUSE: Duration = Duration::from_millis(1);
 /// One read: more than most requests with their heads.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What a connection is accepted for.
+/// How far a connection is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Service {
     /// Its requests are forwarded.
@@ -51,6 +51,12 @@
     RejectOnly,
 }
 
+/// What a connection is admitted with.
+pub(super) struct Admission {
+    pub slot: DescriptorPermit,
+    pub service: Service,
+}
+
 /// When a connection was accepted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Acceptance {
@@ -79,7 +85,7 @@
 /// What a client that waits for an answer comes to first.
 enum WhileWaiting {
     Answered(Answer),
-    /// The client sent so many bytes; 0 at its end.
+    /// The number of bytes that the client sent; 0 where it disconnected.
     Received(usize),
 }
 
@@ -102,8 +108,7 @@
     pub(super) fn new(
         context: Rc<Context<R>>,
         stream: R::Stream,
-        slot: DescriptorPermit,
-        service: Service,
+        admission: Admission,
         acceptance: Acceptance,
     ) -> Self {
         ClientConnection {
@@ -112,10 +117,10 @@
             reader: RequestReader::default(),
             buffer: vec![0; READ_BUFFER_BYTES],
             has_asked: false,
-            service,
+            service: admission.service,
             has_overflowed: false,
             acceptance,
-            slot,
+            slot: admission.slot,
         }
     }
 
@@ -301,7 +306,7 @@
         }
     }
 
-    /// Waits for the answer to a request with so many bytes; none if the client disconnects first. A client that closes only
+    /// Waits for the answer to a request with `body_bytes`; none if the client disconnects first. A client that closes only
     /// its sending side cannot be told from one that closes, and counts as disconnected.
     ///
     /// What the client sends meanwhile is stored as far as the buffers allow and discarded beyond, so that its
--- a/crates/runtime/src/discovery/follow.rs
+++ b/crates/runtime/src/discovery/follow.rs
@@ -13,7 +13,7 @@
 
 /// The pause after a failure where the list is pushed: it prevents a busy loop, and is shorter than a drain's notice.
 const PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// One of so many failures in a row is logged, where attempts follow each other closely.
+/// How many failures in a row share one line of the log, as attempts follow each other closely.
 const FAILURES_PER_LOG_LINE: u32 = 20;
 
 /// Where the list is and how it may be followed.
--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -24,7 +24,7 @@
 
 /// For lists that an agent on this machine pushes. It answers at once, so short requests cost nothing, and a watch that
 /// died silently is found within 2.2 s. An agent that was restarted does not know earlier requests, hence the early retry;
-/// one that is slow for once is still heard. An agent that always takes over 1 s to answer cannot be used.
+/// an answer that is slow for once is still read. An agent that always takes over 1 s to answer cannot be used.
 const PUSHED_LIST: Timing = Timing {
     wait_ms: 2_000,
     answer_delay: Duration::from_millis(200),
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use futures_lite::FutureExt;
-use rosewall::types::{PeerLoad, RequestId};
+use rosewall::types::{Nanos, PeerLoad, RequestId};
 use rosewall_engine::engine::{Effect, Engine, Input, OutboundAttempt};
 use rosewall_protocol::client::Answer;
 use rosewall_protocol::discovery::EndpointList;
@@ -103,15 +103,15 @@
 
     fn handle(&mut self, event: EngineEvent<R>) {
         let now = self.context.runtime.now();
-        let Some(input) = self.input_from(event) else {
+        let Some(input) = self.input_from(now, event) else {
             return;
         };
         self.engine.handle(now, input, &mut self.effects);
         self.carry_out_effects();
     }
 
-    /// What the engine is to be told of an event; none where it does not concern the engine.
-    fn input_from(&mut self, event: EngineEvent<R>) -> Option<Input> {
+    /// The engine's input for an event; none where the event does not concern the engine.
+    fn input_from(&mut self, now: Nanos, event: EngineEvent<R>) -> Option<Input> {
         Some(match event {
             EngineEvent::RequestArrived {
                 request_id,
@@ -142,7 +142,6 @@
             EngineEvent::ConnectionIdle { worker, connection } => {
                 // The worker may have another address by now.
                 if self.engine.address_of(worker) == Some(connection.address) {
-                    let now = self.context.runtime.now();
                     let address = connection.address;
                     let mut pool = self.context.pool.borrow_mut();
                     pool.put(now, worker, address, connection);
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -8,7 +8,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// Datagrams a second, each way; what is beyond is dropped and counted. Ten times the load of a busy fleet of a hundred.
+/// Datagrams a second in each direction; what is beyond is dropped and counted. Ten times the load of a busy fleet of a hundred.
 const MAX_DATAGRAMS_PER_SECOND: u64 = 5_000;
 
 /// The exchange of one dispatcher.
