--- /dev/null
+++ b/crates/cluster-testbed/src/checker.rs
@@ -0,0 +1,156 @@
+//! The checker of the four rules. It goes by what workers received and ran and by what clients were answered, and reads
+//! no counter of the program.
+mod balance;
+mod record;
+mod slow_start;
+
+pub use record::{ClientRequest, Drain, Outage, Response, Rule, SlowStartUse, Violation};
+
+use crate::worker::{Execution, Worker};
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// How much later than in the rules' figures an event may be: the time that sockets take.
+const SLACK: Duration = Duration::from_millis(50);
+/// How long after a drain was published requests may still arrive: the time that the endpoint list takes and the grace
+/// of the settings.
+const DRAIN_GRACE: Duration = Duration::from_millis(550);
+
+/// All that the rules are checked against.
+pub struct Evidence<'a> {
+    /// When the clients started.
+    pub begin: Instant,
+    /// When they stopped.
+    pub end: Instant,
+    /// The deadline of a request, from when it was sent.
+    pub expiry: Duration,
+    /// All workers, by their numbers.
+    pub workers: &'a [Arc<Worker>],
+    /// All requests of the clients.
+    pub requests: &'a [ClientRequest],
+    /// When dispatchers were not running.
+    pub outages: &'a [Outage],
+    /// When workers were published as draining.
+    pub drains: &'a [Drain],
+}
+
+/// The dispatcher to which the client of this request sent it, by the name of the client.
+fn dispatcher_of(request_id: &str) -> Option<usize> {
+    let number = request_id.strip_prefix('d')?.split('-').next()?;
+    number.parse().ok()
+}
+
+impl Evidence<'_> {
+    /// All violations, by rule.
+    pub fn violations(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        self.check_responses(&mut violations);
+        self.check_idempotency(&mut violations);
+        self.check_drains(&mut violations);
+        self.check_slow_start(&mut violations);
+        violations
+    }
+
+    fn violation(&self, rule: Rule, at: Instant, description: String) -> Violation {
+        let since_begin = at.saturating_duration_since(self.begin);
+        Violation {
+            rule,
+            at_ms: since_begin.as_millis() as u64,
+            description,
+        }
+    }
+
+    /// Whether a dispatcher was not running at some moment of a span.
+    fn was_down(&self, dispatcher: usize, from: Instant, to: Instant) -> bool {
+        self.outages
+            .iter()
+            .any(|outage| outage.overlaps(dispatcher, from, to))
+    }
+
+    /// Each request to a running dispatcher gets a response before its deadline.
+    fn check_responses(&self, violations: &mut Vec<Violation>) {
+        for request in self.requests {
+            let until = request
+                .response
+                .map_or(request.ended_at, |response| response.at);
+            if self.was_down(request.dispatcher, request.sent_at, until) {
+                continue;
+            }
+            let latest = request.sent_at + self.expiry + SLACK;
+            let description = match request.response {
+                None => format!("{} got no answer", request.id),
+                Some(response) if response.at > latest => {
+                    let late_ms = (response.at - latest).as_millis();
+                    format!("{} was answered {late_ms} ms after its expiry", request.id)
+                }
+                Some(_) => continue,
+            };
+            violations.push(self.violation(Rule::Response, request.sent_at, description));
+        }
+    }
+
+    /// A request that is not idempotent runs at most once, and not at all if it was rejected.
+    fn check_idempotency(&self, violations: &mut Vec<Violation>) {
+        let executions = self.executions();
+        let mut runs_by_id: HashMap<&str, Vec<Instant>> = HashMap::new();
+        for execution in &executions {
+            runs_by_id
+                .entry(&execution.id)
+                .or_default()
+                .push(execution.at);
+        }
+        for request in self.requests.iter().filter(|request| !request.idempotent) {
+            let runs = runs_by_id
+                .get(request.id.as_str())
+                .map_or(&[][..], Vec::as_slice);
+            if runs.len() > 1 {
+                let description = format!("{} ran {} times", request.id, runs.len());
+                violations.push(self.violation(Rule::Idempotency, request.sent_at, description));
+            }
+            if let (true, Some(first_run)) = (request.was_rejected(), runs.first()) {
+                let description = format!("{} was declined and ran", request.id);
+                violations.push(self.violation(Rule::Idempotency, *first_run, description));
+            }
+        }
+    }
+
+    /// The runs of all workers, worker by worker.
+    fn executions(&self) -> Vec<Execution> {
+        let of_worker = |worker: &Arc<Worker>| worker.read(|record| record.executions.clone());
+        self.workers.iter().flat_map(of_worker).collect()
+    }
+
+    /// A draining worker receives no new request.
+    fn check_drains(&self, violations: &mut Vec<Violation>) {
+        for drain in self.drains {
+            let latest = drain.at + DRAIN_GRACE;
+            let received = self.workers[drain.worker].read(|record| record.received.clone());
+            for request in received.iter().filter(|request| request.at > latest) {
+                // A dispatcher that was down in between may have learned of the drain later.
+                let knew = dispatcher_of(&request.id)
+                    .is_some_and(|dispatcher| !self.was_down(dispatcher, drain.at, request.at));
+                if knew {
+                    let description =
+                        format!("worker {} drains and was sent {}", drain.worker, request.id);
+                    violations.push(self.violation(Rule::Drain, request.at, description));
+                }
+            }
+        }
+    }
+
+    /// No worker is overloaded while it warms up.
+    fn check_slow_start(&self, violations: &mut Vec<Violation>) {
+        for (number, worker) in self.workers.iter().enumerate() {
+            let overload = self
+                .slow_start(number, worker)
+                .and_then(|finding| finding.overload);
+            if let Some(window) = overload {
+                let share = window.share_of_limit;
+                let description =
+                    format!("worker {number} is cold and was sent {share:.2} of what it bears");
+                violations.push(self.violation(Rule::SlowStart, window.from, description));
+            }
+        }
+    }
+}
--- a/crates/cluster-testbed/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -1,68 +1,131 @@
-//! What can go wrong in the rig itself, each with what to do about it.
+//! What can go wrong in the testbed itself, each with what to do about it.
 use std::io;
 use std::path::PathBuf;
 
+/// Why the testbed could not run.
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
+pub enum TestbedError {
+    /// The program under test is not built.
     #[error(
         "RW-RIG-PROGRAM: {path} is not there; build it first (cargo build -p rosewalld) or name it in ROSEWALL_PROGRAM"
     )]
-    Program { path: PathBuf },
+    ProgramMissing {
+        /// Where it was looked for.
+        path: PathBuf,
+    },
+    /// A dispatcher did not become ready.
     #[error(
-        "RW-RIG-START: dispatcher {at} was not ready within {seconds} s; its log ends with {last:?}; run fewer processes, or look at that line"
+        "RW-RIG-START: dispatcher {dispatcher} was not ready within {seconds} s; its log ends with {last_line:?}; run fewer processes, or look at that line"
     )]
-    Start {
-        at: usize,
+    NotReady {
+        /// Its number.
+        dispatcher: usize,
+        /// How long it was waited for.
         seconds: u64,
-        last: String,
+        /// The last line of its log.
+        last_line: String,
     },
+    /// A dispatcher could not be started.
     #[error(
-        "RW-RIG-SPAWN: dispatcher {at} could not be started; raise the limits on processes and descriptors"
+        "RW-RIG-SPAWN: dispatcher {dispatcher} could not be started; raise the limits on processes and descriptors"
     )]
-    Spawn { at: usize, source: io::Error },
+    Spawn {
+        /// Its number.
+        dispatcher: usize,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// There is no loopback socket.
     #[error(
         "RW-RIG-SOCKET: no loopback socket; raise the limit on descriptors (ulimit -n) or run fewer processes"
     )]
     Socket(#[source] io::Error),
+    /// A file or folder could not be written.
     #[error("RW-RIG-FOLDER: {path} cannot be written; free the disk or point TMPDIR elsewhere")]
-    Folder { path: PathBuf, source: io::Error },
+    Write {
+        /// The file or folder.
+        path: PathBuf,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// A file could not be read.
     #[error("RW-RIG-READ: {path} cannot be read; check the path")]
-    Read { path: PathBuf, source: io::Error },
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// A file is not a scenario.
     #[error(
         "RW-RIG-SCENARIO: {path} is no scenario: {source}; `rosewall-testbed draw 1` prints one to start from"
     )]
     Scenario {
+        /// The file.
         path: PathBuf,
+        /// What is wrong, and where.
         source: toml::de::Error,
     },
-    #[error("RW-RIG-RANGE: {what} is {value}, allowed is {allowed}; change it in the scenario")]
-    Range {
-        what: &'static str,
+    /// A value of a scenario is out of its range.
+    #[error("RW-RIG-RANGE: {key} is {value}, allowed is {allowed}; change it in the scenario")]
+    OutOfRange {
+        /// The key of the value.
+        key: &'static str,
+        /// The value.
         value: u64,
+        /// The range.
         allowed: &'static str,
     },
+    /// A sweep names something that does not exist.
     #[error("RW-RIG-SWEEP: {what}; `rosewall-testbed scale --help` lists the names")]
-    Sweep { what: String },
+    Sweep {
+        /// What was named.
+        what: String,
+    },
+    /// A process of simulated peers could not be started or reached.
     #[error(
-        "RW-RIG-HOLLOW: the process of hollow ones could not be started or asked ({words}); raise the limits on processes"
+        "RW-RIG-HOLLOW: the process of hollow ones could not be started or asked ({arguments}); raise the limits on processes"
     )]
-    Hollow { words: String, source: io::Error },
+    SimulatedProcess {
+        /// Its arguments, or the request to it.
+        arguments: String,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// This process of simulated peers cannot go on.
     #[error("RW-RIG-CHILD: a process of hollow ones ended: {what}")]
-    Child { what: String },
+    SimulatedProcessEnded {
+        /// Why.
+        what: String,
+    },
+    /// A process of simulated peers does not answer.
     #[error(
         "RW-RIG-SILENT: the process {pid} of hollow ones has ended or says nothing; its last words are above"
     )]
-    Silent { pid: u32 },
+    SimulatedProcessSilent {
+        /// Its process id.
+        pid: u32,
+    },
+    /// A run would take more of this machine than is allowed.
     #[error(
-        "RW-RIG-LARGE: {what} is {value}, and no more than {most} are allowed on this machine; play a smaller size"
+        "RW-RIG-LARGE: {what} is {value}, and no more than {limit} are allowed on this machine; play a smaller size"
     )]
-    Large {
+    TooLarge {
+        /// What is too large.
         what: &'static str,
+        /// Its value.
         value: u64,
-        most: u64,
+        /// The limit.
+        limit: u64,
     },
+    /// The members of the cluster did not agree on who they are.
     #[error(
         "RW-RIG-VIEW: the members had not come to one view within {seconds} s: {seen}; play a smaller size, or look at loss"
     )]
-    View { seconds: u64, seen: String },
+    NoCommonView {
+        /// How long they had.
+        seconds: u64,
+        /// What they know instead.
+        seen: String,
+    },
 }
--- a/crates/cluster-testbed/src/main.rs
+++ b/crates/cluster-testbed/src/main.rs
@@ -1,18 +1,17 @@
-//! The command: scenarios played on real processes, one, or many drawn ones side by side.
+//! The command `rosewall-testbed`: runs scenarios on real processes, one, or many drawn ones side by side.
+mod explore;
+mod output;
+mod simulated;
+
 use clap::{Parser, Subcommand};
-use rosewall_cluster_testbed::error::RigError;
-use rosewall_cluster_testbed::play::{Report, play};
-use rosewall_cluster_testbed::scale;
+use explore::Exploration;
+use rosewall_cluster_testbed::error::TestbedError;
 use rosewall_cluster_testbed::scale::command::Scale;
-use rosewall_cluster_testbed::scale::map::Ways;
 use rosewall_cluster_testbed::scenario::Scenario;
-use std::io::IsTerminal;
+use rosewall_cluster_testbed::testbed::run_scenario;
+use simulated::SimulatedProcess;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use std::sync::Mutex;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::thread;
-use std::time::Duration;
 
 #[derive(Parser)]
 #[command(
@@ -59,172 +58,64 @@
     /// Play a large fleet, real processes beside hollow ones, and measure what each role costs
     Scale(Box<Scale>),
     /// A process of hollow ones, which `scale` starts
-    #[command(subcommand, hide = true)]
-    Hollow(Hollow),
+    #[command(subcommand, hide = true, name = "hollow")]
+    Simulated(SimulatedProcess),
 }
 
-#[derive(Subcommand)]
-enum Hollow {
-    Workers {
-        count: usize,
-        seats: usize,
-        zone_ms: f64,
-        zones_ms: f64,
-        regions_ms: f64,
-    },
-    Discovery {
-        followers: usize,
-    },
-    Dispatchers {
-        folder: PathBuf,
-        first: usize,
-        last: usize,
-        apart_ms: u64,
-    },
+/// How a command ended that could be carried out.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Outcome {
+    /// No rule was broken and no bound was passed.
+    Passed,
+    /// One was.
+    Failed,
 }
 
-impl Hollow {
-    fn run(&self) -> Result<(), String> {
-        let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, 10_000.0) / 1e3);
-        match self {
-            Hollow::Workers {
-                count,
-                seats,
-                zone_ms,
-                zones_ms,
-                regions_ms,
-            } => {
-                let ways = Ways {
-                    zone: ms(*zone_ms),
-                    zones: ms(*zones_ms),
-                    regions: ms(*regions_ms),
-                };
-                scale::workers::run(*count, *seats, ways, scale::stage::COLD)
-            }
-            Hollow::Discovery { followers } => scale::discovery::run(*followers),
-            Hollow::Dispatchers {
-                folder,
-                first,
-                last,
-                apart_ms,
-            } => {
-                let numbers: Vec<usize> = (*first..=*last).collect();
-                scale::dispatchers::run(folder, &numbers, Duration::from_millis(*apart_ms))
-            }
+impl From<bool> for Outcome {
+    fn from(passed: bool) -> Self {
+        if passed {
+            Outcome::Passed
+        } else {
+            Outcome::Failed
         }
     }
 }
 
-fn show(report: &Report, json: bool) {
-    if json {
-        println!("{}", serde_json::to_string(report).unwrap_or_default());
-        return;
-    }
-    let Report {
-        name,
-        seed,
-        asked,
-        settled,
-        declined,
-        reversed,
-        missed,
-        uneven,
-        bytes,
-        ..
-    } = report;
-    println!(
-        "{name} seed={seed} asked={asked} settled={settled} declined={declined} reversed={reversed} \
-         missed={:.1}% uneven={uneven:.2} bytes/s={bytes:.0}",
-        100.0 * missed
-    );
-    for used in &report.cold {
-        println!(
-            "  cold worker {}: postings={} work={:.2}s of_half={:.2} worst_window={:.2}",
-            used.worker, used.postings, used.work_s, used.of_half, used.worst
-        );
-    }
-    for broken in &report.violations {
-        println!(
-            "  RULE {} broken at {} ms: {}",
-            broken.rule, broken.at_ms, broken.what
-        );
-    }
+fn run_and_print(scenario: &Scenario, cli: &Cli) -> Result<Outcome, TestbedError> {
+    let report = run_scenario(scenario, cli.logs.as_deref())?;
+    output::print_report(&report, cli.json);
+    Ok(report.violations.is_empty().into())
 }
 
-fn run(cli: &Cli) -> Result<bool, RigError> {
-    let one = |scenario: Scenario| {
-        let report = play(&scenario, cli.logs.as_deref())?;
-        show(&report, cli.json);
-        Ok(report.violations.is_empty())
-    };
+fn run(cli: &Cli) -> Result<Outcome, TestbedError> {
     match &cli.command {
         Command::Run { file, seed } => {
             let mut scenario = Scenario::load(file)?;
             scenario.seed = seed.unwrap_or(scenario.seed);
-            one(scenario)
+            run_and_print(&scenario, cli)
+        }
+        Command::Replay { seed } => run_and_print(&Scenario::drawn(*seed), cli),
+        Command::Scale(scale) => scale.run(cli.json).map(Outcome::from),
+        Command::Simulated(process) => {
+            process.run()?;
+            Ok(Outcome::Passed)
         }
-        Command::Replay { seed } => one(Scenario::drawn(*seed)),
-        Command::Scale(scale) => scale.run(cli.json),
-        Command::Hollow(hollow) => hollow
-            .run()
-            .map(|()| true)
-            .map_err(|what| RigError::Child { what }),
         Command::Draw { seed } => {
-            print!(
-                "{}",
-                toml::to_string(&Scenario::drawn(*seed)).unwrap_or_default()
-            );
-            Ok(true)
+            output::print_scenario(&Scenario::drawn(*seed));
+            Ok(Outcome::Passed)
         }
         Command::Explore { seeds, first, jobs } => {
-            let (next, ended) = (AtomicU64::new(*first), AtomicU64::new(0));
-            let state = Mutex::new((0_u64, None));
-            // Processes are tied to the threads that start them, and these last as long as their plays.
-            thread::scope(|scope| {
-                for _ in 0..(*jobs).max(1) {
-                    scope.spawn(|| {
-                        loop {
-                            let seed = next.fetch_add(1, Ordering::SeqCst);
-                            if seed >= first + seeds {
-                                return;
-                            }
-                            let played = play(&Scenario::drawn(seed), None);
-                            let done = ended.fetch_add(1, Ordering::SeqCst) + 1;
-                            let Ok(mut state) = state.lock() else { return };
-                            match played {
-                                Ok(report) => {
-                                    state.0 += u64::from(!report.violations.is_empty());
-                                    if cli.json || !report.violations.is_empty() {
-                                        show(&report, cli.json);
-                                    }
-                                }
-                                Err(fault) => state.1 = Some(fault),
-                            }
-                            if std::io::stderr().is_terminal() {
-                                eprint!("\r{done} of {seeds}, {} broke a rule ", state.0);
-                            }
-                        }
-                    });
-                }
-            });
-            let (broke, fault) = state.into_inner().unwrap_or((0, None));
-            match fault {
-                Some(fault) => Err(fault),
-                None => {
-                    eprintln!("{seeds} played, {broke} broke a rule");
-                    Ok(broke == 0)
-                }
-            }
+            Exploration::new(*first, *seeds, cli.json).run(*jobs)
         }
     }
 }
 
 fn main() -> ExitCode {
     match run(&Cli::parse()) {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("rosewall-testbed: {fault}");
+        Ok(Outcome::Passed) => ExitCode::SUCCESS,
+        Ok(Outcome::Failed) => ExitCode::from(1),
+        Err(error) => {
+            eprintln!("rosewall-testbed: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/cluster-testbed/src/process.rs
+++ b/crates/cluster-testbed/src/process.rs
@@ -1,116 +1,129 @@
-//! One process of the real program: started, signalled, ended. It ends with the rig, also where that is killed.
-use crate::error::RigError;
-use std::io::{BufRead, BufReader};
+//! One process of the real program: started, signalled, ended. It ends with the testbed, also where that is killed.
+use crate::error::TestbedError;
+use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
-use std::sync::{Arc, Condvar, Mutex};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The program under test: what ROSEWALL_PROGRAM names, else the one built beside the caller.
+/// The program under test: what ROSEWALL_PROGRAM names, otherwise the one built beside the caller.
 pub fn program() -> PathBuf {
-    std::env::var_os("ROSEWALL_PROGRAM")
-        .map(PathBuf::from)
-        .unwrap_or_else(|| {
-            let own = std::env::current_exe().unwrap_or_default();
-            let folder = own.parent().unwrap_or(Path::new("."));
-            let folder = if folder.ends_with("deps") {
-                folder.parent().unwrap_or(folder)
-            } else {
-                folder
-            };
-            folder.join("rosewalld")
-        })
+    match std::env::var_os("ROSEWALL_PROGRAM") {
+        Some(path) => PathBuf::from(path),
+        None => build_folder().join("rosewalld"),
+    }
+}
+
+/// The folder of the programs of this build; those of tests are in its subfolder `deps`.
+fn build_folder() -> PathBuf {
+    let executable = std::env::current_exe().unwrap_or_default();
+    let folder = executable.parent().unwrap_or(Path::new("."));
+    let parent = folder.parent().filter(|_| folder.ends_with("deps"));
+    parent.unwrap_or(folder).to_path_buf()
 }
 
-/// A shell that runs `first` and then becomes the program. Where the system has `setpriv`, the kernel kills the program
-/// once the thread that started it is gone. Guards against processes that outlive a rig that was killed.
-pub fn command(first: &str) -> Command {
-    tied(first, &program())
+/// A shell that runs `prelude` and then becomes the program under test.
+pub fn command(prelude: &str) -> Command {
+    tethered_command(prelude, &program())
 }
 
-/// The same for any program; arguments that are added go to it.
-pub fn tied(first: &str, program: &Path) -> Command {
-    let tied = "tie=; command -v setpriv >/dev/null 2>&1 && tie='setpriv --pdeathsig KILL --'";
+/// A shell that runs `prelude` and then becomes a program; arguments that are added go to that. Where the system has
+/// `setpriv`, the kernel kills the program once the thread that started it is gone, so that no process outlives a
+/// testbed that was killed.
+pub fn tethered_command(prelude: &str, program: &Path) -> Command {
+    let tether = "tie=; command -v setpriv >/dev/null 2>&1 && tie='setpriv --pdeathsig KILL --'";
+    let script = format!("{prelude}\n{tether}\nexec $tie \"$0\" \"$@\"");
     let mut command = Command::new("/bin/sh");
-    command.args([
-        "-c",
-        &format!("{first}\n{tied}\nexec $tie \"$0\" \"$@\""),
-        &program.to_string_lossy(),
-    ]);
+    command.args(["-c", &script, &program.to_string_lossy()]);
     command
 }
 
-type Log = Arc<(Mutex<Vec<String>>, Condvar)>;
+/// The lines that a process has logged so far.
+#[derive(Default)]
+struct Log {
+    lines: Mutex<Vec<String>>,
+    appended: Condvar,
+}
+
+impl Log {
+    fn lines(&self) -> MutexGuard<'_, Vec<String>> {
+        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Reads to the end.
+    fn read_from(&self, source: impl Read) {
+        for line in BufReader::new(source).lines().map_while(Result::ok) {
+            self.lines().push(line);
+            self.appended.notify_all();
+        }
+    }
+}
 
+/// A running process of the program. It is killed when this is dropped.
 pub struct Process {
     child: Child,
-    log: Log,
+    log: Arc<Log>,
 }
 
 impl Process {
-    /// Starts it with its file; `env` is added to its own.
-    pub fn start(at: usize, file: &Path, env: &[(&str, String)]) -> Result<Process, RigError> {
+    /// Starts a dispatcher with its configuration file; `environment` is added to that of the testbed.
+    pub fn start(
+        dispatcher: usize,
+        configuration: &Path,
+        environment: &[(&str, String)],
+    ) -> Result<Process, TestbedError> {
         let path = program();
         if !path.exists() {
-            return Err(RigError::Program { path });
+            return Err(TestbedError::ProgramMissing { path });
         }
         let mut command = command("");
         command
-            .env("PROXY_CONFIG", file)
+            .env("PROXY_CONFIG", configuration)
             .stderr(Stdio::piped())
-            .stdout(Stdio::null());
-        command.envs(env.iter().map(|(name, value)| (*name, value)));
+            .stdout(Stdio::null())
+            .envs(environment.iter().map(|(name, value)| (*name, value)));
         let mut child = command
             .spawn()
-            .map_err(|source| RigError::Spawn { at, source })?;
-        let log = Log::default();
-        if let Some(errors) = child.stderr.take() {
-            let kept = log.clone();
-            thread::spawn(move || {
-                for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                    kept.0
-                        .lock()
-                        .unwrap_or_else(|held| held.into_inner())
-                        .push(line);
-                    kept.1.notify_all();
-                }
-            });
+            .map_err(|source| TestbedError::Spawn { dispatcher, source })?;
+        let log = Arc::<Log>::default();
+        if let Some(stderr) = child.stderr.take() {
+            let shared = log.clone();
+            thread::spawn(move || shared.read_from(stderr));
         }
         Ok(Process { child, log })
     }
 
-    /// The first line of its log with `text`, waited for.
-    pub fn line(&self, text: &str, within: Duration) -> Option<String> {
-        let end = Instant::now() + within;
-        let mut lines = self.log.0.lock().ok()?;
+    /// The first line of its log that contains `text`, waited for.
+    pub fn line(&self, text: &str, timeout: Duration) -> Option<String> {
+        let deadline = Instant::now() + timeout;
+        let mut lines = self.log.lines();
         loop {
             if let Some(line) = lines.iter().find(|line| line.contains(text)) {
                 return Some(line.clone());
             }
-            let left = end.checked_duration_since(Instant::now())?;
-            lines = self.log.1.wait_timeout(lines, left).ok()?.0;
+            let remaining = deadline.checked_duration_since(Instant::now())?;
+            lines = self.log.appended.wait_timeout(lines, remaining).ok()?.0;
         }
     }
 
-    /// The newest line of its log with `text`.
-    pub fn last(&self, text: &str) -> Option<String> {
-        let lines = self.log.0.lock().ok()?;
+    /// The newest line of its log that contains `text`.
+    pub fn last_line(&self, text: &str) -> Option<String> {
+        let lines = self.log.lines();
         lines.iter().rfind(|line| line.contains(text)).cloned()
     }
 
-    pub fn pid(&self) -> u32 {
-        self.child.id()
+    /// Its log so far.
+    pub fn lines(&self) -> Vec<String> {
+        self.log.lines().clone()
     }
 
-    pub fn lines(&self) -> Vec<String> {
-        self.log
-            .0
-            .lock()
-            .map(|lines| lines.clone())
-            .unwrap_or_default()
+    /// Its process id.
+    pub fn pid(&self) -> u32 {
+        self.child.id()
     }
 
+    /// Sends it the signal of this name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let _ = Command::new("kill")
@@ -119,15 +132,12 @@
             .status();
     }
 
-    /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<Option<i32>> {
-        self.child
-            .try_wait()
-            .ok()
-            .flatten()
-            .map(|status| status.code())
+    /// Whether it has ended.
+    pub fn has_exited(&mut self) -> bool {
+        self.child.try_wait().ok().flatten().is_some()
     }
 
+    /// Kills it and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/cluster-testbed/src/scale/child.rs
+++ b/crates/cluster-testbed/src/scale/child.rs
@@ -1,6 +1,6 @@
 //! Processes of the rig itself that hold many hollow ones: asked by lines on standard input, each answered by one line of JSON.
-use crate::error::RigError;
-use crate::process::tied;
+use crate::error::TestbedError;
+use crate::process::tethered_command;
 use async_channel::Receiver;
 use serde::de::DeserializeOwned;
 use std::io::{BufRead, BufReader, Write};
@@ -69,13 +69,13 @@
 }
 
 impl Child {
-    pub fn start(words: &[String]) -> Result<Child, RigError> {
-        let failed = |source| RigError::Hollow {
-            words: words.join(" "),
+    pub fn start(words: &[String]) -> Result<Child, TestbedError> {
+        let failed = |source| TestbedError::SimulatedProcess {
+            arguments: words.join(" "),
             source,
         };
         let own = std::env::current_exe().map_err(failed)?;
-        let mut command = tied("", &own);
+        let mut command = tethered_command("", &own);
         command
             .arg("hollow")
             .args(words)
@@ -102,17 +102,18 @@
     }
 
     /// The next line that it tells.
-    pub fn heard<T: DeserializeOwned>(&self) -> Result<T, RigError> {
+    pub fn heard<T: DeserializeOwned>(&self) -> Result<T, TestbedError> {
         let line = self
             .told
             .recv_timeout(PATIENCE)
-            .map_err(|_| RigError::Silent { pid: self.pid() })?;
-        serde_json::from_str(&line).map_err(|_| RigError::Silent { pid: self.pid() })
+            .map_err(|_| TestbedError::SimulatedProcessSilent { pid: self.pid() })?;
+        serde_json::from_str(&line)
+            .map_err(|_| TestbedError::SimulatedProcessSilent { pid: self.pid() })
     }
 
-    pub fn ask<T: DeserializeOwned>(&mut self, line: &str) -> Result<T, RigError> {
-        let failed = |source| RigError::Hollow {
-            words: line.chars().take(80).collect(),
+    pub fn ask<T: DeserializeOwned>(&mut self, line: &str) -> Result<T, TestbedError> {
+        let failed = |source| TestbedError::SimulatedProcess {
+            arguments: line.chars().take(80).collect(),
             source,
         };
         writeln!(self.ask, "{line}").map_err(failed)?;
@@ -120,7 +121,7 @@
     }
 
     /// Asks where no answer but that it was heard matters.
-    pub fn tell(&mut self, line: &str) -> Result<(), RigError> {
+    pub fn tell(&mut self, line: &str) -> Result<(), TestbedError> {
         self.ask::<serde_json::Value>(line).map(drop)
     }
 }
--- a/crates/cluster-testbed/src/scale/command.rs
+++ b/crates/cluster-testbed/src/scale/command.rs
@@ -1,5 +1,5 @@
 //! The command `scale`: one play or a slope of them, as a table or as lines of JSON, and bounds that end it with a failure.
-use crate::error::RigError;
+use crate::error::TestbedError;
 use crate::scale::fit::{Line, Predicted, line, predicted};
 use crate::scale::plan::{Kind, Plan};
 use crate::scale::{Measured, Role, play};
@@ -233,7 +233,7 @@
 
 impl Scale {
     /// Whether all bounds were kept.
-    pub fn run(&self, json: bool) -> Result<bool, RigError> {
+    pub fn run(&self, json: bool) -> Result<bool, TestbedError> {
         let (name, values) = self.sweep.clone().unwrap_or_default();
         let values = if values.is_empty() { vec![0.0] } else { values };
         let (mut kept, mut all) = (true, Vec::new());
@@ -241,7 +241,7 @@
             let mut plan = self.plan.clone();
             if !name.is_empty() {
                 plan.set(&name, value)
-                    .map_err(|what| RigError::Sweep { what })?;
+                    .map_err(|what| TestbedError::Sweep { what })?;
             }
             for repeat in 0..self.repeats.max(1) {
                 plan.seed = self.plan.seed + repeat;
@@ -251,7 +251,8 @@
                     false => show(&measured),
                 }
                 for (name, most) in &self.most {
-                    let value = figure(name).map_err(|what| RigError::Sweep { what })?(&measured);
+                    let value =
+                        figure(name).map_err(|what| TestbedError::Sweep { what })?(&measured);
                     if value > *most {
                         kept = false;
                         eprintln!("  PASSED: {name} is {value:.3}, at most {most} was allowed");
@@ -261,7 +262,7 @@
             }
         }
         for slope in &self.slopes {
-            let of = figure(slope).map_err(|what| RigError::Sweep { what })?;
+            let of = figure(slope).map_err(|what| TestbedError::Sweep { what })?;
             let points: Vec<(f64, f64)> = all
                 .iter()
                 .map(|(size, measured)| (*size, of(measured)))
--- a/crates/cluster-testbed/src/scale/mod.rs
+++ b/crates/cluster-testbed/src/scale/mod.rs
@@ -11,7 +11,7 @@
 pub mod system;
 pub mod workers;
 
-use crate::error::RigError;
+use crate::error::TestbedError;
 use plan::Plan;
 use serde::Serialize;
 use stage::Stage;
@@ -75,7 +75,7 @@
 }
 
 /// One play.
-pub fn play(plan: &Plan) -> Result<Measured, RigError> {
+pub fn play(plan: &Plan) -> Result<Measured, TestbedError> {
     plan.check()?;
     let mut stage = Stage::set(plan)?;
     stage.play()
--- a/crates/cluster-testbed/src/scale/plan.rs
+++ b/crates/cluster-testbed/src/scale/plan.rs
@@ -1,5 +1,5 @@
 //! What is played: sizes, ways, load and faults, as the command takes them.
-use crate::error::RigError;
+use crate::error::TestbedError;
 use crate::scale::map::{KEEPERS, Ways};
 use clap::{Args, ValueEnum};
 use serde::Serialize;
@@ -188,11 +188,11 @@
     }
 
     /// Whether it can be played here, in bounded time.
-    pub fn check(&self) -> Result<(), RigError> {
+    pub fn check(&self) -> Result<(), TestbedError> {
         let range = |what, value: f64, least: f64, most: f64, allowed| match value {
             value if (least..=most).contains(&value) => Ok(()),
-            value => Err(RigError::Range {
-                what,
+            value => Err(TestbedError::OutOfRange {
+                key: what,
                 value: value.max(0.0) as u64,
                 allowed,
             }),
@@ -219,10 +219,10 @@
         let most = MOST_PROCESSES as u64;
         let processes = self.processes() as u64;
         if processes > most {
-            return Err(RigError::Large {
+            return Err(TestbedError::TooLarge {
                 what: "the number of processes",
                 value: processes,
-                most,
+                limit: most,
             });
         }
         Ok(())
--- a/crates/cluster-testbed/src/scale/stage.rs
+++ b/crates/cluster-testbed/src/scale/stage.rs
@@ -1,8 +1,7 @@
 //! Sets up a fleet, plays load and faults in it, and measures.
-use crate::error::RigError;
-use crate::play::status;
+use crate::error::TestbedError;
 use crate::process::Process;
-use crate::relay::{Ends, Relay};
+use crate::relay::{Relay, Traffic};
 use crate::scale::child::Child;
 use crate::scale::discovery::DiscoveryReport;
 use crate::scale::dispatchers::Views;
@@ -13,7 +12,8 @@
 use crate::scale::workers::WorkersReport;
 use crate::scale::{Measured, Role};
 use crate::stand::configuration;
-use crate::worker::Cold;
+use crate::testbed::request_status;
+use crate::worker::SlowStart;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -35,10 +35,10 @@
 /// After SIGTERM; then it is killed, as the platform does.
 const END_WITHIN: Duration = Duration::from_secs(5);
 /// Workers as they come up: a fifth at first, all after 20 s; they fall at four times what they can do in a second.
-pub const COLD: Cold = Cold {
-    from: 0.2,
-    time: Duration::from_secs(20),
-    multiple: 4.0,
+pub const COLD: SlowStart = SlowStart {
+    initial_share: 0.2,
+    duration: Duration::from_secs(20),
+    overload_multiple: 4.0,
     window: Duration::from_secs(1),
 };
 
@@ -75,7 +75,7 @@
 pub struct Stage {
     plan: Plan,
     folder: PathBuf,
-    relay: Ends,
+    relay: Relay,
     workers: Child,
     discovery: Child,
     real: Vec<Option<Process>>,
@@ -103,8 +103,7 @@
 /// What was counted of a process as the measured time began.
 struct Before {
     cpu: u64,
-    out: (u64, u64),
-    came: (u64, u64),
+    traffic: Traffic,
 }
 
 fn now_ms() -> u64 {
@@ -119,11 +118,11 @@
 }
 
 impl Stage {
-    pub fn set(plan: &Plan) -> Result<Stage, RigError> {
+    pub fn set(plan: &Plan) -> Result<Stage, TestbedError> {
         static SERIAL: AtomicU32 = AtomicU32::new(0);
         let (pid, serial) = (std::process::id(), SERIAL.fetch_add(1, Ordering::SeqCst));
         let folder = std::env::temp_dir().join(format!("rosewall-scale-{pid}-{serial}"));
-        std::fs::create_dir_all(&folder).map_err(|source| RigError::Folder {
+        std::fs::create_dir_all(&folder).map_err(|source| TestbedError::Write {
             path: folder.clone(),
             source,
         })?;
@@ -149,8 +148,8 @@
         let mut discovery = Child::start(&words(&[&"discovery", &plan.all()]))?;
         let Ports { ports } = discovery.heard()?;
         discovery.tell(&format!("change {}", Value::from(hosts.clone())))?;
-        let relay = Ends(Relay::start(plan.seed)?);
-        relay.0.distances(plan.ways());
+        let relay = Relay::start(plan.seed)?;
+        relay.set_zone_latencies(plan.ways());
         let mut stage = Stage {
             plan: plan.clone(),
             folder,
@@ -170,7 +169,7 @@
             view_s: 0.0,
         };
         for (at, port) in ports.into_iter().enumerate() {
-            stage.relay.0.number(stage.mail(at), at);
+            stage.relay.register(stage.mail(at), at);
             stage.write(at, port)?;
         }
         let apart = Duration::from_millis(plan.starts_apart_ms);
@@ -216,7 +215,7 @@
     }
 
     /// The files of one dispatcher, as an operator would write them.
-    fn write(&self, at: usize, port: u16) -> Result<(), RigError> {
+    fn write(&self, at: usize, port: u16) -> Result<(), TestbedError> {
         let plan = &self.plan;
         let mut given = configuration(&format!("127.0.0.1:{port}"), 4_096);
         let task = (plan.task_s * 1e9) as u64;
@@ -238,8 +237,8 @@
             .into();
         settings["Bounds"]["Peers"] = plan.peers.into();
         settings["Contract"] = json!({
-            "ColdFrom": COLD.from, "ColdNs": COLD.time.as_nanos() as u64,
-            "FallMultiple": COLD.multiple, "FallNs": COLD.window.as_nanos() as u64,
+            "ColdFrom": COLD.initial_share, "ColdNs": COLD.duration.as_nanos() as u64,
+            "FallMultiple": COLD.overload_multiple, "FallNs": COLD.window.as_nanos() as u64,
         });
         settings["FamilyInfo"] = json!({"TellsStart": true, "ClassStretch": [1.0, 1.0, 1.0, 1.0], "ClassKind": [-1, -1, -1, -1]});
         if let Some(schemes) = settings["Schemes"].as_array_mut() {
@@ -259,7 +258,7 @@
         }
         let put = |name: String, text: String| {
             let path = self.folder.join(name);
-            std::fs::write(&path, text).map_err(|source| RigError::Folder {
+            std::fs::write(&path, text).map_err(|source| TestbedError::Write {
                 path: path.clone(),
                 source,
             })
@@ -277,7 +276,7 @@
                     "version = 1\ncluster = \"scale\"\nname = \"n{at}\"\nlisten = \"{}\"\nseeds = {seeds:?}\n\
                      keepers = {keepers:?}\nthrough = \"{}\"\n",
                     self.mail(at),
-                    self.relay.0.address
+                    self.relay.address
                 ),
             )?;
         }
@@ -285,7 +284,7 @@
     }
 
     /// Starts a real one; it is not waited for.
-    fn start(&mut self, at: usize) -> Result<(), RigError> {
+    fn start(&mut self, at: usize) -> Result<(), TestbedError> {
         let process = Process::start(at, &self.folder.join(format!("n{at}.json")), &[])?;
         self.real[at] = Some(process);
         self.up[at] = true;
@@ -294,14 +293,14 @@
     }
 
     /// Carries on those that are on their way down or up.
-    fn turn(&mut self) -> Result<(), RigError> {
+    fn turn(&mut self) -> Result<(), TestbedError> {
         for turn in std::mem::take(&mut self.turns) {
             match turn {
                 Turn::Ends(at, since) => {
                     let Some(process) = &mut self.real[at] else {
                         continue;
                     };
-                    if process.ended().is_some() || since.elapsed() > END_WITHIN {
+                    if process.has_exited() || since.elapsed() > END_WITHIN {
                         self.start(at)?;
                     } else {
                         self.turns.push(Turn::Ends(at, since));
@@ -319,7 +318,7 @@
                     let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
                     let serves = address
                         .as_ref()
-                        .and_then(|to| status(to, health, Duration::from_secs(1)));
+                        .and_then(|to| request_status(to, health, Duration::from_secs(1)));
                     if serves == Some(200) {
                         self.ready.push(since.elapsed().as_secs_f64());
                         if let Ok(mut doors) = self.doors.lock() {
@@ -327,10 +326,10 @@
                         }
                     } else if since.elapsed() > READY_WITHIN {
                         let last = process.lines().last().cloned().unwrap_or_default();
-                        return Err(RigError::Start {
-                            at,
+                        return Err(TestbedError::NotReady {
+                            dispatcher: at,
                             seconds: READY_WITHIN.as_secs(),
-                            last,
+                            last_line: last,
                         });
                     } else {
                         self.turns.push(Turn::Rises(at, since));
@@ -342,10 +341,10 @@
     }
 
     /// The rank of each that runs, and how many it holds the members to be.
-    fn views(&mut self) -> Result<Vec<(usize, usize)>, RigError> {
+    fn views(&mut self) -> Result<Vec<(usize, usize)>, TestbedError> {
         let mut all = Vec::new();
         for process in self.real.iter().flatten() {
-            let line = process.last("cluster view ").unwrap_or_default();
+            let line = process.last_line("cluster view ").unwrap_or_default();
             let word = |name: &str| {
                 line.split(' ')
                     .find_map(|word| word.strip_prefix(name)?.parse().ok())
@@ -360,7 +359,7 @@
     }
 
     /// Seconds from a moment to when all that run knew just each other, each with a rank of its own.
-    fn one_view(&mut self, from: Instant) -> Result<f64, RigError> {
+    fn one_view(&mut self, from: Instant) -> Result<f64, TestbedError> {
         let (end, mut since) = (Instant::now() + VIEW_WITHIN, None);
         let running = self.up.iter().filter(|up| **up).count();
         loop {
@@ -380,7 +379,7 @@
                 let seen = format!(
                     "{other} of {running} hold another number for it, or ranks are held twice"
                 );
-                return Err(RigError::View {
+                return Err(TestbedError::NoCommonView {
                     seconds: VIEW_WITHIN.as_secs(),
                     seen,
                 });
@@ -399,7 +398,7 @@
     }
 
     /// Ends the play where it takes more of the machine than is allowed.
-    fn weigh(&mut self) -> Result<(), RigError> {
+    fn weigh(&mut self) -> Result<(), TestbedError> {
         if self.weighed.elapsed() < WEIGH {
             return Ok(());
         }
@@ -409,25 +408,25 @@
         self.most_bytes = self.most_bytes.max(bytes);
         let (most, count) = (MOST_BYTES.min(memory() / 2), pids.len());
         if bytes > most {
-            return Err(RigError::Large {
+            return Err(TestbedError::TooLarge {
                 what: "resident memory",
                 value: bytes,
-                most,
+                limit: most,
             });
         }
         if count > MOST_PROCESSES {
             let (value, most) = (count as u64, MOST_PROCESSES as u64);
-            return Err(RigError::Large {
+            return Err(TestbedError::TooLarge {
                 what: "the number of processes",
                 value,
-                most,
+                limit: most,
             });
         }
         Ok(())
     }
 
     /// Kills a dispatcher outright.
-    fn kill(&mut self, at: usize) -> Result<(), RigError> {
+    fn kill(&mut self, at: usize) -> Result<(), TestbedError> {
         self.up[at] = false;
         if let Some(place) = self.real.get_mut(at) {
             if let Some(mut process) = place.take() {
@@ -447,7 +446,7 @@
         self.discovery.tell(&format!("gone {at}"))
     }
 
-    fn restart(&mut self, at: usize) -> Result<(), RigError> {
+    fn restart(&mut self, at: usize) -> Result<(), TestbedError> {
         if !self.up[at] {
             return Ok(());
         }
@@ -467,7 +466,7 @@
     }
 
     /// Starts one again that was killed.
-    fn rise(&mut self, at: usize) -> Result<(), RigError> {
+    fn rise(&mut self, at: usize) -> Result<(), TestbedError> {
         if self.up[at] {
             return Ok(());
         }
@@ -488,19 +487,19 @@
         }
     }
 
-    fn list(&mut self, changed: Vec<Value>) -> Result<(), RigError> {
+    fn list(&mut self, changed: Vec<Value>) -> Result<(), TestbedError> {
         self.discovery
             .tell(&format!("change {}", Value::from(changed)))
     }
 
-    fn act(&mut self, act: &Act) -> Result<(), RigError> {
+    fn act(&mut self, act: &Act) -> Result<(), TestbedError> {
         match act {
             Act::Restart(at) => self.restart(*at),
             Act::Kill(at) => self.kill(*at),
             Act::Discovery(down) => self.discovery.tell(if *down { "down" } else { "up" }),
             Act::Cut(on) => {
                 let cut = on.then_some(Cut(0, 1));
-                self.relay.0.part(cut);
+                self.relay.partition_regions(cut);
                 self.workers.tell(if *on { "cut 0 1" } else { "heal" })
             }
             Act::Replace(at) => {
@@ -597,11 +596,9 @@
     }
 
     fn before(&self, pid: u32, at: Option<usize>) -> Before {
-        let (out, came) = at.map(|at| self.relay.0.of(at)).unwrap_or_default();
         Before {
             cpu: cpu(pid),
-            out,
-            came,
+            traffic: at.map(|at| self.relay.traffic(at)).unwrap_or_default(),
         }
     }
 
@@ -622,20 +619,16 @@
             role.cpu_most = role.cpu_most.max(percent / each as f64);
             role.resident_mb += megabytes;
             role.resident_most = role.resident_most.max(megabytes / each as f64);
-            let (mut out, mut came) = ((0, 0), (0, 0));
+            let mut traffic = Traffic::default();
             for at in numbers {
-                let (sent, got) = self.relay.0.of(*at);
-                (out.0, out.1, came.0, came.1) = (
-                    out.0 + sent.0,
-                    out.1 + sent.1,
-                    came.0 + got.0,
-                    came.1 + got.1,
-                );
+                traffic += self.relay.traffic(*at);
             }
-            role.datagrams_out += (out.0 - before.out.0.min(out.0)) as f64 / seconds;
-            role.bytes_out += (out.1 - before.out.1.min(out.1)) as f64 / seconds;
-            role.datagrams_in += (came.0 - before.came.0.min(came.0)) as f64 / seconds;
-            role.bytes_in += (came.1 - before.came.1.min(came.1)) as f64 / seconds;
+            let sent = traffic.sent.since(before.traffic.sent);
+            let received = traffic.received.since(before.traffic.received);
+            role.datagrams_out += sent.datagrams as f64 / seconds;
+            role.bytes_out += sent.bytes as f64 / seconds;
+            role.datagrams_in += received.datagrams as f64 / seconds;
+            role.bytes_in += received.bytes as f64 / seconds;
         };
         of.iter()
             .for_each(|(pid, numbers, before)| add(*pid, numbers, before));
@@ -654,7 +647,7 @@
     }
 
     /// Load, changes and faults for the measured time, and what they came to.
-    pub fn play(&mut self) -> Result<Measured, RigError> {
+    pub fn play(&mut self) -> Result<Measured, TestbedError> {
         let plan = self.plan.clone();
         let load = Load {
             starts: plan.starts,
@@ -698,9 +691,7 @@
         let crowd = |hollow: &Hollow| {
             let mut before = self.before(hollow.child.pid(), None);
             for at in &hollow.numbers {
-                let (out, came) = self.relay.0.of(*at);
-                before.out = (before.out.0 + out.0, before.out.1 + out.1);
-                before.came = (before.came.0 + came.0, before.came.1 + came.1);
+                before.traffic += self.relay.traffic(*at);
             }
             (hollow.child.pid(), hollow.numbers.clone(), before)
         };
--- a/crates/cluster-testbed/src/scale/workers.rs
+++ b/crates/cluster-testbed/src/scale/workers.rs
@@ -3,7 +3,7 @@
 //! UNIX_NANOSECONDS CLASS`; its id begins with the dispatcher's number, `dN-`, by which its way is as long as the map says.
 use crate::scale::child::Asked;
 use crate::scale::map::{Cut, Ways, zone};
-use crate::worker::Cold;
+use crate::worker::SlowStart;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -56,7 +56,7 @@
 struct Fleet {
     ex: Rc<LocalExecutor<'static>>,
     ways: Ways,
-    cold: Cold,
+    cold: SlowStart,
     seats: usize,
     ones: Vec<One>,
     cut: Cell<Option<Cut>>,
@@ -183,7 +183,7 @@
         let warmth = one
             .born
             .get()
-            .map_or(1.0, |born| self.cold.warmth(born.elapsed()));
+            .map_or(1.0, |born| self.cold.capacity_share(born.elapsed()));
         let run = Duration::from_secs_f64(work / warmth);
         Timer::after(way.min(run)).await;
         let started = format!(
@@ -239,7 +239,9 @@
 
     /// The most work of any window over what the worker bears there.
     fn cold_worst(&self) -> f64 {
-        let bears = |age: Duration| self.cold.multiple * self.seats as f64 * self.cold.warmth(age);
+        let bears = |age: Duration| {
+            self.cold.overload_multiple * self.seats as f64 * self.cold.capacity_share(age)
+        };
         let worst = |one: &One| {
             let Some(born) = one.born.get() else {
                 return 0.0;
@@ -327,7 +329,7 @@
 }
 
 /// Runs them until standard input ends. The first line out has their ports.
-pub fn run(count: usize, seats: usize, ways: Ways, cold: Cold) -> Result<(), String> {
+pub fn run(count: usize, seats: usize, ways: Ways, cold: SlowStart) -> Result<(), String> {
     let ex = Rc::new(LocalExecutor::new());
     let one = |number| {
         let seat = async_channel::bounded(seats);
--- /dev/null
+++ b/crates/cluster-testbed/src/simulated.rs
@@ -0,0 +1,72 @@
+//! The hidden commands of `scale`: processes that each stand for many peers.
+use clap::Subcommand;
+use rosewall_cluster_testbed::error::TestbedError;
+use rosewall_cluster_testbed::scale;
+use rosewall_cluster_testbed::scale::map::Ways;
+use std::path::PathBuf;
+use std::time::Duration;
+
+const MAX_LATENCY_MS: f64 = 10_000.0;
+
+/// What a process of simulated peers stands for.
+#[derive(Subcommand)]
+pub enum SimulatedProcess {
+    Workers {
+        count: usize,
+        seats: usize,
+        zone_ms: f64,
+        zones_ms: f64,
+        regions_ms: f64,
+    },
+    Discovery {
+        followers: usize,
+    },
+    Dispatchers {
+        folder: PathBuf,
+        first: usize,
+        last: usize,
+        apart_ms: u64,
+    },
+}
+
+fn latency(ms: f64) -> Duration {
+    Duration::from_secs_f64(ms.clamp(0.0, MAX_LATENCY_MS) / 1e3)
+}
+
+impl SimulatedProcess {
+    /// Runs until the process that started this one ends it.
+    pub fn run(&self) -> Result<(), TestbedError> {
+        self.serve()
+            .map_err(|what| TestbedError::SimulatedProcessEnded { what })
+    }
+
+    fn serve(&self) -> Result<(), String> {
+        match self {
+            SimulatedProcess::Workers {
+                count,
+                seats,
+                zone_ms,
+                zones_ms,
+                regions_ms,
+            } => {
+                let latencies = Ways {
+                    zone: latency(*zone_ms),
+                    zones: latency(*zones_ms),
+                    regions: latency(*regions_ms),
+                };
+                scale::workers::run(*count, *seats, latencies, scale::stage::COLD)
+            }
+            SimulatedProcess::Discovery { followers } => scale::discovery::run(*followers),
+            SimulatedProcess::Dispatchers {
+                folder,
+                first,
+                last,
+                apart_ms,
+            } => {
+                let numbers: Vec<usize> = (*first..=*last).collect();
+                let interval = Duration::from_millis(*apart_ms);
+                scale::dispatchers::run(folder, &numbers, interval)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster-testbed/src/testbed/faults.rs
@@ -0,0 +1,192 @@
+//! Begins and ends the faults of a scenario.
+use super::Testbed;
+use crate::error::TestbedError;
+use crate::relay::LinkConditions;
+use crate::scenario::{Fault, FaultKind};
+use crate::worker::WorkerFault;
+
+/// How long after its SIGTERM a dispatcher starts again.
+const RESTART_AFTER_MS: u64 = 1_500;
+
+/// What an event does with its fault. At one time, ends come before beginnings.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Edge {
+    End,
+    Begin,
+}
+
+/// The beginning or the end of a fault, ordered by time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct FaultEvent {
+    pub(super) at_ms: u64,
+    edge: Edge,
+    /// The place of the fault in the scenario.
+    fault: usize,
+}
+
+/// All beginnings and ends, in order.
+pub(super) fn timeline(faults: &[Fault]) -> Vec<FaultEvent> {
+    let mut events = Vec::new();
+    for (index, fault) in faults.iter().enumerate() {
+        events.push(FaultEvent {
+            at_ms: fault.at_ms,
+            edge: Edge::Begin,
+            fault: index,
+        });
+        let duration_ms = match fault.kind {
+            FaultKind::Restart => RESTART_AFTER_MS,
+            _ => fault.duration_ms,
+        };
+        if duration_ms > 0 {
+            events.push(FaultEvent {
+                at_ms: fault.at_ms + duration_ms,
+                edge: Edge::End,
+                fault: index,
+            });
+        }
+    }
+    events.sort_unstable();
+    events
+}
+
+/// Which datagrams of a dispatcher a change of links is about.
+#[derive(Clone, Copy)]
+struct Directions {
+    inbound: bool,
+    outbound: bool,
+}
+
+const INBOUND: Directions = Directions {
+    inbound: true,
+    outbound: false,
+};
+const OUTBOUND: Directions = Directions {
+    inbound: false,
+    outbound: true,
+};
+const BOTH: Directions = Directions {
+    inbound: true,
+    outbound: true,
+};
+
+/// What the fault does to a worker, if it hits workers while it is active.
+fn worker_fault(kind: FaultKind) -> Option<WorkerFault> {
+    match kind {
+        FaultKind::Hang => Some(WorkerFault::Hang),
+        FaultKind::Reset => Some(WorkerFault::Reset),
+        FaultKind::LoseResponse => Some(WorkerFault::LoseResponse),
+        _ => None,
+    }
+}
+
+impl Testbed {
+    pub(super) fn apply(&mut self, event: FaultEvent) -> Result<(), TestbedError> {
+        let fault = self.scenario.faults[event.fault].clone();
+        match event.edge {
+            Edge::Begin => self.begin_fault(&fault),
+            Edge::End => self.end_fault(&fault),
+        }
+    }
+
+    /// The targets of a fault that are dispatchers of this scenario.
+    fn target_dispatchers(&self, fault: &Fault) -> Vec<usize> {
+        let targets = fault.targets.iter().copied();
+        targets
+            .filter(|number| *number < self.dispatchers.len())
+            .collect()
+    }
+
+    fn begin_fault(&mut self, fault: &Fault) -> Result<(), TestbedError> {
+        let targets = self.target_dispatchers(fault);
+        match fault.kind {
+            FaultKind::Kill => targets.iter().for_each(|number| self.kill(*number)),
+            FaultKind::Pause => targets.iter().for_each(|number| self.pause(*number)),
+            FaultKind::Restart | FaultKind::Shutdown => {
+                targets.iter().for_each(|number| self.shut_down(*number));
+            }
+            FaultKind::Start => targets
+                .iter()
+                .try_for_each(|number| self.start_and_wait(*number))?,
+            FaultKind::AddWorkers => self.add_workers(fault.count.max(1))?,
+            FaultKind::Drain => fault.targets.iter().for_each(|worker| self.drain(*worker)),
+            FaultKind::Hang | FaultKind::Reset | FaultKind::LoseResponse => {
+                self.change_workers(fault, Edge::Begin);
+            }
+            FaultKind::Partition => self.cut_links(&targets, BOTH),
+            FaultKind::DropInbound => self.cut_links(&targets, INBOUND),
+            FaultKind::DropOutbound => self.cut_links(&targets, OUTBOUND),
+            FaultKind::LinkConditions => self.relay.set_default(fault.link),
+        }
+        Ok(())
+    }
+
+    fn end_fault(&mut self, fault: &Fault) -> Result<(), TestbedError> {
+        let targets = self.target_dispatchers(fault);
+        match fault.kind {
+            FaultKind::Kill | FaultKind::Restart => {
+                for number in targets {
+                    // Another fault may have started it again.
+                    if self.dispatchers[number].process.is_none() {
+                        self.start_and_wait(number)?;
+                    }
+                }
+            }
+            FaultKind::Pause => targets.iter().for_each(|number| self.resume(*number)),
+            FaultKind::Hang | FaultKind::Reset | FaultKind::LoseResponse => {
+                self.change_workers(fault, Edge::End);
+            }
+            FaultKind::Partition | FaultKind::DropInbound | FaultKind::DropOutbound => {
+                self.set_links(&targets, BOTH, None);
+            }
+            FaultKind::LinkConditions => self.relay.set_default(self.scenario.links),
+            FaultKind::Shutdown | FaultKind::Start | FaultKind::AddWorkers | FaultKind::Drain => {}
+        }
+        Ok(())
+    }
+
+    fn start_and_wait(&mut self, number: usize) -> Result<(), TestbedError> {
+        self.start_dispatcher(number)?;
+        self.wait_until_ready(number)
+    }
+
+    fn change_workers(&self, fault: &Fault, edge: Edge) {
+        let Some(worker_fault) = worker_fault(fault.kind) else {
+            return;
+        };
+        let targets = fault.targets.iter();
+        for worker in targets.filter_map(|number| self.workers.get(*number)) {
+            match edge {
+                Edge::Begin => worker.begin_fault(worker_fault),
+                Edge::End => worker.end_fault(worker_fault),
+            }
+        }
+    }
+
+    fn cut_links(&self, dispatchers: &[usize], directions: Directions) {
+        let cut = LinkConditions {
+            cut: true,
+            ..LinkConditions::default()
+        };
+        self.set_links(dispatchers, directions, Some(cut));
+    }
+
+    /// Sets the links between these dispatchers and all others.
+    fn set_links(
+        &self,
+        dispatchers: &[usize],
+        directions: Directions,
+        conditions: Option<LinkConditions>,
+    ) {
+        let is_other = |number: &usize| !dispatchers.contains(number);
+        for dispatcher in dispatchers {
+            for other in (0..self.dispatchers.len()).filter(is_other) {
+                if directions.inbound {
+                    self.relay.set_link(other, *dispatcher, conditions);
+                }
+                if directions.outbound {
+                    self.relay.set_link(*dispatcher, other, conditions);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster-testbed/src/testbed/report.rs
@@ -0,0 +1,117 @@
+//! The end of a scenario and its report.
+use super::Testbed;
+use crate::checker::{ClientRequest, Evidence, SlowStartUse, Violation};
+use serde::Serialize;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+/// What came of one scenario.
+#[derive(Clone, Debug, Serialize)]
+pub struct Report {
+    /// The name of the scenario.
+    pub name: String,
+    /// Its seed.
+    pub seed: u64,
+    /// The violations of rules.
+    pub violations: Vec<Violation>,
+    /// Requests that clients sent.
+    #[serde(rename = "asked")]
+    pub requests: usize,
+    /// Responses 200.
+    #[serde(rename = "settled")]
+    pub succeeded: usize,
+    /// Responses 503.
+    #[serde(rename = "declined")]
+    pub rejected: usize,
+    /// Responses 502.
+    #[serde(rename = "reversed")]
+    pub failed: usize,
+    /// The share of requests that did not succeed.
+    #[serde(rename = "missed")]
+    pub unsuccessful_share: f64,
+    /// What workers received while they warmed up.
+    #[serde(rename = "cold")]
+    pub slow_start: Vec<SlowStartUse>,
+    /// The most work a slot of any warm worker over their mean, in the last third.
+    #[serde(rename = "uneven")]
+    pub imbalance: f64,
+    /// Datagrams forwarded between dispatchers.
+    pub datagrams: u64,
+    /// Datagrams lost between dispatchers.
+    pub lost: u64,
+    /// Bytes of datagrams a second and dispatcher.
+    #[serde(rename = "bytes")]
+    pub bytes_per_second: f64,
+}
+
+fn count_status(requests: &[ClientRequest], status: u16) -> usize {
+    let with_status = requests.iter().filter(|request| request.has_status(status));
+    with_status.count()
+}
+
+impl Testbed {
+    /// The most work a slot that any worker received in a span, over their mean.
+    pub fn work_imbalance(&self, from: Instant, to: Instant) -> f64 {
+        self.evidence(to, &[]).imbalance(from, to, |_| true)
+    }
+
+    /// Stops the clients and checks the rules.
+    pub fn finish(mut self) -> Report {
+        let end = Instant::now();
+        self.stop_clients();
+        let requests = self.requests.lock();
+        let requests = requests
+            .map(|requests| requests.clone())
+            .unwrap_or_default();
+        self.report(end, &requests)
+    }
+
+    fn stop_clients(&mut self) {
+        self.stopped.store(true, Ordering::Relaxed);
+        // A dispatcher that is still paused answers no one; its clients time out by themselves.
+        for client in std::mem::take(&mut self.clients) {
+            let _ = client.join();
+        }
+    }
+
+    fn evidence<'a>(&'a self, end: Instant, requests: &'a [ClientRequest]) -> Evidence<'a> {
+        Evidence {
+            begin: self.begin,
+            end,
+            expiry: Duration::from_millis(self.scenario.load.expiry_ms),
+            workers: &self.workers,
+            requests,
+            outages: &self.outages,
+            drains: &self.drains,
+        }
+    }
+
+    fn report(&self, end: Instant, requests: &[ClientRequest]) -> Report {
+        let evidence = self.evidence(end, requests);
+        let duration = end - self.begin;
+        let succeeded = count_status(requests, 200);
+        let traffic = self.relay.totals();
+        let dispatcher_seconds = duration.as_secs_f64() * self.scenario.fleet.dispatchers as f64;
+        Report {
+            name: self.scenario.name.clone(),
+            seed: self.scenario.seed,
+            violations: evidence.violations(),
+            requests: requests.len(),
+            succeeded,
+            rejected: count_status(requests, 503),
+            failed: count_status(requests, 502),
+            unsuccessful_share: 1.0 - succeeded as f64 / requests.len().max(1) as f64,
+            slow_start: evidence.slow_start_uses(),
+            imbalance: evidence.imbalance(end - duration / 3, end, |worker| self.is_warm(worker)),
+            datagrams: traffic.forwarded.datagrams,
+            lost: traffic.lost,
+            bytes_per_second: traffic.forwarded.bytes as f64 / dispatcher_seconds.max(1e-9),
+        }
+    }
+
+    /// Whether a worker served from the start and did not drain.
+    fn is_warm(&self, worker: usize) -> bool {
+        let drained = self.drains.iter().any(|drain| drain.worker == worker);
+        worker < self.scenario.fleet.workers && !drained
+    }
+}
--- a/crates/cluster-testbed/src/worker.rs
+++ b/crates/cluster-testbed/src/worker.rs
@@ -1,183 +1,225 @@
-//! A worker with seats and one queue, first come first served, that warms up, falls over, drains, hangs and breaks as
-//! told. It writes down what it was sent and what it ran: the judge reads nothing else of it.
-use crate::error::RigError;
+//! A simulated worker with concurrency slots and one queue, first in, first out. It can warm up, hang, and break
+//! connections. The checker reads its record of what it received and ran, and nothing else of it.
+use crate::error::TestbedError;
 use crate::stand::{field, message};
+use std::collections::HashSet;
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Condvar, Mutex};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a process starts cold: the part of its work it can do at first, how long until it can do all, and the multiple
-/// of what it can do, sent within the window, at which it falls over.
+/// How a worker starts cold.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
-    pub from: f64,
-    pub time: Duration,
-    pub multiple: f64,
+pub struct SlowStart {
+    /// The share of its full capacity that it has at first.
+    pub initial_share: f64,
+    /// How long until it has its full capacity.
+    pub duration: Duration,
+    /// The multiple of its present capacity, received within the window, at which it is overloaded.
+    pub overload_multiple: f64,
+    /// The window over which received work counts.
     pub window: Duration,
 }
 
-impl Cold {
-    /// The part of its full work that it can do so long after its start.
-    pub fn warmth(&self, age: Duration) -> f64 {
-        (self.from + (1.0 - self.from) * age.as_secs_f64() / self.time.as_secs_f64().max(1e-9))
-            .min(1.0)
+impl SlowStart {
+    /// The share of its full capacity that it has at this age.
+    pub fn capacity_share(&self, age: Duration) -> f64 {
+        let duration_s = self.duration.as_secs_f64().max(1e-9);
+        (self.initial_share + (1.0 - self.initial_share) * age.as_secs_f64() / duration_s).min(1.0)
     }
 }
 
-/// One posting as the worker saw it.
+/// What a worker may do wrong.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum WorkerFault {
+    /// It receives requests and never answers.
+    Hang,
+    /// It breaks the connection once a request has arrived whole, and does not run it.
+    Reset,
+    /// It runs the request and breaks the connection before the response.
+    LoseResponse,
+}
+
+/// One request as the worker received it.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct ReceivedRequest {
+    /// When it had arrived whole.
     pub at: Instant,
+    /// Its id.
     pub id: String,
-    /// Seconds of one seat, warm.
-    pub work: f64,
+    /// How long one slot of a warm worker takes, in seconds.
+    pub work_s: f64,
+}
+
+/// The start of one run.
+#[derive(Clone, Debug)]
+pub struct Execution {
+    /// The id of the request.
+    pub id: String,
+    /// When it began.
+    pub at: Instant,
 }
 
+/// What a worker received and ran.
 #[derive(Default)]
 pub struct Record {
-    pub sent: Vec<Sent>,
-    /// The ids of what began to run, with the moment.
-    pub ran: Vec<(String, Instant)>,
-    /// Seconds of work ended.
-    pub done: f64,
-    turn: u64,
-    next: u64,
+    /// All requests in the order of arrival.
+    pub received: Vec<ReceivedRequest>,
+    /// All runs in the order in which they began.
+    pub executions: Vec<Execution>,
+    next_ticket: u64,
+    now_serving: u64,
     running: usize,
-    hangs: bool,
-    resets: bool,
-    loses: bool,
+    faults: HashSet<WorkerFault>,
 }
 
+/// A simulated worker.
 pub struct Worker {
-    pub dial: String,
-    pub seats: usize,
-    /// When this process was born, if it starts cold.
-    pub born: Option<Instant>,
-    pub cold: Cold,
+    /// Where it listens.
+    pub address: String,
+    /// How many requests it runs at once.
+    pub slots: usize,
+    /// When its process started, if it starts cold.
+    pub started_cold: Option<Instant>,
+    /// How it warms up.
+    pub slow_start: SlowStart,
     record: Mutex<Record>,
-    news: Condvar,
-    over: AtomicBool,
+    changed: Condvar,
+}
+
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// A chunk of the response with one state line.
+fn state_chunk(id: &str, state: &str) -> String {
+    let line =
+        format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n");
+    format!("{:x}\r\n{line}\r\n", line.len())
+}
+
+/// The work of a request in seconds; its body has microseconds.
+fn work_s(body: &[u8]) -> Option<f64> {
+    let text = std::str::from_utf8(body).ok()?;
+    Some(text.trim().parse::<f64>().unwrap_or(0.0) / 1e6)
 }
 
 impl Worker {
-    pub fn start(seats: usize, born: Option<Instant>, cold: Cold) -> Result<Arc<Worker>, RigError> {
-        let listener = TcpListener::bind("127.0.0.1:0").map_err(RigError::Socket)?;
-        let dial = listener.local_addr().map_err(RigError::Socket)?.to_string();
-        let (record, news) = Default::default();
+    /// Starts a worker on a loopback port.
+    pub fn start(
+        slots: usize,
+        started_cold: Option<Instant>,
+        slow_start: SlowStart,
+    ) -> Result<Arc<Worker>, TestbedError> {
+        let listener = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::Socket)?;
+        let address = listener
+            .local_addr()
+            .map_err(TestbedError::Socket)?
+            .to_string();
         let worker = Arc::new(Worker {
-            dial,
-            seats,
-            born,
-            cold,
-            record,
-            news,
-            over: AtomicBool::new(false),
+            address,
+            slots,
+            started_cold,
+            slow_start,
+            record: Mutex::default(),
+            changed: Condvar::new(),
         });
-        let own = worker.clone();
+        let shared = worker.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if own.over.load(Ordering::Relaxed) {
-                    return;
-                }
-                let own = own.clone();
-                thread::spawn(move || while own.serve(&stream).is_some() {});
+                let shared = shared.clone();
+                thread::spawn(move || while shared.serve(&stream).is_some() {});
             }
         });
         Ok(worker)
     }
 
+    /// Reads the record.
     pub fn read<T>(&self, with: impl FnOnce(&Record) -> T) -> T {
-        with(&self.record.lock().unwrap_or_else(|held| held.into_inner()))
-    }
-
-    fn change(&self, with: impl FnOnce(&mut Record)) {
-        with(&mut self.record.lock().unwrap_or_else(|held| held.into_inner()));
-        self.news.notify_all();
+        with(&self.lock())
     }
 
-    /// Takes in postings and says nothing to them.
-    pub fn hang(&self, hangs: bool) {
-        self.change(|record| record.hangs = hangs);
+    /// Has a fault from here on.
+    pub fn begin_fault(&self, fault: WorkerFault) {
+        self.change(|record| record.faults.insert(fault));
     }
 
-    /// Breaks each connection as a posting has come whole, before it runs.
-    pub fn reset(&self, resets: bool) {
-        self.change(|record| record.resets = resets);
+    /// Has this fault no longer.
+    pub fn end_fault(&self, fault: WorkerFault) {
+        self.change(|record| record.faults.remove(&fault));
     }
 
-    /// Runs what it gets and breaks the connection before the answer.
-    pub fn lose(&self, loses: bool) {
-        self.change(|record| record.loses = loses);
+    fn lock(&self) -> MutexGuard<'_, Record> {
+        self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes no connection from here on.
-    pub fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
-        let _ = TcpStream::connect(&self.dial);
-        self.change(|record| record.resets = true);
+    fn change<T>(&self, with: impl FnOnce(&mut Record) -> T) {
+        with(&mut self.lock());
+        self.changed.notify_all();
     }
 
-    /// What it can do of its full work now.
-    pub fn warmth(&self, at: Instant) -> f64 {
-        self.born.map_or(1.0, |born| {
-            self.cold.warmth(at.saturating_duration_since(born))
+    /// The share of its full capacity that it has at a moment.
+    fn capacity_share(&self, at: Instant) -> f64 {
+        self.started_cold.map_or(1.0, |started| {
+            self.slow_start
+                .capacity_share(at.saturating_duration_since(started))
         })
     }
 
+    /// Serves one request; `None` ends the connection.
     fn serve(&self, mut stream: &TcpStream) -> Option<()> {
         let (head, body) = message(&mut BufReader::new(stream))?;
         let id = field(&head, "request-id")?;
-        let work = std::str::from_utf8(&body)
-            .ok()?
-            .trim()
-            .parse::<f64>()
-            .unwrap_or(0.0)
-            / 1e6;
+        let work_s = work_s(&body)?;
+        let loses_response = self.wait_for_slot(stream, &id, work_s)?;
+        let started =
+            stream.write_all(format!("{RESPONSE_HEAD}{}", state_chunk(&id, "started")).as_bytes());
+        thread::sleep(Duration::from_secs_f64(
+            work_s / self.capacity_share(Instant::now()),
+        ));
+        self.change(|record| record.running -= 1);
+        if loses_response {
+            return None;
+        }
+        let last = format!("{}0\r\n\r\n", state_chunk(&id, "done"));
+        started
+            .and_then(|()| stream.write_all(last.as_bytes()))
+            .ok()
+    }
+
+    /// Records a request and waits until it runs. Returns whether its response is to be lost.
+    fn wait_for_slot(&self, mut stream: &TcpStream, id: &str, work_s: f64) -> Option<bool> {
         let mut record = self.record.lock().ok()?;
-        record.sent.push(Sent {
+        record.received.push(ReceivedRequest {
             at: Instant::now(),
-            id: id.clone(),
-            work,
+            id: id.to_string(),
+            work_s,
         });
-        if record.resets {
+        if record.faults.contains(&WorkerFault::Reset) {
             return None;
         }
-        if record.hangs {
+        if record.faults.contains(&WorkerFault::Hang) {
             drop(record);
+            // Returns once the other side has closed the connection.
             let _ = stream.read(&mut [0]);
             return None;
         }
-        let turn = record.turn;
-        record.turn += 1;
+        let ticket = record.next_ticket;
+        record.next_ticket += 1;
         let mut record = self
-            .news
-            .wait_while(record, |r| r.next < turn || r.running >= self.seats)
+            .changed
+            .wait_while(record, |record| {
+                record.now_serving < ticket || record.running >= self.slots
+            })
             .ok()?;
-        (record.next, record.running) = (turn + 1, record.running + 1);
-        record.ran.push((id.clone(), Instant::now()));
-        let loses = record.loses;
-        drop(record);
-        self.news.notify_all();
-        let chunk = |state: &str| {
-            let line = format!(
-                "{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n"
-            );
-            format!("{:x}\r\n{line}\r\n", line.len())
-        };
-        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let started = stream.write_all(format!("{head}{}", chunk("started")).as_bytes());
-        thread::sleep(Duration::from_secs_f64(work / self.warmth(Instant::now())));
-        self.change(|record| {
-            (record.running, record.done) = (record.running - 1, record.done + work)
+        record.now_serving = ticket + 1;
+        record.running += 1;
+        record.executions.push(Execution {
+            id: id.to_string(),
+            at: Instant::now(),
         });
-        if loses {
-            return None;
-        }
-        started
-            .and_then(|()| stream.write_all(format!("{}0\r\n\r\n", chunk("done")).as_bytes()))
-            .ok()
+        let loses_response = record.faults.contains(&WorkerFault::LoseResponse);
+        drop(record);
+        self.changed.notify_all();
+        Some(loses_response)
     }
 }
