--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -1,8 +1,11 @@
 //! Several processes of the daemon, with faults between them. Rules are checked by what workers and clients recorded; only
 //! membership is read from the logs.
-use rosewall_cluster_testbed::play::{Report, Stage, play};
-use rosewall_cluster_testbed::relay::Way;
-use rosewall_cluster_testbed::scenario::{ColdStart, Fault, Fleet, Load, Scenario, What};
+use rosewall_cluster_testbed::checker::Rule;
+use rosewall_cluster_testbed::relay::LinkConditions;
+use rosewall_cluster_testbed::scenario::{
+    Fault, FaultKind, Fleet, Load, Scenario, SlowStartConfig,
+};
+use rosewall_cluster_testbed::testbed::{Report, Testbed, run_scenario};
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
 
@@ -35,7 +38,7 @@
 }
 
 /// Workers with two concurrency slots; a warming one may get 1.5 times its capacity.
-fn scenario(dispatchers: usize, seconds: f64, fault: Vec<Fault>) -> Scenario {
+fn scenario(dispatchers: usize, seconds: f64, faults: Vec<Fault>) -> Scenario {
     let fleet = Fleet {
         dispatchers,
         workers: 8,
@@ -46,24 +49,24 @@
         pause_ms: 60.0,
         ..Load::default()
     };
-    let cold = ColdStart {
-        multiple: 1.5,
-        ..ColdStart::default()
+    let slow_start = SlowStartConfig {
+        overload_multiple: 1.5,
+        ..SlowStartConfig::default()
     };
     Scenario {
         seed: 7,
         seconds,
         fleet,
         load,
-        cold,
-        fault,
+        slow_start,
+        faults,
         ..Scenario::default()
     }
 }
 
 fn run(scenario: &Scenario) -> Report {
     let _permit = acquire_processes(scenario.fleet.dispatchers);
-    let report = play(scenario, None).expect("the testbed could not run the scenario");
+    let report = run_scenario(scenario, None).expect("the testbed could not run the scenario");
     println!("{report:#?}");
     report
 }
@@ -73,17 +76,20 @@
     let report = run(scenario);
     assert!(report.violations.is_empty(), "{:#?}", report.violations);
     assert!(
-        report.asked > 300 && report.missed < 0.05,
+        report.requests > 300 && report.unsuccessful_share < 0.05,
         "{} asked, {:.3} missed",
-        report.asked,
-        report.missed
+        report.requests,
+        report.unsuccessful_share
     );
     report
 }
 
 #[test]
 fn warm_up_budgets_are_used_and_kept_as_half_of_the_dispatchers_are_killed() {
-    let faults = vec![Fault::join(1_500, 3), Fault::new(2_500, What::Kill, 4..8)];
+    let faults = vec![
+        Fault::add_workers(1_500, 3),
+        Fault::new(2_500, FaultKind::Kill, 4..8),
+    ];
     let report = run_without_violations(&Scenario {
         load: Load {
             clients: 6,
@@ -93,9 +99,9 @@
         ..scenario(8, 10.0, faults)
     });
     let smallest_share = report
-        .cold
+        .slow_start
         .iter()
-        .map(|used| used.of_half)
+        .map(|used| used.share_of_half)
         .fold(f64::INFINITY, f64::min);
     assert!(
         smallest_share > 0.25,
@@ -107,8 +113,8 @@
 #[test]
 fn warm_up_budgets_are_kept_on_both_sides_of_a_partition() {
     let faults = vec![
-        Fault::new(1_000, What::Split, 0..4).lasting(6_000),
-        Fault::join(2_000, 2),
+        Fault::new(1_000, FaultKind::Partition, 0..4).lasting(6_000),
+        Fault::add_workers(2_000, 2),
     ];
     let report = run_without_violations(&scenario(8, 10.0, faults));
     assert!(report.lost > 100, "no datagram was lost");
@@ -117,9 +123,9 @@
 #[test]
 fn rules_are_kept_where_one_member_receives_nothing_and_another_sends_nothing() {
     let faults = vec![
-        Fault::new(1_000, What::Deaf, [4]).lasting(6_000),
-        Fault::new(1_000, What::Mute, [1]).lasting(6_000),
-        Fault::join(2_500, 2),
+        Fault::new(1_000, FaultKind::DropInbound, [4]).lasting(6_000),
+        Fault::new(1_000, FaultKind::DropOutbound, [1]).lasting(6_000),
+        Fault::add_workers(2_500, 2),
     ];
     run_without_violations(&scenario(6, 9.0, faults));
 }
@@ -128,21 +134,21 @@
 #[test]
 fn a_member_that_was_paused_for_ten_seconds_has_no_valid_lease_or_grant() {
     let faults = vec![
-        Fault::join(2_500, 2),
-        Fault::new(3_500, What::Pause, [0]).lasting(10_000),
-        Fault::join(12_000, 2),
+        Fault::add_workers(2_500, 2),
+        Fault::new(3_500, FaultKind::Pause, [0]).lasting(10_000),
+        Fault::add_workers(12_000, 2),
     ];
     run_without_violations(&scenario(6, 16.0, faults));
 }
 
 #[test]
 fn rules_are_kept_as_dispatchers_restart_one_after_the_other() {
-    let rolls = (0..5).map(|at| Fault::new(1_000 + 1_600 * at as u64, What::Roll, [at]));
+    let rolls = (0..5).map(|at| Fault::new(1_000 + 1_600 * at as u64, FaultKind::Restart, [at]));
     run_without_violations(&scenario(
         5,
         10.0,
         rolls
-            .chain([Fault::join(2_000, 1), Fault::join(5_000, 1)])
+            .chain([Fault::add_workers(2_000, 1), Fault::add_workers(5_000, 1)])
             .collect(),
     ));
 }
@@ -152,41 +158,47 @@
     let mut scenario = scenario(
         6,
         9.0,
-        vec![Fault::join(2_000, 3), Fault::new(4_000, What::Drain, [2])],
+        vec![
+            Fault::add_workers(2_000, 3),
+            Fault::new(4_000, FaultKind::Drain, [2]),
+        ],
     );
-    scenario.datagrams = Way {
+    scenario.links = LinkConditions {
         loss: 0.2,
-        twice: 0.1,
+        duplicate: 0.1,
         delay_ms: 1,
         jitter_ms: 30,
         cut: false,
     };
     scenario.fleet.skew_ms = 5_000;
-    scenario.fleet.peers = true;
+    scenario.fleet.peer_load = true;
     run_without_violations(&scenario);
 }
 
 /// The dispatchers are configured with a larger budget than the one that is checked.
 #[test]
 fn an_exceeded_warm_up_budget_is_found() {
-    let mut scenario = scenario(5, 6.0, vec![Fault::join(1_000, 3)]);
-    scenario.cold.told_multiple = Some(400.0);
+    let mut scenario = scenario(5, 6.0, vec![Fault::add_workers(1_000, 3)]);
+    scenario.slow_start.configured_multiple = Some(400.0);
     scenario.load.pause_ms = 5.0;
     scenario.load.clients = 10;
     scenario.fleet.workers = 3;
     let report = run(&scenario);
     assert!(
-        report.violations.iter().any(|broken| broken.rule == 4),
+        report
+            .violations
+            .iter()
+            .any(|broken| broken.rule == Rule::SlowStart),
         "not found: {:?}",
-        report.cold
+        report.slow_start
     );
 }
 
 /// Waits until these dispatchers know each other and no one else; returns how long that took.
-fn wait_for_agreement(stage: &Stage, who: &[usize], within: Duration) -> Duration {
+fn wait_for_agreement(testbed: &Testbed, who: &[usize], within: Duration) -> Duration {
     let begun = Instant::now();
-    while !stage.agree(who) {
-        let views: Vec<_> = who.iter().map(|at| stage.view(*at)).collect();
+    while !testbed.members_agree(who) {
+        let views: Vec<_> = who.iter().map(|at| testbed.membership_view(*at)).collect();
         assert!(
             begun.elapsed() < within,
             "not agreed after {within:?}: {views:?}"
@@ -201,8 +213,8 @@
 #[test]
 fn a_fleet_that_grows_to_twenty_four_and_shrinks_to_six_stays_balanced() {
     let _permit = acquire_processes(24);
-    let mut scenario = scenario(8, 60.0, vec![Fault::new(55_000, What::Start, 8..24)]);
-    scenario.fleet.says = 24;
+    let mut scenario = scenario(8, 60.0, vec![Fault::new(55_000, FaultKind::Start, 8..24)]);
+    scenario.fleet.configured_dispatchers = 24;
     scenario.fleet.workers = 12;
     scenario.load = Load {
         clients: 6,
@@ -210,36 +222,42 @@
         work_ms: 8.0,
         ..Load::default()
     };
-    let mut stage = Stage::set(&scenario).expect("the testbed could not start");
-    stage.ask();
+    let mut testbed = Testbed::start(&scenario).expect("the testbed could not start");
+    testbed.start_clients();
     let all: Vec<usize> = (0..24).collect();
     let limit = Duration::from_secs(3);
-    let assert_balanced = |stage: &Stage, what: &str| {
+    let assert_balanced = |testbed: &Testbed, what: &str| {
         std::thread::sleep(Duration::from_millis(500));
         let from = Instant::now();
         // Long enough that the bound is not exceeded by chance.
         std::thread::sleep(Duration::from_millis(10_000));
-        let imbalance = stage.uneven(from, Instant::now());
+        let imbalance = testbed.work_imbalance(from, Instant::now());
         println!("{what}: {imbalance:.2}");
         assert!(imbalance <= 1.25, "{what}: {imbalance:.2} of the mean");
     };
-    println!("eight: {:?}", wait_for_agreement(&stage, &all[..8], limit));
-    assert_balanced(&stage, "eight");
-    (8..24).for_each(|at| stage.start(at).expect("no start"));
-    (8..24).for_each(|at| stage.until_ready(at).expect("not ready"));
-    println!("twenty-four: {:?}", wait_for_agreement(&stage, &all, limit));
-    assert_balanced(&stage, "twenty-four");
-    stage.kill(23);
+    println!(
+        "eight: {:?}",
+        wait_for_agreement(&testbed, &all[..8], limit)
+    );
+    assert_balanced(&testbed, "eight");
+    (8..24).for_each(|at| testbed.start_dispatcher(at).expect("no start"));
+    (8..24).for_each(|at| testbed.wait_until_ready(at).expect("not ready"));
+    println!(
+        "twenty-four: {:?}",
+        wait_for_agreement(&testbed, &all, limit)
+    );
+    assert_balanced(&testbed, "twenty-four");
+    testbed.kill(23);
     println!(
         "one killed: {:?}",
-        wait_for_agreement(&stage, &all[..23], limit)
+        wait_for_agreement(&testbed, &all[..23], limit)
     );
-    (6..23).for_each(|at| stage.leave(at));
-    println!("six: {:?}", wait_for_agreement(&stage, &all[..6], limit));
-    assert_balanced(&stage, "six");
-    let report = stage.judge();
+    (6..23).for_each(|at| testbed.shut_down(at));
+    println!("six: {:?}", wait_for_agreement(&testbed, &all[..6], limit));
+    assert_balanced(&testbed, "six");
+    let report = testbed.finish();
     assert!(
-        report.violations.is_empty() && report.missed < 0.05,
+        report.violations.is_empty() && report.unsuccessful_share < 0.05,
         "{report:#?}"
     );
 }
@@ -247,11 +265,12 @@
 #[test]
 fn a_second_process_with_the_same_name_is_reported() {
     let _permit = acquire_processes(5);
-    let mut stage = Stage::set(&scenario(5, 8.0, Vec::new())).expect("the testbed could not start");
-    wait_for_agreement(&stage, &[0, 1, 2, 3, 4], Duration::from_secs(3));
-    stage.start_as(4, "n3").expect("no start");
-    stage.until_ready(4).expect("not ready");
-    let process = stage.process(3).expect("it runs");
+    let mut testbed =
+        Testbed::start(&scenario(5, 8.0, Vec::new())).expect("the testbed could not start");
+    wait_for_agreement(&testbed, &[0, 1, 2, 3, 4], Duration::from_secs(3));
+    testbed.start_dispatcher_as(4, "n3").expect("no start");
+    testbed.wait_until_ready(4).expect("not ready");
+    let process = testbed.process(3).expect("it runs");
     let line = process
         .line("RW-CLUSTER-TWICE", Duration::from_secs(5))
         .expect("the older one did not report it");
@@ -259,5 +278,5 @@
         line.contains("n3") && line.contains("rename one of the two"),
         "{line}"
     );
-    assert!(stage.judge().violations.is_empty());
+    assert!(testbed.finish().violations.is_empty());
 }
