--- a/crates/cluster-testbed/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -1,4 +1,6 @@
 //! What can go wrong in the testbed itself, each with what to do about it.
+use crate::scale::command::ArgumentError;
+use crate::scale::control::SimulationError;
 use std::io;
 use std::path::PathBuf;
 
@@ -77,11 +79,8 @@
         allowed: &'static str,
     },
     /// A sweep names something that does not exist.
-    #[error("RW-RIG-SWEEP: {what}; `rosewall-testbed scale --help` lists the names")]
-    Sweep {
-        /// What was named.
-        what: String,
-    },
+    #[error("RW-RIG-SWEEP: {0}; `rosewall-testbed scale --help` lists the names")]
+    Sweep(#[from] ArgumentError),
     /// A process of simulated peers could not be started or reached.
     #[error(
         "RW-RIG-HOLLOW: the process of hollow ones could not be started or asked ({arguments}); raise the limits on processes"
@@ -93,10 +92,10 @@
         source: io::Error,
     },
     /// This process of simulated peers cannot go on.
-    #[error("RW-RIG-CHILD: a process of hollow ones ended: {what}")]
+    #[error("RW-RIG-CHILD: a process of hollow ones ended: {source}")]
     SimulatedProcessEnded {
         /// Why.
-        what: String,
+        source: SimulationError,
     },
     /// A process of simulated peers does not answer.
     #[error(
--- a/crates/cluster-testbed/src/relay.rs
+++ b/crates/cluster-testbed/src/relay.rs
@@ -3,7 +3,7 @@
 mod forwarder;
 
 use crate::error::TestbedError;
-use crate::scale::map::{Cut, Ways, zone};
+use crate::scale::topology::{Latencies, Partition, zone};
 use async_io::Async;
 use forwarder::Forwarder;
 use rosewall::pcg::Pcg;
@@ -96,9 +96,9 @@
     overrides: HashMap<(usize, usize), LinkConditions>,
     dispatchers: HashMap<SocketAddr, usize>,
     /// Latencies between zones, where they are simulated.
-    zone_latencies: Option<Ways>,
+    zone_latencies: Option<Latencies>,
     /// Two regions that are partitioned from each other.
-    partition: Option<Cut>,
+    partition: Option<Partition>,
     traffic: HashMap<usize, Traffic>,
     totals: RelayTotals,
 }
@@ -127,7 +127,7 @@
         let zones = pair.map(|(from, to)| (zone(from), zone(to)));
         let partitioned = zones
             .zip(self.partition)
-            .is_some_and(|((from, to), partition)| partition.parts(from, to));
+            .is_some_and(|((from, to), partition)| partition.separates(from, to));
         let lost = conditions.cut || partitioned || rng.unit() < conditions.loss;
         self.count(pair, bytes, lost);
         let zone_latency = zones
@@ -214,13 +214,13 @@
     }
 
     /// Adds latencies between zones to the delay of each link.
-    pub fn set_zone_latencies(&self, latencies: Ways) {
+    pub fn set_zone_latencies(&self, latencies: Latencies) {
         self.shared
             .with_links(|links| links.zone_latencies = Some(latencies));
     }
 
     /// Partitions two regions from each other; `None` heals the partition.
-    pub fn partition_regions(&self, partition: Option<Cut>) {
+    pub fn partition_regions(&self, partition: Option<Partition>) {
         self.shared.with_links(|links| links.partition = partition);
     }
 
--- /dev/null
+++ b/crates/cluster-testbed/src/scale.rs
@@ -0,0 +1,29 @@
+//! Runs of large fleets on one machine: real processes of the program, simulated peers beside them, and what both cost.
+pub mod command;
+pub mod control;
+pub mod discovery;
+pub mod dispatchers;
+mod figures;
+pub mod fit;
+mod fleet;
+mod http;
+pub mod load;
+mod measurement;
+mod output;
+pub mod plan;
+pub mod system;
+pub mod topology;
+pub mod workers;
+
+pub use fleet::SLOW_START;
+pub use measurement::{Measurement, RoleCost};
+
+use crate::error::TestbedError;
+use fleet::Fleet;
+use plan::Plan;
+
+/// Runs one plan.
+pub fn run_plan(plan: &Plan) -> Result<Measurement, TestbedError> {
+    plan.check()?;
+    Fleet::start(plan)?.measure()
+}
--- a/crates/cluster-testbed/src/scale/command.rs
+++ b/crates/cluster-testbed/src/scale/command.rs
@@ -1,295 +1,198 @@
-//! The command `scale`: one play or a slope of them, as a table or as lines of JSON, and bounds that end it with a failure.
+//! The command `scale`: one run or a sweep of sizes, as a table or as lines of JSON, and bounds that end it with a failure.
+use super::figures::figure;
+use super::fit::{Line, Prediction, line, predicted};
+use super::plan::Plan;
+use super::{Measurement, output, run_plan};
 use crate::error::TestbedError;
-use crate::scale::fit::{Line, Predicted, line, predicted};
-use crate::scale::plan::{Kind, Plan};
-use crate::scale::{Measured, Role, play};
 use clap::Args;
 use serde::Serialize;
 
-type Figure = fn(&Measured) -> f64;
+/// Why an argument cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ArgumentError {
+    /// A name is not known.
+    #[error("{name:?} is none of {known}")]
+    UnknownName {
+        /// The name.
+        name: String,
+        /// All that are known.
+        known: String,
+    },
+    /// An argument does not have the form it should have.
+    #[error("{text:?} is no {form}")]
+    Malformed {
+        /// The argument.
+        text: String,
+        /// The form.
+        form: &'static str,
+    },
+}
 
-/// What can be bounded or fitted, by name.
-const FIGURES: &[(&str, Figure)] = &[
-    ("view_s", |m| m.view_s),
-    ("healed_s", |m| m.healed_s),
-    ("change_s", |m| m.change_most_s),
-    ("change_mean_s", |m| m.change_mean_s),
-    ("changes_open", |m| m.changes_open as f64),
-    ("ready_s", |m| m.ready_p90_s),
-    ("cpu_percent", |m| m.dispatcher.cpu_percent),
-    ("keeper_cpu_percent", |m| m.keeper.cpu_percent),
-    ("hollow_cpu_percent", |m| m.hollow.cpu_percent),
-    ("cpu_us_start", |m| m.cpu_us_start),
-    ("resident_mb", |m| m.dispatcher.resident_mb),
-    ("hollow_resident_mb", |m| m.hollow.resident_mb),
-    ("keeper_resident_mb", |m| m.keeper.resident_mb),
-    ("bytes", |m| {
-        each(m, |role| role.bytes_out + role.bytes_in + role.list_bytes)
-    }),
-    ("datagrams", |m| {
-        each(m, |role| role.datagrams_out + role.datagrams_in)
-    }),
-    ("list_bytes", |m| each(m, |role| role.list_bytes)),
-    ("keeper_bytes", |m| {
-        m.keeper.bytes_out + m.keeper.bytes_in + m.keeper.list_bytes
-    }),
-    ("discovery_cpu_percent", |m| m.discovery.cpu_percent),
-    ("urgent_p99_ms", |m| m.urgent.p99),
-    ("usual_p99_ms", |m| m.usual.p99),
-    ("failed", |m| failed(m)),
-    ("cold_worst", |m| m.cold_worst),
-    ("memory_mb", |m| m.memory_mb),
-];
+impl ArgumentError {
+    pub(super) fn unknown_name(name: &str, known: &[&str]) -> ArgumentError {
+        ArgumentError::UnknownName {
+            name: name.to_string(),
+            known: known.join(", "),
+        }
+    }
 
-/// A figure of all dispatchers that are no control machines, real or hollow.
-fn each(measured: &Measured, of: impl Fn(&Role) -> f64) -> f64 {
-    let (real, hollow) = (&measured.dispatcher, &measured.hollow);
-    let count = real.count + hollow.count;
-    (of(real) * real.count as f64 + of(hollow) * hollow.count as f64) / count.max(1) as f64
+    pub(super) fn malformed(text: &str, form: &'static str) -> ArgumentError {
+        ArgumentError::Malformed {
+            text: text.to_string(),
+            form,
+        }
+    }
 }
 
-/// Txns of the measured time that were answered otherwise than settled, or not at all, over all that were asked then.
-fn failed(measured: &Measured) -> f64 {
-    let asked = &measured.asked;
-    let failed = asked.declined + asked.reversed + asked.other + asked.lost;
-    failed as f64 / asked.asked.max(1) as f64
+/// The most that a figure may be.
+#[derive(Clone, Debug)]
+struct Bound {
+    name: String,
+    max: f64,
 }
 
-fn figure(name: &str) -> Result<Figure, String> {
-    let found = FIGURES
-        .iter()
-        .find(|(known, _)| *known == name)
-        .map(|(_, of)| *of);
-    let known = || {
-        FIGURES
-            .iter()
-            .map(|(name, _)| *name)
-            .collect::<Vec<_>>()
-            .join(", ")
-    };
-    found.ok_or_else(|| format!("{name:?} is none of {}", known()))
+/// Sizes of one parameter of the plan.
+#[derive(Clone, Debug)]
+struct Sweep {
+    parameter: String,
+    sizes: Vec<f64>,
 }
 
-/// `NAME=NUMBER`.
-fn bound(text: &str) -> Result<(String, f64), String> {
-    let (name, value) = text
+/// Parses `NAME=NUMBER`.
+fn parse_bound(text: &str) -> Result<Bound, ArgumentError> {
+    let (name, max) = text
         .split_once('=')
-        .ok_or(format!("{text:?} is no NAME=NUMBER"))?;
+        .ok_or_else(|| ArgumentError::malformed(text, "NAME=NUMBER"))?;
     figure(name)?;
-    let value = value
-        .parse()
-        .map_err(|_| format!("{value:?} is no number"))?;
-    Ok((name.to_string(), value))
+    Ok(Bound {
+        name: name.to_string(),
+        max: max
+            .parse()
+            .map_err(|_| ArgumentError::malformed(max, "number"))?,
+    })
 }
 
-/// `NAME=NUMBER,NUMBER,...`.
-fn sizes(text: &str) -> Result<(String, Vec<f64>), String> {
-    let (name, values) = text
-        .split_once('=')
-        .ok_or(format!("{text:?} is no NAME=NUMBER,NUMBER"))?;
-    let values: Result<Vec<f64>, _> = values.split(',').map(str::parse).collect();
-    let values = values.map_err(|_| format!("{text:?} is no NAME=NUMBER,NUMBER"))?;
-    Plan::default().set(name, 1.0)?;
-    Ok((name.to_string(), values))
+/// Parses `NAME=NUMBER,NUMBER,...`.
+fn parse_sweep(text: &str) -> Result<Sweep, ArgumentError> {
+    let malformed = || ArgumentError::malformed(text, "NAME=NUMBER,NUMBER");
+    let (parameter, sizes) = text.split_once('=').ok_or_else(malformed)?;
+    let sizes: Result<Vec<f64>, _> = sizes.split(',').map(str::parse).collect();
+    let sizes = sizes.map_err(|_| malformed())?;
+    Plan::default().set(parameter, 1.0)?;
+    Ok(Sweep {
+        parameter: parameter.to_string(),
+        sizes,
+    })
 }
 
+fn parse_figure_name(text: &str) -> Result<String, ArgumentError> {
+    figure(text)?;
+    Ok(text.to_string())
+}
+
+/// The arguments of the command `scale`.
 #[derive(Args)]
 pub struct Scale {
     #[command(flatten)]
     plan: Plan,
     /// A bound, NAME=NUMBER, again for each; exit code 1 where a play passes one. Names: view_s, healed_s, change_s, ready_s,
     /// cpu_percent, resident_mb, bytes, urgent_p99_ms, failed, cold_worst and others that a wrong one lists
-    #[arg(long = "most", value_name = "BOUND", value_parser = bound)]
-    most: Vec<(String, f64)>,
+    #[arg(long = "most", value_name = "BOUND", value_parser = parse_bound)]
+    bounds: Vec<Bound>,
     /// Sizes to play instead of one, NAME=NUMBER,NUMBER,...; each `--slope` is fitted through them
-    #[arg(long, value_name = "SIZES", value_parser = sizes)]
-    sweep: Option<(String, Vec<f64>)>,
+    #[arg(long, value_name = "SIZES", value_parser = parse_sweep)]
+    sweep: Option<Sweep>,
     /// How often each size is played
     #[arg(long, default_value_t = 1)]
     repeats: u64,
     /// What is fitted against the sizes, by the names of bounds
-    #[arg(long = "slope", value_name = "NAME", value_parser = |text: &str| figure(text).map(|_| text.to_string()))]
+    #[arg(long = "slope", value_name = "NAME", value_parser = parse_figure_name)]
     slopes: Vec<String>,
 }
 
+/// A line through what was measured at several sizes.
 #[derive(Serialize)]
-struct Fitted<'a> {
-    slope_of: &'a str,
-    against: &'a str,
-    points: Vec<(f64, f64)>,
-    line: Option<Line>,
-    left_out: Option<Predicted>,
-}
-
-fn role(name: &str, role: &Role) {
-    if role.count == 0 {
-        return;
-    }
-    println!(
-        "  {name:<11} {:>5}  {:>8.3}% (most {:>7.3}%)  {:>7.2} MB (most {:>7.2})  {:>7.1} {:>7.1}  {:>8.0} {:>8.0}  {:>8.0}",
-        role.count,
-        role.cpu_percent,
-        role.cpu_most,
-        role.resident_mb,
-        role.resident_most,
-        role.datagrams_out,
-        role.datagrams_in,
-        role.bytes_out,
-        role.bytes_in,
-        role.list_bytes
-    );
+pub(super) struct FittedSlope<'a> {
+    #[serde(rename = "slope_of")]
+    pub(super) figure: &'a str,
+    #[serde(rename = "against")]
+    pub(super) parameter: &'a str,
+    pub(super) points: Vec<(f64, f64)>,
+    pub(super) line: Option<Line>,
+    #[serde(rename = "left_out")]
+    pub(super) prediction: Option<Prediction>,
 }
 
-fn show(measured: &Measured) {
-    let plan = &measured.plan;
-    println!(
-        "{} real and {} hollow dispatchers, {} workers of {} seats, {} starts/s of {} s, {} teams, {} changes/s, {} s measured",
-        plan.dispatchers,
-        plan.hollow,
-        plan.workers,
-        plan.seats,
-        plan.starts,
-        plan.task_s,
-        plan.teams,
-        plan.changes,
-        plan.seconds
-    );
-    if plan.starts > 0.0 {
-        let running = (plan.starts * plan.task_s) as usize;
-        println!(
-            "  it began in the steady state: {running} tasks were running, each with what was left of it"
-        );
-    }
-    if let Some(fault) = plan.faults.iter().find(|fault| fault.kind == Kind::Release) {
-        println!(
-            "  the release of the whole fleet, ten minutes in the plan, took {} s here",
-            fault.figure
-        );
-    }
-    println!(
-        "  role        count  cpu of a core              resident                      datagrams out, in/s   bytes out, in/s  list B/s"
-    );
-    role("dispatcher", &measured.dispatcher);
-    role("keeper", &measured.keeper);
-    role("hollow", &measured.hollow);
-    role("workers", &measured.workers);
-    role("discovery", &measured.discovery);
-    println!(
-        "  one view {:.1} s; after the faults {:.1} s; a change taken by the last in {:.3} s (mean {:.3}), {} changes, {} open; \
-         {} calls for lists, {} of them for the whole ({:.1} MB)",
-        measured.view_s,
-        measured.healed_s,
-        measured.change_most_s,
-        measured.change_mean_s,
-        measured.changes,
-        measured.changes_open,
-        measured.calls,
-        measured.whole_lists,
-        measured.whole_bytes as f64 / 1e6
-    );
-    if measured.restarts > 0 {
-        println!(
-            "  {} real ones restarted, nine in ten ready within {:.2} s, all within {:.2} s",
-            measured.restarts, measured.ready_p90_s, measured.ready_most_s
-        );
-    }
-    if plan.starts > 0.0 {
-        let (asked, urgent, usual) = (&measured.asked, &measured.urgent, &measured.usual);
-        println!(
-            "  {} asked: {} settled, {} declined, {} reversed, {} other, {} lost, {} of a dispatcher that was down, the rest still out; from the beginning {} settled, \
-             {} not; {} started, {} running, {} new connections, {:.1} us of CPU a start",
-            asked.asked,
-            asked.settled,
-            asked.declined,
-            asked.reversed,
-            asked.other,
-            asked.lost,
-            asked.down,
-            asked.all_settled,
-            asked.all_failed,
-            measured.started,
-            measured.running,
-            measured.connects,
-            measured.cpu_us_start
-        );
-        for (name, starts) in [("urgent", urgent), ("usual", usual)] {
-            println!(
-                "  {name} work started after ms, from the intended moment: p50 {:.1}, p90 {:.1}, p99 {:.1}, p99.9 {:.1}, most {:.1} ({})",
-                starts.p50, starts.p90, starts.p99, starts.p999, starts.most, starts.count
-            );
-        }
-    }
-    if measured.cold > 0 {
-        println!(
-            "  {} cold workers, the worst window {:.2} of what one bears",
-            measured.cold, measured.cold_worst
-        );
-    }
-    println!(
-        "  {} processes, {:.0} MB resident at most",
-        measured.processes, measured.memory_mb
-    );
+/// What was measured at one size.
+struct SizedMeasurement {
+    size: f64,
+    measurement: Measurement,
 }
 
 impl Scale {
-    /// Whether all bounds were kept.
+    /// Runs all sizes, and says whether all bounds were kept.
     pub fn run(&self, json: bool) -> Result<bool, TestbedError> {
-        let (name, values) = self.sweep.clone().unwrap_or_default();
-        let values = if values.is_empty() { vec![0.0] } else { values };
-        let (mut kept, mut all) = (true, Vec::new());
-        for value in values {
-            let mut plan = self.plan.clone();
-            if !name.is_empty() {
-                plan.set(&name, value)
-                    .map_err(|what| TestbedError::Sweep { what })?;
-            }
+        let mut within_bounds = true;
+        let mut measurements = Vec::new();
+        for (size, mut plan) in self.plans()? {
             for repeat in 0..self.repeats.max(1) {
                 plan.seed = self.plan.seed + repeat;
-                let measured = play(&plan)?;
-                match json {
-                    true => println!("{}", serde_json::to_string(&measured).unwrap_or_default()),
-                    false => show(&measured),
-                }
-                for (name, most) in &self.most {
-                    let value =
-                        figure(name).map_err(|what| TestbedError::Sweep { what })?(&measured);
-                    if value > *most {
-                        kept = false;
-                        eprintln!("  PASSED: {name} is {value:.3}, at most {most} was allowed");
-                    }
-                }
-                all.push((value, measured));
+                let measurement = run_plan(&plan)?;
+                output::print_measurement(&measurement, json);
+                within_bounds &= self.is_within_bounds(&measurement)?;
+                measurements.push(SizedMeasurement { size, measurement });
             }
         }
-        for slope in &self.slopes {
-            let of = figure(slope).map_err(|what| TestbedError::Sweep { what })?;
-            let points: Vec<(f64, f64)> = all
-                .iter()
-                .map(|(size, measured)| (*size, of(measured)))
-                .collect();
-            let (line, left_out) = (line(&points), predicted(&points));
-            let fitted = Fitted {
-                slope_of: slope,
-                against: &name,
-                points,
-                line,
-                left_out,
-            };
-            if json {
-                println!("{}", serde_json::to_string(&fitted).unwrap_or_default());
-            } else if let (Some(line), Some(left_out)) = (fitted.line, fitted.left_out) {
-                println!(
-                    "{slope} = {:.4} + {:.6} (+- {:.6}) x {name}; {} left out: {:.4} measured, {:.4} predicted, {:+.0}% off",
-                    line.at_zero,
-                    line.slope,
-                    line.within,
-                    left_out.size,
-                    left_out.measured,
-                    left_out.predicted,
-                    100.0 * left_out.off
-                );
+        for name in &self.slopes {
+            output::print_slope(&self.fit(name, &measurements)?, json);
+        }
+        Ok(within_bounds)
+    }
+
+    /// The plan of each size; that of the arguments alone where there is no sweep.
+    fn plans(&self) -> Result<Vec<(f64, Plan)>, TestbedError> {
+        let Some(sweep) = &self.sweep else {
+            return Ok(vec![(0.0, self.plan.clone())]);
+        };
+        let mut plans = Vec::new();
+        for size in &sweep.sizes {
+            let mut plan = self.plan.clone();
+            plan.set(&sweep.parameter, *size)?;
+            plans.push((*size, plan));
+        }
+        Ok(plans)
+    }
+
+    /// Whether a measurement keeps all bounds; says which it does not.
+    fn is_within_bounds(&self, measurement: &Measurement) -> Result<bool, TestbedError> {
+        let mut within = true;
+        for Bound { name, max } in &self.bounds {
+            let value = figure(name)?(measurement);
+            if value > *max {
+                within = false;
+                eprintln!("  PASSED: {name} is {value:.3}, at most {max} was allowed");
             }
         }
-        Ok(kept)
+        Ok(within)
+    }
+
+    fn fit<'a>(
+        &'a self,
+        name: &'a str,
+        measurements: &[SizedMeasurement],
+    ) -> Result<FittedSlope<'a>, TestbedError> {
+        let figure = figure(name)?;
+        let points = measurements
+            .iter()
+            .map(|sized| (sized.size, figure(&sized.measurement)));
+        let points: Vec<(f64, f64)> = points.collect();
+        let parameter = self.sweep.as_ref().map(|sweep| sweep.parameter.as_str());
+        Ok(FittedSlope {
+            figure: name,
+            parameter: parameter.unwrap_or_default(),
+            line: line(&points),
+            prediction: predicted(&points),
+            points,
+        })
     }
 }
--- a/crates/cluster-testbed/src/scale/dispatchers.rs
+++ b/crates/cluster-testbed/src/scale/dispatchers.rs
@@ -1,6 +1,7 @@
-//! Hollow dispatchers: many in one process, each with the decisions, the machines and the drivers of the program as they are, a
-//! port for datagrams and a watch on discovery. What they do not have: a process, a log and an executor of their own, and clients.
-use crate::scale::child::Asked;
+//! Simulated dispatchers: many in one process, each with the decisions, the state machines and the drivers of the program
+//! as they are, a port for datagrams and a watch on discovery. They have no process, log and executor of their own, and
+//! no clients.
+use super::control::{Answer, Command, Commands, SimulationError, announce_started};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use rosewall_runtime::node::Node;
@@ -8,99 +9,118 @@
 use rosewalld::sockets::{SocketListener, Sockets};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 
+/// What a dispatcher knows of the members of its cluster.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(into = "(usize, usize)", from = "(usize, usize)")]
+pub struct MembershipView {
+    /// Its own rank.
+    pub rank: usize,
+    /// How many members it knows, itself included.
+    pub members: usize,
+}
+
+impl From<(usize, usize)> for MembershipView {
+    fn from((rank, members): (usize, usize)) -> Self {
+        MembershipView { rank, members }
+    }
+}
+
+impl From<MembershipView> for (usize, usize) {
+    fn from(view: MembershipView) -> Self {
+        (view.rank, view.members)
+    }
+}
+
+/// What the dispatchers of a process know of their cluster.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Views {
-    /// The rank of each among the members, and how many it holds these to be.
-    pub views: Vec<(usize, usize)>,
-    /// How many have a list of workers.
+    /// That of each that runs.
+    pub views: Vec<MembershipView>,
+    /// How many have an endpoint list.
     pub ready: usize,
     /// Bytes that they sent to each other.
     pub bytes: u64,
 }
 
-struct Crowd {
-    ex: Rc<LocalExecutor<'static>>,
-    files: Vec<String>,
+struct Dispatchers {
+    executor: Rc<LocalExecutor<'static>>,
+    configurations: Vec<PathBuf>,
+    /// Those that run, by their place in this process.
     nodes: RefCell<Vec<Option<Node<Sockets>>>>,
 }
 
-impl Crowd {
-    fn start(&self, at: usize) -> Result<(), String> {
-        let given =
-            config_file::load(Path::new(&self.files[at])).map_err(|error| error.to_string())?;
-        let listener = SocketListener::bind(given.listen).map_err(|error| error.to_string())?;
-        let node = Node::start(Sockets::new(self.ex.clone()), given, listener)
-            .map_err(|error| error.to_string())?;
-        self.nodes.borrow_mut()[at] = Some(node);
+/// The number after a prefix in the description of a cluster, or 0.
+fn number_in<T: std::str::FromStr + Default>(description: &str, prefix: &str) -> T {
+    let mut words = description.split(' ');
+    let number = words.find_map(|word| word.strip_prefix(prefix));
+    number.unwrap_or("").parse().unwrap_or_default()
+}
+
+impl Dispatchers {
+    fn start(&self, index: usize) -> Result<(), SimulationError> {
+        let configuration = config_file::load(&self.configurations[index])?;
+        let listener = SocketListener::bind(configuration.listen)?;
+        let node = Node::start(Sockets::new(self.executor.clone()), configuration, listener)?;
+        self.nodes.borrow_mut()[index] = Some(node);
         Ok(())
     }
 
-    fn answer(&self, words: &[&str]) -> Result<String, String> {
-        let at = words
-            .get(1)
-            .and_then(|word| word.parse::<usize>().ok())
-            .filter(|at| *at < self.files.len());
-        match (words[0], at) {
-            ("views", _) => {
-                let mut seen = Views::default();
-                for node in self.nodes.borrow().iter().flatten() {
-                    let text = node
-                        .context
-                        .cluster
-                        .as_ref()
-                        .map(ToString::to_string)
-                        .unwrap_or_default();
-                    let word = |name: &str| {
-                        text.split(' ')
-                            .find_map(|word| word.strip_prefix(name))
-                            .unwrap_or("")
-                    };
-                    let number = |name| word(name).parse().unwrap_or(0);
-                    seen.views.push((number("rank="), number("count=")));
-                    seen.ready += usize::from(node.context.ready.get());
-                    seen.bytes += word("bytes=").parse().unwrap_or(0);
-                }
-                return serde_json::to_string(&seen).map_err(|error| error.to_string());
-            }
-            // Killed: its port closes and its tasks end where they are.
-            ("kill", Some(at)) => drop(self.nodes.borrow_mut()[at].take()),
-            ("start", Some(at)) => self.start(at)?,
-            (other, _) => return Err(format!("no such word: {other}")),
+    fn answer(&self, command: &Command) -> Result<Answer, SimulationError> {
+        let index = command
+            .number(0)
+            .filter(|index| *index < self.configurations.len());
+        match (command.name(), index) {
+            ("views", _) => return Answer::report(&self.views()),
+            // Its port closes and its tasks end where they are.
+            ("kill", Some(index)) => drop(self.nodes.borrow_mut()[index].take()),
+            ("start", Some(index)) => self.start(index)?,
+            _ => return Err(command.unknown()),
         }
-        Ok("{}".to_string())
+        Ok(Answer::Done)
+    }
+
+    fn views(&self) -> Views {
+        let mut views = Views::default();
+        for node in self.nodes.borrow().iter().flatten() {
+            let cluster = node.context.cluster.as_ref();
+            let description = cluster.map(ToString::to_string).unwrap_or_default();
+            views.views.push(MembershipView {
+                rank: number_in(&description, "rank="),
+                members: number_in(&description, "count="),
+            });
+            views.ready += usize::from(node.context.ready.get());
+            views.bytes += number_in::<u64>(&description, "bytes=");
+        }
+        views
     }
 }
 
-/// Runs those of the files in a folder until standard input ends; `apart` lies between their starts.
-pub fn run(folder: &Path, numbers: &[usize], apart: Duration) -> Result<(), String> {
-    let ex = Rc::new(LocalExecutor::new());
-    let files: Vec<String> = numbers
+/// Runs the dispatchers with these numbers until standard input ends. Their files are in the folder; `interval` lies
+/// between their starts.
+pub fn run(folder: &Path, numbers: &[usize], interval: Duration) -> Result<(), SimulationError> {
+    let executor = Rc::new(LocalExecutor::new());
+    let configurations = numbers
         .iter()
-        .map(|at| {
-            folder
-                .join(format!("n{at}.json"))
-                .to_string_lossy()
-                .into_owned()
-        })
-        .collect();
-    let nodes = RefCell::new(numbers.iter().map(|_| None).collect());
-    let crowd = Rc::new(Crowd {
-        ex: ex.clone(),
-        files,
-        nodes,
-    });
-    let asked = Asked::new();
+        .map(|number| folder.join(format!("n{number}.json")));
+    let dispatchers = Dispatchers {
+        executor: executor.clone(),
+        configurations: configurations.collect(),
+        nodes: RefCell::new(numbers.iter().map(|_| None).collect()),
+    };
+    let commands = Commands::from_stdin();
     let running = async {
-        for at in 0..numbers.len() {
-            crowd.start(at)?;
-            Timer::after(apart).await;
+        for index in 0..numbers.len() {
+            dispatchers.start(index)?;
+            Timer::after(interval).await;
         }
-        println!("{{}}");
-        asked.answer(|words| crowd.answer(words)).await
+        announce_started();
+        commands
+            .answer_all(|command| dispatchers.answer(command))
+            .await
     };
-    async_io::block_on(ex.run(running))
+    async_io::block_on(executor.run(running))
 }
--- a/crates/cluster-testbed/src/scale/fit.rs
+++ b/crates/cluster-testbed/src/scale/fit.rs
@@ -1,75 +1,86 @@
-//! Straight lines through what was measured: the slope with its interval, and each size predicted from the others.
+//! Straight lines through measurements: the slope with its confidence interval, and the largest size predicted from the
+//! others.
 use serde::Serialize;
 
+/// A fitted line.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    pub at_zero: f64,
+    /// Its value at size 0.
+    #[serde(rename = "at_zero")]
+    pub intercept: f64,
+    /// Its slope.
     pub slope: f64,
-    /// Half of the 95% interval of the slope.
-    pub within: f64,
+    /// Half of the 95% confidence interval of the slope.
+    #[serde(rename = "within")]
+    pub slope_margin: f64,
 }
 
-/// Two-sided 95% of Student's t by degrees of freedom, 1 to 10; beyond, the normal's with a little more.
-const T: [f64; 10] = [
+/// Two-sided 95% quantiles of Student's t by degrees of freedom, 1 to 10.
+const STUDENT_T: [f64; 10] = [
     12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
 ];
 
+/// The same quantile for any degrees of freedom; above 10 an approximation from above.
+fn student_t(degrees_of_freedom: usize) -> f64 {
+    let known = STUDENT_T.get(degrees_of_freedom - 1).copied();
+    known.unwrap_or(2.0 + 2.3 / degrees_of_freedom as f64)
+}
+
 /// Least squares; none where there are fewer than three points or all are of one size.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
-    let count = points.len() as f64;
     if points.len() < 3 {
         return None;
     }
-    let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), point| {
-        (x + point.0 / count, y + point.1 / count)
-    });
-    let spread: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
+    let count = points.len() as f64;
+    let mean_x = points.iter().fold(0.0, |mean, (x, _)| mean + x / count);
+    let mean_y = points.iter().fold(0.0, |mean, (_, y)| mean + y / count);
+    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
     if spread <= 0.0 {
         return None;
     }
-    let slope = points
-        .iter()
-        .map(|point| (point.0 - x) * (point.1 - y))
-        .sum::<f64>()
-        / spread;
-    let at_zero = y - slope * x;
-    let left: f64 = points
-        .iter()
-        .map(|point| (point.1 - at_zero - slope * point.0).powi(2))
-        .sum();
-    let free = points.len() - 2;
-    let t = T.get(free - 1).copied().unwrap_or(2.0 + 2.3 / free as f64);
+    let products = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
+    let slope = products.sum::<f64>() / spread;
+    let intercept = mean_y - slope * mean_x;
+    let residuals = points.iter().map(|(x, y)| y - intercept - slope * x);
+    let squares: f64 = residuals.map(|residual| residual.powi(2)).sum();
+    let degrees_of_freedom = points.len() - 2;
+    let variance = squares / degrees_of_freedom as f64;
     Some(Line {
-        at_zero,
+        intercept,
         slope,
-        within: t * (left / free as f64 / spread).sqrt(),
+        slope_margin: student_t(degrees_of_freedom) * (variance / spread).sqrt(),
     })
 }
 
-/// One size, left out of the fit and predicted by it.
+/// The largest size, left out of the fit and predicted by it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Predicted {
+pub struct Prediction {
+    /// The size.
     pub size: f64,
+    /// The mean of what was measured.
     pub measured: f64,
+    /// What the fit of the others gives.
     pub predicted: f64,
-    /// How far off that is, as a part of what was measured.
-    pub off: f64,
+    /// The difference, as a share of what was measured.
+    #[serde(rename = "off")]
+    pub relative_error: f64,
 }
 
 /// The largest size, which matters most, predicted from all others.
-pub fn predicted(points: &[(f64, f64)]) -> Option<Predicted> {
-    let size = points
+pub fn predicted(points: &[(f64, f64)]) -> Option<Prediction> {
+    let sizes = points.iter().map(|(size, _)| *size);
+    let largest = sizes.fold(f64::NEG_INFINITY, f64::max);
+    let (of_largest, others): (Vec<_>, Vec<_>) = points
         .iter()
-        .map(|point| point.0)
-        .fold(f64::NEG_INFINITY, f64::max);
-    let (of, others): (Vec<_>, Vec<_>) = points.iter().copied().partition(|point| point.0 == size);
+        .copied()
+        .partition(|(size, _)| *size == largest);
     let line = line(&others)?;
-    let measured = of.iter().map(|point| point.1).sum::<f64>() / of.len() as f64;
-    let predicted = line.at_zero + line.slope * size;
-    Some(Predicted {
-        size,
+    let measured = of_largest.iter().map(|(_, value)| value).sum::<f64>() / of_largest.len() as f64;
+    let predicted = line.intercept + line.slope * largest;
+    Some(Prediction {
+        size: largest,
         measured,
         predicted,
-        off: (predicted - measured) / measured.abs().max(f64::MIN_POSITIVE),
+        relative_error: (predicted - measured) / measured.abs().max(f64::MIN_POSITIVE),
     })
 }
--- /dev/null
+++ b/crates/cluster-testbed/src/scale/fleet/events.rs
@@ -0,0 +1,266 @@
+//! What happens to a fleet in the measured time: faults, and changes of the endpoint list.
+use super::Fleet;
+use crate::error::TestbedError;
+use crate::scale::http::unix_nanos;
+use crate::scale::plan::{Fault, FaultKind, Plan};
+use crate::scale::topology::{Partition, region, zone};
+use serde_json::Value;
+
+/// Between the restarts of dispatchers of one fault.
+const RESTART_INTERVAL_S: f64 = 0.02;
+/// Between the replacements of workers of one fault.
+const REPLACE_INTERVAL_S: f64 = 0.01;
+/// Spreads the changes of the list over workers.
+const CHANGE_STRIDE: usize = 7;
+/// What a change of the list sets the share of a worker to, and back to 1 after that: no decision depends on it.
+const CHANGED_SHARE: f64 = 1.001;
+/// The regions that a partition separates.
+const PARTITION: Partition = Partition { one: 0, other: 1 };
+
+/// Dispatchers and workers that are lost together, by their numbers.
+#[derive(Clone)]
+struct Casualties {
+    dispatchers: Vec<usize>,
+    workers: Vec<usize>,
+}
+
+enum Event {
+    RestartDispatcher(usize),
+    KillDispatcher(usize),
+    ReplaceWorker(usize),
+    /// Changes what the list says of a worker.
+    ChangeEndpoint(usize),
+    Lose(Casualties),
+    Recover(Casualties),
+    BeginPartition,
+    HealPartition,
+    DiscoveryDown,
+    DiscoveryUp,
+}
+
+struct TimedEvent {
+    at_s: f64,
+    event: Event,
+}
+
+fn at(at_s: f64, event: Event) -> TimedEvent {
+    TimedEvent { at_s, event }
+}
+
+/// All events of a run that have not happened, the next at the end.
+pub(super) struct EventQueue {
+    events: Vec<TimedEvent>,
+    last_fault_s: f64,
+}
+
+impl EventQueue {
+    pub(super) fn new(plan: &Plan) -> EventQueue {
+        let faults = plan.faults.iter();
+        let mut events: Vec<TimedEvent> =
+            faults.flat_map(|fault| fault_events(plan, fault)).collect();
+        let last_fault_s = events.iter().map(|event| event.at_s).fold(0.0, f64::max);
+        let changes = (plan.changes * plan.seconds) as usize;
+        events.extend((0..changes).map(|n| {
+            let worker = n * CHANGE_STRIDE % plan.workers;
+            at(n as f64 / plan.changes, Event::ChangeEndpoint(worker))
+        }));
+        events.sort_by(|one, other| other.at_s.total_cmp(&one.at_s));
+        EventQueue {
+            events,
+            last_fault_s,
+        }
+    }
+
+    /// When the last event of a fault happens.
+    pub(super) fn last_fault_s(&self) -> f64 {
+        self.last_fault_s
+    }
+
+    /// When the next event happens.
+    pub(super) fn next_s(&self) -> Option<f64> {
+        self.events.last().map(|event| event.at_s)
+    }
+
+    fn next(&mut self) -> Option<Event> {
+        self.events.pop().map(|timed| timed.event)
+    }
+}
+
+/// What a loss that hits all that run in a place comes to.
+fn loss(plan: &Plan, fault: &Fault, is_hit: impl Fn(usize) -> bool) -> Vec<TimedEvent> {
+    let casualties = Casualties {
+        dispatchers: (0..plan.all_dispatchers())
+            .filter(|number| is_hit(*number))
+            .collect(),
+        workers: (0..plan.workers).filter(|number| is_hit(*number)).collect(),
+    };
+    vec![
+        at(fault.at_s, Event::Lose(casualties.clone())),
+        at(fault.at_s + fault.duration_s, Event::Recover(casualties)),
+    ]
+}
+
+/// Restarts of dispatchers that are no members of the quorum, first real ones.
+fn restarts(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
+    let quorum = plan.quorum_members();
+    let others = (0..plan.all_dispatchers()).filter(|number| !quorum.contains(number));
+    let targets = others.take(fault.figure as usize).enumerate();
+    targets
+        .map(|(n, number)| {
+            let at_s = fault.at_s + RESTART_INTERVAL_S * n as f64;
+            at(at_s, Event::RestartDispatcher(number))
+        })
+        .collect()
+}
+
+fn release(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
+    let all = plan.all_dispatchers();
+    (0..all)
+        .map(|number| {
+            let at_s = fault.at_s + fault.figure * number as f64 / all as f64;
+            at(at_s, Event::RestartDispatcher(number))
+        })
+        .collect()
+}
+
+fn replacements(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
+    (0..(fault.figure as usize).min(plan.workers))
+        .map(|worker| {
+            let at_s = fault.at_s + REPLACE_INTERVAL_S * worker as f64;
+            at(at_s, Event::ReplaceWorker(worker))
+        })
+        .collect()
+}
+
+fn quorum_kills(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
+    let members = plan.quorum_members().into_iter().enumerate();
+    members
+        .map(|(n, number)| {
+            let at_s = fault.at_s + fault.figure * n as f64;
+            at(at_s, Event::KillDispatcher(number))
+        })
+        .collect()
+}
+
+/// What a fault comes to.
+fn fault_events(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
+    let place = fault.figure as usize;
+    let end_s = fault.at_s + fault.duration_s;
+    match fault.kind {
+        FaultKind::Restart => restarts(plan, fault),
+        FaultKind::Release => release(plan, fault),
+        FaultKind::Replace => replacements(plan, fault),
+        FaultKind::Rack => {
+            let machines = place.max(2);
+            loss(plan, fault, |number| number % machines == machines - 1)
+        }
+        FaultKind::Zone => loss(plan, fault, |number| zone(number) == place),
+        FaultKind::Region => loss(plan, fault, |number| region(zone(number)) == place),
+        FaultKind::Partition => vec![
+            at(fault.at_s, Event::BeginPartition),
+            at(end_s, Event::HealPartition),
+        ],
+        FaultKind::Discovery => vec![
+            at(fault.at_s, Event::DiscoveryDown),
+            at(end_s, Event::DiscoveryUp),
+        ],
+        FaultKind::KillQuorum => quorum_kills(plan, fault),
+    }
+}
+
+impl Fleet {
+    /// Carries out all events up to this second.
+    pub(super) fn apply_due(
+        &mut self,
+        queue: &mut EventQueue,
+        elapsed_s: impl Fn() -> f64,
+    ) -> Result<(), TestbedError> {
+        while queue.next_s().is_some_and(|at_s| elapsed_s() >= at_s) {
+            if let Some(event) = queue.next() {
+                self.apply(event)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Carries out what faults were to do after the measured time, so that the fleet becomes complete again.
+    pub(super) fn apply_remaining_faults(
+        &mut self,
+        queue: &mut EventQueue,
+    ) -> Result<(), TestbedError> {
+        while let Some(event) = queue.next() {
+            if !matches!(event, Event::ChangeEndpoint(_)) {
+                self.apply(event)?;
+            }
+        }
+        Ok(())
+    }
+
+    fn apply(&mut self, event: Event) -> Result<(), TestbedError> {
+        match event {
+            Event::RestartDispatcher(number) => self.restart(number),
+            Event::KillDispatcher(number) => self.kill(number),
+            Event::ReplaceWorker(worker) => {
+                self.replace_worker(worker)?;
+                self.publish(&[worker])
+            }
+            Event::ChangeEndpoint(worker) => {
+                let share = &mut self.endpoints[worker]["share"];
+                *share = if *share == 1.0 { CHANGED_SHARE } else { 1.0 }.into();
+                self.publish(&[worker])
+            }
+            Event::Lose(casualties) => self.lose(&casualties),
+            Event::Recover(casualties) => self.recover(&casualties),
+            Event::BeginPartition => {
+                self.relay.partition_regions(Some(PARTITION));
+                let Partition { one, other } = PARTITION;
+                self.workers.send(&format!("cut {one} {other}"))
+            }
+            Event::HealPartition => {
+                self.relay.partition_regions(None);
+                self.workers.send("heal")
+            }
+            Event::DiscoveryDown => self.discovery.send("down"),
+            Event::DiscoveryUp => self.discovery.send("up"),
+        }
+    }
+
+    /// Publishes what is now known of these workers.
+    fn publish(&mut self, workers: &[usize]) -> Result<(), TestbedError> {
+        let changed: Vec<Value> = workers
+            .iter()
+            .map(|worker| self.endpoints[*worker].clone())
+            .collect();
+        self.discovery
+            .send(&format!("change {}", Value::from(changed)))
+    }
+
+    /// Replaces a worker by a cold one, and does not publish it.
+    fn replace_worker(&mut self, worker: usize) -> Result<(), TestbedError> {
+        self.workers.send(&format!("replace {worker}"))?;
+        let endpoint = &mut self.endpoints[worker];
+        endpoint["born_ms"] = (unix_nanos() / 1_000_000).into();
+        endpoint["health"] = "ready".into();
+        Ok(())
+    }
+
+    fn lose(&mut self, casualties: &Casualties) -> Result<(), TestbedError> {
+        for number in &casualties.dispatchers {
+            self.kill(*number)?;
+        }
+        for worker in &casualties.workers {
+            self.workers.send(&format!("lose {worker}"))?;
+            self.endpoints[*worker]["health"] = "gone".into();
+        }
+        self.publish(&casualties.workers)
+    }
+
+    fn recover(&mut self, casualties: &Casualties) -> Result<(), TestbedError> {
+        for worker in &casualties.workers {
+            self.replace_worker(*worker)?;
+        }
+        self.publish(&casualties.workers)?;
+        let mut dispatchers = casualties.dispatchers.iter();
+        dispatchers.try_for_each(|number| self.start_again(*number))
+    }
+}
--- a/crates/cluster-testbed/src/scale/system.rs
+++ b/crates/cluster-testbed/src/scale/system.rs
@@ -1,40 +1,38 @@
-//! What the system says of processes: processor time, memory, how many there are.
+//! What the system says of processes: processor time and memory.
 use std::fs;
+use std::path::Path;
 
-/// Nanoseconds that all threads of a process have run; what ended threads ran is not in it.
-pub fn cpu(pid: u32) -> u64 {
-    let tasks = fs::read_dir(format!("/proc/{pid}/task"))
-        .into_iter()
-        .flatten()
-        .flatten();
-    let run = |path: std::path::PathBuf| {
-        let text = fs::read_to_string(path.join("schedstat")).ok()?;
-        text.split(' ').next()?.parse::<u64>().ok()
-    };
-    tasks.filter_map(|task| run(task.path())).sum()
+const BYTES_PER_KB: u64 = 1024;
+
+/// Nanoseconds that all threads of a process have run; what ended threads ran is not included.
+pub fn cpu_time_ns(pid: u32) -> u64 {
+    let threads = fs::read_dir(format!("/proc/{pid}/task"));
+    let threads = threads.into_iter().flatten().flatten();
+    threads
+        .filter_map(|thread| thread_run_time_ns(&thread.path()))
+        .sum()
+}
+
+fn thread_run_time_ns(thread: &Path) -> Option<u64> {
+    let text = fs::read_to_string(thread.join("schedstat")).ok()?;
+    text.split(' ').next()?.parse().ok()
 }
 
-/// A line of `/proc/PID/status` that is in kB, in bytes.
-fn status(pid: u32, name: &str) -> u64 {
-    let text = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let line = text
-        .lines()
-        .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
-    line.and_then(|line| line.trim().split(' ').next()?.parse::<u64>().ok())
-        .unwrap_or(0)
-        * 1024
+/// A line of a file of `/proc` whose value is in kB, in bytes; 0 where there is none.
+fn bytes_in(file: &str, name: &str) -> u64 {
+    let text = fs::read_to_string(file).unwrap_or_default();
+    let mut lines = text.lines();
+    let value = lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
+    let kb = value.and_then(|value| value.trim().split(' ').next()?.parse::<u64>().ok());
+    kb.unwrap_or(0) * BYTES_PER_KB
 }
 
-/// Resident memory, in bytes.
-pub fn resident(pid: u32) -> u64 {
-    status(pid, "VmRSS")
+/// Resident memory of a process.
+pub fn resident_bytes(pid: u32) -> u64 {
+    bytes_in(&format!("/proc/{pid}/status"), "VmRSS")
 }
 
-/// The machine's memory, in bytes.
-pub fn memory() -> u64 {
-    let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
-    line.and_then(|line| line.trim().split(' ').next()?.parse::<u64>().ok())
-        .unwrap_or(0)
-        * 1024
+/// The memory of the machine.
+pub fn machine_memory_bytes() -> u64 {
+    bytes_in("/proc/meminfo", "MemTotal")
 }
--- /dev/null
+++ b/crates/cluster-testbed/src/scale/workers/report.rs
@@ -0,0 +1,130 @@
+//! What the workers of a process count and measure.
+use crate::scale::control::SimulationError;
+use hdrhistogram::Histogram;
+use serde::{Deserialize, Serialize};
+use std::cell::RefCell;
+
+const MAX_LATE_US: u64 = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
+
+/// Times to start of one class of work, in ms, from the moment at which its client meant it to begin.
+#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
+pub struct StartTimes {
+    /// How many started.
+    pub count: u64,
+    /// The median.
+    pub p50: f64,
+    /// The 90th percentile.
+    pub p90: f64,
+    /// The 99th percentile.
+    pub p99: f64,
+    /// The 99.9th percentile.
+    pub p999: f64,
+    /// The longest.
+    #[serde(rename = "most")]
+    pub max: f64,
+}
+
+impl From<&Histogram<u64>> for StartTimes {
+    fn from(histogram: &Histogram<u64>) -> Self {
+        let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
+        StartTimes {
+            count: histogram.len(),
+            p50: quantile_ms(0.5),
+            p90: quantile_ms(0.9),
+            p99: quantile_ms(0.99),
+            p999: quantile_ms(0.999),
+            max: histogram.max() as f64 / 1e3,
+        }
+    }
+}
+
+/// What the workers of a process did in the measured time.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct WorkersReport {
+    /// Start times of work that is not urgent.
+    pub usual: StartTimes,
+    /// Start times of urgent work.
+    pub urgent: StartTimes,
+    /// Requests that began to run.
+    pub started: u64,
+    /// Requests that ran to their end.
+    pub ended: u64,
+    /// Requests that run now.
+    pub running: u64,
+    /// The most requests that ran at once.
+    pub most_running: u64,
+    /// Requests that are queued now.
+    pub waiting: u64,
+    /// Connections that are open now.
+    pub connections: u64,
+    /// Connections that were opened.
+    pub connects: u64,
+    /// Bytes received.
+    pub bytes_in: u64,
+    /// Bytes sent.
+    pub bytes_out: u64,
+    /// The most work in a window of any cold worker, over what it bears in it.
+    #[serde(rename = "cold_worst")]
+    pub worst_cold_window: f64,
+    /// How many workers were replaced by cold ones.
+    #[serde(rename = "cold")]
+    pub cold_workers: u64,
+}
+
+fn histogram() -> Result<Histogram<u64>, SimulationError> {
+    Ok(Histogram::new_with_bounds(
+        1,
+        MAX_LATE_US,
+        SIGNIFICANT_DIGITS,
+    )?)
+}
+
+pub(super) struct Recorder {
+    usual: RefCell<Histogram<u64>>,
+    urgent: RefCell<Histogram<u64>>,
+    report: RefCell<WorkersReport>,
+}
+
+impl Recorder {
+    pub(super) fn new() -> Result<Recorder, SimulationError> {
+        Ok(Recorder {
+            usual: RefCell::new(histogram()?),
+            urgent: RefCell::new(histogram()?),
+            report: RefCell::default(),
+        })
+    }
+
+    pub(super) fn change(&self, change: impl FnOnce(&mut WorkersReport)) {
+        change(&mut self.report.borrow_mut());
+    }
+
+    pub(super) fn record_start(&self, urgent: bool, late_us: u64) {
+        let starts = if urgent { &self.urgent } else { &self.usual };
+        starts.borrow_mut().saturating_record(late_us.max(1));
+    }
+
+    /// Starts the measured time: only what goes on now is kept.
+    pub(super) fn reset(&self) -> Result<(), SimulationError> {
+        *self.usual.borrow_mut() = histogram()?;
+        *self.urgent.borrow_mut() = histogram()?;
+        self.change(|report| {
+            *report = WorkersReport {
+                running: report.running,
+                most_running: report.running,
+                waiting: report.waiting,
+                connections: report.connections,
+                ..WorkersReport::default()
+            };
+        });
+        Ok(())
+    }
+
+    pub(super) fn report(&self) -> WorkersReport {
+        WorkersReport {
+            usual: StartTimes::from(&*self.usual.borrow()),
+            urgent: StartTimes::from(&*self.urgent.borrow()),
+            ..self.report.borrow().clone()
+        }
+    }
+}
--- a/crates/cluster-testbed/src/simulated.rs
+++ b/crates/cluster-testbed/src/simulated.rs
@@ -2,7 +2,9 @@
 use clap::Subcommand;
 use rosewall_cluster_testbed::error::TestbedError;
 use rosewall_cluster_testbed::scale;
-use rosewall_cluster_testbed::scale::map::Ways;
+use rosewall_cluster_testbed::scale::control::SimulationError;
+use rosewall_cluster_testbed::scale::topology::Latencies;
+use rosewall_cluster_testbed::scale::workers::WorkersConfig;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -37,10 +39,10 @@
     /// Runs until the process that started this one ends it.
     pub fn run(&self) -> Result<(), TestbedError> {
         self.serve()
-            .map_err(|what| TestbedError::SimulatedProcessEnded { what })
+            .map_err(|source| TestbedError::SimulatedProcessEnded { source })
     }
 
-    fn serve(&self) -> Result<(), String> {
+    fn serve(&self) -> Result<(), SimulationError> {
         match self {
             SimulatedProcess::Workers {
                 count,
@@ -48,14 +50,16 @@
                 zone_ms,
                 zones_ms,
                 regions_ms,
-            } => {
-                let latencies = Ways {
-                    zone: latency(*zone_ms),
-                    zones: latency(*zones_ms),
-                    regions: latency(*regions_ms),
-                };
-                scale::workers::run(*count, *seats, latencies, scale::stage::COLD)
-            }
+            } => scale::workers::run(WorkersConfig {
+                count: *count,
+                slots: *seats,
+                latencies: Latencies {
+                    within_zone: latency(*zone_ms),
+                    between_zones: latency(*zones_ms),
+                    between_regions: latency(*regions_ms),
+                },
+                slow_start: scale::SLOW_START,
+            }),
             SimulatedProcess::Discovery { followers } => scale::discovery::run(*followers),
             SimulatedProcess::Dispatchers {
                 folder,
--- a/crates/cluster-testbed/tests/scale.rs
+++ b/crates/cluster-testbed/tests/scale.rs
@@ -1,7 +1,7 @@
 //! The command `scale`: its verdicts, and what hollow processes are worth.
 use rosewall_cluster_testbed::scale::fit::{line, predicted};
-use rosewall_cluster_testbed::scale::map::{Cut, Ways};
 use rosewall_cluster_testbed::scale::plan::{Fault, Plan};
+use rosewall_cluster_testbed::scale::topology::{Latencies, Partition};
 use serde_json::Value;
 use std::process::Command;
 use std::sync::Mutex;
@@ -107,7 +107,13 @@
 #[test_case(&[(1.0, 5.0), (2.0, 7.0)] => None; "two points are no fit")]
 fn a_fit_finds_the_line(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
     let round = |value: f64| (value * 1e6).round() / 1e6;
-    line(points).map(|line| (round(line.at_zero), round(line.slope), round(line.within)))
+    line(points).map(|line| {
+        (
+            round(line.intercept),
+            round(line.slope),
+            round(line.slope_margin),
+        )
+    })
 }
 
 /// Guards against a slope that is told as straight and is not.
@@ -116,7 +122,7 @@
     let points: Vec<(f64, f64)> = [1.0, 2.0, 3.0, 10.0].map(|x: f64| (x, x * x)).to_vec();
     let left_out = predicted(&points).unwrap();
     assert_eq!((left_out.size, left_out.measured), (10.0, 100.0));
-    assert!(left_out.off < -0.5, "{left_out:?}");
+    assert!(left_out.relative_error < -0.5, "{left_out:?}");
 }
 
 #[test_case(0, 0 => 250; "one zone")]
@@ -124,10 +130,10 @@
 #[test_case(2, 3 => 40_000; "two regions")]
 fn how_far_zones_lie_apart(one: usize, other: usize) -> u128 {
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
-    Ways {
-        zone: ms(0.25),
-        zones: ms(1.0),
-        regions: ms(40.0),
+    Latencies {
+        within_zone: ms(0.25),
+        between_zones: ms(1.0),
+        between_regions: ms(40.0),
     }
     .between(one, other)
     .as_micros()
@@ -138,7 +144,7 @@
 #[test_case(0, 2 => false; "inside one")]
 #[test_case(0, 6 => false; "to a third")]
 fn what_a_cut_parts(one: usize, other: usize) -> bool {
-    Cut(0, 1).parts(one, other)
+    Partition { one: 0, other: 1 }.separates(one, other)
 }
 
 #[test_case("zone@2:8:5" => Some((2.0, 8.0, 5.0)); "whole")]
@@ -149,7 +155,7 @@
 fn how_a_fault_is_written(text: &str) -> Option<(f64, f64, f64)> {
     text.parse::<Fault>()
         .ok()
-        .map(|fault| (fault.at_s, fault.figure, fault.lasts_s))
+        .map(|fault| (fault.at_s, fault.figure, fault.duration_s))
 }
 
 #[test_case(30 => vec![0, 3, 6, 1, 4]; "five, of which no region has more than two")]
@@ -160,5 +166,5 @@
         dispatchers,
         ..Plan::default()
     }
-    .keepers()
+    .quorum_members()
 }
