--- /dev/null
+++ b/crates/cluster-testbed/src/stand/daemon.rs
@@ -0,0 +1,222 @@
+//! A process of the program, for tests.
+use super::{Client, TIMEOUT};
+use serde_json::Value;
+use std::io::{BufRead, BufReader};
+use std::path::PathBuf;
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// The lines that a process has logged so far.
+#[derive(Default)]
+struct Log {
+    lines: Mutex<Vec<String>>,
+    appended: Condvar,
+}
+
+/// How much of its log is read.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum LogReading {
+    All,
+    /// Only up to the line that says that it listens, so that its log fills up.
+    UntilListening,
+}
+
+/// A process of the program. It is killed when this is dropped.
+pub struct Daemon {
+    child: Child,
+    /// Where it listens.
+    pub address: String,
+    log: Arc<Log>,
+    folder: PathBuf,
+}
+
+impl Drop for Daemon {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+/// Creates a folder for the files of one process.
+pub fn folder() -> PathBuf {
+    static SERIAL: AtomicU32 = AtomicU32::new(0);
+    let serial = SERIAL.fetch_add(1, Ordering::SeqCst);
+    let folder = std::env::temp_dir().join(format!("rosewalld-{}-{serial}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+impl Log {
+    fn read_from(&self, stderr: ChildStderr, reading: LogReading) {
+        let mut lines = BufReader::new(stderr).lines();
+        while let Some(Ok(line)) = lines.next() {
+            let listens = line.contains("listening on ");
+            self.lines.lock().unwrap().push(line);
+            self.appended.notify_all();
+            if listens && reading == LogReading::UntilListening {
+                thread::sleep(2 * TIMEOUT);
+            }
+        }
+    }
+}
+
+impl Daemon {
+    /// Starts it and waits until it listens.
+    pub fn start(configuration: &Value) -> Daemon {
+        Daemon::start_under("", configuration)
+    }
+
+    /// Starts it by a shell that runs `first` before it.
+    pub fn start_under(first: &str, configuration: &Value) -> Daemon {
+        Daemon::start_reading(first, configuration, LogReading::All)
+    }
+
+    /// Starts it, and reads nothing of its log once it listens.
+    pub fn start_unread(configuration: &Value) -> Daemon {
+        Daemon::start_reading("", configuration, LogReading::UntilListening)
+    }
+
+    fn start_reading(first: &str, configuration: &Value, reading: LogReading) -> Daemon {
+        let folder = folder();
+        let file = folder.join("config.json");
+        std::fs::write(&file, configuration.to_string()).unwrap();
+        let mut child = crate::process::command(first)
+            .env("PROXY_CONFIG", &file)
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
+        let log = Arc::<Log>::default();
+        let stderr = child.stderr.take().unwrap();
+        let shared = log.clone();
+        thread::spawn(move || shared.read_from(stderr, reading));
+        let mut daemon = Daemon {
+            child,
+            address: String::new(),
+            log,
+            folder,
+        };
+        let line = daemon.line("listening on ", 0);
+        daemon.address = line.rsplit(' ').next().unwrap().to_string();
+        daemon
+    }
+
+    /// Waits for a line of the log that contains `text`, from the line number `from` on.
+    fn line(&self, text: &str, from: usize) -> String {
+        let find = |lines: &Vec<String>| {
+            lines
+                .iter()
+                .skip(from)
+                .find(|line| line.contains(text))
+                .cloned()
+        };
+        let lines = self.log.lines.lock().unwrap();
+        let (lines, _) = self
+            .log
+            .appended
+            .wait_timeout_while(lines, TIMEOUT, |lines| find(lines).is_none())
+            .unwrap();
+        find(&lines).unwrap_or_else(|| panic!("no line with {text:?} in {lines:#?}"))
+    }
+
+    /// Sends it the signal of this name, such as `TERM`.
+    pub fn signal(&self, name: &str) {
+        let command = format!("kill -{name} {}", self.child.id());
+        assert!(
+            Command::new("/bin/sh")
+                .args(["-c", &command])
+                .status()
+                .unwrap()
+                .success()
+        );
+    }
+
+    /// Replaces the configuration and waits for a line of the log that contains `line`.
+    pub fn reload(&self, text: &str, line: &str) {
+        let from = self.log.lines.lock().unwrap().len();
+        std::fs::write(self.folder.join("config.json"), text).unwrap();
+        self.signal("HUP");
+        self.line(line, from);
+    }
+
+    /// How many lines of the log contain `text`.
+    pub fn lines(&self, text: &str) -> usize {
+        self.log
+            .lines
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|line| line.contains(text))
+            .count()
+    }
+
+    /// One counter, as it stands now.
+    pub fn counter(&self, name: &str) -> u64 {
+        let from = self.log.lines.lock().unwrap().len();
+        self.signal("USR1");
+        counter_in(&self.line("counters:", from), name)
+    }
+
+    /// Waits until a counter has reached a value.
+    pub fn until_counter(&self, name: &str, value: u64) {
+        let deadline = Instant::now() + TIMEOUT;
+        while self.counter(name) < value {
+            assert!(
+                Instant::now() < deadline,
+                "{name} has not reached {value}: {:#?}",
+                self.log.lines.lock().unwrap()
+            );
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    /// Sends this many signals, 1 ms apart.
+    pub fn signals(&self, name: &str, count: u32) {
+        let pid = self.child.id();
+        let command = format!("for i in $(seq {count}); do kill -{name} {pid}; sleep 0.001; done");
+        assert!(
+            Command::new("/bin/sh")
+                .args(["-c", &command])
+                .status()
+                .unwrap()
+                .success()
+        );
+    }
+
+    /// Waits for its end: the exit code.
+    pub fn exit(&mut self) -> Option<i32> {
+        self.child.wait().unwrap().code()
+    }
+
+    /// Waits for its end: the exit code, and the line with the counters.
+    pub fn ended(&mut self) -> (Option<i32>, String) {
+        let code = self.child.wait().unwrap().code();
+        (code, self.line("stopped; counters:", 0))
+    }
+
+    /// A client that is connected to it.
+    pub fn client(&self) -> Client {
+        Client::connect(&self.address)
+    }
+
+    /// Waits until it is ready.
+    pub fn until_ready(&self) {
+        let deadline = Instant::now() + TIMEOUT;
+        while self.client().get("/healthz") != 200 {
+            assert!(Instant::now() < deadline, "never ready");
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+}
+
+/// A counter in a log line.
+pub fn counter_in(line: &str, name: &str) -> u64 {
+    let mut words = line.split(' ').filter_map(|word| word.split_once('='));
+    words
+        .find(|(key, _)| *key == name)
+        .and_then(|(_, value)| value.parse().ok())
+        .unwrap()
+}
--- /dev/null
+++ b/crates/cluster-testbed/src/stand/discovery.rs
@@ -0,0 +1,288 @@
+//! A simulated discovery service with one endpoint list, for tests. It can be late, silent, down and malformed.
+use super::{TIMEOUT, listen, message};
+use serde_json::{Value, json};
+use std::io::{BufReader, Read, Write};
+use std::net::TcpStream;
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+/// How long a watch waits for news that names no time.
+const DEFAULT_WAIT_MS: u64 = 60_000;
+const MIN_WAIT: Duration = Duration::from_millis(1);
+
+#[derive(Default)]
+struct State {
+    version: u64,
+    endpoints: Vec<Value>,
+    changed: Vec<Value>,
+    down: bool,
+    /// The version that the newest watch knows.
+    watched_version: u64,
+    watches: u32,
+    /// Sent once in place of a list.
+    malformed: Option<&'static str>,
+    /// Whether `endpoints` is the full list as it is now, for whoever missed a change.
+    has_full_list: bool,
+    /// How often all open watches have been forgotten.
+    forgotten: u32,
+    /// Whether watches are accepted and not answered.
+    unresponsive: bool,
+    /// Whether the next response ends in its middle, with its connection open.
+    truncates_next: bool,
+}
+
+#[derive(Default)]
+struct Shared {
+    state: Mutex<State>,
+    changed: Condvar,
+}
+
+/// A simulated discovery service.
+#[derive(Clone)]
+pub struct Discovery {
+    /// Where it listens.
+    pub address: String,
+    shared: Arc<Shared>,
+}
+
+/// The endpoint of a worker, as discovery publishes it.
+pub fn host(name: &str, dial: &str, health: &str) -> Value {
+    json!({"host": name, "dial": dial, "site": "here", "class": "m1", "block": 0, "health": health,
+           "share": 1.0, "born_ms": 0})
+}
+
+/// The number after a name in the query of a request.
+fn query_number(head: &str, name: &str) -> Option<u64> {
+    let (_, rest) = head.split_once(name)?;
+    rest.split(['&', ' ']).next()?.parse().ok()
+}
+
+/// Keeps a connection open until the other side closes it, and sends nothing.
+fn hold_open(mut stream: &TcpStream) {
+    let _ = stream.read(&mut [0]);
+}
+
+/// A watch of the list.
+struct Watch {
+    /// The newest version that it knows.
+    version: Option<u64>,
+    deadline: Instant,
+}
+
+impl Watch {
+    fn parse(head: &str) -> Watch {
+        let wait_ms = query_number(head, "wait=").unwrap_or(DEFAULT_WAIT_MS);
+        Watch {
+            version: query_number(head, "index="),
+            deadline: Instant::now() + Duration::from_millis(wait_ms),
+        }
+    }
+}
+
+/// Whether there was news for a watch before its time was over.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum WatchEnd {
+    News,
+    Expired,
+}
+
+impl State {
+    fn response(&mut self, watch: &Watch, end: WatchEnd) -> String {
+        let full = watch
+            .version
+            .is_none_or(|version| self.has_full_list && version + 1 < self.version);
+        let no_changes = Vec::new();
+        let endpoints = match (full, end) {
+            (true, _) => &self.endpoints,
+            (false, WatchEnd::News) => &self.changed,
+            (false, WatchEnd::Expired) => &no_changes,
+        };
+        let list = json!({"seq": self.version, "whole": full, "hosts": endpoints}).to_string();
+        let body = self.malformed.take().map_or(list, str::to_string);
+        let length = body.len();
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
+    }
+}
+
+impl Discovery {
+    /// Starts it with these endpoints.
+    pub fn start(hosts: Vec<Value>) -> Discovery {
+        let state = State {
+            version: 1,
+            endpoints: hosts,
+            ..State::default()
+        };
+        let mut discovery = Discovery {
+            address: String::new(),
+            shared: Arc::new(Shared {
+                state: Mutex::new(state),
+                changed: Condvar::new(),
+            }),
+        };
+        let own = discovery.clone();
+        discovery.address = listen(move |stream| own.answer(stream));
+        discovery
+    }
+
+    /// Answers one watch; `None` ends the connection.
+    fn answer(&self, mut stream: &TcpStream) -> Option<()> {
+        let (head, _) = message(&mut BufReader::new(stream))?;
+        let mut state = self.shared.state.lock().unwrap();
+        let watch = Watch::parse(&head);
+        state.watches += 1;
+        state.watched_version = watch.version.unwrap_or(0);
+        self.shared.changed.notify_all();
+        let forgotten = state.forgotten;
+        let (mut state, end) = self.wait_for_news(state, &watch);
+        if state.forgotten != forgotten {
+            drop(state);
+            hold_open(stream);
+            return None;
+        }
+        if state.down {
+            return None;
+        }
+        let response = state.response(&watch, end);
+        if std::mem::take(&mut state.truncates_next) {
+            let half = &response.as_bytes()[..response.len() / 2];
+            stream.write_all(half).ok()?;
+            drop(state);
+            hold_open(stream);
+            return None;
+        }
+        stream.write_all(response.as_bytes()).ok()
+    }
+
+    /// Waits while there is nothing to answer. A version that was never published is answered at once, the newest one
+    /// once the time of the watch is over.
+    fn wait_for_news<'a>(
+        &'a self,
+        mut state: MutexGuard<'a, State>,
+        watch: &Watch,
+    ) -> (MutexGuard<'a, State>, WatchEnd) {
+        let forgotten = state.forgotten;
+        let mut end = WatchEnd::News;
+        while !state.down && state.forgotten == forgotten {
+            let is_newest = watch.version == Some(state.version);
+            if !state.unresponsive && (!is_newest || end == WatchEnd::Expired) {
+                break;
+            }
+            let remaining = watch.deadline.saturating_duration_since(Instant::now());
+            let waited = self
+                .shared
+                .changed
+                .wait_timeout(state, remaining.max(MIN_WAIT));
+            state = waited.unwrap().0;
+            end = if Instant::now() >= watch.deadline {
+                WatchEnd::Expired
+            } else {
+                WatchEnd::News
+            };
+        }
+        (state, end)
+    }
+
+    fn change(&self, change: impl FnOnce(&mut State)) {
+        change(&mut self.shared.state.lock().unwrap());
+        self.shared.changed.notify_all();
+    }
+
+    fn until(&self, holds: impl Fn(&State) -> bool) {
+        let state = self.shared.state.lock().unwrap();
+        let waited = self
+            .shared
+            .changed
+            .wait_timeout_while(state, TIMEOUT, |state| !holds(state));
+        let (_state, timeout) = waited.unwrap();
+        assert!(!timeout.timed_out(), "discovery was not called");
+    }
+
+    /// Publishes changes, and the full list for new watches; waits for no one.
+    pub fn put(&self, changed: Vec<Value>, all: Vec<Value>) {
+        self.change(|state| {
+            state.version += 1;
+            state.has_full_list = true;
+            state.changed = changed;
+            state.endpoints = all;
+        });
+    }
+
+    /// Publishes changes, and waits until the program has read them.
+    pub fn tell(&self, hosts: Vec<Value>) {
+        let mut version = 0;
+        self.change(|state| {
+            state.version += 1;
+            version = state.version;
+            state.changed = hosts;
+        });
+        self.until(|state| state.watched_version == version);
+    }
+
+    /// Sends this text in place of a list, and waits until the program has read it.
+    pub fn garble(&self, text: &'static str) {
+        self.change(|state| {
+            state.malformed = Some(text);
+            state.version += 1;
+        });
+        self.until(|state| state.malformed.is_none() && state.watched_version == state.version);
+    }
+
+    /// Never answers the watches that are open now.
+    pub fn fall_silent(&self) {
+        self.change(|state| state.forgotten += 1);
+    }
+
+    /// Sends only half of the next response.
+    pub fn cut_next(&self) {
+        self.change(|state| state.truncates_next = true);
+    }
+
+    /// Accepts watches and answers none.
+    pub fn go_deaf(&self) {
+        self.change(|state| state.unresponsive = true);
+    }
+
+    /// Answers again, but none of the watches of before.
+    pub fn come_to(&self) {
+        self.change(|state| {
+            state.unresponsive = false;
+            state.forgotten += 1;
+        });
+    }
+
+    /// Waits until the program has read what was published last.
+    pub fn until_followed(&self) {
+        self.until(|state| state.watched_version == state.version);
+    }
+
+    /// Waits until this many watches have come.
+    pub fn until_called(&self, calls: u32) {
+        self.until(|state| state.watches >= calls);
+    }
+
+    /// Closes connections and answers nothing.
+    pub fn go_down(&self) {
+        self.change(|state| state.down = true);
+    }
+
+    /// Answers again, with these endpoints, and waits until the program has read them.
+    pub fn come_back(&self, hosts: Vec<Value>) {
+        self.change(|state| {
+            state.version += 1;
+            state.down = false;
+            state.changed = hosts.clone();
+            state.endpoints = hosts;
+        });
+        self.until(|state| state.watched_version == state.version);
+    }
+
+    /// How many watches have come.
+    pub fn calls(&self) -> u32 {
+        self.shared.state.lock().unwrap().watches
+    }
+
+    /// Waits until a watch has come that knows a version.
+    pub fn until_watched(&self) {
+        self.until(|state| state.watched_version > 0);
+    }
+}
--- /dev/null
+++ b/crates/cluster-testbed/src/stand/http.rs
@@ -0,0 +1,50 @@
+//! The HTTP of simulated peers: messages whose body has a length.
+use std::io::BufRead;
+use std::net::{TcpListener, TcpStream};
+use std::thread;
+
+/// Listens on a free loopback port and calls `serve` again for each connection until it returns `None`; the address.
+pub fn listen(serve: impl Fn(&TcpStream) -> Option<()> + Clone + Send + 'static) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let serve = serve.clone();
+            thread::spawn(move || while serve(&stream).is_some() {});
+        }
+    });
+    address
+}
+
+/// Reads a message: the head, and a body by its length.
+pub fn message(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
+    let mut head = String::new();
+    while !head.ends_with("\r\n\r\n") {
+        if reader.read_line(&mut head).ok()? == 0 {
+            return None;
+        }
+    }
+    let length = field(&head, "content-length")
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
+    let mut body = vec![0; length];
+    reader.read_exact(&mut body).ok()?;
+    Some((head, body))
+}
+
+/// The value of a header field.
+pub fn field(head: &str, name: &str) -> Option<String> {
+    let mut pairs = head.lines().filter_map(|line| line.split_once(':'));
+    pairs
+        .find(|(key, _)| key.eq_ignore_ascii_case(name))
+        .map(|(_, value)| value.trim().to_string())
+}
+
+/// A request's head and body, with `more` header lines.
+pub fn request(id: &str, scheme: &str, seconds: f64, more: &str, body: &str) -> String {
+    let length = body.len();
+    format!(
+        "POST /api/do?x=1&y=%20 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id}\r\nRequest-Class: {scheme}\r\n\
+         Tenant: acme\r\nRequest-Timeout: {seconds}\r\n{more}Content-Length: {length}\r\n\r\n{body}"
+    )
+}
