--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -13,7 +13,6 @@
 //! | [`datagram`], [`member`] | the format of datagrams and of what is known of a member |
 //! | [`config`], [`error`] | the cluster file of an operator, and what can be wrong |
 //! | `simulated` | many members on a virtual clock and network, for tests |
-#![warn(missing_docs)]
 pub mod cluster;
 pub mod config;
 pub mod datagram;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -3,8 +3,6 @@
 //! [`engine`] turns inputs into effects around the decisions. [`pool`] and [`limits`] decide which connection is reused and
 //! which client may connect; [`config`] reads what the operators configure.
 
-#![warn(missing_docs)]
-
 /// For [`invariant!`].
 pub use log;
 
--- a/crates/log-stats/src/lib.rs
+++ b/crates/log-stats/src/lib.rs
@@ -1,5 +1,4 @@
 //! Statistics over the debug logs of many dispatchers, by second and by worker.
-#![warn(missing_docs)]
 
 mod line;
 mod second_counts;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -7,7 +7,6 @@
 //! - [`discovery`]: the endpoint list of the discovery service.
 //! - [`peer_load`]: datagrams between dispatchers.
 //! - [`names`]: the names of classes, tenants, zones and worker types.
-#![warn(missing_docs)]
 
 pub mod client;
 pub mod discovery;
--- a/crates/rosewalld/src/lib.rs
+++ b/crates/rosewalld/src/lib.rs
@@ -4,7 +4,6 @@
 //! - [`config_file`]: reading the configuration.
 //! - [`sockets`]: the runtime of `rosewall-runtime` over sockets and the system's clock.
 //! - [`logger`]: the log on standard error.
-#![warn(missing_docs)]
 
 pub mod config_file;
 pub mod daemon;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -7,7 +7,6 @@
 //! - [`engine`]: the task that owns the engine.
 //! - [`client`], [`worker`], [`discovery`]: the tasks for each kind of connection.
 //! - [`cluster`], [`peer_load`]: datagrams between dispatchers.
-#![warn(missing_docs)]
 
 pub mod client;
 pub mod cluster;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,5 @@
 //! The operators' setting names and words, mapped to the names under which rosewall's programs read them. No other crate
 //! knows the operators' names; `docs/design.md` describes the settings.
-#![warn(missing_docs)]
 pub use rosewall::Map;
 
 #[cfg(test)]
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,6 @@
 //! A deterministic simulation of dispatchers: network, clients, workers and discovery on a virtual clock, played from a
 //! seed. The dispatchers run the daemon's own code, drivers included; the rest are stand-ins. A checker with its own
 //! record of what happened reports violations of the rules. One seed gives one simulation, to the last byte.
-#![warn(missing_docs)]
 
 pub mod checker;
 mod client;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,5 @@
 //! Runs many dispatchers behind the simulator's protocol: batches of events on standard input, replies with their actions
 //! on standard output. It decides nothing.
-#![warn(missing_docs)]
 mod actions;
 mod codec;
 mod codes;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,6 @@
 //! rosewall decides which worker gets which request. It performs no I/O and reads no clock.
 //!
 //! See [`policy`] for the decisions and how to call them, and [`types`] for their events and actions.
-#![warn(missing_docs)]
 pub mod mutation;
 pub mod pcg;
 pub mod policy;
