--- a/crates/cluster-testbed/src/scale/plan.rs
+++ b/crates/cluster-testbed/src/scale/plan.rs
@@ -100,8 +100,12 @@
     /// One way between regions, in ms
     #[arg(long, default_value_t = 40.0)]
     pub regions_ms: f64,
-    /// KIND@SECOND[:FIGURE[:SECONDS]], again for each; kinds: restart, release, replace, rack, zone, region, cut, keepers, discovery
-    #[arg(long = "fault", value_name = "FAULT")]
+    /// The faults.
+    #[arg(
+        long = "fault",
+        value_name = "FAULT",
+        help = "KIND@SECOND[:FIGURE[:SECONDS]], again for each; kinds: restart, release, replace, rack, zone, region, cut, keepers, discovery"
+    )]
     pub faults: Vec<Fault>,
     /// Starts of processes lie so far apart, in ms
     #[arg(
