--- a/crates/cluster-testbed/src/checker.rs
+++ b/crates/cluster-testbed/src/checker.rs
@@ -24,7 +24,7 @@
     /// When they stopped.
     pub end: Instant,
     /// The deadline of a request, from when it was sent.
-    pub expiry: Duration,
+    pub timeout: Duration,
     /// All workers, by their numbers.
     pub workers: &'a [Arc<Worker>],
     /// All requests of the clients.
@@ -77,12 +77,15 @@
             if self.was_down(request.dispatcher, request.sent_at, until) {
                 continue;
             }
-            let latest = request.sent_at + self.expiry + SLACK;
+            let latest = request.sent_at + self.timeout + SLACK;
             let description = match request.response {
                 None => format!("{} got no answer", request.id),
                 Some(response) if response.at > latest => {
                     let late_ms = (response.at - latest).as_millis();
-                    format!("{} was answered {late_ms} ms after its expiry", request.id)
+                    format!(
+                        "{} was answered {late_ms} ms after its deadline",
+                        request.id
+                    )
                 }
                 Some(_) => continue,
             };
--- a/crates/cluster-testbed/src/scale.rs
+++ b/crates/cluster-testbed/src/scale.rs
@@ -8,7 +8,7 @@
 mod fleet;
 mod http;
 pub mod load;
-mod measurement;
+pub mod measurement;
 mod output;
 pub mod plan;
 pub mod system;
--- a/crates/cluster-testbed/src/scale/fleet/measure.rs
+++ b/crates/cluster-testbed/src/scale/fleet/measure.rs
@@ -35,7 +35,7 @@
         initial_tasks: plan.initial_tasks(),
         fill: Duration::from_secs_f64(fill_s),
         measured: Duration::from_secs_f64(plan.seconds),
-        expiry: Duration::from_secs_f64(3.0 * plan.task_s + 20.0),
+        timeout: Duration::from_secs_f64(3.0 * plan.task_s + 20.0),
         seed: plan.seed,
     }
 }
--- a/crates/cluster-testbed/src/scale/load.rs
+++ b/crates/cluster-testbed/src/scale/load.rs
@@ -30,7 +30,7 @@
     /// The measured time, after that.
     pub measured: Duration,
     /// The deadline of a request, from when it is sent.
-    pub expiry: Duration,
+    pub timeout: Duration,
     /// The seed of all that is random.
     pub seed: u64,
 }
@@ -74,7 +74,7 @@
         .map(|addresses| addresses.len())
         .unwrap_or(0);
     let executor = Rc::new(LocalExecutor::new());
-    let clients = Rc::new(Clients::new(addresses.clone(), dispatchers, config.expiry));
+    let clients = Rc::new(Clients::new(addresses.clone(), dispatchers, config.timeout));
     let begin = Instant::now();
     let schedule = Schedule::draw(&config, dispatchers);
     let sending = send_all(schedule.requests, begin, clients.clone(), executor.clone());
--- a/crates/cluster-testbed/src/scale/load/client.rs
+++ b/crates/cluster-testbed/src/scale/load/client.rs
@@ -37,7 +37,7 @@
     /// By the number of the dispatcher.
     idle: RefCell<Vec<Vec<IdleConnection>>>,
     tally: RefCell<LoadTally>,
-    expiry: Duration,
+    timeout: Duration,
 }
 
 fn status_in(head: &str) -> Option<u16> {
@@ -45,12 +45,12 @@
 }
 
 impl Clients {
-    pub(super) fn new(addresses: ClientAddresses, dispatchers: usize, expiry: Duration) -> Self {
+    pub(super) fn new(addresses: ClientAddresses, dispatchers: usize, timeout: Duration) -> Self {
         Clients {
             addresses,
             idle: RefCell::new((0..dispatchers).map(|_| Vec::new()).collect()),
             tally: RefCell::default(),
-            expiry,
+            timeout,
         }
     }
 
@@ -102,7 +102,7 @@
         let body = format!("{work_us} {} {urgency}", unix_nanos());
         let id = format!("d{}-{}", planned.dispatcher, planned.serial);
         let headers = format!("Work-Hint: {work_us}\r\n");
-        let text = request(&id, class, self.expiry.as_secs_f64(), &headers, &body);
+        let text = request(&id, class, self.timeout.as_secs_f64(), &headers, &body);
         text.replacen("Tenant: acme", &format!("Tenant: t{}", planned.team), 1)
     }
 
--- a/crates/cluster-testbed/src/testbed/report.rs
+++ b/crates/cluster-testbed/src/testbed/report.rs
@@ -78,7 +78,7 @@
         Evidence {
             begin: self.begin,
             end,
-            expiry: Duration::from_millis(self.scenario.load.expiry_ms),
+            timeout: Duration::from_millis(self.scenario.load.expiry_ms),
             workers: &self.workers,
             requests,
             outages: &self.outages,
--- a/crates/cluster-testbed/tests/json_output.rs
+++ b/crates/cluster-testbed/tests/json_output.rs
@@ -1,7 +1,9 @@
 //! Reports as JSON keep the keys that scripts read.
 use rosewall_cluster_testbed::checker::{Rule, SlowStartUse, Violation};
+use rosewall_cluster_testbed::scale::measurement::Measurement;
 use rosewall_cluster_testbed::testbed::Report;
-use serde_json::json;
+use serde_json::{Value, json};
+use std::collections::BTreeSet;
 use test_case::test_case;
 
 fn report() -> Report {
@@ -68,3 +70,30 @@
         json!({"worker": 3, "postings": 5, "work_s": 1.5, "of_half": 0.75, "worst": 0.5});
     assert_eq!(written, expected);
 }
+
+/// The paths of all keys of an object, with those of the objects in it.
+fn key_paths(value: &Value, prefix: &str, paths: &mut BTreeSet<String>) {
+    for (key, inner) in value.as_object().into_iter().flatten() {
+        let path = format!("{prefix}/{key}");
+        key_paths(inner, &path, paths);
+        paths.insert(path);
+    }
+}
+
+#[test]
+fn a_measurement_has_the_keys_of_the_stored_capacity_measurements() {
+    let stored = include_str!("../../../docs/capacity/fleet.jsonl");
+    let current = serde_json::to_value(Measurement::default()).unwrap();
+    let mut written = BTreeSet::new();
+    key_paths(&current, "", &mut written);
+
+    // A sweep ends with lines of another form, the fitted slopes.
+    let measurements = stored.lines().filter(|line| line.starts_with(r#"{"plan""#));
+    for line in measurements {
+        let mut expected = BTreeSet::new();
+        key_paths(&serde_json::from_str(line).unwrap(), "", &mut expected);
+
+        let missing: Vec<_> = expected.difference(&written).collect();
+        assert!(missing.is_empty(), "{missing:?}");
+    }
+}
--- a/crates/cluster/src/register/tests.rs
+++ b/crates/cluster/src/register/tests.rs
@@ -63,7 +63,7 @@
 
 /// `cargo test -p rosewall-cluster --release -- --ignored ten_thousand`
 #[test]
-#[ignore = "by command"]
+#[ignore = "takes minutes: run by the command above after changes to the register"]
 fn ten_thousand_random_schedules_violate_nothing() {
     for seed in 0..10_000 {
         run_random_schedule(seed, replica_count_of(seed), 2_000);
--- a/crates/cluster/src/register/types.rs
+++ b/crates/cluster/src/register/types.rs
@@ -57,11 +57,14 @@
     /// The round.
     pub round: u64,
     /// The proposer.
+    #[serde(rename = "by")]
     pub replica: ReplicaId,
 }
 
 /// A document that an acceptor has accepted, and under which ballot.
+/// It is stored as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(from = "(Ballot, Rc<Document>)", into = "(Ballot, Rc<Document>)")]
 pub struct AcceptedValue {
     /// The ballot.
     pub ballot: Ballot,
@@ -69,6 +72,18 @@
     pub document: Rc<Document>,
 }
 
+impl From<(Ballot, Rc<Document>)> for AcceptedValue {
+    fn from((ballot, document): (Ballot, Rc<Document>)) -> Self {
+        AcceptedValue { ballot, document }
+    }
+}
+
+impl From<AcceptedValue> for (Ballot, Rc<Document>) {
+    fn from(accepted: AcceptedValue) -> Self {
+        (accepted.ballot, accepted.document)
+    }
+}
+
 /// What a replica has on its disk, complete at each moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PersistentState {
@@ -77,6 +92,7 @@
     /// The document that was accepted last.
     pub accepted: Option<AcceptedValue>,
     /// The newest document that is known to be chosen; the replica applies it.
+    #[serde(rename = "in_force")]
     pub committed: Rc<Document>,
 }
 
--- a/crates/cluster/src/simulated/tests/grants.rs
+++ b/crates/cluster/src/simulated/tests/grants.rs
@@ -226,7 +226,7 @@
 
 /// `cargo test -p rosewall-cluster --release -- --ignored ten_thousand`
 #[test]
-#[ignore = "by command"]
+#[ignore = "takes minutes: run by the command above after changes to leases or grants"]
 fn the_grants_used_in_a_window_never_exceed_the_budget_in_ten_thousand_scenarios() {
     let jobs = std::thread::available_parallelism().map_or(4, |n| n.get() as u64);
     std::thread::scope(|scope| {
--- a/crates/cluster/src/simulated/tests/membership.rs
+++ b/crates/cluster/src/simulated/tests/membership.rs
@@ -307,8 +307,8 @@
 /// Large ones by command: `cargo test -p rosewall-cluster --release -- --ignored`.
 #[test_case(10; "ten")]
 #[test_case(100; "a hundred")]
-#[test_case(300 => ignore["by command"]; "three hundred")]
-#[test_case(1000 => ignore["by command"]; "a thousand")]
+#[test_case(300 => ignore["takes minutes: run by the command above"]; "three hundred")]
+#[test_case(1000 => ignore["takes minutes: run by the command above"]; "a thousand")]
 fn the_bytes_that_a_member_sends_do_not_grow_with_the_cluster(count: usize) {
     let mut cluster = started(count, 1);
     let sent = |cluster: &SimulatedCluster| -> u64 {
