--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -8,13 +8,13 @@
 pub use error::ConfigError;
 pub use runtime_settings::{EndpointsMode, FINAL_ANSWERS_RESERVE, RuntimeSettings};
 
-use rosewall::pick;
 use rosewall::policy::Dispatcher;
+use rosewall::read_setting;
 use rosewall::types::Nanos;
 use rosewall_cluster::config::ClusterConfig;
 use rosewall_cluster::error::ClusterError;
 use rosewall_protocol::names::Names;
-use rosewall_settings::{Map, parse_settings};
+use rosewall_settings::{SettingsMap, parse_settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
     /// The settings that engine and runtime use.
     pub runtime: RuntimeSettings,
     /// All settings under the code's names, for the decisions.
-    pub settings: Map,
+    pub settings: SettingsMap,
 }
 
 impl Config {
@@ -149,7 +149,7 @@
     pub fn validate(&self) -> Result<(), ConfigError> {
         Dispatcher::start(0, self.seed, &self.settings)?;
         self.validate_deadlines()?;
-        EndpointsMode::parse(&pick::<String>(&self.settings, "endpoints.mode")?)?;
+        EndpointsMode::parse(&read_setting::<String>(&self.settings, "endpoints.mode")?)?;
         match &self.peer_load {
             Some(peer_load) => self.validate_peers(peer_load),
             None => Ok(()),
@@ -158,16 +158,16 @@
 
     /// The time for a shutdown follows from the deadlines, so that each class must have one.
     fn validate_deadlines(&self) -> Result<(), ConfigError> {
-        let classes: usize = pick(&self.settings, "class.count")?;
+        let classes: usize = read_setting(&self.settings, "class.count")?;
         for class in 0..classes {
-            pick::<Nanos>(&self.settings, &format!("class.{class}.deadline"))?;
+            read_setting::<Nanos>(&self.settings, &format!("class.{class}.deadline"))?;
         }
         Ok(())
     }
 
     fn validate_peers(&self, peer_load: &PeerLoadConfig) -> Result<(), ConfigError> {
-        let rank: usize = pick(&self.settings, "me")?;
-        let dispatchers: usize = pick(&self.settings, "dispatchers")?;
+        let rank: usize = read_setting(&self.settings, "me")?;
+        let dispatchers: usize = read_setting(&self.settings, "dispatchers")?;
         let addresses = peer_load.peers.len();
         if addresses != dispatchers {
             return Err(ConfigError::PeerCount {
@@ -186,7 +186,7 @@
     }
 }
 
-fn read_settings(settings: &Value) -> Map {
+fn read_settings(settings: &Value) -> SettingsMap {
     let pairs = settings_pairs::flatten(settings);
     parse_settings(
         pairs
@@ -196,7 +196,7 @@
 }
 
 /// Load reports need addresses to go to; the decisions must not count on reports that are never sent.
-fn disable_peer_load(settings: &mut Map) {
+fn disable_peer_load(settings: &mut SettingsMap) {
     let allowed = settings
         .get(PEER_LOAD_ALLOWED)
         .is_some_and(|allowed| allowed != "false");
@@ -208,7 +208,7 @@
     }
 }
 
-fn names(settings: &Map) -> Names {
+fn names(settings: &SettingsMap) -> Names {
     let numbered = |list: &str| {
         let name = |index: usize| settings.get(&format!("{list}.{index}.name")).cloned();
         (0..).map_while(name).collect()
--- a/crates/engine/src/config/runtime_settings.rs
+++ b/crates/engine/src/config/runtime_settings.rs
@@ -1,8 +1,8 @@
 //! The settings that engine and runtime use, read once.
 use super::ConfigError;
-use rosewall::pick;
+use rosewall::read_setting;
 use rosewall::types::Nanos;
-use rosewall_settings::Map;
+use rosewall_settings::SettingsMap;
 
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
@@ -60,8 +60,8 @@
 }
 
 impl RuntimeSettings {
-    pub(super) fn read(settings: &Map) -> Self {
-        let nanos = |name: &str| pick::<Nanos>(settings, name).ok();
+    pub(super) fn read(settings: &SettingsMap) -> Self {
+        let nanos = |name: &str| read_setting::<Nanos>(settings, name).ok();
         let report_fields = settings.get("report.wire_fields");
         let endpoints_mode = settings
             .get("endpoints.mode")
@@ -73,7 +73,7 @@
             slow_start_duration: nanos("slow_start.duration").unwrap_or(0),
             endpoints_mode: endpoints_mode.unwrap_or(EndpointsMode::Pushed),
             report_fields: report_fields.map_or_else(Vec::new, |fields| words(fields)),
-            rank: pick(settings, "me").ok(),
+            rank: read_setting(settings, "me").ok(),
         }
     }
 }
@@ -86,8 +86,9 @@
 }
 
 /// How long after the signal to stop all requests must be answered: the time before the kill, less the reserve.
-pub(super) fn shutdown_timeout(settings: &Map) -> Nanos {
-    let deadline = |class: usize| pick::<Nanos>(settings, &format!("class.{class}.deadline")).ok();
+pub(super) fn shutdown_timeout(settings: &SettingsMap) -> Nanos {
+    let deadline =
+        |class: usize| read_setting::<Nanos>(settings, &format!("class.{class}.deadline")).ok();
     let longest = (0..)
         .map_while(deadline)
         .max()
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -2,7 +2,7 @@
 use super::{Effect, Engine, Input};
 use crate::counters::Counters;
 use crate::endpoints::EndpointTable;
-use rosewall::Map;
+use rosewall::SettingsMap;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{EndpointState, Nanos, Outcome, RequestId};
 use rosewall_protocol::client::{Answer, ClientRequest};
@@ -35,8 +35,8 @@
     ("endpoints.mode", "pushed"),
 ];
 
-fn settings(idempotency: &str) -> Map {
-    let mut settings: Map = SETTINGS
+fn settings(idempotency: &str) -> SettingsMap {
+    let mut settings: SettingsMap = SETTINGS
         .iter()
         .map(|(name, value)| (name.to_string(), value.to_string()))
         .collect();
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -3,7 +3,7 @@
 //!
 //! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line cannot change it. A digest may
 //! only change together with an intended change of behaviour, which the commit then states.
-use rosewall::Map;
+use rosewall::SettingsMap;
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{FleetPosition, Nanos, Outcome, PeerLoad, RequestId, WorkerId};
@@ -32,7 +32,7 @@
     class.1.idempotency=idempotent-with-key class.1.retry_scope=zone class.1.retry_window=400000000 class.1.latency_objective=2e8 class.1.priority_weight=5 \
     class.2.idempotency=non-idempotent class.2.retry_scope=all class.2.retry_window=0 class.2.latency_objective=5e8 class.2.priority_weight=9";
 
-fn settings(overrides: &str) -> Map {
+fn settings(overrides: &str) -> SettingsMap {
     let text = format!("{SETTINGS} {overrides}");
     let pairs = text
         .split_whitespace()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' setting names and words, mapped to the names under which rosewall's programs read them. No other crate
 //! knows the operators' names; `docs/design.md` describes the settings.
-pub use rosewall::Map;
+pub use rosewall::SettingsMap;
 
 #[cfg(test)]
 mod tests;
@@ -99,9 +99,9 @@
 }
 
 /// The settings as a map under the programs' names, from pairs of path and value. Settings without a name are left out.
-pub fn parse_settings<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Map {
-    let mut map = Map::new();
-    let mut report_meanings = Map::new();
+pub fn parse_settings<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> SettingsMap {
+    let mut map = SettingsMap::new();
+    let mut report_meanings = SettingsMap::new();
     for (path, value) in pairs {
         if let Some(name) = find(SETTINGS, path) {
             map.insert(name.to_string(), translate(value).to_string());
@@ -150,7 +150,7 @@
 }
 
 /// Inserts one value for each class. A class's own setting has precedence.
-fn insert_class_values(map: &mut Map, name: &str, values: &str) {
+fn insert_class_values(map: &mut SettingsMap, name: &str, values: &str) {
     for (index, value) in values.split(',').enumerate() {
         map.entry(format!("class.{index}.{name}"))
             .or_insert_with(|| value.to_string());
@@ -164,7 +164,7 @@
 }
 
 /// Inserts a setting of an element. Elements of unknown lists are left out.
-fn insert_element_setting(map: &mut Map, element: &str, name: &str, value: &str) {
+fn insert_element_setting(map: &mut SettingsMap, element: &str, name: &str, value: &str) {
     let (list, index) = element.split_once('.').unwrap_or((element, ""));
     let value = if name == ELEMENT_NAME {
         value
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,6 +1,6 @@
-use super::{Map, operators_path, parse_settings};
+use super::{SettingsMap, operators_path, parse_settings};
 
-fn value<'a>(map: &'a Map, name: &str) -> Option<&'a str> {
+fn value<'a>(map: &'a SettingsMap, name: &str) -> Option<&'a str> {
     map.get(name).map(String::as_str)
 }
 
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -6,7 +6,7 @@
     AttemptEnded, Endpoint, EndpointState, Event, HealthChecked, ListScope, Outcome, PeerLoad,
     Report, Request, WorkerId,
 };
-use rosewall_settings::{Map, parse_settings};
+use rosewall_settings::{SettingsMap, parse_settings};
 
 /// The bit of a request that marks its hint as valid.
 const VALID_HINT: u16 = 1;
@@ -23,7 +23,7 @@
         /// The seed of its random numbers.
         seed: u64,
         /// Its settings, under their names in the decisions.
-        settings: Map,
+        settings: SettingsMap,
     },
     /// Stop the instance.
     Stop,
@@ -74,7 +74,7 @@
 }
 
 /// Reads settings of one `path=value` pair a line.
-fn settings(text: &str) -> Result<Map, RecordError> {
+fn settings(text: &str) -> Result<SettingsMap, RecordError> {
     let pairs = text
         .lines()
         .filter(|line| !line.is_empty())
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -5,7 +5,7 @@
 use crate::events::{self, Incoming};
 use rosewall::policy::Dispatcher;
 use rosewall::types::{Action, Event, Nanos};
-use rosewall_settings::Map;
+use rosewall_settings::SettingsMap;
 use rustc_hash::FxHashMap;
 
 /// The dispatchers that run, by their instance numbers.
@@ -62,7 +62,7 @@
         now: Nanos,
         instance: u32,
         seed: u64,
-        settings: &Map,
+        settings: &SettingsMap,
     ) -> Result<(), AdapterError> {
         let dispatcher = Dispatcher::start(now, seed, settings)?;
         self.dispatchers.insert(instance, dispatcher);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,4 +12,4 @@
 pub mod types;
 mod zones;
 
-pub use settings::{Map, SettingsError, pick};
+pub use settings::{SettingsError, SettingsMap, read_setting};
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,6 +1,6 @@
 //! The dispatcher: its state, its start, and which part of the decisions handles each event.
 use crate::pcg::Pcg;
-use crate::settings::{Map, Settings, SettingsError};
+use crate::settings::{Settings, SettingsError, SettingsMap};
 use crate::start_delays::StartDelays;
 use crate::state::{
     ActiveRequest, InterArrivalTimes, MAX_ATTEMPTS, RequestClass, RequestDemand, RequestInput,
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// When a required setting is missing, or a setting cannot be used.
-    pub fn start(now: Nanos, seed: u64, map: &Map) -> Result<Self, SettingsError> {
+    pub fn start(now: Nanos, seed: u64, map: &SettingsMap) -> Result<Self, SettingsError> {
         let class_settings = Settings::read_classes(map)?;
         let settings = Settings::read(map)?;
         let mut classes: Vec<RequestClass> =
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -1,6 +1,6 @@
 //! Fixtures of the tests of the decisions.
 use super::Dispatcher;
-use crate::settings::{Idempotency, Map};
+use crate::settings::{Idempotency, SettingsMap};
 use crate::start_delays::{AttemptId, SentAttempt};
 use crate::state::{ActiveRequest, RequestDemand};
 use crate::time::SECOND;
@@ -19,7 +19,7 @@
     class.2.idempotency=non-idempotent class.2.retry_scope=all class.2.retry_window=0 class.2.latency_objective=3e8 class.2.priority_weight=9 \
     class.0.objective_stretch=2 class.1.objective_stretch=2 class.2.objective_stretch=2";
 
-pub(crate) fn settings() -> Map {
+pub(crate) fn settings() -> SettingsMap {
     let pair = |word: &str| {
         word.split_once('=')
             .map(|(name, value)| (name.to_string(), value.to_string()))
@@ -216,7 +216,7 @@
         word.split_once('=')
             .map(|(name, value)| (name.to_string(), value.to_string()))
     };
-    let mut map: Map = GRANT_SETTINGS.split_whitespace().filter_map(pair).collect();
+    let mut map: SettingsMap = GRANT_SETTINGS.split_whitespace().filter_map(pair).collect();
     map.insert("dispatchers".into(), dispatchers.to_string());
     map.insert("me".into(), rank.to_string());
     let mut d = Dispatcher::start(0, 7, &map).unwrap();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -7,7 +7,7 @@
 mod tests;
 
 /// Settings by name; the decisions and the programs read from it what they need.
-pub type Map = BTreeMap<String, String>;
+pub type SettingsMap = BTreeMap<String, String>;
 
 /// A setting that cannot be used. The message names the setting.
 #[derive(Clone, Debug, Error, PartialEq)]
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// When the setting is missing or its value is not of the type.
-pub fn pick<T: FromStr>(map: &Map, name: &str) -> Result<T, SettingsError> {
+pub fn read_setting<T: FromStr>(map: &SettingsMap, name: &str) -> Result<T, SettingsError> {
     let value = map.get(name).ok_or_else(|| SettingsError::Missing {
         name: name.to_string(),
     })?;
@@ -56,19 +56,23 @@
 }
 
 /// Reads one setting that may be left out.
-fn pick_or<T: FromStr>(map: &Map, name: &str, default: T) -> Result<T, SettingsError> {
+fn read_setting_or<T: FromStr>(
+    map: &SettingsMap,
+    name: &str,
+    default: T,
+) -> Result<T, SettingsError> {
     if map.contains_key(name) {
-        pick(map, name)
+        read_setting(map, name)
     } else {
         Ok(default)
     }
 }
 
 /// Reads a number that is not negative; `true` counts as 1 and `false` as 0.
-fn pick_quantity(map: &Map, name: &'static str) -> Result<f64, SettingsError> {
-    let value = match pick::<bool>(map, name) {
+fn read_quantity(map: &SettingsMap, name: &'static str) -> Result<f64, SettingsError> {
+    let value = match read_setting::<bool>(map, name) {
         Ok(flag) => f64::from(flag),
-        Err(_) => pick::<f64>(map, name)?,
+        Err(_) => read_setting::<f64>(map, name)?,
     };
     if (0.0..1e18).contains(&value) {
         Ok(value)
@@ -97,8 +101,8 @@
 impl WeightBasis {
     const NAME: &str = "priority_weight.basis";
 
-    fn read(map: &Map) -> Result<Self, SettingsError> {
-        match pick_or(map, Self::NAME, "work".to_string())?.as_str() {
+    fn read(map: &SettingsMap) -> Result<Self, SettingsError> {
+        match read_setting_or(map, Self::NAME, "work".to_string())?.as_str() {
             "work" => Ok(WeightBasis::Work),
             "request" => Ok(WeightBasis::Request),
             other => Err(unreadable(Self::NAME, other)),
@@ -145,16 +149,16 @@
 }
 
 impl ClassSettings {
-    fn read(map: &Map, class_index: usize) -> Result<Self, SettingsError> {
+    fn read(map: &SettingsMap, class_index: usize) -> Result<Self, SettingsError> {
         let name = |part: &str| format!("class.{class_index}.{part}");
-        let latency_objective = pick(map, &name("latency_objective"))?;
-        let idempotency = match pick::<String>(map, &name("idempotency"))?.as_str() {
+        let latency_objective = read_setting(map, &name("latency_objective"))?;
+        let idempotency = match read_setting::<String>(map, &name("idempotency"))?.as_str() {
             "idempotent" => Idempotency::Idempotent,
             "idempotent-with-key" => Idempotency::IdempotentWithKey,
             "non-idempotent" => Idempotency::NonIdempotent,
             other => return Err(unreadable(&name("idempotency"), other)),
         };
-        let retry_scope = match pick::<String>(map, &name("retry_scope"))?.as_str() {
+        let retry_scope = match read_setting::<String>(map, &name("retry_scope"))?.as_str() {
             "all" => RetryScope::All,
             "zone" => RetryScope::Zone,
             _ => RetryScope::Group,
@@ -162,11 +166,11 @@
         Ok(ClassSettings {
             idempotency,
             retry_scope,
-            retry_window: pick(map, &name("retry_window"))?,
+            retry_window: read_setting(map, &name("retry_window"))?,
             latency_objective,
-            objective_stretch: pick_or(map, &name("objective_stretch"), 0.0)?,
-            priority_weight: pick(map, &name("priority_weight"))?,
-            worker_type: pick_or(map, &name("worker_type"), -1)?,
+            objective_stretch: read_setting_or(map, &name("objective_stretch"), 0.0)?,
+            priority_weight: read_setting(map, &name("priority_weight"))?,
+            worker_type: read_setting_or(map, &name("worker_type"), -1)?,
         })
     }
 
@@ -184,8 +188,8 @@
 }
 
 impl ReportFields {
-    fn read(map: &Map) -> Result<Self, SettingsError> {
-        let fields: String = pick(map, "report.fields")?;
+    fn read(map: &SettingsMap) -> Result<Self, SettingsError> {
+        let fields: String = read_setting(map, "report.fields")?;
         let position = |name: &str| fields.split(',').position(|field| field == name);
         Ok(ReportFields {
             free_slots: position("free-slots"),
@@ -227,33 +231,33 @@
 
 impl Settings {
     /// Reads and checks the settings of a dispatcher.
-    pub(crate) fn read(map: &Map) -> Result<Self, SettingsError> {
+    pub(crate) fn read(map: &SettingsMap) -> Result<Self, SettingsError> {
         let settings = Settings {
-            rank: pick_quantity(map, "me")?,
-            max_retry_after: pick_quantity(map, "retry_after.allowed")?
-                * pick_quantity(map, "retry_after.max")?,
-            reports_starts: pick_quantity(map, "start_notes")? > 0.0,
-            slow_start_initial: pick_quantity(map, "slow_start.from")?,
-            slow_start_duration: pick_quantity(map, "slow_start.duration")?,
-            overload_multiple: pick_quantity(map, "overload.multiple")?,
-            overload_window: pick_quantity(map, "overload.window")?,
+            rank: read_quantity(map, "me")?,
+            max_retry_after: read_quantity(map, "retry_after.allowed")?
+                * read_quantity(map, "retry_after.max")?,
+            reports_starts: read_quantity(map, "start_notes")? > 0.0,
+            slow_start_initial: read_quantity(map, "slow_start.from")?,
+            slow_start_duration: read_quantity(map, "slow_start.duration")?,
+            overload_multiple: read_quantity(map, "overload.multiple")?,
+            overload_window: read_quantity(map, "overload.window")?,
             report_fields: ReportFields::read(map)?,
-            dispatchers: pick::<f64>(map, "dispatchers")?.max(1.0),
-            exchanges_load: pick_or(map, "peer_load.allowed", false)?,
-            uses_warm_up_grants: pick_or(map, "warm_up_grants", false)?,
-            max_attempts: pick(map, "attempts.max")?,
-            polls_endpoints: pick::<String>(map, "endpoints.mode")? == "polled",
-            fifo_workers: pick_or(map, "queue.order", "fifo".to_string())? == "fifo",
+            dispatchers: read_setting::<f64>(map, "dispatchers")?.max(1.0),
+            exchanges_load: read_setting_or(map, "peer_load.allowed", false)?,
+            uses_warm_up_grants: read_setting_or(map, "warm_up_grants", false)?,
+            max_attempts: read_setting(map, "attempts.max")?,
+            polls_endpoints: read_setting::<String>(map, "endpoints.mode")? == "polled",
+            fifo_workers: read_setting_or(map, "queue.order", "fifo".to_string())? == "fifo",
             weight_basis: WeightBasis::read(map)?,
-            zone: pick_or(map, "zone", 0)?,
+            zone: read_setting_or(map, "zone", 0)?,
         };
         settings.check_rank()?;
         Ok(settings)
     }
 
     /// Reads the settings of all classes.
-    pub(crate) fn read_classes(map: &Map) -> Result<Vec<ClassSettings>, SettingsError> {
-        let count: usize = pick(map, "class.count")?;
+    pub(crate) fn read_classes(map: &SettingsMap) -> Result<Vec<ClassSettings>, SettingsError> {
+        let count: usize = read_setting(map, "class.count")?;
         (0..count)
             .map(|class_index| ClassSettings::read(map, class_index))
             .collect()
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,8 +1,8 @@
-use super::{Map, Settings, SettingsError, pick};
+use super::{Settings, SettingsError, SettingsMap, read_setting};
 use crate::policy::test_support::settings;
 use test_case::test_case;
 
-fn settings_with(name: &str, value: &str) -> Map {
+fn settings_with(name: &str, value: &str) -> SettingsMap {
     let mut map = settings();
     map.insert(name.into(), value.into());
     map
@@ -33,7 +33,7 @@
 #[test]
 fn a_missing_setting_is_named() {
     assert_eq!(
-        pick::<usize>(&Map::new(), "class.count"),
+        read_setting::<usize>(&SettingsMap::new(), "class.count"),
         Err(SettingsError::Missing {
             name: "class.count".into()
         })
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -2,7 +2,7 @@
 //!
 //! Actions enter the digest as numbers, so renaming a type or rewording a log line cannot change it. A digest may only
 //! change together with an intended change of behaviour, which the commit then states.
-use rosewall::Map;
+use rosewall::SettingsMap;
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
 use rosewall::types::{
@@ -26,7 +26,7 @@
     class.0.objective_stretch=2 class.1.objective_stretch=2";
 
 /// The base settings with some of them replaced.
-fn settings(overrides: &str) -> Map {
+fn settings(overrides: &str) -> SettingsMap {
     let text = format!("{BASE_SETTINGS} {overrides}");
     let pairs = text
         .split_whitespace()
@@ -64,7 +64,7 @@
 
 /// A model of clients, workers, discovery and peers, driven by one seed.
 struct Model {
-    settings: Map,
+    settings: SettingsMap,
     dispatcher: Dispatcher,
     chance: Pcg,
     now: Nanos,
@@ -78,7 +78,7 @@
 }
 
 impl Model {
-    fn new(settings: Map, seed: u64) -> Self {
+    fn new(settings: SettingsMap, seed: u64) -> Self {
         let dispatcher = Dispatcher::start(SECOND, seed, &settings).expect("valid settings");
         let mut model = Model {
             settings,
