--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -156,7 +156,7 @@
         let completed = Nanos::from(age) * AGE_UNIT * Nanos::from(load.half_slots) / 2 / WORK_UNIT;
         load.work_units = load.work_units.saturating_sub(completed.min(65_535) as u16);
         let reporter = self.reporters.entry(from.clone()).or_default();
-        let silent = load.speed_code == PeerLoad::SPEED_SILENT;
+        let silent = load.speed_code == PeerLoad::SPEED_UNRESPONSIVE;
         let silent_workers = reporter.record(now, load.worker, silent);
         if silent
             && silent_workers > reporter.max_silent()
--- a/crates/cluster/src/peer_load/tests.rs
+++ b/crates/cluster/src/peer_load/tests.rs
@@ -16,14 +16,14 @@
 pub fn one_members_reports_silence_few_workers_only() {
     let (mut receiver, name) = (LoadReceiver::default(), Name::from("n1"));
     let silent = |worker: u8| PeerLoad {
-        speed_code: PeerLoad::SPEED_SILENT,
+        speed_code: PeerLoad::SPEED_UNRESPONSIVE,
         ..load(worker, 10)
     };
 
     let believed = (0..40)
         .filter(|worker| {
             let load = receiver.receive(1, &name, silent(*worker), 0);
-            load.speed_code == PeerLoad::SPEED_SILENT
+            load.speed_code == PeerLoad::SPEED_UNRESPONSIVE
         })
         .count();
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -198,7 +198,7 @@
             active.cancel_unsent(|_| true, effects);
         }
         self.counters.clients_disconnected.add();
-        self.decide(now, Event::ClientGone { request_id }, effects);
+        self.decide(now, Event::ClientDisconnected { request_id }, effects);
         self.requests.remove_if_complete(request_id);
     }
 
--- a/crates/engine/src/engine/deadlines.rs
+++ b/crates/engine/src/engine/deadlines.rs
@@ -70,7 +70,7 @@
         );
         if is_overdue {
             self.answer(request_id, Answer::Failed, effects);
-            self.decide(now, Event::ClientGone { request_id }, effects);
+            self.decide(now, Event::ClientDisconnected { request_id }, effects);
             self.requests.remove_if_complete(request_id);
         }
     }
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -2,7 +2,7 @@
 use crate::checker::Rule;
 use crate::generate::generate;
 use crate::simulation::{Trace, play};
-use rosewall::mutation::{ALL, Mutation, activate};
+use rosewall::mutation::{DISPATCHER, Mutation, activate};
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -72,5 +72,5 @@
 
 /// All mutations.
 pub fn all() -> &'static [Mutation] {
-    ALL
+    DISPATCHER
 }
--- a/src/mutation.rs
+++ b/src/mutation.rs
@@ -123,7 +123,7 @@
 ];
 
 /// The mutations of one dispatcher. The simulation finds them.
-pub const ALL: &[Mutation] = &[
+pub const DISPATCHER: &[Mutation] = &[
     Mutation::RetryNonIdempotent,
     Mutation::IgnoreRetryWindow,
     Mutation::IgnoreDraining,
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -126,8 +126,8 @@
                 request_id,
                 attempt_index,
             } => self.on_attempt_started(now, request_id, attempt_index, actions),
-            Event::StreamStarted { request_id } | Event::ClientGone { request_id } => {
-                self.apply_input(now, request_id, RequestInput::ClientGone, actions)
+            Event::StreamStarted { request_id } | Event::ClientDisconnected { request_id } => {
+                self.apply_input(now, request_id, RequestInput::ClientDisconnected, actions)
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end, actions),
             // No decision asks for health checks: attempts themselves show a worker's health. The simulator's protocol
--- a/src/policy/dispatcher/tests/rules.rs
+++ b/src/policy/dispatcher/tests/rules.rs
@@ -148,7 +148,7 @@
             );
             if draw < 0.01 && record.answers == 0 && now < record.deadline {
                 record.answers += 1;
-                events.push(Event::ClientGone {
+                events.push(Event::ClientDisconnected {
                     request_id: *request_id,
                 });
             } else if !record.in_flight.is_empty() {
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -4,7 +4,7 @@
 use crate::mutation::{Mutation, is_active};
 use crate::settings::Idempotency::{self, Idempotent, IdempotentWithKey, NonIdempotent};
 use crate::state::RequestInput::{
-    self, AttemptSent, ClientGone, GivenUp, MayHaveRun, NotRun, Succeeded,
+    self, AttemptSent, ClientDisconnected, GivenUp, MayHaveRun, NotRun, Succeeded,
 };
 use crate::state::RequestState::{
     self, Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight,
@@ -73,7 +73,7 @@
     transition(&[InFlight], MayHaveRun, &[NonIdempotent], Completed, Fail),
     transition(&[Pending], GivenUp, ANY, Completed, Reject),
     transition(NOT_REJECTABLE, GivenUp, ANY, Completed, Fail),
-    transition(ACTIVE, ClientGone, ANY, Completed, Nothing),
+    transition(ACTIVE, ClientDisconnected, ANY, Completed, Nothing),
 ];
 
 /// The next state of a request, and what has to be done.
--- a/src/policy/lifecycle/tests.rs
+++ b/src/policy/lifecycle/tests.rs
@@ -17,7 +17,7 @@
 #[test_case(InFlight, RequestInput::GivenUp, Idempotent => (Completed, RequestStep::Fail); "deadline with an attempt in flight")]
 #[test_case(Completed, RequestInput::Succeeded, Idempotent => (Completed, RequestStep::Nothing); "second outcome")]
 #[test_case(Completed, RequestInput::MayHaveRun, NonIdempotent => (Completed, RequestStep::Nothing); "late outcome")]
-#[test_case(Completed, RequestInput::ClientGone, IdempotentWithKey => (Completed, RequestStep::Nothing); "client gone after the end")]
+#[test_case(Completed, RequestInput::ClientDisconnected, IdempotentWithKey => (Completed, RequestStep::Nothing); "client gone after the end")]
 fn the_state_table_allows_only_safe_retries(
     state: RequestState,
     input: RequestInput,
--- a/src/policy/peer_load.rs
+++ b/src/policy/peer_load.rs
@@ -46,7 +46,7 @@
     fn load_report(&self, reason: ReportReason) -> PeerLoad {
         let observed = self.observed_service_time_factor();
         let speed_code = if reason == ReportReason::UnresponsiveWorker {
-            PeerLoad::SPEED_SILENT
+            PeerLoad::SPEED_UNRESPONSIVE
         } else if observed.samples > 0.0 {
             PeerLoad::encode_speed(observed.factor)
         } else {
@@ -64,7 +64,7 @@
         };
         let worker = &mut self.workers[index];
         worker.record_peer_load(now, from, load);
-        let is_unresponsive = load.speed_code == PeerLoad::SPEED_SILENT;
+        let is_unresponsive = load.speed_code == PeerLoad::SPEED_UNRESPONSIVE;
         if is_unresponsive && worker.last_response_at + RECENT_RESPONSE < now {
             worker
                 .failure_score
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -44,7 +44,7 @@
 
 #[test_case(PeerLoad::SPEED_UNKNOWN => (100, 0); "nothing known")]
 #[test_case(PeerLoad::encode_speed(4.0) => (200, 0); "a factor counts as one request")]
-#[test_case(PeerLoad::SPEED_SILENT => (100, 80); "unresponsive counts as an own failure")]
+#[test_case(PeerLoad::SPEED_UNRESPONSIVE => (100, 80); "unresponsive counts as an own failure")]
 fn a_peers_experience_with_a_worker_counts(speed_code: u8) -> (i64, i64) {
     let mut d = exchanging_dispatcher(3, 2);
     let load = PeerLoad {
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -37,7 +37,7 @@
     /// No further attempt is made.
     GivenUp,
     /// The client has disconnected, or its answer has begun.
-    ClientGone,
+    ClientDisconnected,
 }
 
 /// What follows from an input.
--- a/src/types.rs
+++ b/src/types.rs
@@ -140,7 +140,7 @@
     pub half_slots: u8,
     /// The work left, in units of [`PeerLoad::WORK_UNIT`].
     pub work_units: u16,
-    /// How the worker runs the sender's own requests: [`PeerLoad::SPEED_UNKNOWN`], [`PeerLoad::SPEED_SILENT`], else the
+    /// How the worker runs the sender's own requests: [`PeerLoad::SPEED_UNKNOWN`], [`PeerLoad::SPEED_UNRESPONSIVE`], else the
     /// service-time factor in 32nds of an octave around 128.
     pub speed_code: u8,
 }
@@ -149,7 +149,7 @@
     /// Nothing is known of the worker's speed.
     pub const SPEED_UNKNOWN: u8 = 0;
     /// The worker does not respond.
-    pub const SPEED_SILENT: u8 = 1;
+    pub const SPEED_UNRESPONSIVE: u8 = 1;
     /// The unit of `work_units`, in nanoseconds of one slot.
     pub const WORK_UNIT: f64 = 16e6;
 
@@ -175,7 +175,7 @@
 
     /// The service-time factor, if it is known.
     pub fn service_time_factor(&self) -> Option<f64> {
-        (self.speed_code > PeerLoad::SPEED_SILENT).then(|| {
+        (self.speed_code > PeerLoad::SPEED_UNRESPONSIVE).then(|| {
             ((f64::from(self.speed_code) - PeerLoad::SPEED_CODE_OF_ONE)
                 / PeerLoad::SPEED_CODES_PER_OCTAVE)
                 .exp2()
@@ -261,7 +261,7 @@
         until: Nanos,
     },
     /// The client has disconnected.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request_id: RequestId,
     },
--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -408,7 +408,7 @@
                 worker,
             } => self.end(request, attempt, worker),
             Next::Disconnect(request) if request % 2 == 0 => {
-                self.feed(Event::ClientGone {
+                self.feed(Event::ClientDisconnected {
                     request_id: request,
                 });
             }
