--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,6 +1,6 @@
 //! The dispatcher: its state, its start, and which part of the decisions handles each event.
 use crate::pcg::Pcg;
-use crate::settings::{Map, Settings, SettingsError};
+use crate::settings::{Settings, SettingsError, SettingsMap};
 use crate::start_delays::StartDelays;
 use crate::state::{
     ActiveRequest, InterArrivalTimes, MAX_ATTEMPTS, RequestClass, RequestDemand, RequestInput,
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// When a required setting is missing, or a setting cannot be used.
-    pub fn start(now: Nanos, seed: u64, map: &Map) -> Result<Self, SettingsError> {
+    pub fn start(now: Nanos, seed: u64, map: &SettingsMap) -> Result<Self, SettingsError> {
         let class_settings = Settings::read_classes(map)?;
         let settings = Settings::read(map)?;
         let mut classes: Vec<RequestClass> =
@@ -126,8 +126,8 @@
                 request_id,
                 attempt_index,
             } => self.on_attempt_started(now, request_id, attempt_index, actions),
-            Event::StreamStarted { request_id } | Event::ClientGone { request_id } => {
-                self.apply_input(now, request_id, RequestInput::ClientGone, actions)
+            Event::StreamStarted { request_id } | Event::ClientDisconnected { request_id } => {
+                self.apply_input(now, request_id, RequestInput::ClientDisconnected, actions)
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end, actions),
             // No decision asks for health checks: attempts themselves show a worker's health. The simulator's protocol
