--- a/crates/cluster/src/cluster/fleet_view.rs
+++ b/crates/cluster/src/cluster/fleet_view.rs
@@ -17,7 +17,7 @@
     /// Derives the fleet view anew, and notifies the decisions if it has changed.
     pub(super) fn update_fleet_view(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.next_view_at = now + VIEW_INTERVAL;
-        let position = if self.membership.is_standby() || !self.membership.has_met_peers() {
+        let position = if self.membership.is_standby() || !self.membership.has_had_peers() {
             self.members_by_rank.clear();
             self.view_is_stale = false;
             None
@@ -58,7 +58,7 @@
                 *name = claim.name.clone();
             }
         }
-        self.membership.settle_rank(now, rank);
+        self.membership.claim_stable_rank(now, rank);
         // Checked again until the rank is claimed.
         self.view_is_stale = self.membership.own_record().claimed_rank != rank;
         if self.view_is_stale {
--- a/crates/cluster/src/grants/issuer.rs
+++ b/crates/cluster/src/grants/issuer.rs
@@ -12,7 +12,7 @@
 /// between distant sites.
 const MAX_VALIDITY: Nanos = 100 * MILLISECOND;
 /// How many answered requests of one process are remembered.
-const REMEMBERED_REQUESTS: usize = 64;
+const MAX_TRACKED_REQUESTS: usize = 64;
 
 /// The process that requests a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -118,7 +118,7 @@
             return None;
         }
         answered.push_back(request.seq);
-        if answered.len() > REMEMBERED_REQUESTS {
+        if answered.len() > MAX_TRACKED_REQUESTS {
             answered.pop_front();
         }
         while budget
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -31,14 +31,14 @@
 impl LeaseVoter {
     /// A voter that starts now.
     pub fn new(now: Nanos) -> Self {
-        let silence = if is_active(Mutation::ForgetLeasePromise) {
+        let withheld_for = if is_active(Mutation::ForgetLeasePromise) {
             0
         } else {
             with_drift_margin(LEASE_DURATION)
         };
         LeaseVoter {
             promised_to: None,
-            promised_until: now + silence,
+            promised_until: now + withheld_for,
         }
     }
 
--- a/crates/cluster/src/membership/anti_entropy.rs
+++ b/crates/cluster/src/membership/anti_entropy.rs
@@ -12,13 +12,13 @@
 /// How long dead members are remembered, so that old updates do not bring them back.
 const DEAD_RETENTION: Nanos = 600_000 * MILLISECOND;
 /// How often seeds are contacted while no other member is known.
-const SEED_INTERVAL_ALONE: Nanos = 500 * MILLISECOND;
+const ISOLATED_SEED_INTERVAL: Nanos = 500 * MILLISECOND;
 /// How often seeds that are not known as members are contacted later.
 const SEED_INTERVAL: Nanos = 5_000 * MILLISECOND;
 /// The least time between two page requests.
 const PAGE_INTERVAL: Nanos = 300 * MILLISECOND;
 /// The same while more than a page is missing, as when all members start.
-const PAGE_INTERVAL_BEHIND: Nanos = 60 * MILLISECOND;
+const CATCH_UP_PAGE_INTERVAL: Nanos = 60 * MILLISECOND;
 /// The number of records of a page.
 const PAGE_RECORDS: usize = 26;
 
@@ -61,7 +61,7 @@
         }
         let is_far_behind = usize::from(count).abs_diff(self.count()) > PAGE_RECORDS;
         let interval = if is_far_behind {
-            PAGE_INTERVAL_BEHIND
+            CATCH_UP_PAGE_INTERVAL
         } else {
             PAGE_INTERVAL
         };
@@ -124,15 +124,15 @@
         if now < self.anti_entropy.next_seed_at {
             return;
         }
-        let alone = self.live_others().next().is_none();
-        let interval = if alone {
-            SEED_INTERVAL_ALONE
+        let isolated = self.live_others().next().is_none();
+        let interval = if isolated {
+            ISOLATED_SEED_INTERVAL
         } else {
             SEED_INTERVAL
         };
         self.anti_entropy.next_seed_at = now + interval;
         let is_known = |seed: &SocketAddr| self.live_others().any(|record| record.addr == *seed);
-        for seed in self.seeds.iter().filter(|seed| alone || !is_known(seed)) {
+        for seed in self.seeds.iter().filter(|seed| isolated || !is_known(seed)) {
             out.send(*seed, vec![Part::PageRequest { offset: 0 }]);
         }
     }
--- a/crates/cluster/src/membership/duplicate_name.rs
+++ b/crates/cluster/src/membership/duplicate_name.rs
@@ -15,7 +15,7 @@
 /// Another process of this member's name.
 struct OtherProcess {
     addr: SocketAddr,
-    last_heard: Nanos,
+    last_received_at: Nanos,
 }
 
 /// Whether this process is on standby, and for whom.
@@ -47,7 +47,7 @@
         let Some(other) = &self.standby.other else {
             return;
         };
-        if now >= other.last_heard + STANDBY_TIMEOUT {
+        if now >= other.last_received_at + STANDBY_TIMEOUT {
             self.standby.other = None;
             self.own.generation = self.own.generation.max(now);
             self.changes.push(Change::DuplicateNameGone);
@@ -112,7 +112,7 @@
         }
         self.standby.other = Some(OtherProcess {
             addr,
-            last_heard: now,
+            last_received_at: now,
         });
     }
 }
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -65,7 +65,7 @@
     fn add_member(&mut self, now: Nanos, record: MemberRecord) {
         let suspect_until = now + self.suspicion_timeout(0);
         let name = record.name.clone();
-        self.has_met_peers = true;
+        self.has_had_peers = true;
         self.changes.push(Change::Joined(name.clone()));
         self.suspect_previous_at_address(now, &record);
         self.view.replace(None, &record);
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -125,7 +125,7 @@
     last_active: Nanos,
     leaving: bool,
     /// Whether it ever knew another member.
-    has_met_peers: bool,
+    has_had_peers: bool,
     rng: Pcg,
     changes: Vec<Change>,
     /// Counters since the start.
@@ -167,7 +167,7 @@
             },
             last_active: now,
             leaving: false,
-            has_met_peers: false,
+            has_had_peers: false,
             rng,
             changes: Vec::new(),
             counts: MembershipCounts::default(),
@@ -185,8 +185,8 @@
     }
 
     /// Whether this process ever knew another member.
-    pub fn has_met_peers(&self) -> bool {
-        self.has_met_peers
+    pub fn has_had_peers(&self) -> bool {
+        self.has_had_peers
     }
 
     /// Another member by its name.
@@ -208,7 +208,7 @@
     }
 
     /// Claims the rank that follows from the view, once it has been the same for some time.
-    pub fn settle_rank(&mut self, now: Nanos, rank: u16) {
+    pub fn claim_stable_rank(&mut self, now: Nanos, rank: u16) {
         if self.rank.rank != rank {
             self.rank = RankCandidate { rank, since: now };
         } else if self.own.claimed_rank != rank && now >= self.rank.since + RANK_SETTLE_TIME {
@@ -232,12 +232,12 @@
             gossip,
         ];
         // Early enough that a process that runs does not look paused.
-        let activity = self.last_active + PAUSE_THRESHOLD / 2;
+        let activity_timeout = self.last_active + PAUSE_THRESHOLD / 2;
         optional
             .into_iter()
             .flatten()
             .chain(self.anti_entropy.timeouts())
-            .fold(activity, Nanos::min)
+            .fold(activity_timeout, Nanos::min)
     }
 
     /// Does what is due by now.
--- a/crates/cluster/src/membership/probing.rs
+++ b/crates/cluster/src/membership/probing.rs
@@ -13,7 +13,7 @@
 /// The same where round trips are longer, so that an indirect answer arrives in the same period.
 const MAX_PROBE_TIMEOUT: Nanos = 4 * PROBE_PERIOD / 5;
 /// How many probes are remembered, to measure round trips that end after their period.
-const REMEMBERED_PROBES: usize = 16;
+const MAX_TRACKED_PROBES: usize = 16;
 /// How many members are asked for an indirect ping (the paper's k).
 const INDIRECT_PROBES: usize = 3;
 /// The upper bound of Lifeguard's local health score.
@@ -30,7 +30,7 @@
     /// When indirect pings are sent, unless they were.
     indirect_at: Option<Nanos>,
     /// How many helpers were asked and have not yet sent a nack.
-    silent_helpers: usize,
+    unresponsive_helpers: usize,
 }
 
 struct SentProbe {
@@ -98,7 +98,7 @@
 
     pub(super) fn handle_nack(&mut self, seq: u32) {
         if let Some(probe) = self.current.as_mut().filter(|probe| probe.seq == seq) {
-            probe.silent_helpers = probe.silent_helpers.saturating_sub(1);
+            probe.unresponsive_helpers = probe.unresponsive_helpers.saturating_sub(1);
         }
     }
 
@@ -159,14 +159,14 @@
             name: name.clone(),
             sent_at: now,
         });
-        if self.recent.len() > REMEMBERED_PROBES {
+        if self.recent.len() > MAX_TRACKED_PROBES {
             self.recent.pop_front();
         }
         self.current = Some(Probe {
             seq,
             name,
             indirect_at: Some(now + self.probe_timeout() * self.health_multiplier()),
-            silent_helpers: 0,
+            unresponsive_helpers: 0,
         });
     }
 
@@ -225,7 +225,7 @@
         let helpers = self.random_peers(INDIRECT_PROBES, Some(&target));
         if let Some(probe) = &mut self.probing.current {
             probe.indirect_at = None;
-            probe.silent_helpers = helpers.len();
+            probe.unresponsive_helpers = helpers.len();
         }
         for helper in helpers {
             out.send(helper, vec![ping.clone()]);
@@ -296,7 +296,7 @@
         };
         // If no helper answers at all, the fault may be on this side; a single one may be dead as well.
         let helpers = INDIRECT_PROBES.min(self.count().saturating_sub(2));
-        if probe.silent_helpers > 0 && probe.silent_helpers == helpers {
+        if probe.unresponsive_helpers > 0 && probe.unresponsive_helpers == helpers {
             self.probing.degrade_local_health();
         }
         let Some(member) = self.members.get(&probe.name) else {
--- a/crates/cluster/src/register/mod.rs
+++ b/crates/cluster/src/register/mod.rs
@@ -31,7 +31,7 @@
 use types::{PendingWrite, Proposal};
 
 /// A replica that has accepted what it does not know to be chosen finds out after this and up to as much again.
-const SETTLE_DELAY: Nanos = 1_000 * MILLISECOND;
+const RESOLVE_DELAY: Nanos = 1_000 * MILLISECOND;
 
 /// One replica: proposer, acceptor and learner.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
     highest_round: u64,
     last_serial: u64,
     pending_writes: Vec<PendingWrite>,
-    settle_at: Nanos,
+    resolve_at: Nanos,
     rng: Pcg,
     /// How many writes failed.
     pub failed_writes: u64,
@@ -79,12 +79,12 @@
             proposal: None,
             last_serial: 0,
             pending_writes: Vec::new(),
-            settle_at: now,
+            resolve_at: now,
             rng: Pcg::new(seed),
             failed_writes: 0,
             malformed: 0,
         };
-        register.settle_at = register.with_jitter(now, SETTLE_DELAY);
+        register.resolve_at = register.with_jitter(now, RESOLVE_DELAY);
         register
     }
 
@@ -105,7 +105,7 @@
     pub fn next_timeout(&self) -> Option<Nanos> {
         match &self.proposal {
             Some(proposal) => Some(proposal.retry_at),
-            None => self.has_unconfirmed().then_some(self.settle_at),
+            None => self.has_unconfirmed().then_some(self.resolve_at),
         }
     }
 
@@ -128,7 +128,7 @@
             }
             Message::Accept { ballot, document } => {
                 self.highest_round = self.highest_round.max(ballot.round);
-                self.settle_at = self.with_jitter(now, SETTLE_DELAY);
+                self.resolve_at = self.with_jitter(now, RESOLVE_DELAY);
                 self.handle_accept(from, ballot, document, effects);
             }
             // The next round is above it.
--- a/crates/cluster/src/register/proposer.rs
+++ b/crates/cluster/src/register/proposer.rs
@@ -1,8 +1,8 @@
 //! The proposer: carries one change at a time through rounds of two phases.
 use super::types::{Operation, Phase, Proposal, ReplicaSet};
 use super::{
-    AcceptedValue, Ballot, Document, Effect, MAX_DOCUMENT_BYTES, Message, Outcome, Register,
-    ReplicaId, SETTLE_DELAY,
+    AcceptedValue, Ballot, Document, Effect, MAX_DOCUMENT_BYTES, Message, Outcome, RESOLVE_DELAY,
+    Register, ReplicaId,
 };
 use crate::time::MILLISECOND;
 use rosewall::mutation::{Mutation, is_active};
@@ -51,9 +51,9 @@
                 let (operation, deadline) = (proposal.operation.clone(), proposal.deadline);
                 self.start_round(now, operation, deadline, effects);
             }
-            None if self.has_unconfirmed() && now >= self.settle_at => {
-                self.settle_at = self.with_jitter(now, SETTLE_DELAY);
-                self.start_round(now, Operation::Settle, now + PROPOSAL_TIMEOUT, effects);
+            None if self.has_unconfirmed() && now >= self.resolve_at => {
+                self.resolve_at = self.with_jitter(now, RESOLVE_DELAY);
+                self.start_round(now, Operation::Resolve, now + PROPOSAL_TIMEOUT, effects);
             }
             _ => {}
         }
@@ -173,7 +173,7 @@
 fn choose(operation: &Operation, current: Rc<Document>) -> Choice {
     let version = current.version;
     match operation {
-        Operation::Settle => Choice {
+        Operation::Resolve => Choice {
             document: current,
             outcome: Outcome::Unknown,
         },
--- a/crates/cluster/src/register/types.rs
+++ b/crates/cluster/src/register/types.rs
@@ -219,7 +219,7 @@
     /// Replaces the document of this version.
     Put { based_on: u64, text: Rc<str> },
     /// Only finds out what is chosen.
-    Settle,
+    Resolve,
 }
 
 impl Operation {
