--- a/crates/cluster/src/config/tests.rs
+++ b/crates/cluster/src/config/tests.rs
@@ -51,6 +51,6 @@
 #[test_case("keeper", Some("keepers"))]
 #[test_case("clock_ms", Some("clocks_ms"))]
 #[test_case("zzz", None)]
-fn the_key_that_was_meant_is_suggested(word: &str, meant: Option<&str>) {
+fn the_nearest_known_key_is_suggested(word: &str, meant: Option<&str>) {
     assert_eq!(nearest(word, &["seeds", "keepers", "clocks_ms"]), meant);
 }
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_encoded_datagram_decodes_to_the_same_and_other_bytes_to_an_error() {
+fn encoding_round_trips_and_altered_bytes_are_rejected() {
     let parts = one_part_of_each_kind();
     let bytes = encoded(77, &parts);
 
--- a/crates/cluster/src/lease/tests.rs
+++ b/crates/cluster/src/lease/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-pub fn one_vote_of_three_makes_no_lease_and_a_late_vote_no_longer_one() {
+pub fn a_lease_needs_a_majority_and_a_late_vote_does_not_extend_it() {
     let (a, b): (Name, Name) = ("a".into(), "b".into());
     let mut candidate = LeaseCandidate::default();
     let seq = candidate.start_round(0, Candidacy::Preferred).unwrap();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-pub fn a_voter_promises_nothing_while_an_earlier_promise_may_hold() {
+pub fn a_voter_withholds_its_vote_while_an_earlier_promise_may_be_valid() {
     let (a, b) = (process("a"), process("b"));
     let mut voter = LeaseVoter::new(0);
 
--- a/crates/cluster/src/peer_load/tests.rs
+++ b/crates/cluster/src/peer_load/tests.rs
@@ -13,21 +13,21 @@
 }
 
 #[test]
-pub fn one_members_reports_silence_few_workers_only() {
+pub fn silence_reports_by_one_member_count_for_few_workers() {
     let (mut receiver, name) = (LoadReceiver::default(), Name::from("n1"));
     let silent = |worker: u8| PeerLoad {
         speed_code: PeerLoad::SPEED_SILENT,
         ..load(worker, 10)
     };
 
-    let believed = (0..40)
+    let counted = (0..40)
         .filter(|worker| {
             let load = receiver.receive(1, &name, silent(*worker), 0);
             load.speed_code == PeerLoad::SPEED_SILENT
         })
         .count();
 
-    assert!((2..=10).contains(&believed), "{believed} of 40");
+    assert!((2..=10).contains(&counted), "{counted} of 40");
     assert!(receiver.ignored_silence > 0);
 }
 
--- a/crates/cluster/src/ranks/tests.rs
+++ b/crates/cluster/src/ranks/tests.rs
@@ -18,7 +18,7 @@
 }
 
 /// How many members with a claim were assigned another rank than they claim.
-fn moved(claims: &[RankClaim]) -> usize {
+fn count_moved(claims: &[RankClaim]) -> usize {
     let ranks = assign_ranks(claims);
     let pairs = ranks.iter().zip(claims);
     pairs
@@ -43,11 +43,11 @@
 
         let mut fewer = all.clone();
         fewer.remove(index % count);
-        prop_assert!(moved(&fewer) <= 1);
+        prop_assert!(count_moved(&fewer) <= 1);
 
         let mut more = all.clone();
         more.insert(index % count, claim(format!("n{:03}x", index % count), NO_RANK));
         more.sort();
-        prop_assert_eq!(moved(&more), 0);
+        prop_assert_eq!(count_moved(&more), 0);
     }
 }
--- a/crates/cluster/src/register/test_replicas.rs
+++ b/crates/cluster/src/register/test_replicas.rs
@@ -77,7 +77,7 @@
     seed: u64,
 }
 
-type Act<'a> = Box<dyn FnOnce(&mut Register, Nanos, &mut Vec<Effect>) + 'a>;
+type Action<'a> = Box<dyn FnOnce(&mut Register, Nanos, &mut Vec<Effect>) + 'a>;
 
 impl TestReplicas {
     pub fn new(count: usize, seed: u64, disks: Disks) -> Self {
@@ -125,22 +125,26 @@
         }
     }
 
-    pub fn act(&mut self, index: usize, act: impl FnOnce(&mut Register, Nanos, &mut Vec<Effect>)) {
-        self.act_boxed(index, Box::new(act));
+    pub fn with_register(
+        &mut self,
+        index: usize,
+        action: impl FnOnce(&mut Register, Nanos, &mut Vec<Effect>),
+    ) {
+        self.with_register_boxed(index, Box::new(action));
     }
 
     /// Boxed, as effects lead to further calls.
-    fn act_boxed(&mut self, index: usize, act: Act<'_>) {
+    fn with_register_boxed(&mut self, index: usize, action: Action<'_>) {
         let mut effects = Vec::new();
         if let Some(register) = &mut self.replicas[index].register {
-            act(register, self.now, &mut effects);
+            action(register, self.now, &mut effects);
         }
         for effect in effects {
-            self.carry_out(index, effect);
+            self.execute(index, effect);
         }
     }
 
-    fn carry_out(&mut self, index: usize, effect: Effect) {
+    fn execute(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.network.push(Envelope {
                 from: index as u8,
@@ -208,14 +212,14 @@
         if document.text.len() % 3 == 1 && self.starts.is_multiple_of(2) {
             document.text.pop();
         }
-        self.act(index, |register, _, effects| {
+        self.with_register(index, |register, _, effects| {
             register.handle_fetched(id, document, effects);
         });
     }
 
     /// Proposes a change of what the replica has committed.
     pub fn propose(&mut self, index: usize, text: &str) {
-        self.act(index, |register, now, effects| {
+        self.with_register(index, |register, now, effects| {
             let based_on = register.committed().version;
             register.propose(now, based_on, text, effects);
         });
@@ -228,7 +232,7 @@
             Delivery::Repeatable => self.network[n].clone(),
         };
         let Envelope { from, to, message } = envelope;
-        self.act(usize::from(to), |register, now, effects| {
+        self.with_register(usize::from(to), |register, now, effects| {
             register.handle_message(now, from, message, effects);
         });
     }
@@ -248,19 +252,19 @@
         if succeeded {
             self.replicas[index].disk = state;
         }
-        self.act(index, |register, now, effects| {
+        self.with_register(index, |register, now, effects| {
             register.handle_write_result(now, serial, succeeded, effects);
         });
     }
 
     pub fn handle_timeout(&mut self, index: usize) {
-        self.act(index, |register, now, effects| {
+        self.with_register(index, |register, now, effects| {
             register.handle_timeout(now, effects);
         });
     }
 
     /// Runs all replicas without faults for a time.
-    pub fn heal(&mut self, ms: u64) {
+    pub fn run_without_faults(&mut self, ms: u64) {
         for index in 0..self.replicas.len() {
             if self.replicas[index].register.is_none() {
                 self.start(index);
--- a/crates/cluster/src/register/tests.rs
+++ b/crates/cluster/src/register/tests.rs
@@ -18,9 +18,9 @@
     }
 
     // A change after the faults reaches all replicas; what went before is settled by it.
-    replicas.heal(15_000);
+    replicas.run_without_faults(15_000);
     replicas.propose(0, "the last");
-    replicas.heal(15_000);
+    replicas.run_without_faults(15_000);
 
     let documents: Vec<Rc<Document>> = (0..replica_count)
         .map(|index| replicas.committed(index).clone())
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn no_random_schedule_gives_two_documents_of_one_version_or_loses_one() {
+fn random_schedules_never_choose_two_documents_of_one_version_or_lose_one() {
     let accepted: usize = (0..400)
         .map(|seed| run_random_schedule(seed, replica_count_of(seed), 1_500))
         .sum();
@@ -128,7 +128,7 @@
 
 #[test_case(0; "in any order")]
 #[test_case(1; "in any order with a crash")]
-fn no_small_schedule_accepts_two_documents_of_one_version(crashes: usize) {
+fn all_small_schedules_accept_at_most_one_document_of_a_version(crashes: usize) {
     let states = explore_all_schedules(crashes);
 
     println!("{states} states");
@@ -136,10 +136,10 @@
 }
 
 #[test]
-fn an_accepted_change_survives_a_restart_of_all_and_the_loss_of_a_minority() {
+fn an_accepted_change_survives_a_restart_of_all_replicas_and_the_loss_of_a_minority() {
     let mut replicas = TestReplicas::new(5, 3, Disks::Deferred);
     replicas.propose(2, "one");
-    replicas.heal(5_000);
+    replicas.run_without_faults(5_000);
     assert_eq!(replicas.accepted, [1]);
 
     (0..5).for_each(|index| replicas.crash(index, 0));
@@ -161,12 +161,12 @@
 fn a_change_that_is_based_on_an_older_version_is_refused_with_both_versions() {
     let mut replicas = TestReplicas::new(3, 5, Disks::Immediate);
     replicas.propose(0, "one");
-    replicas.heal(2_000);
+    replicas.run_without_faults(2_000);
 
-    replicas.act(1, |register, now, effects| {
+    replicas.with_register(1, |register, now, effects| {
         register.propose(now, 0, "two", effects);
     });
-    replicas.heal(2_000);
+    replicas.run_without_faults(2_000);
 
     let conflict = Outcome::Conflict {
         based_on: 0,
@@ -208,16 +208,16 @@
     let full = replicas.register(2);
     assert!(full.committed().version == 0 && full.failed_writes > 0);
 
-    replicas.heal(5_000);
+    replicas.run_without_faults(5_000);
     replicas.propose(1, "two");
-    replicas.heal(5_000);
+    replicas.run_without_faults(5_000);
 
     assert_eq!(replicas.committed(2).text, "two");
 }
 
 #[test_case(MAX_DOCUMENT_BYTES + 1 => false; "above the limit")]
 #[test_case(MAX_DOCUMENT_BYTES => true; "at the limit")]
-fn a_document_of_this_length_is_accepted(bytes: usize) -> bool {
+fn accepts_a_document_of_length(bytes: usize) -> bool {
     let mut replicas = TestReplicas::new(1, 11, Disks::Immediate);
 
     replicas.propose(0, &"x".repeat(bytes));
@@ -229,7 +229,7 @@
 fn malformed_messages_are_counted_and_change_nothing() {
     let mut replicas = TestReplicas::new(3, 13, Disks::Immediate);
     replicas.propose(0, "one");
-    replicas.heal(1_000);
+    replicas.run_without_faults(1_000);
     let before = replicas.replicas[0].disk.clone();
 
     let ballot = Ballot {
@@ -245,7 +245,7 @@
         (1, Message::Prepare { ballot }),
         (2, Message::Accept { ballot, document }),
     ] {
-        replicas.act(0, |register, now, effects| {
+        replicas.with_register(0, |register, now, effects| {
             register.handle_message(now, from, message, effects);
         });
     }
@@ -272,7 +272,7 @@
     }
 
     #[test]
-    fn every_fault_in_the_register_is_found() {
+    fn every_register_mutation_is_detected() {
         let missed: Vec<Mutation> = REGISTER
             .iter()
             .copied()
--- a/crates/cluster/src/simulated/mod.rs
+++ b/crates/cluster/src/simulated/mod.rs
@@ -160,14 +160,18 @@
     }
 
     /// Calls a member's cluster with its local time, if it runs and is not paused.
-    pub fn act(&mut self, index: usize, act: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>)) {
+    pub fn with_cluster(
+        &mut self,
+        index: usize,
+        action: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>),
+    ) {
         if self.is_paused(index) {
             return;
         }
         let mut effects = Vec::new();
         if let Some(member) = &mut self.members[index] {
             let local = member.local_time(self.now);
-            act(&mut member.cluster, local, &mut effects);
+            action(&mut member.cluster, local, &mut effects);
         }
         self.apply_effects(index, effects);
     }
@@ -251,7 +255,7 @@
     }
 
     fn handle_datagram(&mut self, index: usize, from: SocketAddr, bytes: &[u8]) {
-        self.act(index, |cluster, now, effects| {
+        self.with_cluster(index, |cluster, now, effects| {
             cluster.handle_datagram(now, from, bytes, effects);
         });
     }
@@ -271,7 +275,7 @@
         let is_due =
             |member: &SimulatedMember| member.cluster.next_timeout() <= member.local_time(now);
         if self.members[index].as_ref().is_some_and(is_due) {
-            self.act(index, |cluster, now, effects| {
+            self.with_cluster(index, |cluster, now, effects| {
                 cluster.handle_timeout(now, effects);
             });
         }
--- a/crates/cluster/src/simulated/tests/grants.rs
+++ b/crates/cluster/src/simulated/tests/grants.rs
@@ -12,10 +12,10 @@
 const STEP: Nanos = 20 * MILLISECOND;
 
 /// A grant that a member may still use.
-struct HeldGrant {
+struct UnusedGrant {
     member: usize,
     /// Which run of the member got it.
-    run: u32,
+    generation: u32,
     work: Nanos,
     until: Nanos,
 }
@@ -38,9 +38,9 @@
     rng: Pcg,
     skew: Nanos,
     /// How many observations of each member's current run were looked at.
-    seen: [usize; COUNT],
-    runs: [u32; COUNT],
-    held: Vec<HeldGrant>,
+    observed_counts: [usize; COUNT],
+    generations: [u32; COUNT],
+    unused: Vec<UnusedGrant>,
     used: Vec<UsedGrant>,
 }
 
@@ -50,9 +50,9 @@
             cluster: SimulatedCluster::new(COUNT, seed),
             rng: Pcg::new(seed ^ 0xabcd),
             skew: 0,
-            seen: [0; COUNT],
-            runs: [0; COUNT],
-            held: Vec::new(),
+            observed_counts: [0; COUNT],
+            generations: [0; COUNT],
+            unused: Vec::new(),
             used: Vec::new(),
         };
         scenario.skew = scenario.choose([0, 5 * SECOND]);
@@ -69,25 +69,25 @@
         scenario
     }
 
-    fn below(&mut self, limit: u64) -> u64 {
+    fn random_below(&mut self, limit: u64) -> u64 {
         (self.rng.unit() * limit as f64) as u64
     }
 
     fn choose<T: Copy, const N: usize>(&mut self, options: [T; N]) -> T {
-        options[self.below(N as u64) as usize]
+        options[self.random_below(N as u64) as usize]
     }
 
     fn step(&mut self) {
         let now = self.cluster.now;
         (0..COUNT).for_each(|index| self.request_and_collect(index));
         self.use_grants(now);
-        self.disturb(now);
+        self.inject_fault(now);
         self.restart_some();
         self.cluster.run(now + STEP);
     }
 
     fn request_and_collect(&mut self, index: usize) {
-        self.cluster.act(index, |cluster, now, effects| {
+        self.cluster.with_cluster(index, |cluster, now, effects| {
             cluster.set_warm_up_budget(WORKER, WORK_PER_WINDOW, WINDOW);
             let work = (30 + now % 170) * MILLISECOND;
             cluster.request_grant(now, WORKER, work, effects);
@@ -95,62 +95,62 @@
         let Some(member) = &self.cluster.members[index] else {
             return;
         };
-        for (_, observed) in &member.observed[self.seen[index]..] {
+        for (_, observed) in &member.observed[self.observed_counts[index]..] {
             if let Observed::WarmUpGranted { work, until, .. } = observed {
-                self.held.push(HeldGrant {
+                self.unused.push(UnusedGrant {
                     member: index,
-                    run: self.runs[index],
+                    generation: self.generations[index],
                     work: *work,
                     until: *until,
                 });
             }
         }
-        self.seen[index] = member.observed.len();
+        self.observed_counts[index] = member.observed.len();
     }
 
     fn use_grants(&mut self, now: Nanos) {
-        let at_the_end_only = self.below(2) == 0;
-        for grant in std::mem::take(&mut self.held) {
-            if self.runs[grant.member] != grant.run {
+        let at_the_end_only = self.random_below(2) == 0;
+        for grant in std::mem::take(&mut self.unused) {
+            if self.generations[grant.member] != grant.generation {
                 continue;
             }
             let running = self.cluster.members[grant.member].as_ref();
             let Some(member) = running.filter(|member| !member.is_paused(now)) else {
-                self.held.push(grant);
+                self.unused.push(grant);
                 continue;
             };
             if member.local_time(now) >= grant.until {
                 continue;
             }
             let is_last_chance = member.local_time(now + 25 * MILLISECOND) >= grant.until;
-            if is_last_chance || (!at_the_end_only && self.below(3) == 0) {
+            if is_last_chance || (!at_the_end_only && self.random_below(3) == 0) {
                 let work = grant.work;
                 self.used.push(UsedGrant { at: now, work });
             } else {
-                self.held.push(grant);
+                self.unused.push(grant);
             }
         }
     }
 
-    fn disturb(&mut self, now: Nanos) {
-        match self.below(160) {
+    fn inject_fault(&mut self, now: Nanos) {
+        match self.random_below(160) {
             0 => {
-                let index = self.below(8) as usize;
-                let duration = (100 + self.below(4_000)) * MILLISECOND;
+                let index = self.random_below(8) as usize;
+                let duration = (100 + self.random_below(4_000)) * MILLISECOND;
                 self.cluster.pause(index, now + duration);
             }
             1 => {
-                let index = self.below(8) as usize;
+                let index = self.random_below(8) as usize;
                 self.cluster.kill(index);
             }
             // Mostly a member of the quorum.
             2 | 3 => {
-                let index = self.below(4) as usize;
+                let index = self.random_below(4) as usize;
                 self.restart(index);
             }
             4 => {
                 for index in 0..COUNT {
-                    self.cluster.network.partition[index] = self.below(2) as u32;
+                    self.cluster.network.partition[index] = self.random_below(2) as u32;
                 }
             }
             5 | 6 => self.cluster.network.partition.fill(0),
@@ -160,7 +160,7 @@
 
     fn restart_some(&mut self) {
         for index in 0..COUNT {
-            if self.cluster.members[index].is_none() && self.below(100) == 0 {
+            if self.cluster.members[index].is_none() && self.random_below(100) == 0 {
                 self.restart(index);
             }
         }
@@ -168,8 +168,8 @@
 
     fn restart(&mut self, index: usize) {
         self.cluster.restart(index, self.skew);
-        self.seen[index] = 0;
-        self.runs[index] += 1;
+        self.observed_counts[index] = 0;
+        self.generations[index] += 1;
     }
 
     fn used_work(&self) -> UsedWork {
@@ -248,7 +248,7 @@
 
     for _ in 0..500 {
         for index in 0..COUNT {
-            cluster.act(index, |cluster, now, effects| {
+            cluster.with_cluster(index, |cluster, now, effects| {
                 cluster.set_warm_up_budget(WORKER, WORK_PER_WINDOW, WINDOW);
                 cluster.request_grant(now, WORKER, REQUESTED, effects);
             });
--- a/crates/cluster/src/simulated/tests/membership.rs
+++ b/crates/cluster/src/simulated/tests/membership.rs
@@ -5,7 +5,7 @@
 #[test_case(5, 1; "one of five")]
 #[test_case(24, 12; "twelve of twenty-four")]
 #[test_case(24, 1; "one of twenty-four")]
-pub fn after_kills_the_others_agree_within_three_seconds(count: usize, killed: usize) {
+pub fn surviving_members_agree_within_three_seconds_after_kills(count: usize, killed: usize) {
     for seed in 0..10 {
         let mut cluster = started(count, seed);
 
@@ -104,7 +104,7 @@
 }
 
 #[test]
-pub fn a_running_member_is_held_dead_no_longer_than_a_refutation_takes_despite_loss_and_pauses() {
+pub fn running_members_are_missing_from_views_only_briefly_despite_loss_and_pauses() {
     const COUNT: usize = 24;
     let (mut died, mut longest) = (0, 0);
     for seed in 0..8 {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_paused_member_is_dropped_and_comes_back_as_it_wakes() {
+fn a_paused_member_is_removed_and_rejoins_after_the_pause() {
     let mut cluster = started(8, 3);
 
     cluster.pause(2, cluster.now + 10 * SECOND);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-pub fn a_member_that_wakes_from_a_pause_suspects_no_one() {
+pub fn a_member_suspects_no_one_after_a_pause() {
     let suspected =
         |cluster: &SimulatedCluster| cluster.member(2).cluster.membership().counts.suspected;
     for seed in 0..20 {
@@ -202,7 +202,7 @@
 
 /// The member receives nothing and is received: others answer it, it sees no answers to its probes.
 #[test]
-fn a_member_that_receives_nothing_is_dropped_and_does_not_make_others_drop_each_other() {
+fn a_member_that_receives_nothing_is_removed_and_the_others_keep_each_other() {
     let mut cluster = started(8, 4);
     let others: Vec<usize> = (0..8).filter(|index| *index != 3).collect();
 
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn of_two_processes_of_one_name_the_older_goes_on_standby_until_the_other_is_gone() {
+fn the_older_of_two_processes_with_one_name_is_on_standby_until_the_newer_stops() {
     let mut cluster = SimulatedCluster::new(5, 1);
     for index in 0..4 {
         let config = cluster.config_of(index, QUORUM_SIZE);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_member_at_a_reused_address_is_not_taken_for_the_previous_one() {
+fn a_member_at_a_reused_address_is_not_confused_with_the_previous_one() {
     let mut cluster = started(6, 2);
     let mut config = cluster.config_of(3, QUORUM_SIZE);
     config.name = "other".to_string();
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_member_that_leaves_is_dropped_at_once() {
+fn a_member_that_leaves_is_removed_within_half_a_second() {
     let mut cluster = started(12, 5);
 
     cluster.leave(7);
@@ -301,7 +301,7 @@
         assert!(cluster.next_timeout() > now + 3_600 * SECOND);
     };
 
-    cluster.act(1, check);
+    cluster.with_cluster(1, check);
 }
 
 /// Large ones by command: `cargo test -p rosewall-cluster --release -- --ignored`.
--- a/crates/cluster/src/simulated/tests/mutations.rs
+++ b/crates/cluster/src/simulated/tests/mutations.rs
@@ -1,9 +1,9 @@
 //! Each mutation of the cluster is found by a test.
 use super::grants::{WORK_PER_WINDOW, run_scenario};
 use super::membership::{
-    a_member_that_wakes_from_a_pause_suspects_no_one,
-    a_running_member_is_held_dead_no_longer_than_a_refutation_takes_despite_loss_and_pauses,
-    after_kills_the_others_agree_within_three_seconds,
+    a_member_suspects_no_one_after_a_pause,
+    running_members_are_missing_from_views_only_briefly_despite_loss_and_pauses,
+    surviving_members_agree_within_three_seconds_after_kills,
 };
 use crate::member::MemberState;
 use crate::{grants, lease, membership, peer_load};
@@ -12,23 +12,22 @@
 /// Runs the tests that are meant to find the mutation.
 fn run_tests_for(mutation: Mutation) {
     match mutation {
-        Mutation::IgnorePause => a_member_that_wakes_from_a_pause_suspects_no_one(),
+        Mutation::IgnorePause => a_member_suspects_no_one_after_a_pause(),
         Mutation::ForgetLeasePromise
         | Mutation::LeaseWithoutMajority
         | Mutation::LeaseFromReply => {
-            lease::tests::one_vote_of_three_makes_no_lease_and_a_late_vote_no_longer_one();
-            lease::tests::a_voter_promises_nothing_while_an_earlier_promise_may_hold();
+            lease::tests::a_lease_needs_a_majority_and_a_late_vote_does_not_extend_it();
+            lease::tests::a_voter_withholds_its_vote_while_an_earlier_promise_may_be_valid();
         }
         Mutation::GrantDuplicateRequest => grants::tests::a_duplicate_request_is_granted_once(),
         Mutation::AcceptOldIncarnation => {
-            a_running_member_is_held_dead_no_longer_than_a_refutation_takes_despite_loss_and_pauses(
-            );
+            running_members_are_missing_from_views_only_briefly_despite_loss_and_pauses();
             let state = membership::tests::state_after_a_record_of_its_death(2);
             assert_eq!(state, MemberState::Alive);
         }
-        Mutation::WrongRank => after_kills_the_others_agree_within_three_seconds(5, 1),
+        Mutation::WrongRank => surviving_members_agree_within_three_seconds_after_kills(5, 1),
         Mutation::UnboundedSilenceReports => {
-            peer_load::tests::one_members_reports_silence_few_workers_only();
+            peer_load::tests::silence_reports_by_one_member_count_for_few_workers();
         }
         _ => {
             for seed in 0..200 {
@@ -47,7 +46,7 @@
 }
 
 #[test]
-fn every_fault_in_the_cluster_is_found() {
+fn every_cluster_mutation_is_detected() {
     let missed: Vec<Mutation> = CLUSTER
         .iter()
         .copied()
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -1,4 +1,4 @@
-//! Locks the cluster's state machines: seeded plays on a lossy network must lead to exactly the datagrams, views, grants and
+//! Locks the cluster's state machines: seeded runs on a lossy network must lead to exactly the datagrams, views, grants and
 //! stored records that they led to when the digests were taken.
 //!
 //! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line cannot change it. A digest may
@@ -18,8 +18,8 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-fn below(chance: &mut Pcg, limit: u64) -> u64 {
-    (chance.unit() * limit as f64) as u64
+fn below(rng: &mut Pcg, limit: u64) -> u64 {
+    (rng.unit() * limit as f64) as u64
 }
 
 fn add_numbers(digest: &mut Sha256, numbers: &[u64]) {
@@ -33,7 +33,7 @@
     digest.update(bytes);
 }
 
-fn short(digest: Sha256) -> String {
+fn short_hex(digest: Sha256) -> String {
     digest.finalize()[..8]
         .iter()
         .map(|byte| format!("{byte:02x}"))
@@ -55,14 +55,14 @@
     u64::from(u32::from_be_bytes(id.addr)) << 16 | u64::from(id.port)
 }
 
-enum Next {
+enum Event {
     Deliver {
         to: usize,
         from: SocketAddr,
         bytes: Vec<u8>,
     },
     Wake(usize),
-    Disturb,
+    RandomAction,
 }
 
 /// Several members on one virtual clock and a network that loses, doubles and delays datagrams.
@@ -70,9 +70,9 @@
     clusters: Vec<Option<Cluster>>,
     quorum: usize,
     now: Nanos,
-    queue: BTreeMap<(Nanos, u64), Next>,
+    queue: BTreeMap<(Nanos, u64), Event>,
     serial: u64,
-    chance: Pcg,
+    rng: Pcg,
     digest: Sha256,
     effects: u64,
 }
@@ -85,18 +85,18 @@
             now: SECOND,
             queue: BTreeMap::new(),
             serial: 0,
-            chance: Pcg::new(seed),
+            rng: Pcg::new(seed),
             digest: Sha256::new(),
             effects: 0,
         };
         (0..count).for_each(|at| members.start(at));
-        members.push(40 * MILLISECOND, Next::Disturb);
+        members.push(40 * MILLISECOND, Event::RandomAction);
         members
     }
 
-    fn push(&mut self, delay: Nanos, next: Next) {
+    fn push(&mut self, delay: Nanos, event: Event) {
         self.serial += 1;
-        self.queue.insert((self.now + delay, self.serial), next);
+        self.queue.insert((self.now + delay, self.serial), event);
     }
 
     fn start(&mut self, at: usize) {
@@ -109,9 +109,9 @@
             relay: None,
             max_clock_skew: 0,
         };
-        let seed = below(&mut self.chance, 1 << 40);
+        let seed = below(&mut self.rng, 1 << 40);
         self.clusters[at] = Some(Cluster::new(&cluster_config, self.now, seed));
-        self.push(0, Next::Wake(at));
+        self.push(0, Event::Wake(at));
     }
 
     fn act(&mut self, at: usize, act: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>)) {
@@ -123,7 +123,7 @@
         let next_timeout = cluster.next_timeout();
         self.push(
             next_timeout.saturating_sub(self.now) + 1_000,
-            Next::Wake(at),
+            Event::Wake(at),
         );
         for effect in effects {
             self.effects += 1;
@@ -178,19 +178,19 @@
         let Some(to) = (0..self.clusters.len()).find(|at| address(*at) == to) else {
             return;
         };
-        if below(&mut self.chance, 10) == 0 {
+        if below(&mut self.rng, 10) == 0 {
             return;
         }
-        for _ in 0..1 + u64::from(below(&mut self.chance, 20) == 0) {
-            let delay = (1 + below(&mut self.chance, 3)) * MILLISECOND / 2;
+        for _ in 0..1 + u64::from(below(&mut self.rng, 20) == 0) {
+            let delay = (1 + below(&mut self.rng, 3)) * MILLISECOND / 2;
             let mut bytes = bytes.to_vec();
-            if below(&mut self.chance, 200) == 0 {
-                let at = below(&mut self.chance, bytes.len() as u64) as usize;
-                bytes[at] ^= 1 << below(&mut self.chance, 8);
+            if below(&mut self.rng, 200) == 0 {
+                let at = below(&mut self.rng, bytes.len() as u64) as usize;
+                bytes[at] ^= 1 << below(&mut self.rng, 8);
             }
             self.push(
                 delay,
-                Next::Deliver {
+                Event::Deliver {
                     to,
                     from: address(from),
                     bytes,
@@ -200,13 +200,13 @@
     }
 
     /// One of the things that the decisions, the operators or a crash do to a member.
-    fn disturb(&mut self) {
-        let delay = (5 + below(&mut self.chance, 60)) * MILLISECOND;
-        self.push(delay, Next::Disturb);
-        let at = below(&mut self.chance, self.clusters.len() as u64) as usize;
-        let id = worker(below(&mut self.chance, 3) as u8);
-        let work = below(&mut self.chance, 300) * MILLISECOND + 7;
-        match below(&mut self.chance, 40) {
+    fn random_action(&mut self) {
+        let delay = (5 + below(&mut self.rng, 60)) * MILLISECOND;
+        self.push(delay, Event::RandomAction);
+        let at = below(&mut self.rng, self.clusters.len() as u64) as usize;
+        let id = worker(below(&mut self.rng, 3) as u8);
+        let work = below(&mut self.rng, 300) * MILLISECOND + 7;
+        match below(&mut self.rng, 40) {
             0 => self.clusters[at] = None,
             1 => {
                 self.act(at, |cluster, _, effects| cluster.leave(effects));
@@ -220,7 +220,7 @@
                 cluster.set_warm_up_budget(id, 4 * SECOND, SECOND)
             }),
             _ => {
-                let to = below(&mut self.chance, 10) as u16;
+                let to = below(&mut self.rng, 10) as u16;
                 let load = PeerLoad {
                     worker: id,
                     half_slots: 3,
@@ -232,19 +232,19 @@
         }
     }
 
-    fn play(mut self, until: Nanos) -> (u64, String) {
-        while let Some(((at, _), next)) = self.queue.pop_first() {
+    fn run(mut self, until: Nanos) -> (u64, String) {
+        while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > until {
                 break;
             }
             self.now = at;
-            match next {
-                Next::Deliver { to, from, bytes } => {
+            match event {
+                Event::Deliver { to, from, bytes } => {
                     self.act(to, |cluster, now, effects| {
                         cluster.handle_datagram(now, from, &bytes, effects)
                     });
                 }
-                Next::Wake(at) => {
+                Event::Wake(at) => {
                     let due = |cluster: &Cluster| cluster.next_timeout() <= self.now;
                     if self.clusters[at].as_ref().is_some_and(due) {
                         self.act(at, |cluster, now, effects| {
@@ -252,10 +252,10 @@
                         });
                     }
                 }
-                Next::Disturb => self.disturb(),
+                Event::RandomAction => self.random_action(),
             }
         }
-        (self.effects, short(self.digest))
+        (self.effects, short_hex(self.digest))
     }
 }
 
@@ -265,9 +265,9 @@
     "26363 effects, 091136f71bfd399e d65c74f96433de91"; "fourteen members of whom five are the quorum")]
 #[test_case(6, 0, 2 =>
     "8185 effects, 337d84aa37bf0413 98cb2e79cd6963c8"; "no quorum")]
-fn members_send_the_same(count: usize, quorum: usize, seeds: u64) -> String {
-    let plays = (0..seeds).map(|seed| Members::new(count, quorum, seed).play(25 * SECOND));
-    let (effects, digests): (Vec<u64>, Vec<String>) = plays.unzip();
+fn member_effects_match_the_locked_digests(count: usize, quorum: usize, seeds: u64) -> String {
+    let runs = (0..seeds).map(|seed| Members::new(count, quorum, seed).run(25 * SECOND));
+    let (effects, digests): (Vec<u64>, Vec<String>) = runs.unzip();
     format!(
         "{} effects, {}",
         effects.iter().sum::<u64>(),
@@ -282,7 +282,7 @@
     network: Vec<(u8, u8, Message)>,
     writes: Vec<(usize, u64, PersistentState)>,
     now: Nanos,
-    chance: Pcg,
+    rng: Pcg,
     digest: Sha256,
     effects: u64,
 }
@@ -337,13 +337,13 @@
 
 impl Replicas {
     fn new(count: u8, seed: u64) -> Self {
-        let register = |me| {
+        let register = |id| {
             Register::new(
-                me,
+                id,
                 count,
                 PersistentState::default(),
                 0,
-                seed + u64::from(me),
+                seed + u64::from(id),
             )
         };
         Replicas {
@@ -352,7 +352,7 @@
             network: Vec::new(),
             writes: Vec::new(),
             now: 0,
-            chance: Pcg::new(seed),
+            rng: Pcg::new(seed),
             digest: Sha256::new(),
             effects: 0,
         }
@@ -368,11 +368,11 @@
         for effect in effects {
             self.effects += 1;
             add_numbers(&mut self.digest, &[self.now, at as u64]);
-            self.carry_out(at, effect);
+            self.execute(at, effect);
         }
     }
 
-    fn carry_out(&mut self, at: usize, effect: register::Effect) {
+    fn execute(&mut self, at: usize, effect: register::Effect) {
         let digest = &mut self.digest;
         match effect {
             register::Effect::Send { to, message } => {
@@ -426,14 +426,14 @@
 
     /// One step: time passes, a message or a write arrives, a change is handed in, or a replica restarts.
     fn step(&mut self, number: u64) {
-        self.now += below(&mut self.chance, 20) * MILLISECOND;
-        let at = below(&mut self.chance, self.registers.len() as u64) as usize;
-        match below(&mut self.chance, 100) {
+        self.now += below(&mut self.rng, 20) * MILLISECOND;
+        let at = below(&mut self.rng, self.registers.len() as u64) as usize;
+        match below(&mut self.rng, 100) {
             0 => {
-                let (me, count) = (at as u8, self.registers.len() as u8);
+                let (id, count) = (at as u8, self.registers.len() as u8);
                 self.writes.retain(|(of, ..)| *of != at);
                 self.registers[at] =
-                    Register::new(me, count, self.disks[at].clone(), self.now, number);
+                    Register::new(id, count, self.disks[at].clone(), self.now, number);
             }
             1..=4 => {
                 let based_on = self.registers[at].committed().version;
@@ -443,9 +443,9 @@
                 });
             }
             5..=54 if !self.network.is_empty() => {
-                let index = below(&mut self.chance, self.network.len() as u64) as usize;
+                let index = below(&mut self.rng, self.network.len() as u64) as usize;
                 let (from, to, message) = self.network.swap_remove(index);
-                if below(&mut self.chance, 8) != 0 {
+                if below(&mut self.rng, 8) != 0 {
                     let to = usize::from(to);
                     self.act(to, |register, now, effects| {
                         register.handle_message(now, from, message, effects)
@@ -454,7 +454,7 @@
             }
             55..=89 if !self.writes.is_empty() => {
                 let (at, serial, record) = self.writes.remove(0);
-                let succeeded = below(&mut self.chance, 30) != 0;
+                let succeeded = below(&mut self.rng, 30) != 0;
                 if succeeded {
                     self.disks[at] = record;
                 }
@@ -475,9 +475,9 @@
         }
     }
 
-    fn play(mut self, steps: u64) -> (u64, String) {
+    fn run(mut self, steps: u64) -> (u64, String) {
         (0..steps).for_each(|number| self.step(number));
-        (self.effects, short(self.digest))
+        (self.effects, short_hex(self.digest))
     }
 }
 
@@ -487,9 +487,9 @@
     "18677 effects, 33351834eae3051d 2ef792efb3f92ff4 2a2f6378a6be0be2 b140164ea524b88a d51c7326cb44c701 c15eb53aebdd859e"; "three replicas")]
 #[test_case(5 =>
     "25407 effects, 71cdc00068bd3871 3732c702a6dae676 985730d854af20d3 8019be16c181e8ae 4af021af66fe1d42 0682859fbb4321a4"; "five replicas")]
-fn the_register_sends_and_stores_the_same(count: u8) -> String {
+fn register_effects_match_the_locked_digests(count: u8) -> String {
     let (effects, digests): (Vec<u64>, Vec<String>) = (0..6)
-        .map(|seed| Replicas::new(count, seed).play(6_000))
+        .map(|seed| Replicas::new(count, seed).run(6_000))
         .unzip();
     format!(
         "{} effects, {}",
