--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -167,11 +167,11 @@
         list_is_old: bool,
         update: &mut ListUpdate,
     ) -> bool {
-        let started = self.started(now, entry.born);
+        let started = self.started(now, entry.started_at);
         let known = self.workers.entry(worker).or_insert_with(|| KnownWorker {
             host: entry.host.clone(),
             address: entry.address,
-            born: entry.born,
+            born: entry.started_at,
             started,
             state: entry.state,
         });
@@ -181,7 +181,7 @@
         }
         let listed = EntryState {
             address: entry.address,
-            born: entry.born,
+            born: entry.started_at,
             state: entry.state,
         };
         let merged = known.merge(listed, list_is_old);
--- a/crates/engine/src/endpoints/tests.rs
+++ b/crates/engine/src/endpoints/tests.rs
@@ -15,7 +15,7 @@
         worker_type: 0,
         group: 0,
         size: 1.0,
-        born,
+        started_at: born,
     }
 }
 
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -53,7 +53,7 @@
         worker_type: 0,
         group: 0,
         size: 1.0,
-        born: 0,
+        started_at: 0,
     }
 }
 
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -27,7 +27,7 @@
     /// Its relative size.
     pub size: f32,
     /// When its process started, as Unix time.
-    pub born: Nanos,
+    pub started_at: Nanos,
 }
 
 /// A list of endpoints, or the changes since an earlier version.
@@ -195,7 +195,7 @@
         worker_type,
         group: raw.group,
         size: raw.size,
-        born: raw.born_ms.saturating_mul(1_000_000),
+        started_at: raw.born_ms.saturating_mul(1_000_000),
     })
 }
 
--- a/crates/protocol/src/tests/discovery.rs
+++ b/crates/protocol/src/tests/discovery.rs
@@ -31,7 +31,7 @@
     assert_eq!(
         (
             endpoint.size,
-            endpoint.born,
+            endpoint.started_at,
             endpoint.address.unwrap().port()
         ),
         (1.5, 2_000_000, 3000)
