--- a/crates/rosewalld/src/daemon.rs
+++ b/crates/rosewalld/src/daemon.rs
@@ -83,7 +83,7 @@
     loop {
         let signal = async { signals.next().await.and_then(Result::ok) };
         let fault = async {
-            node.fault().await;
+            node.wait_for_failure().await;
             None
         };
         match signal.or(fault).await {
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -127,7 +127,7 @@
 
     /// Ends when the engine's task or the follower of the endpoint list does, which neither does by itself: a program
     /// without one of them must not go on accepting.
-    pub async fn fault(&mut self) {
+    pub async fn wait_for_failure(&mut self) {
         (&mut self.engine).or(&mut self.follower).await;
     }
 
