--- a/crates/protocol/src/client/mod.rs
+++ b/crates/protocol/src/client/mod.rs
@@ -62,9 +62,9 @@
 
 impl ClientEvent {
     /// The client has sent more requests ahead of their turn than are stored.
-    pub const SENT_TOO_FAR_AHEAD: ClientEvent = ClientEvent::Invalid {
+    pub const PIPELINE_TOO_LONG: ClientEvent = ClientEvent::Invalid {
         status: 503,
-        reason: reason::SENT_TOO_FAR_AHEAD,
+        reason: reason::PIPELINE_TOO_LONG,
     };
     /// The memory for requests of clients is used up.
     pub const OUT_OF_MEMORY: ClientEvent = ClientEvent::Invalid {
--- a/crates/protocol/src/client/request_head.rs
+++ b/crates/protocol/src/client/request_head.rs
@@ -12,7 +12,7 @@
 /// The longest timeout, exclusive: a day.
 const TIMEOUT_LIMIT_SECONDS: f64 = 86_400.0;
 /// A bound for all figures of a request: a day in microseconds.
-const FIGURE_LIMIT: f64 = 86_400e6;
+const NUMBER_LIMIT: f64 = 86_400e6;
 
 /// What a complete head amounts to.
 pub(super) enum RequestHead {
@@ -184,5 +184,5 @@
         return None;
     }
     let number = text.parse::<f64>().ok()?;
-    (number < FIGURE_LIMIT).then_some(number)
+    (number < NUMBER_LIMIT).then_some(number)
 }
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -93,7 +93,7 @@
     pub const METHOD_NOT_ALLOWED: &str = "all jobs come by POST";
     pub const OUT_OF_MEMORY: &str = "no memory is left for the request";
     pub const REQUEST_INCOMPLETE: &str = "the request did not come whole";
-    pub const SENT_TOO_FAR_AHEAD: &str = "more came ahead than there is room for";
+    pub const PIPELINE_TOO_LONG: &str = "more came ahead than there is room for";
     pub const TENANT_MISSING: &str = "no Tenant";
     pub const TENANT_UNKNOWN: &str = "an unknown Tenant";
     pub const TIMEOUT_MISSING: &str = "no Request-Timeout";
--- a/crates/protocol/src/worker/attempt.rs
+++ b/crates/protocol/src/worker/attempt.rs
@@ -71,11 +71,11 @@
 }
 
 /// The answer cannot be read any further.
-struct Unreadable;
+struct MalformedAnswer;
 
-impl From<HttpError> for Unreadable {
+impl From<HttpError> for MalformedAnswer {
     fn from(_: HttpError) -> Self {
-        Unreadable
+        MalformedAnswer
     }
 }
 
@@ -134,7 +134,7 @@
     pub fn next_progress(&mut self) -> Option<AttemptProgress> {
         while !self.broken {
             // The worker has the whole request by the time it answers, so the attempt may have run.
-            let step = self.step().unwrap_or_else(|Unreadable| {
+            let step = self.step().unwrap_or_else(|MalformedAnswer| {
                 self.broken = true;
                 Step::ended(Outcome::ConnectionLost)
             });
@@ -160,9 +160,9 @@
         (!had_ended).then_some(AttemptProgress::Ended(Outcome::ConnectionLost))
     }
 
-    fn step(&mut self) -> Result<Step, Unreadable> {
+    fn step(&mut self) -> Result<Step, MalformedAnswer> {
         if self.fed_bytes > MAX_ANSWER_BYTES {
-            return Err(Unreadable);
+            return Err(MalformedAnswer);
         }
         let Some(body) = &mut self.body else {
             return self.read_head();
@@ -183,7 +183,7 @@
         self.interpret_line(&line)
     }
 
-    fn read_head(&mut self) -> Result<Step, Unreadable> {
+    fn read_head(&mut self) -> Result<Step, MalformedAnswer> {
         /// What the reader needs of a head.
         struct Head {
             status: u16,
@@ -232,18 +232,18 @@
         Some(self.text.drain(..length).collect())
     }
 
-    fn interpret_line(&self, line: &[u8]) -> Result<Step, Unreadable> {
+    fn interpret_line(&self, line: &[u8]) -> Result<Step, MalformedAnswer> {
         if line.trim_ascii().is_empty() {
             return Ok(Step::Continue);
         }
-        let line: Line = serde_json::from_slice(line).map_err(|_| Unreadable)?;
+        let line: Line = serde_json::from_slice(line).map_err(|_| MalformedAnswer)?;
         if line.id != self.id {
-            return Err(Unreadable);
+            return Err(MalformedAnswer);
         }
         Ok(match line.state.as_str() {
             attempt_state::STARTED => Step::Report(AttemptProgress::Started),
             attempt_state::DONE => {
-                let result = line.result.ok_or(Unreadable)?;
+                let result = line.result.ok_or(MalformedAnswer)?;
                 Step::Report(AttemptProgress::Succeeded(result.into_bytes()))
             }
             attempt_state::FAILED => Step::ended(Outcome::WorkerError),
--- a/crates/runtime/src/client/accept.rs
+++ b/crates/runtime/src/client/accept.rs
@@ -30,11 +30,13 @@
     let shut_down = async {
         let _ = shutdown.recv().await;
     };
-    accept_forever(&context, &listener).or(shut_down).await;
+    accept_until_cancelled(&context, &listener)
+        .or(shut_down)
+        .await;
     drain_backlog(&context, &listener).await;
 }
 
-async fn accept_forever<R: Runtime>(context: &Rc<Context<R>>, listener: &R::Listener) {
+async fn accept_until_cancelled<R: Runtime>(context: &Rc<Context<R>>, listener: &R::Listener) {
     // Since when clients have waited in the backlog without a free slot.
     let mut full_since = None;
     loop {
--- a/crates/runtime/src/client/connection.rs
+++ b/crates/runtime/src/client/connection.rs
@@ -67,23 +67,23 @@
 
 /// Whether a connection goes on after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
+enum AfterAnswer {
     KeepAlive,
     Close,
 }
 
-impl Next {
-    fn keep_alive_if(keep_alive: bool) -> Next {
+impl AfterAnswer {
+    fn from_keep_alive(keep_alive: bool) -> AfterAnswer {
         if keep_alive {
-            Next::KeepAlive
+            AfterAnswer::KeepAlive
         } else {
-            Next::Close
+            AfterAnswer::Close
         }
     }
 }
 
 /// What a client that waits for an answer comes to first.
-enum WhileWaiting {
+enum WaitEvent {
     Answered(Answer),
     /// The number of bytes that the client sent; 0 where it disconnected.
     Received(usize),
@@ -96,7 +96,7 @@
     reader: RequestReader,
     buffer: Vec<u8>,
     /// Whether it has sent a request or a readiness check before.
-    has_asked: bool,
+    has_sent_request: bool,
     service: Service,
     /// Whether bytes that the client sent ahead of their turn were discarded.
     has_overflowed: bool,
@@ -116,7 +116,7 @@
             stream,
             reader: RequestReader::default(),
             buffer: vec![0; READ_BUFFER_BYTES],
-            has_asked: false,
+            has_sent_request: false,
             service: admission.service,
             has_overflowed: false,
             acceptance,
@@ -128,15 +128,15 @@
     pub(super) async fn serve(&mut self) -> io::Result<()> {
         loop {
             let event = self.next_event().await?;
-            let is_first = !self.has_asked;
-            self.has_asked |= matches!(
+            let is_first = !self.has_sent_request;
+            self.has_sent_request |= matches!(
                 event,
                 ClientEvent::ReadinessCheck { .. } | ClientEvent::Request(_)
             );
             let next = match event {
                 ClientEvent::ContinueExpected => {
                     self.write(CONTINUE_RESPONSE).await?;
-                    Next::KeepAlive
+                    AfterAnswer::KeepAlive
                 }
                 ClientEvent::ReadinessCheck { keep_alive } => {
                     self.answer_readiness_check(keep_alive).await?
@@ -144,28 +144,32 @@
                 ClientEvent::Invalid { status, reason } => self.refuse(status, reason).await?,
                 ClientEvent::Request(request) => self.handle_request(request, is_first).await?,
             };
-            if next == Next::Close {
+            if next == AfterAnswer::Close {
                 return self.close_gracefully().await;
             }
         }
     }
 
-    async fn answer_readiness_check(&mut self, keep_alive: bool) -> io::Result<Next> {
+    async fn answer_readiness_check(&mut self, keep_alive: bool) -> io::Result<AfterAnswer> {
         let ready = self.context.ready.get() && !self.context.stopping.get();
         self.write(&encode_readiness(ready, keep_alive)).await?;
         if keep_alive {
             yield_now().await;
         }
-        Ok(Next::keep_alive_if(keep_alive))
+        Ok(AfterAnswer::from_keep_alive(keep_alive))
     }
 
-    async fn refuse(&mut self, status: u16, reason: &str) -> io::Result<Next> {
+    async fn refuse(&mut self, status: u16, reason: &str) -> io::Result<AfterAnswer> {
         self.context.record_refusal(status, reason);
         self.write(&encode_refusal(status, reason)).await?;
-        Ok(Next::Close)
+        Ok(AfterAnswer::Close)
     }
 
-    async fn handle_request(&mut self, request: ClientRequest, is_first: bool) -> io::Result<Next> {
+    async fn handle_request(
+        &mut self,
+        request: ClientRequest,
+        is_first: bool,
+    ) -> io::Result<AfterAnswer> {
         // A first request that is there at once may have been sent when the client began to wait in the backlog, and the
         // client's deadline counts from then.
         let was_sent_before = is_first && self.now() <= self.acceptance.at + nanos(RETRY_PAUSE);
@@ -179,13 +183,17 @@
             self.context.counters.clients_rejected.add();
             let answer = Answer::Rejected { retry_after: 0 };
             self.write(&encode_answer(&answer, false)).await?;
-            return Ok(Next::Close);
+            return Ok(AfterAnswer::Close);
         }
         self.forward(arrived_at, request).await
     }
 
     /// Passes a request to the engine and writes its answer.
-    async fn forward(&mut self, arrived_at: Nanos, request: ClientRequest) -> io::Result<Next> {
+    async fn forward(
+        &mut self,
+        arrived_at: Nanos,
+        request: ClientRequest,
+    ) -> io::Result<AfterAnswer> {
         let request_id = self.context.next_request_id();
         let keep_alive = request.keep_alive;
         let body_bytes = request.body.len();
@@ -203,7 +211,7 @@
         };
         let keep_alive = keep_alive && !self.context.stopping.get();
         if is_active(Mutation::DropAnswerAtShutdown) && self.context.stopping.get() {
-            return Ok(Next::Close);
+            return Ok(AfterAnswer::Close);
         }
         let mut response = encode_answer(&answer, keep_alive);
         if is_active(Mutation::TruncateAnswer) && request_id.is_multiple_of(32) {
@@ -213,13 +221,13 @@
         if written.is_err() {
             self.context.counters.answers_undelivered.add();
         }
-        written.map(|()| Next::keep_alive_if(keep_alive))
+        written.map(|()| AfterAnswer::from_keep_alive(keep_alive))
     }
 
     /// Reads until there is an event. The time limits end connections that are silent, or slow within a request.
     async fn next_event(&mut self) -> io::Result<ClientEvent> {
         let mut deadline = self.now() + nanos(self.first_byte_timeout());
-        let waiter = self.waiter(self.has_asked);
+        let waiter = self.waiter(self.has_sent_request);
         let (waiting, close) = self.context.limits.register_idle(self.now(), waiter);
         let mut waiting = Some(waiting);
         loop {
@@ -227,10 +235,10 @@
                 return Ok(event);
             }
             if self.has_overflowed {
-                return Ok(ClientEvent::SENT_TOO_FAR_AHEAD);
+                return Ok(ClientEvent::PIPELINE_TOO_LONG);
             }
             // From the first byte of a request on, the connection is not closed to free its slot.
-            if self.has_asked && !self.reader.is_idle() && waiting.take().is_some() {
+            if self.has_sent_request && !self.reader.is_idle() && waiting.take().is_some() {
                 deadline = self.now() + nanos(REQUEST_TIMEOUT);
             }
             match self.read_until(deadline, &close).await {
@@ -252,7 +260,7 @@
     }
 
     fn first_byte_timeout(&self) -> Duration {
-        match (self.service, self.has_asked) {
+        match (self.service, self.has_sent_request) {
             (Service::RejectOnly, _) => REJECTED_REQUEST_TIMEOUT,
             (Service::Full, true) => KEEP_ALIVE_TIMEOUT,
             (Service::Full, false) => REQUEST_TIMEOUT,
@@ -322,18 +330,18 @@
                 || !self
                     .slot
                     .reserve_bytes(body_bytes + self.reader.buffered_bytes());
-            let answered = async { answer.recv().await.ok().map(WhileWaiting::Answered) };
+            let answered = async { answer.recv().await.ok().map(WaitEvent::Answered) };
             let received = async {
                 let count = self.stream.read(&mut self.buffer).await.unwrap_or(0);
-                Some(WhileWaiting::Received(count))
+                Some(WaitEvent::Received(count))
             };
             match answered.or(received).await? {
-                WhileWaiting::Answered(answer) => return Some(answer),
-                WhileWaiting::Received(0) => return None,
-                WhileWaiting::Received(count) if !self.has_overflowed => {
+                WaitEvent::Answered(answer) => return Some(answer),
+                WaitEvent::Received(0) => return None,
+                WaitEvent::Received(count) if !self.has_overflowed => {
                     self.reader.feed(&self.buffer[..count]);
                 }
-                WhileWaiting::Received(count) => discarded_bytes += count,
+                WaitEvent::Received(count) => discarded_bytes += count,
             }
             if discarded_bytes >= DISCARD_BURST_BYTES {
                 discarded_bytes = 0;
@@ -382,8 +390,8 @@
         self.context.runtime.now()
     }
 
-    fn waiter(&self, has_asked: bool) -> IdleClient {
-        match (self.service, has_asked) {
+    fn waiter(&self, has_sent_request: bool) -> IdleClient {
+        match (self.service, has_sent_request) {
             (Service::RejectOnly, _) => IdleClient::Overflow,
             (Service::Full, true) => IdleClient::BetweenRequests,
             (Service::Full, false) => IdleClient::AwaitingFirstRequest,
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -135,14 +135,14 @@
         let mut effects = Vec::new();
         call(&mut self.cluster.borrow_mut(), &mut effects);
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         if self.cluster.borrow().next_timeout() < self.sleeps_until.get() {
             let _ = self.wake.try_send(());
         }
     }
 
-    fn carry_out(&self, effect: Effect) {
+    fn execute(&self, effect: Effect) {
         match effect {
             Effect::Send { to, bytes } => match self.socket.send(&bytes, to) {
                 Ok(()) => self.counters.member_datagrams_sent.add(),
--- a/crates/runtime/src/discovery/follow.rs
+++ b/crates/runtime/src/discovery/follow.rs
@@ -139,7 +139,7 @@
             let is_polled = self.permits.is_some();
             // What a silent watch missed counts soon, so it is opened again at once, from the version known. A second
             // failure waits for a permit: the service may be late with all of its watches.
-            if is_polled && error.is_silence() && self.has_list {
+            if is_polled && error.is_timeout() && self.has_list {
                 log::warn!("discovery: {error}; the watch is opened again");
                 self.needs_permit = false;
                 continue;
--- a/crates/runtime/src/discovery/watch.rs
+++ b/crates/runtime/src/discovery/watch.rs
@@ -20,7 +20,7 @@
 
 impl WatchError {
     /// Whether the service only fell silent.
-    pub(super) fn is_silence(&self) -> bool {
+    pub(super) fn is_timeout(&self) -> bool {
         matches!(self, WatchError::NoAnswer(error) if error.kind() == io::ErrorKind::TimedOut)
     }
 }
@@ -45,10 +45,10 @@
                 }
             };
             // A service that has lost its count is asked for a snapshot.
-            let lost_count =
+            let version_decreased =
                 self.version.is_some_and(|known| list.version < known) && !list.is_snapshot;
             self.has_list = true;
-            self.version = (!lost_count).then_some(list.version);
+            self.version = (!version_decreased).then_some(list.version);
             self.context.counters.lists.add();
             self.context.report(EngineEvent::EndpointList(list));
             let _ = self.on_list.try_send(());
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -65,7 +65,7 @@
     pub fn load_cached(&mut self, list: EndpointList) {
         let now = self.context.runtime.now();
         self.engine.load_cached(now, list, &mut self.effects);
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
     /// Serves until the task is dropped.
@@ -76,7 +76,7 @@
             }
             let now = self.context.runtime.now();
             if self.engine.fire_next_timer(now, &mut self.effects) {
-                self.carry_out_effects();
+                self.execute_effects();
                 continue;
             }
             let next_expiry = self.context.pool.borrow().next_expiry();
@@ -107,7 +107,7 @@
             return;
         };
         self.engine.handle(now, input, &mut self.effects);
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
     /// The engine's input for an event; none where the event does not concern the engine.
@@ -166,10 +166,10 @@
         })
     }
 
-    fn carry_out_effects(&mut self) {
+    fn execute_effects(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         self.effects = effects;
         self.context.ready.set(self.engine.is_ready());
@@ -178,7 +178,7 @@
             .set(self.engine.active_request_count());
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         let context = &self.context;
         match effect {
             Effect::Answer { request_id, answer } => self.send_answer(request_id, answer),
@@ -254,13 +254,13 @@
             attempt_index: attempt.attempt_index,
         };
         let cancelled = Rc::new(Cell::new(false));
-        let over = AttemptConnection {
+        let connection = AttemptConnection {
             pooled,
             cancelled: cancelled.clone(),
         };
         let task = context
             .runtime
-            .spawn(send_attempt(context.clone(), attempt, over));
+            .spawn(send_attempt(context.clone(), attempt, connection));
         self.attempts
             .insert(key, RunningAttempt { task, cancelled });
     }
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -161,8 +161,8 @@
         let exit_at = deadline + FINAL_ANSWERS_RESERVE / 2;
         while context.limits.client_count() > 0 && context.runtime.now() < exit_at {
             while context.limits.evict_idle_client(context.runtime.now()) {}
-            let next_look = context.runtime.now() + nanos(LAST_CLIENTS_POLL_INTERVAL);
-            context.runtime.sleep_until(next_look).await;
+            let next_poll = context.runtime.now() + nanos(LAST_CLIENTS_POLL_INTERVAL);
+            context.runtime.sleep_until(next_poll).await;
         }
         log::info!(
             "{} clients were still connected at the end",
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -15,7 +15,7 @@
 pub struct PeerLoadExchange<S> {
     socket: S,
     /// This dispatcher's number.
-    own_number: u16,
+    own_rank: u16,
     /// The addresses of all dispatchers, in the order of their numbers.
     peers: Vec<SocketAddr>,
     send_limit: RefCell<RateLimiter>,
@@ -23,10 +23,10 @@
 
 impl<S: DatagramSocket> PeerLoadExchange<S> {
     /// An exchange over a socket.
-    pub fn new(socket: S, own_number: u16, peers: Vec<SocketAddr>) -> Self {
+    pub fn new(socket: S, own_rank: u16, peers: Vec<SocketAddr>) -> Self {
         PeerLoadExchange {
             socket,
-            own_number,
+            own_rank,
             peers,
             send_limit: RefCell::new(RateLimiter::new(MAX_DATAGRAMS_PER_SECOND)),
         }
@@ -38,7 +38,7 @@
             return counters.peer_loads_not_sent.add();
         };
         let is_allowed = self.send_limit.borrow_mut().try_acquire(now);
-        let datagram = encode(self.own_number, load);
+        let datagram = encode(self.own_rank, load);
         if is_allowed && self.socket.send(&datagram, *peer).is_ok() {
             counters.peer_loads_sent.add();
         } else {
--- a/crates/runtime/src/worker/attempt.rs
+++ b/crates/runtime/src/worker/attempt.rs
@@ -39,12 +39,12 @@
 }
 
 /// A request to be written.
-struct Message<'a> {
+struct CancellableRequest<'a> {
     bytes: &'a [u8],
     cancelled: &'a Cell<bool>,
 }
 
-impl Message<'_> {
+impl CancellableRequest<'_> {
     /// The outcome where it was not written to its last byte.
     fn unsent_outcome(&self) -> Outcome {
         if self.cancelled.get() {
@@ -59,7 +59,7 @@
 pub async fn send_attempt<R: Runtime>(
     context: Rc<Context<R>>,
     attempt: OutboundAttempt,
-    over: AttemptConnection<R::Stream>,
+    connection: AttemptConnection<R::Stream>,
 ) {
     let OutboundAttempt {
         request_id,
@@ -77,8 +77,8 @@
             progress,
         })
     };
-    let AttemptConnection { pooled, cancelled } = over;
-    let request = Message {
+    let AttemptConnection { pooled, cancelled } = connection;
+    let request = CancellableRequest {
         bytes: &message,
         cancelled: &cancelled,
     };
@@ -101,7 +101,7 @@
     pooled: Option<IdleConnection<WorkerConnection<R::Stream>>>,
     address: SocketAddr,
     limit: Duration,
-    request: &Message<'_>,
+    request: &CancellableRequest<'_>,
 ) -> Result<SentAttempt<R::Stream>, Outcome> {
     let runtime = &context.runtime;
     if let Some(pooled) = pooled {
@@ -149,12 +149,12 @@
 /// Writes a request; false where the connection broke, or the attempt was cancelled, before its last byte, so that it never
 /// ran.
 ///
-/// The last byte waits until the worker could have answered the others with a reset, as it does on a connection that it
+/// The last byte waits until the worker could have became_readable the others with a reset, as it does on a connection that it
 /// dropped while it was idle.
 async fn write_request<R: Runtime>(
     runtime: &R,
     stream: &mut R::Stream,
-    request: &Message<'_>,
+    request: &CancellableRequest<'_>,
     idle_since: Option<Nanos>,
 ) -> bool {
     let Some((last, first_bytes)) = request.bytes.split_last() else {
@@ -163,8 +163,8 @@
     if stream.write_all(first_bytes).await.is_err() {
         return false;
     }
-    let answered = async { stream.readable().await.is_ok() };
-    let silent = async {
+    let became_readable = async { stream.readable().await.is_ok() };
+    let wait_elapsed = async {
         let rest = idle_since.map_or(0, |since| {
             (since + REST_AFTER_ANSWER).saturating_sub(runtime.now())
         });
@@ -173,8 +173,8 @@
     };
     // A worker answers after the last byte. What is there before it is the end of the connection, or, on a reused one, a
     // late answer to an earlier request, which must not be taken for this one's.
-    let has_answer = answered.or(silent).await;
-    if has_answer && (idle_since.is_some() || stream.readiness() != Readiness::Readable) {
+    let is_readable = became_readable.or(wait_elapsed).await;
+    if is_readable && (idle_since.is_some() || stream.readiness() != Readiness::Readable) {
         return false;
     }
     !request.cancelled.get() && stream.write_all(&[*last]).await.is_ok()
