--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -127,7 +127,7 @@
 
     /// Ends when the engine's task or the follower of the endpoint list does, which neither does by itself: a program
     /// without one of them must not go on accepting.
-    pub async fn fault(&mut self) {
+    pub async fn wait_for_failure(&mut self) {
         (&mut self.engine).or(&mut self.follower).await;
     }
 
@@ -161,8 +161,8 @@
         let exit_at = deadline + FINAL_ANSWERS_RESERVE / 2;
         while context.limits.client_count() > 0 && context.runtime.now() < exit_at {
             while context.limits.evict_idle_client(context.runtime.now()) {}
-            let next_look = context.runtime.now() + nanos(LAST_CLIENTS_POLL_INTERVAL);
-            context.runtime.sleep_until(next_look).await;
+            let next_poll = context.runtime.now() + nanos(LAST_CLIENTS_POLL_INTERVAL);
+            context.runtime.sleep_until(next_poll).await;
         }
         log::info!(
             "{} clients were still connected at the end",
