--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -16,7 +16,7 @@
 ///
 /// A faulty worker may send a second answer to the same attempt some milliseconds late. It would be taken for the answer to
 /// the next request, which would then be sent again although it runs.
-pub const REST_AFTER_ANSWER: Nanos = 10 * MILLISECOND;
+pub const REUSE_DELAY: Nanos = 10 * MILLISECOND;
 
 /// How many attempts to one worker in `UNRESTED_WINDOW` may take a connection that has not rested. Beyond that no
 /// connection is given, so that the caller opens one more.
@@ -102,7 +102,7 @@
     ) -> Option<IdleConnection<C>> {
         let rested = self
             .connections
-            .partition_point(|pooled| pooled.idle_since + REST_AFTER_ANSWER <= now);
+            .partition_point(|pooled| pooled.idle_since + REUSE_DELAY <= now);
         (0..rested)
             .rev()
             .find_map(|index| self.remove_if_reusable(index, now, idle_timeout, stale))
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,5 +1,5 @@
 //! Tests of the pool of idle connections.
-use super::{Pool, REST_AFTER_ANSWER, Reusable, Taken};
+use super::{Pool, REUSE_DELAY, Reusable, Taken};
 use rosewall::types::{Nanos, WorkerId};
 use std::net::SocketAddr;
 use test_case::test_case;
@@ -66,7 +66,7 @@
     put(&mut pool, SECOND, true);
     put(&mut pool, SECOND, false);
 
-    let Taken { connection, stale } = pool.take(SECOND + REST_AFTER_ANSWER, WORKER);
+    let Taken { connection, stale } = pool.take(SECOND + REUSE_DELAY, WORKER);
 
     assert!(
         connection.is_some_and(|idle| idle.connection.is_reusable && idle.idle_since == SECOND)
--- a/crates/runtime/src/worker/attempt.rs
+++ b/crates/runtime/src/worker/attempt.rs
@@ -8,7 +8,7 @@
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Nanos, Outcome};
 use rosewall_engine::engine::OutboundAttempt;
-use rosewall_engine::pool::{IdleConnection, REST_AFTER_ANSWER};
+use rosewall_engine::pool::{IdleConnection, REUSE_DELAY};
 use rosewall_protocol::worker::{AttemptProgress, AttemptResponseReader};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -166,7 +166,7 @@
     let answered = async { stream.readable().await.is_ok() };
     let silent = async {
         let rest = idle_since.map_or(0, |since| {
-            (since + REST_AFTER_ANSWER).saturating_sub(runtime.now())
+            (since + REUSE_DELAY).saturating_sub(runtime.now())
         });
         sleep(runtime, RESET_WAIT.max(Duration::from_nanos(rest))).await;
         false
