--- a/crates/engine/src/config/error.rs
+++ b/crates/engine/src/config/error.rs
@@ -20,7 +20,7 @@
         source: ParseIntError,
     },
     /// A setting is missing, cannot be read or is out of range.
-    #[error("{source}{}", in_the_file(.path.as_deref()))]
+    #[error("{source}{}", file_path_suffix(.path.as_deref()))]
     Setting {
         /// The path of the setting in the file, if operators can set it.
         path: Option<String>,
@@ -67,7 +67,7 @@
     }
 }
 
-fn in_the_file(path: Option<&str>) -> String {
+fn file_path_suffix(path: Option<&str>) -> String {
     path.map_or_else(String::new, |path| {
         format!(" (settings.{path} in the file)")
     })
--- a/crates/engine/src/config/runtime_settings.rs
+++ b/crates/engine/src/config/runtime_settings.rs
@@ -72,13 +72,13 @@
             shutdown_timeout: shutdown_timeout(settings),
             slow_start_duration: nanos("slow_start.duration").unwrap_or(0),
             endpoints_mode: endpoints_mode.unwrap_or(EndpointsMode::Pushed),
-            report_fields: report_fields.map_or_else(Vec::new, |fields| words(fields)),
+            report_fields: report_fields.map_or_else(Vec::new, |fields| split_list(fields)),
             rank: pick(settings, "me").ok(),
         }
     }
 }
 
-fn words(list: &str) -> Vec<String> {
+fn split_list(list: &str) -> Vec<String> {
     list.split(',')
         .filter(|word| !word.is_empty())
         .map(str::to_string)
--- a/crates/engine/src/config/settings_pairs.rs
+++ b/crates/engine/src/config/settings_pairs.rs
@@ -26,10 +26,10 @@
             }
         }
         Value::Array(values) => {
-            let words: Vec<String> = values.iter().map(word).collect();
+            let words: Vec<String> = values.iter().map(text_of).collect();
             pairs.push((path.to_string(), words.join(",")));
         }
-        value => pairs.push((path.to_string(), word(value))),
+        value => pairs.push((path.to_string(), text_of(value))),
     }
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-fn word(value: &Value) -> String {
+fn text_of(value: &Value) -> String {
     let text = value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_string);
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -35,7 +35,7 @@
 }
 
 /// `CONFIG_WITH_PEERS` with one replacement, which must apply.
-fn with_peers_but(from: &str, to: &str) -> Config {
+fn config_with_peers_replacing(from: &str, to: &str) -> Config {
     assert!(
         CONFIG_WITH_PEERS.contains(from),
         "{from} is not in the file"
@@ -47,16 +47,16 @@
 #[test_case("health_check.allowed", "true"; "a nested value")]
 #[test_case("zones", "a_b,c"; "a list of words")]
 #[test_case("class.count", "2"; "a count")]
-#[test_case("class.0.idempotency", "non-idempotent"; "a word of the file")]
+#[test_case("class.0.idempotency", "non-idempotent"; "a translated value")]
 #[test_case("class.1.objective_stretch", "1.5"; "a value for each class")]
-#[test_case("tenant.0.name", "once"; "a name that is a word elsewhere")]
-fn settings_are_flattened_under_the_codes_names(name: &str, value: &str) {
+#[test_case("tenant.0.name", "once"; "a name that equals a translated value")]
+fn settings_are_flattened_to_internal_names(name: &str, value: &str) {
     let config = parse(CONFIG);
     assert_eq!(config.settings.get(name).map(String::as_str), Some(value));
 }
 
 #[test]
-fn names_are_listed_in_their_order() {
+fn names_keep_the_order_of_the_file() {
     let names = parse(CONFIG).names();
     assert_eq!(
         (names.classes, names.tenants),
@@ -65,18 +65,18 @@
     assert_eq!(names.zones, ["a_b", "c"]);
 }
 
-#[test_case("seed\": \"ff", "seed\": \"never"; "a seed that is no number")]
+#[test_case("seed\": \"ff", "seed\": \"never"; "a seed that is not a number")]
 #[test_case("127.0.0.1:0", "here"; "not an address")]
-#[test_case("\"limits\"", "\"other\""; "no limits")]
-fn an_unusable_file_is_an_error(from: &str, to: &str) {
+#[test_case("\"limits\"", "\"other\""; "no limits section")]
+fn rejects_an_invalid_file(from: &str, to: &str) {
     assert!(CONFIG.contains(from), "{from} is not in the file");
     assert!(Config::parse(CONFIG.replace(from, to).as_bytes()).is_err());
 }
 
 /// The kill comes the longest deadline, 3 s at most, and 0.7 s after the signal, and not sooner.
 #[test_case(&["1000000000"] => 1_400_000_000; "short deadlines")]
-#[test_case(&["1000000000", "2000000000"] => 2_400_000_000; "the longest counts")]
-#[test_case(&["20000000000"] => 3_400_000_000; "long ones")]
+#[test_case(&["1000000000", "2000000000"] => 2_400_000_000; "the longest deadline applies")]
+#[test_case(&["20000000000"] => 3_400_000_000; "deadlines above the maximum")]
 fn a_shutdown_ends_before_the_kill(deadlines: &[&str]) -> u64 {
     let paths: Vec<String> = (0..deadlines.len())
         .map(|at| format!("Schemes.{at}.ExpiryNs"))
@@ -129,15 +129,15 @@
 
 #[test_case("", "" => Ok(()); "valid")]
 #[test_case("\"Me\": 1", "\"Me\": 2" => Err("setting me is out of range: 2 of 2 dispatchers (settings.Me in the file)".into()); "a rank beyond the dispatchers")]
-#[test_case("\"Peers\": true", "\"Peers\": \"often\"" => Err("setting peer_load.allowed cannot be read: \"often\" (settings.Bounds.Peers in the file)".into()); "a wrong form")]
-#[test_case("\"ColdFrom\": 0.2", "\"ColdFrom\": -1" => Err("setting slow_start.from is out of range: -1 (settings.Contract.ColdFrom in the file)".into()); "negative")]
-#[test_case("\"ColdFrom\": 0.2,", "" => Err("setting slow_start.from is missing (settings.Contract.ColdFrom in the file)".into()); "missing")]
+#[test_case("\"Peers\": true", "\"Peers\": \"often\"" => Err("setting peer_load.allowed cannot be read: \"often\" (settings.Bounds.Peers in the file)".into()); "a value of the wrong type")]
+#[test_case("\"ColdFrom\": 0.2", "\"ColdFrom\": -1" => Err("setting slow_start.from is out of range: -1 (settings.Contract.ColdFrom in the file)".into()); "a negative value")]
+#[test_case("\"ColdFrom\": 0.2,", "" => Err("setting slow_start.from is missing (settings.Contract.ColdFrom in the file)".into()); "a missing setting")]
 #[test_case("\"ExpiryNs\": 1,", "" => Err("setting class.0.deadline is missing (settings.Schemes.0.ExpiryNs in the file)".into()); "a class without a deadline")]
 #[test_case("\"pushed\"", "\"push\"" => Err("setting endpoints.mode cannot be read: \"push\", expected \"pushed\" or \"on_request\" (settings.RegistryMode in the file)".into()); "an unknown mode")]
-#[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses for 2 dispatchers".into()); "a peer too many")]
-#[test_case("7001\", \"peers", "7009\", \"peers" => Err("talk.listen 127.0.0.1:7009 is not the address of number 1 in talk.peers".into()); "the address of another")]
-fn a_configuration_is_checked(from: &str, to: &str) -> Result<(), String> {
-    with_peers_but(from, to)
+#[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses for 2 dispatchers".into()); "one peer address too many")]
+#[test_case("7001\", \"peers", "7009\", \"peers" => Err("talk.listen 127.0.0.1:7009 is not the address of number 1 in talk.peers".into()); "the port of another dispatcher")]
+fn validation_reports_the_invalid_setting(from: &str, to: &str) -> Result<(), String> {
+    config_with_peers_replacing(from, to)
         .validate()
         .map_err(|error| error.to_string())
 }
@@ -145,16 +145,16 @@
 #[test_case("talk" => "true"; "with addresses")]
 #[test_case("other" => "false"; "without")]
 fn load_reports_are_disabled_without_addresses(name: &str) -> String {
-    with_peers_but("talk", name).settings["peer_load.allowed"].clone()
+    config_with_peers_replacing("talk", name).settings["peer_load.allowed"].clone()
 }
 
 #[test_case(""; "without a quorum")]
 #[test_case("keepers = [\"a\"]"; "with a quorum")]
-fn a_cluster_member_sends_to_warming_workers_by_grants(more: &str) {
+fn a_cluster_member_uses_warm_up_grants(more: &str) {
     let text = "version = 1\ncluster = \"c\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseeds = []\n";
     let cluster_config =
         rosewall_cluster::config::parse("c.toml".as_ref(), &format!("{text}{more}")).unwrap();
-    let mut config = with_peers_but("talk", "talkless");
+    let mut config = config_with_peers_replacing("talk", "talkless");
     config.join_cluster(cluster_config).unwrap();
     assert_eq!(config.settings["warm_up_grants"], "true");
 }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -116,7 +116,7 @@
     /// Since when only lists with lower versions have come.
     old_lists_since: Option<Nanos>,
     /// Where wall clocks may differ: a worker started longer ago than this is not warming up by any clock.
-    certainly_warm_after: Option<Nanos>,
+    slow_start_over_after: Option<Nanos>,
 }
 
 impl EndpointTable {
@@ -124,7 +124,7 @@
     /// `slow_start_duration`.
     pub fn with_clock_skew(max_clock_skew: Nanos, slow_start_duration: Nanos) -> Self {
         EndpointTable {
-            certainly_warm_after: Some(max_clock_skew + slow_start_duration),
+            slow_start_over_after: Some(max_clock_skew + slow_start_duration),
             ..EndpointTable::default()
         }
     }
@@ -217,8 +217,8 @@
     /// When a process that is listed now has started. Where wall clocks differ, a clock that is ahead would make a warming
     /// worker look warm: all that is certain then is that it started before it was listed, so it counts as started now.
     fn started(&self, now: Nanos, born: Nanos) -> Nanos {
-        match self.certainly_warm_after {
-            Some(warm) if born > 0 && born + warm > now => now,
+        match self.slow_start_over_after {
+            Some(over_after) if born > 0 && born + over_after > now => now,
             _ => born,
         }
     }
--- a/crates/engine/src/endpoints/tests.rs
+++ b/crates/engine/src/endpoints/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_id_follows_from_the_host_alone() {
+fn a_worker_id_depends_only_on_the_host() {
     let mut one = EndpointTable::default();
     let mut other = EndpointTable::default();
     let a = endpoint("a", 1, EndpointState::Ready, 0);
@@ -61,7 +61,7 @@
 #[test_case(false, &[endpoint("a", 1, EndpointState::Ready, 5)] => vec!["a"]; "restarted")]
 #[test_case(false, &[endpoint("a", 3, EndpointState::Ready, 0)] => vec!["a"]; "at another address")]
 #[test_case(false, &[endpoint("a", 1, EndpointState::Draining, 0)] => Vec::<&str>::new(); "draining")]
-fn a_list_names_the_workers_whose_connections_are_stale(
+fn a_list_update_reports_workers_with_stale_connections(
     is_snapshot: bool,
     endpoints: &[DiscoveredEndpoint],
 ) -> Vec<&'static str> {
@@ -93,7 +93,7 @@
 #[test_case(EndpointState::Removed, 0, 1 => EndpointState::Removed; "an old list of a removed worker")]
 #[test_case(EndpointState::Draining, 5, 1 => EndpointState::Ready; "restarted since")]
 #[test_case(EndpointState::Ready, 0, 1 => EndpointState::Ready; "the worker was ready")]
-#[test_case(EndpointState::Draining, 0, 61 => EndpointState::Ready; "lower versions are believed after a minute")]
+#[test_case(EndpointState::Draining, 0, 61 => EndpointState::Ready; "lower versions are accepted after a minute")]
 fn an_old_list_does_not_make_a_draining_or_removed_worker_ready(
     known: EndpointState,
     born: Nanos,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_old_list_does_not_bring_back_the_address_of_an_earlier_process() {
+fn an_old_list_does_not_restore_the_address_of_an_earlier_process() {
     let mut table = EndpointTable::default();
     let ready = |port, born| vec![endpoint("a", port, EndpointState::Ready, born)];
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -123,15 +123,17 @@
                     scope: ListScope::Failed,
                     endpoints: Vec::new(),
                 };
-                self.decide(now, failed, effects);
+                self.dispatch_event(now, failed, effects);
             }
             Input::HealthChecked(checked) => {
-                self.decide(now, Event::HealthChecked(checked), effects);
+                self.dispatch_event(now, Event::HealthChecked(checked), effects);
             }
             Input::PeerLoad { from, load } => {
-                self.decide(now, Event::PeerLoad { from, load }, effects);
+                self.dispatch_event(now, Event::PeerLoad { from, load }, effects);
+            }
+            Input::FleetView(position) => {
+                self.dispatch_event(now, Event::FleetView(position), effects)
             }
-            Input::FleetView(position) => self.decide(now, Event::FleetView(position), effects),
             Input::WarmUpGranted {
                 worker,
                 work,
@@ -142,7 +144,7 @@
                     work,
                     until,
                 };
-                self.decide(now, granted, effects);
+                self.dispatch_event(now, granted, effects);
             }
         }
     }
@@ -179,7 +181,7 @@
         self.requests
             .insert(ActiveRequest::new(request_id, request, deadline));
         self.timers.set(deadline, Timer::Deadline(request_id));
-        self.decide(now, arrived, effects);
+        self.dispatch_event(now, arrived, effects);
     }
 
     /// Cancels the attempts of a client that waits no longer, as far as they are not sent completely.
@@ -198,7 +200,7 @@
             active.cancel_unsent(|_| true, effects);
         }
         self.counters.clients_disconnected.add();
-        self.decide(now, Event::ClientGone { request_id }, effects);
+        self.dispatch_event(now, Event::ClientGone { request_id }, effects);
         self.requests.remove_if_complete(request_id);
     }
 
@@ -221,7 +223,7 @@
             .host_id_collisions
             .add_many(update.id_collisions);
         let endpoints = update.endpoints;
-        self.decide(now, Event::EndpointList { scope, endpoints }, effects);
+        self.dispatch_event(now, Event::EndpointList { scope, endpoints }, effects);
     }
 
     /// Cancels attempts that are not sent completely to workers which take no new requests or were replaced: an attempt that
@@ -240,19 +242,19 @@
     }
 
     /// Lets the decisions handle an event and all events that follow from it at once.
-    fn decide(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
+    fn dispatch_event(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.dispatcher.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, effects);
+                self.apply_action(now, action, effects);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now: Nanos, action: Action, effects: &mut Vec<Effect>) {
+    fn apply_action(&mut self, now: Nanos, action: Action, effects: &mut Vec<Effect>) {
         match action {
             Action::SendAttempt { request_id, worker } => {
                 self.send_attempt(now, request_id, worker, effects);
@@ -261,9 +263,14 @@
             Action::Reject {
                 request_id,
                 retry_after,
-            } => self.answer_unserved(now, request_id, Answer::Rejected { retry_after }, effects),
+            } => self.answer_without_result(
+                now,
+                request_id,
+                Answer::Rejected { retry_after },
+                effects,
+            ),
             Action::Fail { request_id } => {
-                self.answer_unserved(now, request_id, Answer::Failed, effects);
+                self.answer_without_result(now, request_id, Answer::Failed, effects);
             }
             Action::WatchEndpoints => effects.push(Effect::WatchEndpoints),
             Action::SendPeerLoad { to, load } => effects.push(Effect::SendPeerLoad { to, load }),
@@ -279,13 +286,13 @@
                 work,
                 window,
             }),
-            Action::SetTimer { at, token } => self.timers.set(at, Timer::Decisions(token)),
+            Action::SetTimer { at, token } => self.timers.set(at, Timer::Policy(token)),
             Action::Log(text) => log::info!("{text}"),
         }
     }
 
     /// Answers a request that the decisions reject or fail.
-    fn answer_unserved(
+    fn answer_without_result(
         &mut self,
         now: Nanos,
         request_id: RequestId,
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -81,7 +81,7 @@
                     request_id,
                     attempt_index,
                 };
-                self.decide(now, started, effects);
+                self.dispatch_event(now, started, effects);
             }
             AttemptProgress::Succeeded(result) => {
                 if !self.answer(request_id, Answer::Succeeded(result), effects) {
@@ -127,7 +127,7 @@
             complete,
             report: Report::default(),
         };
-        self.decide(now, Event::AttemptEnded(ended), effects);
+        self.dispatch_event(now, Event::AttemptEnded(ended), effects);
         self.requests.remove_if_complete(request_id);
     }
 
--- a/crates/engine/src/engine/deadlines.rs
+++ b/crates/engine/src/engine/deadlines.rs
@@ -34,7 +34,7 @@
             return false;
         };
         match timer {
-            Timer::Decisions(token) => self.decide(now, Event::TimerFired { token }, effects),
+            Timer::Policy(token) => self.dispatch_event(now, Event::TimerFired { token }, effects),
             Timer::Deadline(request_id) => self.deadline_reached(now, request_id, effects),
             Timer::AnswerOverdue(request_id) => self.answer_overdue(now, request_id, effects),
         }
@@ -70,7 +70,7 @@
         );
         if is_overdue {
             self.answer(request_id, Answer::Failed, effects);
-            self.decide(now, Event::ClientGone { request_id }, effects);
+            self.dispatch_event(now, Event::ClientGone { request_id }, effects);
             self.requests.remove_if_complete(request_id);
         }
     }
@@ -84,6 +84,6 @@
                 self.timers.set(by, Timer::Deadline(active.request_id));
             }
         }
-        self.decide(now, Event::ShuttingDown { by }, effects);
+        self.dispatch_event(now, Event::ShuttingDown { by }, effects);
     }
 }
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -92,7 +92,7 @@
     }
 
     /// A request with this id of its client arrives at 1 ms.
-    fn arrive(&mut self, request_id: RequestId, id: &str) -> Vec<String> {
+    fn send_request(&mut self, request_id: RequestId, id: &str) -> Vec<String> {
         let request = ClientRequest {
             id: id.into(),
             timeout: REQUEST_TIMEOUT,
@@ -109,7 +109,7 @@
     }
 
     /// The first attempt of request 1 progresses.
-    fn progress(&mut self, at_ms: u64, progress: AttemptProgress) -> Vec<String> {
+    fn progress_first_attempt(&mut self, at_ms: u64, progress: AttemptProgress) -> Vec<String> {
         let input = Input::AttemptProgress {
             request_id: 1,
             attempt_index: 0,
@@ -154,14 +154,14 @@
 fn an_id_that_is_active_or_was_sent_is_a_duplicate() {
     let mut fixture = Fixture::non_idempotent_with_ready_worker();
 
-    assert_eq!(fixture.arrive(1, "a"), ["send 1 0"]);
-    assert_eq!(fixture.arrive(2, "a"), ["duplicate 2"]);
+    assert_eq!(fixture.send_request(1, "a"), ["send 1 0"]);
+    assert_eq!(fixture.send_request(2, "a"), ["duplicate 2"]);
     assert_eq!(
-        fixture.progress(9, AttemptProgress::Succeeded(Vec::new())),
+        fixture.progress_first_attempt(9, AttemptProgress::Succeeded(Vec::new())),
         ["succeeded 1", "finished 1 0"]
     );
     assert_eq!(fixture.active_requests(), 0);
-    assert_eq!(fixture.arrive(3, "a"), ["duplicate 3"]);
+    assert_eq!(fixture.send_request(3, "a"), ["duplicate 3"]);
 }
 
 #[test_case("non-idempotent", Outcome::ConnectionLost, &["finished 1 0", "failed 1"]; "non-idempotent, may have run")]
@@ -173,9 +173,9 @@
     expected: &[&str],
 ) {
     let mut fixture = Fixture::new(idempotency, Some(EndpointState::Ready));
-    fixture.arrive(1, "a");
+    fixture.send_request(1, "a");
 
-    let effects = fixture.progress(5, AttemptProgress::Ended(outcome));
+    let effects = fixture.progress_first_attempt(5, AttemptProgress::Ended(outcome));
 
     assert_eq!(effects, expected);
 }
@@ -183,14 +183,14 @@
 #[test]
 fn a_client_that_disconnects_has_its_attempt_cancelled_and_gets_no_answer() {
     let mut fixture = Fixture::non_idempotent_with_ready_worker();
-    fixture.arrive(1, "a");
+    fixture.send_request(1, "a");
 
     assert_eq!(
         fixture.handle(5, Input::ClientDisconnected(1)),
         ["cancel 1 0"]
     );
     assert_eq!(
-        fixture.progress(6, AttemptProgress::Succeeded(Vec::new())),
+        fixture.progress_first_attempt(6, AttemptProgress::Succeeded(Vec::new())),
         ["finished 1 0"]
     );
     assert_eq!(fixture.active_requests(), 0);
@@ -199,7 +199,7 @@
 #[test]
 fn at_its_deadline_an_attempt_is_aborted_and_the_request_answered_before_its_client_gives_up() {
     let mut fixture = Fixture::non_idempotent_with_ready_worker();
-    fixture.arrive(1, "a");
+    fixture.send_request(1, "a");
 
     let mut effects = Vec::new();
     let mut answered_at = 0;
@@ -219,7 +219,7 @@
 #[test]
 fn a_shutdown_brings_deadlines_forward_to_its_own() {
     let mut fixture = Fixture::non_idempotent_with_ready_worker();
-    fixture.arrive(1, "a");
+    fixture.send_request(1, "a");
     let shutdown_deadline = 100 * MILLISECOND;
 
     let effects = fixture.handle(10, Input::ShutDown(shutdown_deadline));
@@ -241,8 +241,8 @@
 }
 
 #[test_case(None; "no worker is known")]
-#[test_case(Some(EndpointState::Draining); "the only one drains")]
+#[test_case(Some(EndpointState::Draining); "the only worker is draining")]
 fn nothing_is_sent_without_a_worker_that_is_ready(worker_state: Option<EndpointState>) {
     let mut fixture = Fixture::new("non-idempotent", worker_state);
-    assert_eq!(fixture.arrive(1, "a"), Vec::<String>::new());
+    assert_eq!(fixture.send_request(1, "a"), Vec::<String>::new());
 }
--- a/crates/engine/src/engine/timers.rs
+++ b/crates/engine/src/engine/timers.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// A timer of the decisions, by their token.
-    Decisions(u64),
+    Policy(u64),
     /// The deadline of a request.
     Deadline(RequestId),
     /// The moment at which a request must have been answered.
--- a/crates/engine/src/limits/tests.rs
+++ b/crates/engine/src/limits/tests.rs
@@ -75,13 +75,13 @@
 
     let evicted = limits.evict_idle_client(registered_at + idle_ms * MILLISECOND);
 
-    let told_to_close: Vec<bool> = registrations
+    let close_requested: Vec<bool> = registrations
         .iter()
         .map(|(_, close)| close.try_recv().is_ok())
         .collect();
-    let closed_count = told_to_close.iter().filter(|closed| **closed).count();
+    let closed_count = close_requested.iter().filter(|closed| **closed).count();
     assert_eq!(closed_count, usize::from(evicted));
-    told_to_close.iter().position(|closed| *closed)
+    close_requested.iter().position(|closed| *closed)
 }
 
 #[test]
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -10,7 +10,7 @@
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
 /// How long after a connection broke in use the shorter idle timeout applies that follows from it.
-const BREAK_MEMORY: Nanos = 30 * SECOND;
+const BROKEN_IDLE_RETENTION: Nanos = 30 * SECOND;
 
 /// How long after an answer the last byte of an attempt must not be written to the same connection.
 ///
@@ -18,10 +18,10 @@
 /// the next request, which would then be sent again although it runs.
 pub const REUSE_DELAY: Nanos = 10 * MILLISECOND;
 
-/// How many attempts to one worker in `UNRESTED_WINDOW` may take a connection that has not rested. Beyond that no
+/// How many attempts to one worker in `EARLY_REUSE_WINDOW` may take a connection that has not rested. Beyond that no
 /// connection is given, so that the caller opens one more.
-const MAX_UNRESTED_IN_WINDOW: u32 = 25;
-const UNRESTED_WINDOW: Nanos = SECOND;
+const MAX_EARLY_REUSES: u32 = 25;
+const EARLY_REUSE_WINDOW: Nanos = SECOND;
 
 /// Expired connections are looked for at multiples of this.
 const EXPIRY_GRANULARITY: Nanos = 100 * MILLISECOND;
@@ -59,7 +59,7 @@
 struct WorkerPool<C> {
     connections: Vec<PooledConnection<C>>,
     /// How many attempts found no rested connection since `window_start`.
-    unrested_count: u32,
+    early_reuse_count: u32,
     window_start: Nanos,
 }
 
@@ -67,43 +67,43 @@
     fn new(now: Nanos) -> Self {
         WorkerPool {
             connections: Vec::new(),
-            unrested_count: 0,
+            early_reuse_count: 0,
             window_start: now,
         }
     }
 
     /// Counts an attempt that found no rested connection; whether it may take one that has not rested.
-    fn may_use_unrested(&mut self, now: Nanos) -> bool {
-        if now >= self.window_start + UNRESTED_WINDOW {
-            self.unrested_count = 0;
+    fn may_reuse_early(&mut self, now: Nanos) -> bool {
+        if now >= self.window_start + EARLY_REUSE_WINDOW {
+            self.early_reuse_count = 0;
             self.window_start = now;
         }
-        self.unrested_count += 1;
-        self.unrested_count <= MAX_UNRESTED_IN_WINDOW
+        self.early_reuse_count += 1;
+        self.early_reuse_count <= MAX_EARLY_REUSES
     }
 }
 
 impl<C: Reusable> WorkerPool<C> {
     fn take(&mut self, now: Nanos, idle_timeout: Nanos) -> Taken<C> {
         let mut stale = 0;
-        let mut connection = self.take_rested(now, idle_timeout, &mut stale);
-        if connection.is_none() && !self.connections.is_empty() && self.may_use_unrested(now) {
+        let mut connection = self.take_after_reuse_delay(now, idle_timeout, &mut stale);
+        if connection.is_none() && !self.connections.is_empty() && self.may_reuse_early(now) {
             connection = self.take_longest_idle(now, idle_timeout, &mut stale);
         }
         Taken { connection, stale }
     }
 
     /// Of the connections that have rested, the reusable one that was used last.
-    fn take_rested(
+    fn take_after_reuse_delay(
         &mut self,
         now: Nanos,
         idle_timeout: Nanos,
         stale: &mut usize,
     ) -> Option<IdleConnection<C>> {
-        let rested = self
+        let past_delay = self
             .connections
             .partition_point(|pooled| pooled.idle_since + REUSE_DELAY <= now);
-        (0..rested)
+        (0..past_delay)
             .rev()
             .find_map(|index| self.remove_if_reusable(index, now, idle_timeout, stale))
     }
@@ -186,7 +186,7 @@
     }
 
     fn broke_recently(&self, now: Nanos) -> bool {
-        now < self.last_broken_at + BREAK_MEMORY
+        now < self.last_broken_at + BROKEN_IDLE_RETENTION
     }
 
     fn current_idle_timeout(&self, now: Nanos) -> Nanos {
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -40,11 +40,11 @@
 }
 
 /// The limit is three fifths of the settings' 30 s, or of the idle time after which a connection broke, for half a minute.
-#[test_case(None, 17 => true; "within the limit of the settings")]
-#[test_case(None, 19 => false; "too old")]
-#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 20 }), 5 => true; "younger than what broke")]
-#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 20 }), 7 => false; "nearly as old as what broke")]
-#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 60 }), 7 => true; "the break is forgotten")]
+#[test_case(None, 17 => true; "within the configured timeout")]
+#[test_case(None, 19 => false; "idle for too long")]
+#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 20 }), 5 => true; "idle for less than the broken one")]
+#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 20 }), 7 => false; "idle for nearly as long as the broken one")]
+#[test_case(Some(Break { idle_seconds: 10, seconds_ago: 60 }), 7 => true; "the break is too long ago")]
 fn a_connection_is_reused_within_its_idle_timeout(
     broken: Option<Break>,
     idle_seconds: u64,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_connection_that_looks_closed_is_passed_over() {
+fn a_connection_that_is_not_reusable_is_dropped_and_counted() {
     let mut pool = pool();
     put(&mut pool, SECOND, true);
     put(&mut pool, SECOND, false);
@@ -74,11 +74,11 @@
     assert_eq!(stale, 1);
 }
 
-#[test_case(&[100, 80, 5] => Some(80); "of those that have rested the one used last")]
-#[test_case(&[9, 5, 1] => Some(9); "of those that have not the one that rests longest")]
-#[test_case(&[10] => Some(10); "ten ms are a rest")]
-#[test_case(&[] => None; "there is none")]
-fn a_rested_connection_is_preferred(idle_ms: &[u64]) -> Option<u64> {
+#[test_case(&[100, 80, 5] => Some(80); "the most recently used past the delay")]
+#[test_case(&[9, 5, 1] => Some(9); "the longest idle if none is past the delay")]
+#[test_case(&[10] => Some(10); "the delay is ten ms")]
+#[test_case(&[] => None; "the pool is empty")]
+fn a_connection_past_the_reuse_delay_is_preferred(idle_ms: &[u64]) -> Option<u64> {
     let now = SECOND;
     let mut pool = pool();
     for idle_ms in idle_ms {
@@ -91,10 +91,10 @@
 }
 
 /// Each attempt comes 1 ms after the last answer, so that its connection has not rested.
-#[test_case(1, 25 => true; "a few take an unrested one")]
-#[test_case(1, 26 => false; "with one more a new connection is opened")]
-#[test_case(45, 60 => true; "an attempt now and then takes an unrested one")]
-fn frequent_attempts_without_a_rested_connection_open_another(
+#[test_case(1, 25 => true; "a few early reuses are allowed")]
+#[test_case(1, 26 => false; "one more in the window is not")]
+#[test_case(45, 60 => true; "spread over longer than the window")]
+fn frequent_early_reuse_makes_callers_open_new_connections(
     interval_ms: u64,
     attempts: u64,
 ) -> bool {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn only_connections_to_the_current_address_stay_when_a_worker_moves() {
+fn eviction_keeps_only_connections_to_the_current_address() {
     let mut pool = pool();
     for port in [9, 10] {
         pool.put(
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -133,12 +133,12 @@
     add_bytes(digest, &encode_list_request(host, Some(watch)));
 }
 
-enum Next {
+enum Step {
     Arrival,
     List,
     Timers,
-    PeerReport,
-    PeerView,
+    PeerLoad,
+    FleetView,
     Disconnect(RequestId),
     Answer {
         request: RequestId,
@@ -156,7 +156,7 @@
     request_reader: RequestReader,
     response_readers: BTreeMap<(RequestId, u8), AttemptResponseReader>,
     now: Nanos,
-    queue: BTreeMap<(Nanos, u64), Next>,
+    queue: BTreeMap<(Nanos, u64), Step>,
     serial: u64,
     next_request: RequestId,
     list_number: u64,
@@ -193,14 +193,14 @@
             .expect("a valid list");
         let mut effects = Vec::new();
         model.engine.load_cached(SECOND, list, &mut effects);
-        model.carry_out(effects);
-        model.push(0, Next::Timers);
+        model.execute(effects);
+        model.push(0, Step::Timers);
         for (delay, next) in [
-            (5, Next::Arrival),
-            (400, Next::List),
-            (30, Next::PeerReport),
-            (900, Next::PeerView),
-            (14_000, Next::Stop),
+            (5, Step::Arrival),
+            (400, Step::List),
+            (30, Step::PeerLoad),
+            (900, Step::FleetView),
+            (14_000, Step::Stop),
         ] {
             model.push(delay * MILLISECOND, next);
         }
@@ -211,7 +211,7 @@
         below(&mut self.rng, limit)
     }
 
-    fn push(&mut self, delay: Nanos, next: Next) {
+    fn push(&mut self, delay: Nanos, next: Step) {
         self.serial += 1;
         self.queue.insert((self.now + delay, self.serial), next);
     }
@@ -219,17 +219,17 @@
     fn handle_input(&mut self, input: Input) {
         let mut effects = Vec::new();
         self.engine.handle(self.now, input, &mut effects);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             self.effects += 1;
             let now = self.now;
             add_numbers(&mut self.digest, &[now]);
             self.record(&effect);
             if let Effect::SendAttempt(attempt) = effect {
-                self.work(
+                self.schedule_response(
                     attempt.request_id,
                     attempt.attempt_index,
                     attempt.worker,
@@ -238,7 +238,7 @@
             }
         }
         if let Some(timer) = self.engine.next_timer() {
-            self.push(timer.saturating_sub(self.now), Next::Timers);
+            self.push(timer.saturating_sub(self.now), Step::Timers);
         }
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// A worker takes an attempt, and answers in the protocol's lines, or breaks off.
-    fn work(&mut self, request: RequestId, attempt: u8, worker: WorkerId, id: String) {
+    fn schedule_response(&mut self, request: RequestId, attempt: u8, worker: WorkerId, id: String) {
         self.response_readers
             .insert((request, attempt), AttemptResponseReader::new(id.clone()));
         let hung = worker.port % 7 == 3;
@@ -309,7 +309,7 @@
             _ if hung => return,
             _ => (line("done") + "0\r\n\r\n", false),
         };
-        let answer = |bytes: &str, closes: bool| Next::Answer {
+        let answer = |bytes: &str, closes: bool| Step::Answer {
             request,
             attempt,
             bytes: bytes.as_bytes().to_vec(),
@@ -332,7 +332,7 @@
         }
     }
 
-    fn answer(&mut self, request: RequestId, attempt: u8, bytes: &[u8], closes: bool) {
+    fn deliver_response(&mut self, request: RequestId, attempt: u8, bytes: &[u8], closes: bool) {
         let Some(mut reader) = self.response_readers.remove(&(request, attempt)) else {
             return;
         };
@@ -367,9 +367,9 @@
         }
     }
 
-    fn arrive(&mut self) {
+    fn send_request(&mut self) {
         let delay = self.below(30) * MILLISECOND;
-        self.push(delay, Next::Arrival);
+        self.push(delay, Step::Arrival);
         let class = ["thumb", "charge", "mail", "none"]
             [self.below(40).min(3 * self.below(40)) as usize % 4];
         let number = self.below(4_000);
@@ -429,7 +429,7 @@
                 let request_id = self.next_request;
                 if self.below(25) == 0 {
                     let delay = self.below(300) * MILLISECOND;
-                    self.push(delay, Next::Disconnect(request_id));
+                    self.push(delay, Step::Disconnect(request_id));
                 }
                 self.handle_input(Input::RequestArrived {
                     request_id,
@@ -476,9 +476,9 @@
         format!("{{\"seq\":{number},\"whole\":{is_snapshot},\"hosts\":[{hosts}]}}")
     }
 
-    fn list(&mut self) {
+    fn publish_list(&mut self) {
         let delay = (100 + self.below(800)) * MILLISECOND;
-        self.push(delay, Next::List);
+        self.push(delay, Step::List);
         let is_snapshot = self.below(4) == 0;
         let text = self.list_text(is_snapshot);
         let bytes = format!(
@@ -503,9 +503,9 @@
         }
     }
 
-    fn peer_report(&mut self) {
+    fn send_peer_load(&mut self) {
         let delay = (5 + self.below(60)) * MILLISECOND;
-        self.push(delay, Next::PeerReport);
+        self.push(delay, Step::PeerLoad);
         let worker = rosewall_engine::endpoints::worker_id(&format!("w{}", self.below(14)));
         let load = PeerLoad {
             worker,
@@ -517,9 +517,9 @@
         self.handle_input(Input::PeerLoad { from, load });
     }
 
-    fn peer_view(&mut self) {
+    fn update_fleet_view(&mut self) {
         let delay = (1 + self.below(4)) * SECOND;
-        self.push(delay, Next::PeerView);
+        self.push(delay, Step::FleetView);
         let count = 8 + self.below(8) as u16;
         let view = (self.below(5) != 0).then_some(FleetPosition {
             rank: 3,
@@ -541,29 +541,29 @@
         let mut effects = Vec::new();
         while self.engine.fire_next_timer(self.now, &mut effects) {}
         if !effects.is_empty() {
-            self.carry_out(effects);
+            self.execute(effects);
         } else if let Some(timer) = self.engine.next_timer().filter(|timer| *timer > self.now) {
-            self.push(timer - self.now, Next::Timers);
+            self.push(timer - self.now, Step::Timers);
         }
     }
 
-    fn step(&mut self, next: Next) {
+    fn step(&mut self, next: Step) {
         match next {
-            Next::Arrival => self.arrive(),
-            Next::List => self.list(),
-            Next::Timers => self.run_timers(),
-            Next::PeerReport => self.peer_report(),
-            Next::PeerView => self.peer_view(),
-            Next::Disconnect(request) => self.handle_input(Input::ClientDisconnected(request)),
-            Next::Answer {
+            Step::Arrival => self.send_request(),
+            Step::List => self.publish_list(),
+            Step::Timers => self.run_timers(),
+            Step::PeerLoad => self.send_peer_load(),
+            Step::FleetView => self.update_fleet_view(),
+            Step::Disconnect(request) => self.handle_input(Input::ClientDisconnected(request)),
+            Step::Answer {
                 request,
                 attempt,
                 bytes,
                 closes,
             } => {
-                self.answer(request, attempt, &bytes, closes);
+                self.deliver_response(request, attempt, &bytes, closes);
             }
-            Next::Stop => self.handle_input(Input::ShutDown(self.now + 2 * SECOND)),
+            Step::Stop => self.handle_input(Input::ShutDown(self.now + 2 * SECOND)),
         }
     }
 
@@ -574,9 +574,9 @@
             }
             self.now = at;
             // One timer event at a time is enough for any number that asked for it.
-            if matches!(next, Next::Timers) {
+            if matches!(next, Step::Timers) {
                 let same =
-                    |key: &(Nanos, u64), next: &Next| key.0 == at && matches!(next, Next::Timers);
+                    |key: &(Nanos, u64), next: &Step| key.0 == at && matches!(next, Step::Timers);
                 while self
                     .queue
                     .first_key_value()
@@ -597,7 +597,7 @@
     "7905 effects, dfb4da6096cad6b8 a210fc189f1762f2 005a531532c5e7d6 d4800afddc24d7a1"; "a single dispatcher")]
 #[test_case("warm_up_grants=true endpoints.mode=pushed" =>
     "33625 effects, b5ce976889a39cb2 ec1366f6b53d22ab abe7e42744fadfe5 22c6b42ae6f53bb7"; "warm-up grants and a pushed list")]
-fn bytes_and_commands_are_the_same(overrides: &str) -> String {
+fn effects_match_the_recorded_digests(overrides: &str) -> String {
     let runs = (0..4).map(|seed| Model::new(overrides, seed).run(18 * SECOND));
     let (effects, digests): (Vec<u64>, Vec<String>) = runs.unzip();
     format!(
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn values_for_each_class_yield_to_a_class_setting() {
+fn a_class_setting_overrides_the_value_listed_for_each_class() {
     let map = parse_settings([
         ("Schemes.0.AimStretch", "3"),
         ("FamilyInfo.ClassStretch", "1,2"),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn report_fields_get_the_meaning_that_the_site_gives_them() {
+fn site_specific_report_fields_are_replaced_by_their_meaning() {
     let map = parse_settings([
         ("Report.Fields", "load_share,x0"),
         ("FamilyInfo.ReportX0", "free_slots"),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_setting_has_the_path_that_operators_know() {
+fn operators_path_finds_the_path_of_a_setting() {
     let paths = [
         ("slow_start.from", "Contract.ColdFrom"),
         ("me", "Me"),
