--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of one dispatcher: the JSON file that `PROXY_CONFIG` names, as typed values.
+//! The configuration of one dispatcher, parsed from the JSON file that `PROXY_CONFIG` names.
 mod error;
 mod runtime_settings;
 mod settings_pairs;
@@ -22,7 +22,7 @@
 const PEER_LOAD_ALLOWED: &str = "peer_load.allowed";
 const WARM_UP_GRANTS: &str = "warm_up_grants";
 
-/// The file as it is written. Its keys are the operators'.
+/// Content of the configuration file. The serialized keys are the operators' names.
 #[derive(Deserialize)]
 struct ConfigFile {
     listen: SocketAddr,
@@ -45,48 +45,49 @@
     max_descriptors: usize,
 }
 
-/// Where dispatchers exchange load reports directly (`talk` in the file); without it they exchange none.
+/// Addresses for the direct exchange of load reports (`talk` in the file). Without it, and without
+/// a cluster, no load reports are exchanged.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct PeerLoadConfig {
-    /// The address to receive datagrams at.
+    /// Address at which this dispatcher receives datagrams.
     pub listen: SocketAddr,
-    /// The address of each dispatcher, in the order of their ranks.
+    /// Addresses of all dispatchers in the order of their ranks, including this one.
     pub peers: Vec<SocketAddr>,
 }
 
-/// The configuration of one dispatcher.
+/// Configuration of one dispatcher.
 #[derive(Clone)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery serves the endpoint list.
+    /// Address at which discovery serves the endpoint list.
     pub discovery: SocketAddr,
-    /// Seeds all random draws.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// The memory that the process may use, in MiB.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// How many descriptors the process may use.
+    /// Maximum number of descriptors that the process may use.
     pub max_descriptors: usize,
-    /// The endpoint list as last known, in discovery's form.
+    /// Cached endpoint list as JSON in discovery's format; `null` if the file has none.
     pub cached_endpoints: Vec<u8>,
-    /// Direct exchange of load reports, if it is configured.
+    /// Addresses for the direct exchange of load reports, if configured.
     pub peer_load: Option<PeerLoadConfig>,
-    /// The path of the cluster file, until the caller has read it.
+    /// Path of the cluster file, if configured; taken by the caller that reads the file.
     pub cluster_file: Option<String>,
-    /// What the cluster file holds, once [`Config::join_cluster`] was called.
+    /// Content of the cluster file; set by [`Config::join_cluster`].
     pub cluster: Option<ClusterConfig>,
-    /// The settings that engine and runtime use.
+    /// Settings used by the engine and the runtime.
     pub runtime: RuntimeSettings,
-    /// All settings under the code's names, for the decisions.
+    /// All settings under their internal names, for the policy.
     pub settings: Map,
 }
 
 impl Config {
-    /// Reads the text of the file.
+    /// Parses the text of the file. Settings are checked later, by [`Config::validate`].
     ///
     /// # Errors
     ///
-    /// If it is not the expected JSON, or the seed is not a number.
+    /// If the text is not the expected JSON or the seed is not a hexadecimal number.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
         let file: ConfigFile = serde_json::from_slice(text)?;
         let seed =
@@ -113,9 +114,10 @@
         })
     }
 
-    /// Adds the configuration of the cluster that this dispatcher is a member of. Warming workers are then sent to by
-    /// warm-up grants, also where no quorum member issues any: a share of the budget by the number of running dispatchers
-    /// would be too large at a member that is cut off and takes itself for the only one.
+    /// Adds the configuration of the cluster that this dispatcher is a member of. Work for warming
+    /// workers then always requires warm-up grants, even if no quorum member issues any. The
+    /// alternative, a fraction of the budget by the number of running dispatchers, would be too
+    /// large at a member that is cut off and sees itself as the only one.
     ///
     /// # Errors
     ///
@@ -130,13 +132,14 @@
         Ok(())
     }
 
-    /// Allows or forbids load reports to other dispatchers, whatever the file says.
+    /// Enables or disables load reports to other dispatchers, overriding the file.
     pub fn set_peer_load_allowed(&mut self, allowed: bool) {
         self.settings
             .insert(PEER_LOAD_ALLOWED.into(), allowed.to_string());
     }
 
-    /// The names by which requests and endpoint lists refer to what the settings list.
+    /// Returns the names of classes, tenants, zones and worker types that requests and endpoint
+    /// lists refer to.
     pub fn names(&self) -> Names {
         names(&self.settings)
     }
@@ -145,7 +148,8 @@
     ///
     /// # Errors
     ///
-    /// Names the first setting that is missing, cannot be read or contradicts another.
+    /// If a setting is missing, cannot be read or contradicts another. The error names the first one
+    /// found.
     pub fn validate(&self) -> Result<(), ConfigError> {
         Dispatcher::start(0, self.seed, &self.settings)?;
         self.validate_deadlines()?;
@@ -156,7 +160,8 @@
         }
     }
 
-    /// The time for a shutdown follows from the deadlines, so that each class must have one.
+    /// Checks that each class has a deadline, since the shutdown timeout is derived from the
+    /// deadlines.
     fn validate_deadlines(&self) -> Result<(), ConfigError> {
         let classes: usize = pick(&self.settings, "class.count")?;
         for class in 0..classes {
@@ -195,7 +200,8 @@
     )
 }
 
-/// Load reports need addresses to go to; the decisions must not count on reports that are never sent.
+/// Disables load reports if they have no addresses: the policy must not rely on reports that are
+/// never sent.
 fn disable_peer_load(settings: &mut Map) {
     let allowed = settings
         .get(PEER_LOAD_ALLOWED)
--- a/crates/engine/src/config/error.rs
+++ b/crates/engine/src/config/error.rs
@@ -1,54 +1,58 @@
-//! Why a configuration cannot be used.
+//! Errors in a configuration.
 use rosewall::SettingsError;
 use rosewall_settings::operators_path;
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// Why a configuration cannot be used. The messages name the key or setting, its value and what is expected.
+/// Error in a configuration. The messages name the key or setting, its value and what is expected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The text is not JSON, or a key is missing or of the wrong form; the text names it, line and column.
+    /// The text is not JSON, or a key is missing or of the wrong type. The message gives line and
+    /// column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The seed cannot be read.
-    #[error("seed {value:?} is no number: expected up to 16 hexadecimal digits")]
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed {value:?} is not a number: expected up to 16 hexadecimal digits")]
     InvalidSeed {
-        /// The text that stands in its place.
+        /// Seed as written in the file.
         value: String,
-        /// What is wrong with it.
+        /// Cause of the parse failure.
         source: ParseIntError,
     },
     /// A setting is missing, cannot be read or is out of range.
     #[error("{source}{}", file_path_suffix(.path.as_deref()))]
     Setting {
-        /// The path of the setting in the file, if operators can set it.
+        /// Path of the setting in the file; `None` if operators cannot set it.
         path: Option<String>,
-        /// The setting, its value and what is wrong with it.
+        /// Name of the setting, its value and the fault.
         source: SettingsError,
     },
-    /// The way in which endpoint lists come is not known.
+    /// The value of `endpoints.mode` is unknown.
     #[error(
         "setting endpoints.mode cannot be read: {value:?}, expected \"pushed\" or \"on_request\" (settings.RegistryMode in the file)"
     )]
     EndpointsMode {
-        /// The unknown word.
+        /// Value of the setting.
         value: String,
     },
-    /// The list of peers does not cover the dispatchers.
-    #[error("talk.peers has {addresses} addresses for {dispatchers} dispatchers")]
+    /// The number of peer addresses differs from the number of dispatchers.
+    #[error(
+        "talk.peers has {addresses} addresses, expected one for each of {dispatchers} dispatchers"
+    )]
     PeerCount {
-        /// How many addresses it has.
+        /// Number of addresses in the list of peers.
         addresses: usize,
-        /// How many dispatchers the settings name.
+        /// Number of dispatchers according to the settings.
         dispatchers: usize,
     },
-    /// The dispatcher's own address in the list of peers differs from the one that it listens on.
-    #[error("talk.listen {listen} is not the address of number {rank} in talk.peers")]
+    /// The port of the dispatcher's own address in the list of peers differs from the one that it
+    /// listens on.
+    #[error("talk.listen {listen} must have the port of the address at rank {rank} in talk.peers")]
     PeerAddress {
-        /// Where it listens.
+        /// Address that the dispatcher listens on.
         listen: SocketAddr,
-        /// Its rank, which is its place in the list.
+        /// Rank of the dispatcher, which is its index in the list.
         rank: usize,
     },
 }
--- a/crates/engine/src/config/runtime_settings.rs
+++ b/crates/engine/src/config/runtime_settings.rs
@@ -1,4 +1,4 @@
-//! The settings that engine and runtime use, read once.
+//! Settings used by the engine and the runtime, read once at startup.
 use super::ConfigError;
 use rosewall::pick;
 use rosewall::types::Nanos;
@@ -7,23 +7,24 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// The usual keep-alive time of servers.
+/// Common keep-alive time of HTTP servers.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 5 * SECOND;
-/// Enough for a connection within one data centre.
+/// Sufficient for a connection within one data centre.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250 * MILLISECOND;
 
-/// The protocol allows a process the longest deadline, at most this, and `SHUTDOWN_GRACE` from the signal to its kill.
+/// Maximum deadline that counts for a shutdown. By the protocol, a process is killed
+/// `SHUTDOWN_GRACE` plus the longest deadline, at most this one, after the signal to stop.
 const MAX_SHUTDOWN_DEADLINE: Nanos = 3 * SECOND;
 const SHUTDOWN_GRACE: Nanos = 700 * MILLISECOND;
-/// The part of the time before the kill that is reserved for deciding and writing the last answers.
+/// Part of the time before the kill that is reserved for deciding on and writing the last answers.
 pub const FINAL_ANSWERS_RESERVE: Nanos = 300 * MILLISECOND;
 
-/// How endpoint lists come.
+/// Delivery mode of endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointsMode {
-    /// Discovery pushes each change to whoever watches.
+    /// Discovery pushes each change over a watch.
     Pushed,
-    /// The dispatcher polls for the list when the decisions allow it.
+    /// The dispatcher polls for the list when the policy permits it.
     Polled,
 }
 
@@ -39,23 +40,25 @@
     }
 }
 
-/// The settings that engine and runtime use. One that is missing or cannot be read has its default here;
-/// [`Config::validate`](super::Config::validate) rejects it where the dispatcher must not start without it.
+/// Settings used by the engine and the runtime. A setting that is missing or cannot be read gets
+/// its default here; [`Config::validate`](super::Config::validate) rejects it if the dispatcher
+/// must not start without it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuntimeSettings {
-    /// How long a connection to a worker may take to come up.
+    /// Longest time that connecting to a worker may take; 250 ms by default.
     pub connect_timeout: Nanos,
-    /// How long workers keep an idle connection open.
+    /// Time that workers keep an idle connection open; 5 s by default.
     pub idle_timeout: Nanos,
-    /// How long after the signal to stop all requests must be answered.
+    /// Time after the signal to stop by which all requests must be answered.
     pub shutdown_timeout: Nanos,
-    /// How long after its start a worker is warming up.
+    /// Time that a worker warms up after its start; 0 by default.
     pub slow_start_duration: Nanos,
-    /// How endpoint lists come.
+    /// Delivery mode of endpoint lists; pushed by default.
     pub endpoints_mode: EndpointsMode,
-    /// The names of the values of a load report, in the order in which workers send them.
+    /// Names of the values of a load report, in the order in which workers send them.
     pub report_fields: Vec<String>,
-    /// The rank of this dispatcher, as the settings number the dispatchers.
+    /// Rank of this dispatcher according to the settings; `None` if it is missing or cannot be
+    /// read.
     pub rank: Option<u16>,
 }
 
@@ -85,7 +88,8 @@
         .collect()
 }
 
-/// How long after the signal to stop all requests must be answered: the time before the kill, less the reserve.
+/// Returns the time after the signal to stop by which all requests must be answered: the time until
+/// the kill, less `FINAL_ANSWERS_RESERVE`.
 pub(super) fn shutdown_timeout(settings: &Map) -> Nanos {
     let deadline = |class: usize| pick::<Nanos>(settings, &format!("class.{class}.deadline")).ok();
     let longest = (0..)
--- a/crates/engine/src/config/settings_pairs.rs
+++ b/crates/engine/src/config/settings_pairs.rs
@@ -1,11 +1,12 @@
-//! The settings as the file nests them, flattened to pairs of a path and a value.
+//! Flattening of the nested settings in the file to pairs of path and value.
 use serde_json::Value;
 
 type Pairs = Vec<(String, String)>;
 
-/// The settings as pairs of path and value. The parts of a path are joined by points. A list of plain values becomes one value
-/// with commas, a list of objects its count and one path for each index. Spaces and commas inside a value become
-/// underscores, since they separate values in the result.
+/// Flattens the settings to pairs of path and value. The parts of a path are joined by dots. A list
+/// of plain values becomes one comma-separated value, a list of objects its count and one path for
+/// each index. Spaces and commas inside a value become underscores, since they separate values in
+/// the result.
 pub(super) fn flatten(settings: &Value) -> Pairs {
     let mut pairs = Vec::new();
     flatten_below("", settings, &mut pairs);
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the configuration file's text.
+//! Tests of parsing and validating the configuration file.
 use super::runtime_settings::shutdown_timeout;
 use super::{Config, EndpointsMode, RuntimeSettings};
 use rosewall_settings::parse_settings;
 use test_case::test_case;
 
-/// A file with settings of each form.
+/// File with settings of each JSON type.
 const CONFIG: &str = r#"{
     "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "ff",
     "limits": {"memory_mb": 192, "sockets": 64},
@@ -15,7 +15,7 @@
     }
 }"#;
 
-/// A file that a dispatcher can start with, with addresses for load reports.
+/// Valid file with addresses for load reports.
 const CONFIG_WITH_PEERS: &str = r#"{
     "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "ff",
     "limits": {"memory_mb": 192, "sockets": 64},
@@ -34,7 +34,8 @@
     Config::parse(text.as_bytes()).unwrap()
 }
 
-/// `CONFIG_WITH_PEERS` with one replacement, which must apply.
+/// Parses `CONFIG_WITH_PEERS` with the first occurrence of `from` replaced. Panics if there is
+/// none.
 fn config_with_peers_replacing(from: &str, to: &str) -> Config {
     assert!(
         CONFIG_WITH_PEERS.contains(from),
@@ -73,7 +74,8 @@
     assert!(Config::parse(CONFIG.replace(from, to).as_bytes()).is_err());
 }
 
-/// The kill comes the longest deadline, 3 s at most, and 0.7 s after the signal, and not sooner.
+/// The process is killed after the longest deadline (at most 3 s) plus 0.7 s from the signal. The
+/// shutdown must end 0.3 s before.
 #[test_case(&["1000000000"] => 1_400_000_000; "short deadlines")]
 #[test_case(&["1000000000", "2000000000"] => 2_400_000_000; "the longest deadline applies")]
 #[test_case(&["20000000000"] => 3_400_000_000; "deadlines above the maximum")]
@@ -134,8 +136,8 @@
 #[test_case("\"ColdFrom\": 0.2,", "" => Err("setting slow_start.from is missing (settings.Contract.ColdFrom in the file)".into()); "a missing setting")]
 #[test_case("\"ExpiryNs\": 1,", "" => Err("setting class.0.deadline is missing (settings.Schemes.0.ExpiryNs in the file)".into()); "a class without a deadline")]
 #[test_case("\"pushed\"", "\"push\"" => Err("setting endpoints.mode cannot be read: \"push\", expected \"pushed\" or \"on_request\" (settings.RegistryMode in the file)".into()); "an unknown mode")]
-#[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses for 2 dispatchers".into()); "one peer address too many")]
-#[test_case("7001\", \"peers", "7009\", \"peers" => Err("talk.listen 127.0.0.1:7009 is not the address of number 1 in talk.peers".into()); "the port of another dispatcher")]
+#[test_case("127.0.0.1:7000\",", "127.0.0.1:7000\",\"127.0.0.1:7002\"," => Err("talk.peers has 3 addresses, expected one for each of 2 dispatchers".into()); "one peer address too many")]
+#[test_case("7001\", \"peers", "7009\", \"peers" => Err("talk.listen 127.0.0.1:7009 must have the port of the address at rank 1 in talk.peers".into()); "the port of another dispatcher")]
 fn validation_reports_the_invalid_setting(from: &str, to: &str) -> Result<(), String> {
     config_with_peers_replacing(from, to)
         .validate()
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -1,23 +1,23 @@
-//! What the dispatcher has accepted, sent and answered, counted for the log. `docs/on-call.md` says how to read it.
+//! Counters of one dispatcher, printed to the log. `docs/on-call.md` says how to read them.
 use std::cell::Cell;
 use std::fmt;
 
-/// A number that only grows.
+/// Counter that never decreases.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one.
+    /// Adds one.
     pub fn add(&self) {
         self.add_many(1);
     }
 
-    /// Counts several.
+    /// Adds `count`.
     pub fn add_many(&self, count: usize) {
         self.0.set(self.0.get() + count as u64);
     }
 
-    /// The number so far.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -25,7 +25,8 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// All counters of one dispatcher. Displayed as `counters: name=value ...` in this order.
+        /// Counters of one dispatcher since it started. Displayed as `counters: name=value ...` in
+        /// this order.
         #[derive(Default)]
         pub struct Counters { $($(#[$doc])* pub $name: Counter,)* }
 
@@ -44,19 +45,19 @@
     clients_accepted,
     /// Clients closed because they were idle for too long, or to free their descriptor.
     clients_idle_closed,
-    /// Times that accepting paused because no descriptor was free.
+    /// Pauses of accepting because no descriptor was free.
     accept_paused,
-    /// Failures of the system to accept a connection.
+    /// Connections that the operating system failed to accept.
     accept_failed,
     /// Clients rejected because no descriptor became free for them.
     clients_rejected,
-    /// Complete requests taken in.
+    /// Complete requests accepted.
     requests,
-    /// Requests turned down as malformed.
+    /// Requests refused as malformed.
     requests_malformed,
-    /// Requests cut off because they were not complete in time.
+    /// Requests aborted because they were not complete in time.
     requests_incomplete,
-    /// Requests turned down because their id is active or was sent before.
+    /// Requests refused because their id is active or was sent before.
     requests_duplicate,
     /// Clients that disconnected before their answer.
     clients_disconnected,
@@ -66,7 +67,7 @@
     rejected,
     /// Requests answered without that promise.
     failed,
-    /// Answers that the client did not take.
+    /// Answers that could not be written to the client.
     answers_undelivered,
     /// Attempts sent to workers.
     attempts,
@@ -74,7 +75,7 @@
     attempts_on_new_connection,
     /// Attempts written to a connection from the pool.
     attempts_on_reused_connection,
-    /// Attempts whose start the worker announced.
+    /// Attempts that the worker reported as started.
     attempts_started,
     /// Attempts that ended as `Succeeded`.
     attempts_succeeded,
@@ -92,15 +93,15 @@
     attempts_connection_lost,
     /// Attempts that ended as `NotSent`.
     attempts_not_sent,
-    /// Results that came after their request was answered or its client had left.
+    /// Results received after their request was answered or its client disconnected.
     succeeded_late,
-    /// Connections to workers that were tried.
+    /// Connections to workers attempted.
     connects,
-    /// Connections to workers that were refused or did not come up in time.
+    /// Connections to workers that were refused or not established in time.
     connects_failed,
     /// Pooled connections found expired or closed.
     pool_stale,
-    /// Pooled connections that broke in use although they had looked reusable.
+    /// Pooled connections that broke in use after they were found reusable.
     pool_broken,
     /// Pooled connections dropped to free their descriptor.
     pool_evicted,
@@ -110,7 +111,7 @@
     health_checks,
     /// Load reports sent to other dispatchers.
     peer_loads_sent,
-    /// Load reports that could not be sent, or exceeded the rate limit.
+    /// Load reports that could not be sent or exceeded the rate limit.
     peer_loads_not_sent,
     /// Load reports received from other dispatchers.
     peer_loads_received,
@@ -120,19 +121,19 @@
     member_datagrams_sent,
     /// Datagrams received from other members of the cluster.
     member_datagrams_received,
-    /// Datagrams of members that could not be sent, or exceeded the rate limit.
+    /// Datagrams to other members that could not be sent or exceeded the rate limit.
     member_datagrams_lost,
-    /// Warm-up grants asked for.
+    /// Warm-up grants requested.
     warm_up_grants_requested,
     /// Warm-up grants received.
     warm_up_grants_received,
-    /// Endpoint lists taken in.
+    /// Endpoint lists received and passed to the engine.
     lists,
     /// Watches on the endpoint list that failed.
     watches_failed,
-    /// Endpoint lists passed over as malformed.
+    /// Endpoint lists ignored as malformed.
     lists_malformed,
-    /// Hosts passed over because another host has the same worker id.
+    /// Hosts ignored because another host has the same worker id.
     host_id_collisions,
     /// Violations of an [`invariant!`](crate::invariant).
     invariant_violations,
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The table of workers: which id a host has, where to connect and what the endpoint lists said of it.
+//! The table of known workers: their ids, addresses and states according to the endpoint lists.
 #[cfg(test)]
 mod tests;
 
@@ -8,12 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// How long lists with a lower version than known are taken for old ones: longer than a replica of discovery takes to catch
-/// up, so that a source which has lost its count and begins anew is believed in the end.
+/// Time during which lists with a version lower than the known one are treated as old. Longer than
+/// a lagging replica of discovery takes to catch up. After it the lower versions are accepted, as
+/// the source may have restarted its count.
 const OLD_LIST_WINDOW: Nanos = 60_000_000_000;
 
-/// The worker id of a host. It follows from the host alone, so that it is the same at every dispatcher: FNV-1a with 64 bits,
-/// folded to the 48 that an id has.
+/// Returns the worker id of a host: its 64-bit FNV-1a hash folded to 48 bits. Depends only on the
+/// host name, so that all dispatchers use the same id.
 pub fn worker_id(host: &str) -> WorkerId {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -27,18 +28,18 @@
     }
 }
 
-/// What is known of one worker.
+/// State of one worker according to the endpoint lists.
 struct KnownWorker {
     host: String,
     address: Option<SocketAddr>,
-    /// When the process started, as the list says; it tells a process from its predecessor.
+    /// Start time of the process as listed. Distinguishes a process from its predecessor.
     born: Nanos,
-    /// When the process started, by this dispatcher's clock.
+    /// Start time of the process for slow start, by this dispatcher's clock.
     started: Nanos,
     state: EndpointState,
 }
 
-/// What a worker's entry says, or what it amounts to beside what is known.
+/// Address and state in a list entry, or the result of merging them with the known ones.
 struct EntryState {
     address: Option<SocketAddr>,
     born: Nanos,
@@ -46,7 +47,8 @@
 }
 
 impl KnownWorker {
-    /// What an entry amounts to. An entry of an old list cannot improve the state of a process that a newer list named.
+    /// Merges an entry with the known state. An entry of an old list cannot replace the state of a
+    /// process from a newer list by a less strict one.
     fn merge(&self, entry: EntryState, list_is_old: bool) -> EntryState {
         if list_is_old && entry.born <= self.born {
             EntryState {
@@ -62,7 +64,8 @@
         }
     }
 
-    /// Takes over an entry; true if idle connections may lead to a process that is no more.
+    /// Applies a merged entry. Returns true if idle connections may lead to a process that no
+    /// longer runs.
     fn update(&mut self, entry: EntryState, started: Nanos) -> bool {
         let restarted = self.born != entry.born;
         let connections_are_stale =
@@ -77,7 +80,8 @@
     }
 }
 
-/// The stricter of two states: removed before draining before ready.
+/// Returns the stricter of two states: removed is stricter than draining, draining stricter than
+/// ready.
 fn stricter(one: EndpointState, other: EndpointState) -> EndpointState {
     use EndpointState::{Draining, Ready, Removed};
     match (one, other) {
@@ -87,41 +91,42 @@
     }
 }
 
-/// What follows from an endpoint list.
+/// Result of applying an endpoint list.
 #[derive(Default)]
 pub struct ListUpdate {
-    /// The entries for the decisions.
+    /// Merged entries, to be passed to the policy.
     pub endpoints: Vec<Endpoint>,
-    /// The workers whose idle connections must not be used again.
+    /// Workers whose idle connections must not be reused.
     pub stale_connections: Vec<WorkerId>,
-    /// How many hosts were passed over because another host has their id.
+    /// Number of hosts ignored because another host has the same worker id.
     pub id_collisions: usize,
 }
 
-/// Where to connect to a worker.
+/// Host name and address of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointAddress<'a> {
-    /// The name that discovery gives the worker.
+    /// Host name of the worker, as given by discovery.
     pub host: &'a str,
-    /// The address of its process.
+    /// Address of its current process.
     pub address: SocketAddr,
 }
 
-/// All workers that endpoint lists have named.
+/// All workers that an endpoint list has named so far, including removed ones.
 #[derive(Default)]
 pub struct EndpointTable {
     workers: BTreeMap<WorkerId, KnownWorker>,
-    /// The highest version of a list.
+    /// Version of the latest list that was not old.
     version: u64,
-    /// Since when only lists with lower versions have come.
+    /// Time of the first old list after that one; `None` if there was none.
     old_lists_since: Option<Nanos>,
-    /// Where wall clocks may differ: a worker started longer ago than this is not warming up by any clock.
+    /// Time since its listed start after which a worker is past slow start by every clock; `None`
+    /// if wall clocks agree.
     slow_start_over_after: Option<Nanos>,
 }
 
 impl EndpointTable {
-    /// A table for a fleet whose wall clocks differ by up to `max_clock_skew`, where a worker warms up for
-    /// `slow_start_duration`.
+    /// Creates a table for a fleet whose wall clocks differ by up to `max_clock_skew` and whose
+    /// workers warm up for `slow_start_duration`.
     pub fn with_clock_skew(max_clock_skew: Nanos, slow_start_duration: Nanos) -> Self {
         EndpointTable {
             slow_start_over_after: Some(max_clock_skew + slow_start_duration),
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Where to connect to a worker, if a list has named its address.
+    /// Returns where to connect to a worker; `None` if no list has given its address.
     pub fn address_of(&self, worker: WorkerId) -> Option<EndpointAddress<'_>> {
         let known = self.workers.get(&worker)?;
         Some(EndpointAddress {
@@ -138,7 +143,7 @@
         })
     }
 
-    /// Takes in a list.
+    /// Applies an endpoint list.
     pub fn apply(&mut self, now: Nanos, list: EndpointList) -> ListUpdate {
         let list_is_old = self.is_old(now, list.version);
         let mut update = ListUpdate::default();
@@ -158,7 +163,7 @@
         update
     }
 
-    /// Takes in one entry; false if another host has its id.
+    /// Applies one entry. Returns false if another host has the same worker id.
     fn apply_entry(
         &mut self,
         now: Nanos,
@@ -214,8 +219,9 @@
         }
     }
 
-    /// When a process that is listed now has started. Where wall clocks differ, a clock that is ahead would make a warming
-    /// worker look warm: all that is certain then is that it started before it was listed, so it counts as started now.
+    /// Returns the start time for slow start of a process that is listed now. Where wall clocks
+    /// differ, a clock that is ahead would end slow start too early. A process that may still be
+    /// warming up therefore counts as started now.
     fn started(&self, now: Nanos, born: Nanos) -> Nanos {
         match self.slow_start_over_after {
             Some(over_after) if born > 0 && born + over_after > now => now,
@@ -223,8 +229,8 @@
         }
     }
 
-    /// Whether a list is older than what is known: it then comes from a replica of discovery that lags behind the one asked
-    /// before, and may show workers as ready that are draining or removed.
+    /// Returns whether a list is older than a list applied before. It then comes from a lagging
+    /// replica of discovery and may show draining or removed workers as ready.
     fn is_old(&mut self, now: Nanos, version: u64) -> bool {
         let window_is_over = self
             .old_lists_since
--- a/crates/engine/src/endpoints/tests.rs
+++ b/crates/engine/src/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the endpoint table.
+//! Tests of the endpoint table: worker ids, stale connections and old lists.
 use super::{EndpointTable, worker_id};
 use rosewall::types::{EndpointState, Nanos};
 use rosewall_protocol::discovery::{DiscoveredEndpoint, EndpointList};
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,8 @@
-//! The engine connects requests with the decisions: an input and its moment go in, effects come out.
+//! The state machine that connects requests to the policy: timestamped inputs go in, effects come
+//! out.
 //!
-//! It alone passes events to the [`Dispatcher`]; events that follow from its actions wait in a queue until the current one is
-//! handled.
+//! Only the engine passes events to the [`Dispatcher`]. Events caused by the dispatcher's actions
+//! are queued until the current event is handled.
 mod attempts;
 mod deadlines;
 mod interface;
@@ -38,16 +39,16 @@
     workers: EndpointTable,
     requests: RequestTable,
     timers: TimerQueue,
-    /// Events that follow from actions and are not handled yet.
+    /// Events caused by actions and not handled yet.
     events: VecDeque<Event>,
-    /// The buffer for actions, reused for each event.
+    /// Action buffer, reused for each event.
     actions: Vec<Action>,
-    /// Once the program shuts down: the moment by which all requests must be answered.
+    /// Time by which all requests must be answered; `None` unless the program is shutting down.
     shutdown_deadline: Option<Nanos>,
 }
 
 impl Engine {
-    /// An engine without requests. A connection to a worker may take `connect_timeout` to come up.
+    /// Creates an engine without requests. Connecting to a worker may take up to `connect_timeout`.
     pub fn new(
         dispatcher: Dispatcher,
         counters: Rc<Counters>,
@@ -68,32 +69,32 @@
         }
     }
 
-    /// When to call [`Engine::fire_next_timer`] next.
+    /// Returns when to call [`Engine::fire_next_timer`] next; `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.next()
     }
 
-    /// Whether an endpoint list is known, so that requests can be served.
+    /// Returns whether an endpoint list is known, so that requests can be served.
     pub fn is_ready(&self) -> bool {
         self.has_endpoint_list
     }
 
-    /// How many requests are not answered, or have an attempt in flight.
+    /// Returns the number of requests that are not answered or have an attempt in flight.
     pub fn active_request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Where the current process of a worker is.
+    /// Returns the address of a worker's current process; `None` if no endpoint list has given one.
     pub fn address_of(&self, worker: WorkerId) -> Option<SocketAddr> {
         self.workers.address_of(worker).map(|known| known.address)
     }
 
-    /// Takes in the cached endpoint list, before any input.
+    /// Applies the cached endpoint list. Must be called before any input is handled.
     pub fn load_cached(&mut self, now: Nanos, list: EndpointList, effects: &mut Vec<Effect>) {
         self.apply_list(now, ListScope::Cached, list, effects);
     }
 
-    /// Handles an input and appends what is to be done to `effects`.
+    /// Handles an input and appends the resulting effects to `effects`.
     pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::RequestArrived {
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Admits a request, unless its id is active or was sent before: sent again it would run twice.
+    /// Accepts a request. Answers [`Answer::DuplicateId`] if its id is active or was sent before,
+    /// since it could run twice.
     fn request_arrived(
         &mut self,
         now: Nanos,
@@ -184,7 +186,8 @@
         self.dispatch_event(now, arrived, effects);
     }
 
-    /// Cancels the attempts of a client that waits no longer, as far as they are not sent completely.
+    /// Cancels the attempts of a request whose client has disconnected, unless they are completely
+    /// sent.
     fn client_disconnected(
         &mut self,
         now: Nanos,
@@ -226,8 +229,9 @@
         self.dispatch_event(now, Event::EndpointList { scope, endpoints }, effects);
     }
 
-    /// Cancels attempts that are not sent completely to workers which take no new requests or were replaced: an attempt that
-    /// waits for its connection would reach a worker which was told to drain. It has not run and is sent elsewhere.
+    /// Cancels incompletely sent attempts to workers that are not ready or were replaced. An
+    /// attempt that waits for its connection would otherwise reach a draining worker. A cancelled
+    /// attempt has not run and is sent to another worker.
     fn cancel_unsent_after(&self, update: &ListUpdate, effects: &mut Vec<Effect>) {
         let mut unavailable: FxHashSet<WorkerId> =
             update.stale_connections.iter().copied().collect();
@@ -241,7 +245,7 @@
         }
     }
 
-    /// Lets the decisions handle an event and all events that follow from it at once.
+    /// Passes an event to the policy, then every event that its actions cause.
     fn dispatch_event(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
@@ -291,7 +295,7 @@
         }
     }
 
-    /// Answers a request that the decisions reject or fail.
+    /// Answers a request that the policy rejects or fails.
     fn answer_without_result(
         &mut self,
         now: Nanos,
@@ -304,12 +308,12 @@
         invariant!(
             self.counters,
             was_pending,
-            "only a request whose answer is pending gets one"
+            "a request is answered only while its answer is pending"
         );
         self.requests.remove_if_complete(request_id);
     }
 
-    /// Sends the final answer of a request if it is still pending; whether it was.
+    /// Sends the final answer of a request if it is still pending. Returns whether it was.
     fn answer(&mut self, request_id: RequestId, answer: Answer, effects: &mut Vec<Effect>) -> bool {
         let was_pending = self.requests.take_pending_answer(request_id);
         if was_pending {
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent to workers, followed, and ended once.
+//! Attempts and health checks: sending, progress and end.
 use super::{Effect, Engine, OutboundAttempt};
 use crate::counters::Counters;
 use crate::endpoints::EndpointAddress;
@@ -11,7 +11,8 @@
 use rosewall_protocol::worker::{self, AttemptProgress};
 
 impl Engine {
-    /// Sends the next attempt of a request, or ends it at once as not sent where it cannot be.
+    /// Sends the next attempt of a request. Ends it at once as [`Outcome::NotSent`] if it cannot be
+    /// sent.
     pub(super) fn send_attempt(
         &mut self,
         now: Nanos,
@@ -45,7 +46,8 @@
             address,
             id: active.request.id.clone(),
             message: worker::encode_request(host, &active.request, remaining),
-            // At most half of the remaining time, so that another worker can be tried if this one has vanished.
+            // At most half of the remaining time, so that a retry is possible if this worker is
+            // unreachable.
             connect_timeout: self.connect_timeout.min(remaining / 2),
         }));
     }
@@ -61,7 +63,8 @@
         }));
     }
 
-    /// Takes in what a worker answered. It may come for an attempt that was ended here just before, and is ignored then.
+    /// Handles a worker's progress report on an attempt. Ignores reports on attempts that are no
+    /// longer in flight.
     pub(super) fn attempt_progressed(
         &mut self,
         now: Nanos,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Ends an attempt and lets the decisions choose what follows.
+    /// Ends an attempt and passes its outcome to the policy.
     pub(super) fn end_attempt(
         &mut self,
         now: Nanos,
@@ -131,7 +134,8 @@
         self.requests.remove_if_complete(request_id);
     }
 
-    /// Sends a health check, or ends it at once where the worker has no address.
+    /// Sends a health check. Ends it at once as [`Outcome::ConnectFailed`] if the worker has no
+    /// address.
     pub(super) fn check_health(&mut self, worker: WorkerId, effects: &mut Vec<Effect>) {
         self.counters.health_checks.add();
         let Some(EndpointAddress { host, address }) = self.workers.address_of(worker) else {
@@ -146,13 +150,14 @@
             worker,
             address,
             host: host.to_string(),
-            // As long for the answer as for the connection.
+            // Connecting and answering may each take `connect_timeout`.
             timeout: 2 * self.connect_timeout,
         });
     }
 }
 
-/// What becomes of the connection of an ended attempt: it is read on until it can be reused, but closed after a time-out.
+/// Returns the effect that releases the connection of an ended attempt: closed after a time-out,
+/// else read until it can be reused.
 fn release(request_id: RequestId, attempt_index: u8, outcome: Outcome) -> Effect {
     if outcome == Outcome::TimedOut {
         Effect::Abort {
--- a/crates/engine/src/engine/deadlines.rs
+++ b/crates/engine/src/engine/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of requests, and the shutdown, which brings them forward.
+//! Deadlines of requests, including those shortened by a shutdown.
 use super::timers::Timer;
 use super::{Effect, Engine};
 use crate::invariant;
@@ -6,13 +6,15 @@
 use rosewall::types::{Event, Nanos, Outcome, RequestId};
 use rosewall_protocol::client::Answer;
 
-/// How much earlier than the client's own deadline that of the decisions is, for reading the request and writing the answer:
-/// up to 1 ms on a core of its own, and a few turns of 3 to 4 ms each on a shared one.
+/// Margin between the policy's deadline and the client's, for reading the request and writing the
+/// answer. These take up to 1 ms on a dedicated core, and a few scheduling slices of 3 to 4 ms each
+/// on a shared one.
 const DEADLINE_MARGIN: Nanos = 20_000_000;
-/// How long after a deadline its request must have been answered: the decisions look at pending requests every 25 ms.
+/// Time after a deadline at which a request without an answer is overdue. The policy checks pending
+/// requests every 25 ms.
 const ANSWER_OVERDUE_AFTER: Nanos = 30_000_000;
 
-/// The deadline of a request that arrived at `arrived_at`, as the decisions know it.
+/// Returns the policy's deadline of a request that arrived at `arrived_at`.
 fn deadline(arrived_at: Nanos, timeout: Nanos) -> Nanos {
     if is_active(Mutation::AnswerAfterDeadline) {
         return arrived_at + timeout + 5 * DEADLINE_MARGIN;
@@ -21,14 +23,14 @@
 }
 
 impl Engine {
-    /// The deadline of a request, no later than the shutdown.
+    /// Returns the deadline of a request, capped at the shutdown deadline.
     pub(super) fn deadline(&self, arrived_at: Nanos, timeout: Nanos) -> Nanos {
         let deadline = deadline(arrived_at, timeout);
         self.shutdown_deadline
             .map_or(deadline, |shutdown| deadline.min(shutdown))
     }
 
-    /// Fires the first timer whose moment has come; false where none has.
+    /// Fires the first expired timer. Returns false if none has expired.
     pub fn fire_next_timer(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> bool {
         let Some(timer) = self.timers.pop_expired(now) else {
             return false;
@@ -41,7 +43,8 @@
         true
     }
 
-    /// Ends the attempts of a request whose deadline has come, unless it was brought forward and came before.
+    /// Ends the attempts of a request at its deadline. Does nothing if the request is no longer
+    /// active or has a later deadline.
     fn deadline_reached(&mut self, now: Nanos, request_id: RequestId, effects: &mut Vec<Effect>) {
         let Some(active) = self.requests.get(request_id) else {
             return;
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Brings the deadlines of all requests forward to the moment by which the program must have answered them.
+    /// Caps the deadlines of all requests at `by`, the time by which the program must have answered
+    /// them.
     pub(super) fn shut_down(&mut self, now: Nanos, by: Nanos, effects: &mut Vec<Effect>) {
         self.shutdown_deadline = Some(by);
         for active in self.requests.iter_mut() {
--- a/crates/engine/src/engine/interface.rs
+++ b/crates/engine/src/engine/interface.rs
@@ -1,153 +1,154 @@
-//! What goes into the engine and what comes out.
+//! Inputs and effects of the engine.
 use rosewall::types::{FleetPosition, HealthChecked, Nanos, PeerLoad, RequestId, WorkerId};
 use rosewall_protocol::client::{Answer, ClientRequest};
 use rosewall_protocol::discovery::EndpointList;
 use rosewall_protocol::worker::AttemptProgress;
 use std::net::SocketAddr;
 
-/// Something that happened.
+/// Event outside the engine that it must handle.
 pub enum Input {
-    /// A request is complete.
+    /// A complete request was read from a client.
     RequestArrived {
-        /// Its number in this process.
+        /// Number of the request, unique in this process.
         request_id: RequestId,
-        /// When its last byte was read.
+        /// Time at which its last byte was read.
         at: Nanos,
-        /// The request itself.
+        /// Request as the client sent it.
         request: ClientRequest,
     },
     /// The client of this request has closed its connection.
     ClientDisconnected(RequestId),
-    /// A worker answered a part of an attempt, or the attempt ended.
+    /// A worker reported progress on an attempt, or the attempt ended.
     AttemptProgress {
-        /// The request.
+        /// Request that the attempt belongs to.
         request_id: RequestId,
-        /// The number of its attempt.
+        /// Index of the attempt within the request, from 0.
         attempt_index: u8,
-        /// What happened.
+        /// Start, result or end of the attempt.
         progress: AttemptProgress,
     },
     /// A health check has ended.
     HealthChecked(HealthChecked),
-    /// A load report of another dispatcher.
+    /// A load report was received from another dispatcher.
     PeerLoad {
-        /// Its rank.
+        /// Rank of the sender.
         from: u16,
-        /// The report.
+        /// Load that the sender places on one worker.
         load: PeerLoad,
     },
-    /// The dispatcher's rank among those that run, if it is known.
+    /// This dispatcher's rank among the running dispatchers; `None` if it is unknown.
     FleetView(Option<FleetPosition>),
     /// A warm-up grant was received.
     WarmUpGranted {
-        /// The warming worker.
+        /// Worker that is warming up.
         worker: WorkerId,
-        /// How much work may be sent there.
+        /// Work that may be sent to it, in nanoseconds of one concurrency slot.
         work: Nanos,
-        /// When the grant expires.
+        /// Time at which the grant expires.
         until: Nanos,
     },
-    /// Discovery sent an endpoint list.
+    /// An endpoint list was received from discovery.
     EndpointList(EndpointList),
-    /// The endpoint list could not be had.
+    /// A watch on the endpoint list failed.
     EndpointListFailed,
-    /// The program shuts down: all requests are to be answered by this moment.
+    /// The program is shutting down; all requests must be answered by this time.
     ShutDown(Nanos),
 }
 
-/// An attempt to be sent.
+/// Attempt to send to a worker.
 #[derive(Debug)]
 pub struct OutboundAttempt {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request_id: RequestId,
-    /// The number of the attempt.
+    /// Index of the attempt within the request, from 0.
     pub attempt_index: u8,
-    /// The worker it goes to.
+    /// Worker that receives the attempt.
     pub worker: WorkerId,
-    /// Where to connect.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// The request's id as the client gave it, which the worker repeats in its answer.
+    /// Request id chosen by the client; the worker repeats it in its answer.
     pub id: String,
-    /// The bytes to write.
+    /// Encoded HTTP request to write.
     pub message: Vec<u8>,
-    /// How long a new connection may take to come up.
+    /// Longest time that opening a new connection may take.
     pub connect_timeout: Nanos,
 }
 
-/// Something to be done; effects are carried out in their order.
+/// Operation for the caller to execute. Effects must be executed in order.
 #[derive(Debug)]
 pub enum Effect {
     /// Send the one final answer of a request to its client.
     Answer {
-        /// The request.
+        /// Request to answer.
         request_id: RequestId,
-        /// The answer.
+        /// Final answer.
         answer: Answer,
     },
     /// Send an attempt to a worker.
     SendAttempt(OutboundAttempt),
-    /// Cancel an attempt unless its last byte was written: its client has disconnected, or its worker takes no new requests.
+    /// Cancel an attempt unless its last byte was written. Its client has disconnected, or its
+    /// worker was replaced or is not ready.
     CancelUnsent {
-        /// The request.
+        /// Request that the attempt belongs to.
         request_id: RequestId,
-        /// The number of its attempt.
+        /// Index of the attempt within the request, from 0.
         attempt_index: u8,
     },
-    /// Give up an attempt and close its connection.
+    /// Abort an attempt and close its connection.
     Abort {
-        /// The request.
+        /// Request that the attempt belongs to.
         request_id: RequestId,
-        /// The number of its attempt.
+        /// Index of the attempt within the request, from 0.
         attempt_index: u8,
     },
-    /// The attempt has ended. Its connection may be read on until it can be reused.
+    /// Release the connection of an ended attempt, which may be read until it can be reused.
     Finished {
-        /// The request.
+        /// Request that the attempt belongs to.
         request_id: RequestId,
-        /// The number of its attempt.
+        /// Index of the attempt within the request, from 0.
         attempt_index: u8,
     },
     /// Send a health check.
     CheckHealth {
-        /// The worker.
+        /// Worker to check.
         worker: WorkerId,
-        /// Where to connect.
+        /// Address to connect to.
         address: SocketAddr,
-        /// The name that discovery gives the worker.
+        /// Host name of the worker, as given by discovery.
         host: String,
-        /// How long the check may take.
+        /// Longest time that the check may take, including the connection.
         timeout: Nanos,
     },
-    /// Drop idle connections to the worker, but for those to this address.
+    /// Close idle connections to a worker, except those to its current address.
     EvictIdle {
-        /// The worker.
+        /// Worker whose connections are closed.
         worker: WorkerId,
-        /// The address of its current process, if there is one.
+        /// Address of its current process; `None` closes all its idle connections.
         address: Option<SocketAddr>,
     },
     /// Send a load report to another dispatcher.
     SendPeerLoad {
-        /// Its rank.
+        /// Rank of the receiver.
         to: u16,
-        /// The report.
+        /// Load that this dispatcher places on one worker.
         load: PeerLoad,
     },
-    /// Ask for a grant to send work to a warming worker.
+    /// Request a grant to send work to a worker that is warming up.
     RequestWarmUpGrant {
-        /// The worker.
+        /// Worker that the grant is for.
         worker: WorkerId,
-        /// How much work it is to cover.
+        /// Work that the grant must cover, in nanoseconds of one concurrency slot.
         work: Nanos,
     },
-    /// Set the warm-up budget of a worker, from which all dispatchers together get grants.
+    /// Set the warm-up budget of a worker, from which the grants of all dispatchers are taken.
     SetWarmUpBudget {
-        /// The worker.
+        /// Worker that the budget is for.
         worker: WorkerId,
-        /// How much work may be granted in one window.
+        /// Work that may be granted in one window, in nanoseconds of one concurrency slot.
         work: Nanos,
-        /// The length of the window.
+        /// Length of the window.
         window: Nanos,
     },
-    /// The endpoint list may be polled now.
+    /// Permit the next poll of the endpoint list.
     WatchEndpoints,
 }
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! The table of active requests, and the ids of those that were sent.
+//! The table of active requests and of the client ids that are in use or were sent.
 use super::Effect;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Nanos, RequestId, WorkerId};
@@ -8,18 +8,19 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// How many ids of completed requests are remembered: about 1 MB, and minutes of one dispatcher's traffic, which is longer
-/// than any client waits.
+/// Maximum number of retained ids of completed requests. They take about 1 MB and cover minutes of
+/// one dispatcher's traffic, which is longer than any client waits.
 const MAX_COMPLETED_IDS: usize = 8192;
 
-/// A request that is not answered, or has an attempt in flight.
+/// Request that is not answered or has an attempt in flight.
 pub(super) struct ActiveRequest {
     pub(super) request_id: RequestId,
     pub(super) request: ClientRequest,
     pub(super) deadline: Nanos,
-    /// Whether the final answer is still to be sent.
+    /// True until the final answer is sent or the client disconnects.
     pub(super) answer_pending: bool,
-    /// By attempt index: the worker, while the attempt is in flight.
+    /// Worker of each attempt by attempt index; `None` once the attempt has ended or if it was not
+    /// sent.
     attempts: Vec<Option<WorkerId>>,
 }
 
@@ -44,19 +45,20 @@
             .is_some_and(Option::is_some)
     }
 
-    /// Adds an attempt to this worker, or one that was not sent.
+    /// Adds an attempt to `worker`, or with `None` an attempt that was not sent.
     pub(super) fn add_attempt(&mut self, worker: Option<WorkerId>) {
         self.attempts.push(worker);
     }
 
-    /// Marks an attempt as ended; false if it was not in flight.
+    /// Marks an attempt as ended. Returns false if it was not in flight.
     pub(super) fn end_attempt(&mut self, attempt_index: u8) -> bool {
         self.attempts
             .get_mut(usize::from(attempt_index))
             .is_some_and(|worker| worker.take().is_some())
     }
 
-    /// Cancels the attempts in flight to the workers that `selects` names, unless they are sent completely.
+    /// Cancels the attempts in flight to workers for which `selects` is true, unless they are
+    /// completely sent.
     pub(super) fn cancel_unsent(
         &self,
         selects: impl Fn(&WorkerId) -> bool,
@@ -81,14 +83,15 @@
 pub(super) struct RequestTable {
     requests: Slab<ActiveRequest>,
     slab_keys: FxHashMap<RequestId, usize>,
-    /// The clients' ids of active requests, and of completed ones that were sent.
+    /// Client ids of active requests and of retained completed ones that were sent.
     ids: FxHashSet<Rc<str>>,
-    /// The ids of completed requests, the oldest first.
+    /// Client ids of completed requests, oldest first.
     completed_ids: VecDeque<Rc<str>>,
 }
 
 impl RequestTable {
-    /// Reserves a client's id; false if it belongs to a request that is active or was sent before.
+    /// Reserves a client id. Returns false if it belongs to a request that is active or was sent
+    /// before.
     pub(super) fn reserve_id(&mut self, id: &str) -> bool {
         self.ids.insert(id.into())
     }
@@ -124,13 +127,15 @@
             .is_some_and(|active| active.is_in_flight(attempt_index))
     }
 
-    /// Marks the answer of a request as sent; false if it is not active or was answered before.
+    /// Marks the answer of a request as sent. Returns false if the request is not active or was
+    /// answered before.
     pub(super) fn take_pending_answer(&mut self, request_id: RequestId) -> bool {
         self.get_mut(request_id)
             .is_some_and(|active| std::mem::take(&mut active.answer_pending))
     }
 
-    /// Removes a request that is answered and has no attempt in flight. Its id is remembered if the request was sent.
+    /// Removes a request that is answered and has no attempt in flight. Retains its id if an
+    /// attempt was made.
     pub(super) fn remove_if_complete(&mut self, request_id: RequestId) {
         let Some(active) = self.get(request_id) else {
             return;
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the engine: inputs at given moments, and the effects that follow.
+//! Tests of the engine: the effects of inputs at given times.
 use super::{Effect, Engine, Input};
 use crate::counters::Counters;
 use crate::endpoints::EndpointTable;
@@ -57,13 +57,13 @@
     }
 }
 
-/// An engine, asked in the words of the tests.
+/// Engine under test, with effects described as short texts.
 struct Fixture {
     engine: Engine,
 }
 
 impl Fixture {
-    /// One class of this idempotency, and one worker of this state, or none.
+    /// Creates an engine with one class of this idempotency, and one worker in this state or none.
     fn new(idempotency: &str, worker_state: Option<EndpointState>) -> Self {
         let dispatcher = Dispatcher::start(0, 1, &settings(idempotency)).unwrap();
         let mut engine = Engine::new(
@@ -91,7 +91,7 @@
         effects.into_iter().map(describe).collect()
     }
 
-    /// A request with this id of its client arrives at 1 ms.
+    /// Handles a request with client id `id` that arrives at 1 ms.
     fn send_request(&mut self, request_id: RequestId, id: &str) -> Vec<String> {
         let request = ClientRequest {
             id: id.into(),
@@ -108,7 +108,7 @@
         self.handle(1, arrived)
     }
 
-    /// The first attempt of request 1 progresses.
+    /// Handles progress of the first attempt of request 1.
     fn progress_first_attempt(&mut self, at_ms: u64, progress: AttemptProgress) -> Vec<String> {
         let input = Input::AttemptProgress {
             request_id: 1,
--- a/crates/engine/src/engine/timers.rs
+++ b/crates/engine/src/engine/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of the engine.
+//! The timer queue of the engine.
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Nanos, RequestId};
 use std::cmp::Reverse;
@@ -6,15 +6,15 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer of the decisions, by their token.
+    /// Timer set by the policy, with its token.
     Policy(u64),
-    /// The deadline of a request.
+    /// Deadline of a request.
     Deadline(RequestId),
-    /// The moment at which a request must have been answered.
+    /// Time by which a request must have been answered, somewhat after its deadline.
     AnswerOverdue(RequestId),
 }
 
-/// Timers by their moment; those of the same moment fire in the order in which they were set.
+/// Timers ordered by time. Timers set for the same time fire in the order in which they were set.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     timers: BinaryHeap<Reverse<(Nanos, u64, Timer)>>,
@@ -33,12 +33,12 @@
         self.timers.push(Reverse((at, self.set_count, timer)));
     }
 
-    /// When the first timer fires.
+    /// Returns when the first timer expires.
     pub(super) fn next(&self) -> Option<Nanos> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Removes the first timer, if its moment has come.
+    /// Removes and returns the first timer if it has expired.
     pub(super) fn pop_expired(&mut self, now: Nanos) -> Option<Timer> {
         if self.next()? > now {
             return None;
--- a/crates/engine/src/invariant.rs
+++ b/crates/engine/src/invariant.rs
@@ -1,4 +1,5 @@
-//! Invariants that stop a debug build and are counted in a release build.
+//! The `invariant!` macro: an assertion that panics in debug builds and is counted in release
+//! builds.
 
 /// Checks that an invariant holds. A violation panics in debug builds; in release builds it is counted as
 /// `invariant_violations` and logged.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,9 +1,11 @@
-//! One dispatcher as state machines without I/O: nothing here awaits, reads a clock or opens anything.
+//! The state of one dispatcher as state machines without I/O: no code here awaits, reads a clock or
+//! opens a socket.
 //!
-//! [`engine`] turns inputs into effects around the decisions. [`pool`] and [`limits`] decide which connection is reused and
-//! which client may connect; [`config`] reads what the operators configure.
+//! [`engine`] passes inputs to the policy and turns its actions into effects. [`endpoints`] holds
+//! the known workers. [`pool`] decides which connection is reused, [`limits`] which client may
+//! connect. [`config`] reads the configuration file.
 
-/// For [`invariant!`].
+/// Re-exported for use by [`invariant!`].
 pub use log;
 
 mod invariant;
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on descriptors and on the bytes of requests, and which idle client gives way to a new one.
+//! Limits on descriptors, clients and request bytes, and the eviction of idle clients.
 mod idle_clients;
 #[cfg(test)]
 mod tests;
@@ -11,20 +11,23 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Descriptors for everything but connections of clients and workers: standard streams, the poller's three, signals, the
-/// listener, discovery's connection and files that are open for a moment; twice what these need.
+/// Descriptors reserved for uses other than connections of clients and workers: standard streams,
+/// three for the poller, signals, the listener, the connection to discovery and briefly opened
+/// files. Twice what these need.
 const RESERVED_DESCRIPTORS: usize = 32;
 
-/// How many of the reserved descriptors clients beyond the limit may use, each only for a rejection.
+/// Maximum number of clients beyond the limit. Each uses a reserved descriptor, only until it is
+/// rejected.
 const MAX_OVERFLOW_CLIENTS: usize = 8;
 
-/// What a client's connection needs before its request is large: a read buffer, a head and a task.
+/// Memory of a client connection with a small request: read buffer, request head and task.
 const BYTES_PER_CLIENT: usize = 32 * 1024;
 
-/// How many copies of a request's bytes may exist: as read, as a body, as an attempt, and an answer of the same size.
+/// Maximum number of copies of a request's bytes: read buffer, body, attempt, and an answer of the
+/// same size.
 const COPIES_PER_REQUEST: usize = 4;
 
-/// The descriptors and request bytes of one process.
+/// Limits and current use of the descriptors, clients and request bytes of one process.
 #[derive(Default)]
 pub struct ResourceLimits {
     max_descriptors: Cell<usize>,
@@ -43,15 +46,17 @@
     Worker,
 }
 
-/// Permission to use one descriptor, returned when dropped.
+/// Permission to use one descriptor. Released when dropped, with the bytes reserved by it.
 pub struct DescriptorPermit {
     limits: Rc<ResourceLimits>,
     kind: PermitKind,
 }
 
 impl DescriptorPermit {
-    /// Reserves memory for all bytes that the client's requests take now, in place of what was reserved before. False, with
-    /// nothing changed, where that exceeds the limit. Permits of other kinds need no reservation.
+    /// Reserves memory for `bytes`, the current size of the client's requests, in place of the
+    /// permit's previous reservation. Returns false and changes nothing if a larger reservation
+    /// would exceed the limit. Returns true for permits of workers and of clients beyond the limit,
+    /// which reserve nothing.
     pub fn reserve_bytes(&self, bytes: usize) -> bool {
         let PermitKind::Client { reserved_bytes } = &self.kind else {
             return true;
@@ -83,32 +88,36 @@
 }
 
 impl ResourceLimits {
-    /// Limits for a process that may use `max_descriptors` and `memory_mb` MiB of memory.
+    /// Creates limits for a process that may use `max_descriptors` descriptors and `memory_mb` MiB
+    /// of memory.
     pub fn new(max_descriptors: usize, memory_mb: usize) -> Self {
         let limits = ResourceLimits::default();
         limits.set_limits(max_descriptors, memory_mb);
         limits
     }
 
-    /// Sets new limits. What exceeds a lower one is not closed, but ends as it becomes idle.
+    /// Sets new limits. Connections above a lowered limit are not closed at once; they end when
+    /// they become idle.
     pub fn set_limits(&self, max_descriptors: usize, memory_mb: usize) {
         let descriptors = max_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2);
         let memory = memory_mb * 1024 * 1024;
         self.max_descriptors.set(descriptors);
-        // Each client has one request at a time and a request one attempt; some clients only wait. A quarter of the memory
-        // is for client connections, half for requests, the rest for the program.
+        // Three fifths of the descriptors are for clients: a client has one request at a time, a
+        // request one attempt, and some clients are idle. A quarter of the memory is for client
+        // connections, half for requests, the rest for the program.
         let clients_by_memory = memory / 4 / BYTES_PER_CLIENT;
         self.max_clients
             .set((descriptors * 3 / 5).min(clients_by_memory).max(1));
         self.max_request_bytes.set(memory / 2);
     }
 
-    /// Whether the limit on clients allows one more, whatever the number of descriptors in use.
+    /// Returns whether the limit on clients allows one more. Does not check the limit on
+    /// descriptors.
     pub fn has_client_capacity(&self) -> bool {
         self.clients.get() < self.max_clients.get()
     }
 
-    /// A permit for a client's connection; none where a limit is reached.
+    /// Returns a permit for a client's connection, or `None` if a limit is reached.
     pub fn acquire_client(self: &Rc<Self>) -> Option<DescriptorPermit> {
         if !self.has_client_capacity() {
             return None;
@@ -120,8 +129,8 @@
         Some(permit)
     }
 
-    /// One of the few permits for clients beyond the limit. They are rejected at once, where they would otherwise wait
-    /// unaccepted past their deadline.
+    /// Returns a permit for a client beyond the limit, or `None` if all of these few are in use.
+    /// Such a client is rejected at once; otherwise it would wait unaccepted past its deadline.
     pub fn acquire_overflow_client(self: &Rc<Self>) -> Option<DescriptorPermit> {
         if self.overflow_clients.get() >= MAX_OVERFLOW_CLIENTS {
             return None;
@@ -130,7 +139,7 @@
         Some(self.permit(PermitKind::OverflowClient))
     }
 
-    /// A permit for a connection to a worker; none where all descriptors are in use.
+    /// Returns a permit for a connection to a worker, or `None` if all descriptors are in use.
     pub fn acquire_worker(self: &Rc<Self>) -> Option<DescriptorPermit> {
         self.acquire(PermitKind::Worker)
     }
@@ -150,17 +159,18 @@
         }
     }
 
-    /// How many permits exist now.
+    /// Returns the number of permits in use, including those of clients beyond the limit.
     pub fn descriptors_used(&self) -> usize {
         self.descriptors.get() + self.overflow_clients.get()
     }
 
-    /// How many clients have a permit now, without those beyond the limit.
+    /// Returns the number of clients with a permit, excluding those beyond the limit.
     pub fn client_count(&self) -> usize {
         self.clients.get()
     }
 
-    /// Registers a client that waits for bytes, until the registration is dropped. The channel tells it to close.
+    /// Registers a client that waits for bytes, until the registration is dropped. A message on the
+    /// channel requests that the client be closed.
     pub fn register_idle(
         self: &Rc<Self>,
         now: Nanos,
@@ -179,12 +189,13 @@
         self.idle.borrow_mut().unregister(client, serial);
     }
 
-    /// Whether an idle client exists whose descriptor becomes free for others when it closes.
+    /// Returns whether an idle client exists whose closing frees a descriptor for others.
     pub fn has_evictable_client(&self) -> bool {
         self.idle.borrow().has_evictable()
     }
 
-    /// Tells the client that has been idle for longest to close; false where none may be closed.
+    /// Requests that an idle client be closed: the oldest without a request past its grace time,
+    /// else the oldest that has sent one. Returns false if none may be closed.
     pub fn evict_idle_client(&self, now: Nanos) -> bool {
         self.idle.borrow_mut().evict(now)
     }
--- a/crates/engine/src/limits/idle_clients.rs
+++ b/crates/engine/src/limits/idle_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that wait for bytes, and which of them is closed first.
+//! The registry of idle clients and the order in which they are closed.
 use super::ResourceLimits;
 use async_channel::{Receiver, Sender};
 use rosewall::mutation::{Mutation, is_active};
@@ -6,18 +6,19 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A client sends its first request as it connects, within some round trips of a slow network. One that has not done so
-/// for this long is closed before those that have sent requests.
+/// Time that a new client has for its first request before it becomes the first candidate for
+/// eviction. Clients send it right after connecting, within a few round trips of a slow network.
 const FIRST_REQUEST_GRACE: Nanos = 100_000_000;
 
-/// A client that waits for bytes, by what it has sent so far.
+/// Kind of a client that waits for bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleClient {
-    /// It has not sent a request yet.
+    /// Has not sent a request yet.
     AwaitingFirstRequest,
-    /// It has sent a request before.
+    /// Has sent at least one request.
     BetweenRequests,
-    /// It is beyond the limit and only gets a rejection: closing it frees no descriptor for others.
+    /// Exceeds the limit on clients and only gets a rejection. Closing it frees no descriptor for
+    /// others.
     Overflow,
 }
 
@@ -26,7 +27,7 @@
     close: Sender<()>,
 }
 
-/// Entries by serial number, so that the oldest is the first.
+/// Entries by serial number, oldest first.
 type EntriesByAge = BTreeMap<u64, IdleEntry>;
 
 #[derive(Default)]
@@ -63,8 +64,9 @@
         !self.awaiting_first_request.is_empty() || !self.between_requests.is_empty()
     }
 
-    /// Closes the oldest client without a request whose grace time is over, else the oldest that has sent one. So silent
-    /// connections keep no one out, and no client is closed whose first request may be on its way.
+    /// Closes the oldest client without a request if its grace time is over, else the oldest that
+    /// has sent one. So silent connections do not block new clients, and no client is closed while
+    /// its first request may be in transit.
     pub(super) fn evict(&mut self, now: Nanos) -> bool {
         let evicted = if self.first_request_is_overdue(now) {
             self.awaiting_first_request.pop_first()
@@ -84,7 +86,7 @@
     }
 }
 
-/// The registration of an idle client; it ends when this is dropped.
+/// Registration of an idle client. Dropping it unregisters the client.
 pub struct IdleRegistration {
     pub(super) limits: Rc<ResourceLimits>,
     pub(super) client: IdleClient,
--- a/crates/engine/src/limits/tests.rs
+++ b/crates/engine/src/limits/tests.rs
@@ -6,7 +6,7 @@
 
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
-/// What a process uses beside connections of clients and workers.
+/// Descriptors reserved for uses other than connections of clients and workers.
 const RESERVED_DESCRIPTORS: usize = 32;
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
@@ -98,7 +98,7 @@
     assert!(!limits.evict_idle_client(7));
 }
 
-/// Half of the memory is for four copies of what clients send.
+/// Half of the memory is for requests, of which up to four copies exist.
 #[test]
 fn memory_limits_the_bytes_of_requests() {
     let limits = limits(1024, 16);
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,4 +1,5 @@
-//! Idle connections to workers, of whatever kind carries them: which one is used again, and for how long it may be.
+//! The pool of idle connections to workers: which one is reused, and when it expires. Generic over
+//! the connection type.
 #[cfg(test)]
 mod tests;
 
@@ -9,43 +10,44 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// How long after a connection broke in use the shorter idle timeout applies that follows from it.
+/// Time during which a connection that broke in use shortens the idle timeout.
 const BROKEN_IDLE_RETENTION: Nanos = 30 * SECOND;
 
-/// How long after an answer the last byte of an attempt must not be written to the same connection.
+/// Time after an answer during which the last byte of the next attempt must not be written to the
+/// same connection.
 ///
-/// A faulty worker may send a second answer to the same attempt some milliseconds late. It would be taken for the answer to
-/// the next request, which would then be sent again although it runs.
+/// A faulty worker may send a second answer to the same attempt some milliseconds late. It would be
+/// mistaken for the answer to the next request, which would then be retried although it runs.
 pub const REUSE_DELAY: Nanos = 10 * MILLISECOND;
 
-/// How many attempts to one worker in `EARLY_REUSE_WINDOW` may take a connection that has not rested. Beyond that no
-/// connection is given, so that the caller opens one more.
+/// Maximum number of attempts to one worker in `EARLY_REUSE_WINDOW` that may take a connection
+/// within [`REUSE_DELAY`]. Further attempts get no connection, so that the caller opens a new one.
 const MAX_EARLY_REUSES: u32 = 25;
 const EARLY_REUSE_WINDOW: Nanos = SECOND;
 
-/// Expired connections are looked for at multiples of this.
+/// Connections are checked for expiry at multiples of this interval.
 const EXPIRY_GRANULARITY: Nanos = 100 * MILLISECOND;
 
-/// What the pool needs to know of a connection.
+/// Connection that the pool can hold.
 pub trait Reusable {
-    /// Whether the connection is open and has nothing to read: the worker has not closed it, and no part of an earlier answer
-    /// is still arriving.
+    /// Returns whether the connection is open and has nothing to read: the worker has not closed
+    /// it, and no part of an earlier answer is still arriving.
     fn is_reusable(&self) -> bool;
 }
 
-/// A connection taken from the pool.
+/// Connection taken from the pool.
 pub struct IdleConnection<C> {
-    /// The connection.
+    /// Connection, reusable when it was taken.
     pub connection: C,
-    /// When it was put into the pool.
+    /// Time at which it was put into the pool.
     pub idle_since: Nanos,
 }
 
-/// What [`Pool::take`] found.
+/// Result of [`Pool::take`].
 pub struct Taken<C> {
-    /// A reusable connection, if there is one.
+    /// Reusable connection; `None` if the caller must open a new one.
     pub connection: Option<IdleConnection<C>>,
-    /// How many connections were dropped because they had expired or were not reusable.
+    /// Number of connections dropped because they had expired or were not reusable.
     pub stale: usize,
 }
 
@@ -55,10 +57,10 @@
     idle_since: Nanos,
 }
 
-/// The idle connections to one worker, the one that was used last at the end.
+/// Idle connections to one worker, the most recently used last.
 struct WorkerPool<C> {
     connections: Vec<PooledConnection<C>>,
-    /// How many attempts found no rested connection since `window_start`.
+    /// Number of attempts since `window_start` that found only connections within [`REUSE_DELAY`].
     early_reuse_count: u32,
     window_start: Nanos,
 }
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Counts an attempt that found no rested connection; whether it may take one that has not rested.
+    /// Counts an attempt that found only connections within [`REUSE_DELAY`]. Returns whether it may
+    /// take one of them.
     fn may_reuse_early(&mut self, now: Nanos) -> bool {
         if now >= self.window_start + EARLY_REUSE_WINDOW {
             self.early_reuse_count = 0;
@@ -93,7 +96,7 @@
         Taken { connection, stale }
     }
 
-    /// Of the connections that have rested, the reusable one that was used last.
+    /// Takes the most recently used of the reusable connections past [`REUSE_DELAY`].
     fn take_after_reuse_delay(
         &mut self,
         now: Nanos,
@@ -108,7 +111,7 @@
             .find_map(|index| self.remove_if_reusable(index, now, idle_timeout, stale))
     }
 
-    /// The reusable connection that has been idle for longest.
+    /// Takes the reusable connection that has been idle for longest.
     fn take_longest_idle(
         &mut self,
         now: Nanos,
@@ -124,7 +127,7 @@
         None
     }
 
-    /// Removes one connection; gives it if it is reusable, else drops and counts it.
+    /// Removes one connection. Returns it if it is reusable, else drops it and counts it as stale.
     fn remove_if_reusable(
         &mut self,
         index: usize,
@@ -148,21 +151,23 @@
     }
 }
 
-/// The idle connections to all workers.
+/// Idle connections to all workers.
 pub struct Pool<C> {
     by_worker: BTreeMap<WorkerId, WorkerPool<C>>,
     idle_timeout: Nanos,
-    /// The shortest recent idle time after which a connection broke in use although it had looked reusable.
+    /// Shortest recent idle time of a connection that broke in use although it was reusable by
+    /// [`Reusable::is_reusable`].
     shortest_broken_idle: Nanos,
-    /// When a connection last broke so.
+    /// Time of the last such break; 0 if there was none.
     last_broken_at: Nanos,
-    /// When to look for expired connections.
+    /// Times at which to check for expired connections, earliest first.
     expiries: VecDeque<Nanos>,
 }
 
 impl<C: Reusable> Pool<C> {
-    /// For workers that close a connection after it was idle for `worker_idle_timeout`. Connections are used for three fifths
-    /// of that, which leaves time for clocks that differ and for the attempt that is being written.
+    /// Creates a pool for workers that close connections after `worker_idle_timeout` without use. A
+    /// connection is reused only within three fifths of that, which leaves time for clock
+    /// differences and for writing the attempt.
     pub fn new(worker_idle_timeout: Nanos) -> Self {
         Pool {
             by_worker: BTreeMap::new(),
@@ -173,8 +178,9 @@
         }
     }
 
-    /// Records that a connection which looked reusable, idle since `idle_since`, broke as it was used. Workers, or devices
-    /// between, may drop idle connections silently and earlier than the settings say; whether a request ran there is unknown.
+    /// Records that a reusable connection, idle since `idle_since`, broke when it was used. Workers
+    /// or network devices may drop idle connections silently and earlier than configured. Whether a
+    /// request ran on such a connection is unknown.
     pub fn record_broken(&mut self, now: Nanos, idle_since: Nanos) {
         let idle = now.saturating_sub(idle_since);
         self.shortest_broken_idle = if self.broke_recently(now) {
@@ -198,8 +204,8 @@
         }
     }
 
-    /// Takes a connection to a worker: of those that have rested the one used last, else the one that has been idle for
-    /// longest, unless too many attempts took such a one recently.
+    /// Takes a connection to a worker: the most recently used one past [`REUSE_DELAY`]. If there is
+    /// none, takes the one that has been idle for longest, unless too many recent attempts did so.
     pub fn take(&mut self, now: Nanos, worker: WorkerId) -> Taken<C> {
         let idle_timeout = self.current_idle_timeout(now);
         match self.by_worker.get_mut(&worker) {
@@ -211,7 +217,7 @@
         }
     }
 
-    /// Puts in a connection that leads to `address`.
+    /// Adds a connection that leads to `address`. Its idle time starts at `now`.
     pub fn put(&mut self, now: Nanos, worker: WorkerId, address: SocketAddr, connection: C) {
         let pool = self
             .by_worker
@@ -228,7 +234,8 @@
         }
     }
 
-    /// Drops the connections to a worker that do not lead to `address`: all of them where it is none.
+    /// Drops the connections to a worker that do not lead to `address`; with `None`, drops all of
+    /// them.
     pub fn evict_worker(&mut self, worker: WorkerId, address: Option<SocketAddr>) {
         if let Some(pool) = self.by_worker.get_mut(&worker) {
             pool.connections
@@ -236,12 +243,12 @@
         }
     }
 
-    /// When to call [`Pool::evict_expired`] next.
+    /// Returns when to call [`Pool::evict_expired`] next; `None` if no check is scheduled.
     pub fn next_expiry(&self) -> Option<Nanos> {
         self.expiries.front().copied()
     }
 
-    /// Drops connections that have been idle for too long.
+    /// Drops connections that have been idle for longer than the current idle timeout.
     pub fn evict_expired(&mut self, now: Nanos) {
         let idle_timeout = self.current_idle_timeout(now);
         for pool in self.by_worker.values_mut() {
@@ -255,7 +262,8 @@
         }
     }
 
-    /// Drops the connection that has been idle for longest, to free its descriptor; false if there is none.
+    /// Drops the connection that has been idle for longest, to free its descriptor. Returns false
+    /// if there is none.
     pub fn evict_oldest(&mut self) -> bool {
         self.by_worker
             .values_mut()
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the pool of idle connections.
+//! Tests of the pool of idle connections: selection, expiry and eviction.
 use super::{Pool, REUSE_DELAY, Reusable, Taken};
 use rosewall::types::{Nanos, WorkerId};
 use std::net::SocketAddr;
@@ -33,13 +33,14 @@
     pool.put(now, WORKER, address(9), Connection { is_reusable });
 }
 
-/// What broke, and how long ago.
+/// Idle time of a connection that broke in use, and how long ago that was.
 struct Break {
     idle_seconds: u64,
     seconds_ago: u64,
 }
 
-/// The limit is three fifths of the settings' 30 s, or of the idle time after which a connection broke, for half a minute.
+/// The idle timeout is three fifths of the configured 30 s or, for 30 s after a break, of the
+/// broken connection's idle time.
 #[test_case(None, 17 => true; "within the configured timeout")]
 #[test_case(None, 19 => false; "idle for too long")]
 #[test_case(Some(Break { idle_seconds: 10, seconds_ago: 20 }), 5 => true; "idle for less than the broken one")]
@@ -90,7 +91,8 @@
         .map(|idle| (now - idle.idle_since) / MILLISECOND)
 }
 
-/// Each attempt comes 1 ms after the last answer, so that its connection has not rested.
+/// Each attempt starts 1 ms after the last answer, so that the connection is within the reuse
+/// delay.
 #[test_case(1, 25 => true; "a few early reuses are allowed")]
 #[test_case(1, 26 => false; "one more in the window is not")]
 #[test_case(45, 60 => true; "spread over longer than the window")]
--- a/crates/engine/src/rate_limit.rs
+++ b/crates/engine/src/rate_limit.rs
@@ -1,4 +1,4 @@
-//! A bound on how often something may be done: a number per second, and as many at once.
+//! A rate limiter: a number of operations per second, with bursts of the same size.
 use rosewall::types::Nanos;
 
 #[cfg(test)]
@@ -6,7 +6,7 @@
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// A token bucket that holds the tokens of one second.
+/// Token bucket with a capacity of one second's tokens.
 pub struct RateLimiter {
     per_second: u64,
     tokens: u64,
@@ -14,7 +14,8 @@
 }
 
 impl RateLimiter {
-    /// A limiter that allows `per_second` operations a second, and as many at once.
+    /// Creates a limiter that allows `per_second` operations per second, and bursts of the same
+    /// size. Starts with a full bucket.
     pub fn new(per_second: u64) -> Self {
         RateLimiter {
             per_second,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Takes a token; false if none is left at `now`.
+    /// Takes a token. Returns false if none is left at `now`.
     pub fn try_acquire(&mut self, now: Nanos) -> bool {
         self.refill(now);
         let acquired = self.tokens > 0;
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -1,8 +1,9 @@
-//! Locks the engine and the protocols: given bytes from clients, workers and discovery must lead to exactly the bytes and
-//! commands that they led to when the digests were taken.
+//! Locks the behaviour of the engine and the protocols: given bytes from clients, workers and
+//! discovery must lead to the same bytes and effects as when the digests were recorded.
 //!
-//! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line cannot change it. A digest may
-//! only change together with an intended change of behaviour, which the commit then states.
+//! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line does
+//! not change it. A digest may only change together with an intended change of behaviour, which the
+//! commit states.
 use rosewall::Map;
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
@@ -149,7 +150,8 @@
     Stop,
 }
 
-/// Clients, workers, discovery and peers around one engine, in bytes, driven by one seed.
+/// Model of the clients, workers, discovery and peers of one engine, driven by one seed. Exchanges
+/// encoded bytes where a protocol defines them.
 struct Model {
     engine: Engine,
     names: Names,
@@ -286,7 +288,7 @@
         }
     }
 
-    /// A worker takes an attempt, and answers in the protocol's lines, or breaks off.
+    /// Schedules a worker's response to an attempt: complete, incomplete, malformed or an error.
     fn schedule_response(&mut self, request: RequestId, attempt: u8, worker: WorkerId, id: String) {
         self.response_readers
             .insert((request, attempt), AttemptResponseReader::new(id.clone()));
@@ -573,7 +575,7 @@
                 break;
             }
             self.now = at;
-            // One timer event at a time is enough for any number that asked for it.
+            // Timer steps scheduled for the same time are run once.
             if matches!(next, Step::Timers) {
                 let same =
                     |key: &(Nanos, u64), next: &Step| key.0 == at && matches!(next, Step::Timers);
--- a/crates/engine/tests/example_configuration.rs
+++ b/crates/engine/tests/example_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of the README's quick start can be used.
+//! Checks that the configuration of the README's quick start is valid.
 use rosewall_engine::config::Config;
 
 #[test]
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operators' setting names and words, mapped to the names under which rosewall's programs read them. No other crate
-//! knows the operators' names; `docs/design.md` describes the settings.
+//! The mapping of the operators' setting names and values to rosewall's internal ones. No other
+//! crate translates the operators' names. `docs/design.md` describes the settings.
 pub use rosewall::Map;
 
 #[cfg(test)]
 mod tests;
 
-/// The paths of single settings, each with its name.
+/// Paths of single settings, each with its internal name.
 const SETTINGS: &[(&str, &str)] = &[
     ("Me", "me"),
     ("Siblings", "dispatchers"),
@@ -40,10 +40,11 @@
     ("Parties.count", "tenant.count"),
 ];
 
-/// The lists of which each element has settings of its own, below `LIST.INDEX`.
+/// Lists whose elements have settings of their own below `LIST.INDEX`, each with its internal name.
 const LISTS: &[(&str, &str)] = &[("Schemes", "class"), ("Parties", "tenant")];
 
-/// The settings of one element of such a list, each with its name below `class.INDEX` or `tenant.INDEX`.
+/// Settings of an element of one of the [`LISTS`], each with its internal name below `class.INDEX`
+/// or `tenant.INDEX`.
 const ELEMENT_SETTINGS: &[(&str, &str)] = &[
     ("Name", ELEMENT_NAME),
     ("SlaTimeNs", "latency_objective"),
@@ -58,16 +59,18 @@
     ("Portion", "share"),
 ];
 
-/// The name that operators give an element. It may be any word, also one of [`WORDS`].
+/// Internal name of the setting that holds an element's name. Its value is never translated, even
+/// if it is one of [`WORDS`].
 const ELEMENT_NAME: &str = "name";
 
-/// The paths of settings that hold one value for each class, separated by commas, each with its name below `class.INDEX`.
+/// Paths of settings with one comma-separated value for each class, each with its internal name
+/// below `class.INDEX`.
 const CLASS_VALUES: &[(&str, &str)] = &[
     ("FamilyInfo.ClassStretch", "objective_stretch"),
     ("FamilyInfo.ClassKind", "worker_type"),
 ];
 
-/// The words that a value may hold, each with the word for it in the programs.
+/// Operators' values that have another internal value, each with that value.
 const WORDS: &[(&str, &str)] = &[
     ("repeatable", "idempotent"),
     ("by_key", "idempotent-with-key"),
@@ -82,8 +85,10 @@
     ("err_ps", "errors"),
 ];
 
-/// The path of the list of values in a load report, and the start of the paths that say what a site's own values are.
+/// Path of the list of values in a load report.
 const REPORT_FIELDS: &str = "Report.Fields";
+/// Prefix of the paths that give the meaning of site-specific values; the rest of the path in lower
+/// case is the value's name.
 const REPORT_FIELD_MEANING: &str = "FamilyInfo.Report";
 
 fn find<'a>(table: &[(&str, &'a str)], key: &str) -> Option<&'a str> {
@@ -93,12 +98,13 @@
         .map(|(_, name)| *name)
 }
 
-/// The programs' word for an operators' word; any other value stays as it is.
+/// Returns the internal value for an operators' value. Values not in [`WORDS`] are unchanged.
 fn translate(word: &str) -> &str {
     find(WORDS, word).unwrap_or(word)
 }
 
-/// The settings as a map under the programs' names, from pairs of path and value. Settings without a name are left out.
+/// Returns the settings under their internal names, given pairs of path and value. Ignores unknown
+/// paths.
 pub fn parse_settings<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Map {
     let mut map = Map::new();
     let mut report_meanings = Map::new();
@@ -127,7 +133,8 @@
     map
 }
 
-/// The operators' path of a setting, for messages about it; none for a name that no path leads to.
+/// Returns the operators' path of the setting with this internal name, for use in messages; `None`
+/// if it has no path.
 pub fn operators_path(name: &str) -> Option<String> {
     if name == "report.fields" {
         return Some(REPORT_FIELDS.to_string());
@@ -149,7 +156,7 @@
         .map(|(operators, _)| *operators)
 }
 
-/// Inserts one value for each class. A class's own setting has precedence.
+/// Inserts one value for each class. A class's own setting takes precedence.
 fn insert_class_values(map: &mut Map, name: &str, values: &str) {
     for (index, value) in values.split(',').enumerate() {
         map.entry(format!("class.{index}.{name}"))
@@ -157,13 +164,13 @@
     }
 }
 
-/// The element that a path refers to, and the name of the setting, if it is a setting of elements.
+/// Splits the path of an element's setting into the element and the internal name of the setting.
 fn element_setting(path: &str) -> Option<(&str, &'static str)> {
     let (element, setting) = path.rsplit_once('.')?;
     Some((element, find(ELEMENT_SETTINGS, setting)?))
 }
 
-/// Inserts a setting of an element. Elements of unknown lists are left out.
+/// Inserts a setting of an element. Ignores elements of unknown lists.
 fn insert_element_setting(map: &mut Map, element: &str, name: &str, value: &str) {
     let (list, index) = element.split_once('.').unwrap_or((element, ""));
     let value = if name == ELEMENT_NAME {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of mapping the operators' setting names and values to the internal ones and back.
 use super::{Map, operators_path, parse_settings};
 
 fn value<'a>(map: &'a Map, name: &str) -> Option<&'a str> {
