--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -60,7 +60,7 @@
 ];
 
 /// Internal name of the setting that holds an element's name. Its value is never translated, even
-/// if it is one of [`WORDS`].
+/// if it is one of [`VALUE_NAMES`].
 const ELEMENT_NAME: &str = "name";
 
 /// Paths of settings with one comma-separated value for each class, each with its internal name
@@ -71,7 +71,7 @@
 ];
 
 /// Operators' values that have another internal value, each with that value.
-const WORDS: &[(&str, &str)] = &[
+const VALUE_NAMES: &[(&str, &str)] = &[
     ("repeatable", "idempotent"),
     ("by_key", "idempotent-with-key"),
     ("referenced", "idempotent-with-key"),
@@ -94,13 +94,13 @@
 fn find<'a>(table: &[(&str, &'a str)], key: &str) -> Option<&'a str> {
     table
         .iter()
-        .find(|(operators, _)| *operators == key)
+        .find(|(operators_name, _)| *operators_name == key)
         .map(|(_, name)| *name)
 }
 
-/// Returns the internal value for an operators' value. Values not in [`WORDS`] are unchanged.
-fn translate(word: &str) -> &str {
-    find(WORDS, word).unwrap_or(word)
+/// Returns the internal value for an operators' value. Values not in [`VALUE_NAMES`] are unchanged.
+fn translate(value: &str) -> &str {
+    find(VALUE_NAMES, value).unwrap_or(value)
 }
 
 /// Returns the settings under their internal names, given pairs of path and value. Ignores unknown
@@ -152,8 +152,8 @@
 fn find_path<'a>(table: &[(&'a str, &str)], name: &str) -> Option<&'a str> {
     table
         .iter()
-        .find(|(_, programs)| *programs == name)
-        .map(|(operators, _)| *operators)
+        .find(|(_, internal_name)| *internal_name == name)
+        .map(|(operators_name, _)| *operators_name)
 }
 
 /// Inserts one value for each class. A class's own setting takes precedence.
