--- a/crates/engine/src/config/settings_pairs.rs
+++ b/crates/engine/src/config/settings_pairs.rs
@@ -1,11 +1,12 @@
-//! The settings as the file nests them, flattened to pairs of a path and a value.
+//! Flattening of the nested settings in the file to pairs of path and value.
 use serde_json::Value;
 
 type Pairs = Vec<(String, String)>;
 
-/// The settings as pairs of path and value. The parts of a path are joined by points. A list of plain values becomes one value
-/// with commas, a list of objects its count and one path for each index. Spaces and commas inside a value become
-/// underscores, since they separate values in the result.
+/// Flattens the settings to pairs of path and value. The parts of a path are joined by dots. A list
+/// of plain values becomes one comma-separated value, a list of objects its count and one path for
+/// each index. Spaces and commas inside a value become underscores, since they separate values in
+/// the result.
 pub(super) fn flatten(settings: &Value) -> Pairs {
     let mut pairs = Vec::new();
     flatten_below("", settings, &mut pairs);
@@ -26,10 +27,10 @@
             }
         }
         Value::Array(values) => {
-            let words: Vec<String> = values.iter().map(word).collect();
+            let words: Vec<String> = values.iter().map(text_of).collect();
             pairs.push((path.to_string(), words.join(",")));
         }
-        value => pairs.push((path.to_string(), word(value))),
+        value => pairs.push((path.to_string(), text_of(value))),
     }
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-fn word(value: &Value) -> String {
+fn text_of(value: &Value) -> String {
     let text = value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_string);
