--- a/crates/cluster/src/cluster/effect.rs
+++ b/crates/cluster/src/cluster/effect.rs
@@ -1,33 +1,34 @@
-//! What the cluster asks its driver to do.
+//! Effects that the driver of the cluster state machine carries out.
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
-/// Something that the driver is to carry out.
+/// An action for the driver to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// To whom.
+        /// The receiver's address.
         to: SocketAddr,
         /// The encoded datagram.
         bytes: Vec<u8>,
     },
-    /// Notify the decisions of this dispatcher's rank and the number of dispatchers; `None` while it is not a member.
+    /// Notify the dispatch decisions of this dispatcher's rank and the number of dispatchers; `None`
+    /// while it is not a member.
     FleetView(Option<FleetPosition>),
-    /// Notify the decisions of a warm-up grant, to be used once.
+    /// Notify the dispatch decisions of a warm-up grant, which may be used once.
     WarmUpGranted {
         /// The warming worker.
         worker: WorkerId,
-        /// The granted work.
+        /// The granted work, in ns of one concurrency slot.
         work: Nanos,
-        /// When the grant expires.
+        /// The time at which the grant expires.
         until: Nanos,
     },
-    /// Notify the decisions of another member's load at a worker.
+    /// Notify the dispatch decisions of another member's load at a worker.
     PeerLoad {
-        /// The rank of the member.
+        /// The rank of the reporting member.
         from: u16,
-        /// Its load.
+        /// The member's load at the worker.
         load: PeerLoad,
     },
     /// Write a line to the log.
@@ -37,8 +38,8 @@
 /// A line for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogLine {
-    /// A change that an operator may want to follow.
+    /// A change of the membership or of the fleet view.
     Info(String),
-    /// A fault, with its code and remedy.
+    /// An error, with its code and remedy.
     Error(String),
 }
--- a/crates/cluster/src/cluster/fleet_view.rs
+++ b/crates/cluster/src/cluster/fleet_view.rs
@@ -1,4 +1,4 @@
-//! Derives the fleet view for the decisions, and the log lines, from the membership.
+//! Derivation of the fleet view and of log lines from the membership.
 use super::{Cluster, Effect, LogLine};
 use crate::error::ClusterError;
 use crate::member::Name;
@@ -8,13 +8,13 @@
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{FleetPosition, Nanos};
 
-/// The least time between two updates of the view, as many changes come together.
+/// The minimum time between two updates of the view, which combines changes in quick succession.
 const VIEW_INTERVAL: Nanos = 20 * MILLISECOND;
 /// The time between two updates while this member has not yet claimed its rank.
 const UNCLAIMED_VIEW_INTERVAL: Nanos = 5 * VIEW_INTERVAL;
 
 impl Cluster {
-    /// Derives the fleet view anew, and notifies the decisions if it has changed.
+    /// Recomputes the fleet view, and notifies the dispatch decisions if it has changed.
     pub(super) fn update_fleet_view(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.next_view_at = now + VIEW_INTERVAL;
         let position = if self.membership.is_standby() || !self.membership.has_had_peers() {
@@ -59,7 +59,7 @@
             }
         }
         self.membership.claim_stable_rank(now, rank);
-        // Checked again until the rank is claimed.
+        // The view is updated again until the rank is claimed.
         self.view_is_stale = self.membership.own_record().claimed_rank != rank;
         if self.view_is_stale {
             self.next_view_at = now + UNCLAIMED_VIEW_INTERVAL;
@@ -77,7 +77,7 @@
     }
 }
 
-/// The line for the log of a change.
+/// Returns the log line for a change of the membership.
 pub(super) fn log_line(change: Change, own_name: &Name) -> LogLine {
     let info = |name: &Name, what: &str| LogLine::Info(format!("cluster member={name} {what}"));
     match change {
--- a/crates/cluster/src/cluster/grants.rs
+++ b/crates/cluster/src/cluster/grants.rs
@@ -1,4 +1,4 @@
-//! Warm-up grants between this process, the lease holder and the decisions.
+//! Exchange of warm-up grants between this process, the lease holder and the dispatch decisions.
 use super::{Cluster, Effect};
 use crate::datagram::Part;
 use crate::grants::{GrantRequest, GrantTerms, RequesterId, WORK_UNIT};
@@ -7,13 +7,13 @@
 use rosewall::types::{Nanos, WorkerId};
 use std::net::SocketAddr;
 
-/// Who answers this process's grant requests.
+/// The lease holder, which answers this process's grant requests.
 enum Issuer {
     ThisProcess,
     Member(SocketAddr),
 }
 
-/// The terms of a grant, from its datagram.
+/// Converts the terms of a grant from the units of a datagram.
 pub(super) fn terms_of(work_ms: u32, validity_ms: u16) -> GrantTerms {
     GrantTerms {
         work: Nanos::from(work_ms) * WORK_UNIT,
@@ -22,7 +22,10 @@
 }
 
 impl Cluster {
-    /// Requests a grant to send this much work to a warming worker.
+    /// Requests a grant to send `work`, in ns of one concurrency slot, to a warming worker.
+    ///
+    /// No request is sent while the process is on standby, no lease holder is known, or the quota of
+    /// requests is used up.
     pub fn request_grant(
         &mut self,
         now: Nanos,
@@ -30,7 +33,7 @@
         work: Nanos,
         effects: &mut Vec<Effect>,
     ) {
-        // Rounded up, so that the grant covers the request.
+        // Rounded up so that the grant covers the request.
         let Ok(work_ms) = u32::try_from(work.div_ceil(WORK_UNIT)) else {
             return;
         };
@@ -52,7 +55,7 @@
                     worker,
                     work,
                 };
-                // A refusal has empty terms, which end the pending request.
+                // The default terms are a refusal, which ends the pending request.
                 let terms = self.issue_grant(now, request).unwrap_or_default();
                 self.accept_grant(now, seq, worker, terms, effects);
             }
@@ -68,12 +71,13 @@
         self.flush(effects);
     }
 
-    /// Sets what the fleet may send a warming worker by grants in a window; 0 ends the warm-up.
+    /// Sets the work that the fleet may send to a warming worker by grants in each window; 0 ends the
+    /// warm-up.
     pub fn set_warm_up_budget(&mut self, worker: WorkerId, work: Nanos, window: Nanos) {
         self.grant_issuer.set_budget(worker, work, window);
     }
 
-    /// The lease holder, by what this process knows.
+    /// Returns the lease holder known to this process, if any.
     fn issuer(&self, now: Nanos) -> Option<Issuer> {
         if self.lease_candidate.holds(now) {
             return Some(Issuer::ThisProcess);
@@ -91,8 +95,8 @@
         self.grant_issuer.issue(now, lease_since, request)
     }
 
-    /// Answers a request of another process. A refusal is not answered: the requester asks again, and a duplicate was answered
-    /// before.
+    /// Answers a request of another process. A refusal is not answered: the requester sends a new
+    /// request, and a duplicate was answered before.
     pub(super) fn handle_grant_request(
         &mut self,
         now: Nanos,
--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -1,6 +1,7 @@
-//! One process in the cluster: membership, ranks, the lease, warm-up grants and load reports put together.
+//! The state machine of one process in the cluster, composed of membership, ranks, the lease, warm-up
+//! grants and load reports.
 //!
-//! It is fed datagrams and timeouts, and returns [`Effect`]s: what to send and what to notify the decisions of.
+//! Inputs are datagrams, timeouts and calls of the dispatch decisions; outputs are [`Effect`]s.
 mod effect;
 mod fleet_view;
 mod grants;
@@ -20,19 +21,19 @@
 use rosewall::types::{FleetPosition, Nanos, PeerLoad};
 use std::net::SocketAddr;
 
-/// How often datagrams of another version are logged.
+/// The minimum time between two log lines on datagrams of another version.
 const VERSION_LOG_INTERVAL: Nanos = 60 * SECOND;
 
-/// Counters of datagrams since the start.
+/// Counters of datagrams since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DatagramCounts {
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams dropped as malformed.
+    /// Datagrams dropped because they were malformed.
     pub malformed: u64,
-    /// Datagrams dropped as of another version of the format.
+    /// Datagrams dropped because they had another version of the format.
     pub other_version: u64,
-    /// Datagrams dropped as of another cluster.
+    /// Datagrams dropped because they came from another cluster.
     pub other_cluster: u64,
 }
 
@@ -40,34 +41,34 @@
 pub struct Cluster {
     cluster_hash: u32,
     membership: Membership,
-    /// The names of the quorum, the preferred lease holder first.
+    /// The names of the quorum members in order of preference for the lease.
     quorum: Vec<Name>,
-    /// This process's vote, if it belongs to the quorum.
+    /// This process's vote; `None` if the process is not a quorum member.
     lease_voter: Option<LeaseVoter>,
     lease_candidate: LeaseCandidate,
     /// Issues grants while this process holds the lease.
     pub grant_issuer: GrantIssuer,
-    /// Requests grants.
+    /// Requests grants and validates the answers.
     pub grant_holder: GrantHolder,
     load_sender: LoadSender,
-    /// Judges other members' load reports.
+    /// Checks the load reports of other members.
     pub load_receiver: LoadReceiver,
-    /// The members by rank, as of the last fleet view.
+    /// The names of the members by rank, as of the last fleet view.
     members_by_rank: Vec<Name>,
-    /// What the decisions were last notified of.
+    /// The fleet view of the last notification to the dispatch decisions.
     position: Option<FleetPosition>,
     view_is_stale: bool,
     next_view_at: Nanos,
-    /// Counters of datagrams.
+    /// Counters of datagrams since the start of the process.
     pub counts: DatagramCounts,
-    /// The version of the last dropped datagram of another version, until it is logged.
+    /// The version of the last datagram dropped for its version, until it is logged.
     unlogged_version: Option<u8>,
     version_log_at: Nanos,
     outbox: Outbox,
 }
 
 impl Cluster {
-    /// A process that starts now; `seed` is for all its random choices.
+    /// Returns the state of a process that starts now; `seed` determines all its random choices.
     pub fn new(config: &ClusterConfig, now: Nanos, seed: u64) -> Self {
         let cluster_hash = fnv1a(config.cluster.as_bytes());
         let name: Name = config.name.as_str().into();
@@ -104,12 +105,13 @@
         }
     }
 
-    /// The members, as this process knows them.
+    /// Returns the members of the cluster, as known to this process.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The rank and the number of dispatchers that the decisions were last notified of.
+    /// Returns the rank and the number of dispatchers of the last [`Effect::FleetView`]; `None` while
+    /// this process is not a member.
     pub fn position(&self) -> Option<FleetPosition> {
         self.position
     }
@@ -119,7 +121,7 @@
         self.lease_candidate.holds(now)
     }
 
-    /// When [`Cluster::handle_timeout`] is to be called next.
+    /// Returns the time at which [`Cluster::handle_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Nanos {
         let takes_part_in_leases = self.lease_voter.is_some() && !self.membership.is_standby();
         let lease = takes_part_in_leases.then(|| self.lease_candidate.next_timeout());
@@ -131,7 +133,7 @@
             .fold(self.membership.next_timeout(), Nanos::min)
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due.
     pub fn handle_timeout(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.membership.handle_timeout(now, &mut self.outbox);
         self.request_lease(now);
@@ -170,7 +172,7 @@
         self.finish_input(now, effects);
     }
 
-    /// Queues a report of this process's load at a worker for the member of that rank.
+    /// Queues a report of this process's load at a worker to the member with the rank `to_rank`.
     pub fn send_load(&mut self, now: Nanos, to_rank: u16, load: PeerLoad) {
         if let Some(name) = self.members_by_rank.get(usize::from(to_rank))
             && *name != self.membership.own_record().name
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Announces that the process stops.
+    /// Gives up the lease and announces that this process leaves.
     pub fn leave(&mut self, effects: &mut Vec<Effect>) {
         self.give_up_lease();
         self.membership.leave(&mut self.outbox);
@@ -250,7 +252,7 @@
     }
 
     fn log_other_version(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        // Version 0 is no version of the format.
+        // The format never has version 0, so it is not reported.
         let Some(version) = self.unlogged_version.filter(|version| *version > 0) else {
             return;
         };
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Requests the lease if a round is due.
+    /// Requests the lease or its renewal if a round is due.
     fn request_lease(&mut self, now: Nanos) {
         let Some(voter) = &mut self.lease_voter else {
             return;
@@ -313,7 +315,8 @@
         self.membership.set_issues_grants(false);
     }
 
-    /// Logs what has changed, updates the fleet view if it is due, and sends.
+    /// Logs changes of the membership, updates the fleet view if it is due, and sends all queued
+    /// datagrams.
     fn finish_input(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         for change in self.membership.take_changes() {
             self.view_is_stale = true;
--- a/crates/cluster/src/grants/holder.rs
+++ b/crates/cluster/src/grants/holder.rs
@@ -1,13 +1,13 @@
-//! The requester's side: which requests are pending, and which answers still count.
+//! The requester's side: pending requests, and validation of the answers.
 use super::GrantTerms;
 use crate::quota::PerSecondQuota;
 use crate::time::SECOND;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::{Nanos, WorkerId};
 
-/// How many grants one process requests in a second.
+/// The maximum number of grants that one process requests per second.
 const MAX_REQUESTS_PER_SECOND: u64 = 200;
-/// How long a request is remembered.
+/// The time for which a request is pending; a later answer to it is ignored.
 const REQUEST_RETENTION: Nanos = SECOND;
 
 #[derive(Clone, Copy)]
@@ -18,27 +18,27 @@
     work: Nanos,
 }
 
-/// A grant that the decisions may use once, before it expires.
+/// A grant that the dispatch decisions may use once, before it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptedGrant {
-    /// The granted work.
+    /// The granted work, in ns of one concurrency slot.
     pub work: Nanos,
-    /// When the grant expires.
+    /// The time at which the grant expires.
     pub expires_at: Nanos,
 }
 
-/// Requests grants and judges the answers; accepted grants are passed on to the decisions.
+/// Requests grants and validates the answers; accepted grants are passed to the dispatch decisions.
 #[derive(Default)]
 pub struct GrantHolder {
     pending: Vec<PendingRequest>,
     last_seq: u32,
     quota: PerSecondQuota<MAX_REQUESTS_PER_SECOND>,
-    /// How many grants arrived after they had expired.
+    /// The number of grants that arrived after they had expired.
     pub expired: u64,
 }
 
 impl GrantHolder {
-    /// Registers a request and returns its number; `None` if the quota of this second is used up.
+    /// Registers a request and returns its number, or `None` if the quota of this second is used up.
     pub fn start_request(&mut self, now: Nanos, worker: WorkerId, work: Nanos) -> Option<u32> {
         self.pending
             .retain(|pending| now < pending.requested_at + REQUEST_RETENTION);
@@ -56,10 +56,10 @@
         Some(self.last_seq)
     }
 
-    /// Judges the answer to a request.
+    /// Validates the answer to a request.
     ///
-    /// A grant counts from its request, once, and not at all after it has expired; late, duplicate and unsolicited answers are
-    /// ignored.
+    /// A grant is valid from the time of its request and is accepted once. Expired grants and late,
+    /// duplicate or unsolicited answers are ignored.
     pub fn accept(
         &mut self,
         now: Nanos,
--- a/crates/cluster/src/grants/issuer.rs
+++ b/crates/cluster/src/grants/issuer.rs
@@ -1,4 +1,4 @@
-//! The lease holder's side: what is issued out of which budget.
+//! The lease holder's side: issuing of grants from the budgets of warming workers.
 use super::GrantTerms;
 use crate::lease::with_drift_margin;
 use crate::member::{MemberRecord, fnv1a};
@@ -8,13 +8,13 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// The longest validity of a grant. Short, as a window shares its budget with as much of the next; longer than a round trip
-/// between distant sites.
+/// The maximum validity of a grant. It is short, since the budget of a window also covers this part of
+/// the next window, and longer than a round trip between distant sites.
 const MAX_VALIDITY: Nanos = 100 * MILLISECOND;
-/// How many answered requests of one process are remembered.
+/// The number of answered requests of one process that are tracked to detect duplicates.
 const MAX_TRACKED_REQUESTS: usize = 64;
 
-/// The process that requests a grant.
+/// Identifies the process that requests a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequesterId {
     name_hash: u32,
@@ -22,7 +22,7 @@
 }
 
 impl RequesterId {
-    /// The process with this record.
+    /// Returns the identifier of the process with this record.
     pub fn of(record: &MemberRecord) -> Self {
         RequesterId {
             name_hash: fnv1a(record.name.as_bytes()),
@@ -34,13 +34,13 @@
 /// A request for a grant, as the issuer receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct GrantRequest {
-    /// Who requests.
+    /// The requesting process.
     pub requester: RequesterId,
-    /// The requester's number of the request.
+    /// The number of the request, unique within the requesting process.
     pub seq: u32,
     /// The warming worker.
     pub worker: WorkerId,
-    /// The requested work.
+    /// The requested work, in ns of one concurrency slot.
     pub work: Nanos,
 }
 
@@ -50,7 +50,7 @@
     work: Nanos,
 }
 
-/// The budget of one warming worker, by what this process knows of it now.
+/// The budget of one warming worker, as last set at this process.
 #[derive(Default)]
 struct Budget {
     work_per_window: Nanos,
@@ -63,8 +63,8 @@
         MAX_VALIDITY.min(self.window / 2)
     }
 
-    /// How long an issued grant counts against the budget: a window, and the validity, since a grant may be used at its very
-    /// end.
+    /// Returns the time for which an issued grant is charged to the budget: a window plus the validity,
+    /// since a grant may be used just before it expires.
     fn accounting_span(&self) -> Nanos {
         let validity = if is_active(Mutation::ForgetIssuedGrant) {
             0
@@ -79,16 +79,16 @@
 #[derive(Default)]
 pub struct GrantIssuer {
     budgets: FxHashMap<WorkerId, Budget>,
-    /// The requests that were answered, so that a duplicate is not granted again.
+    /// Numbers of the latest answered requests, so that a duplicate is not granted again.
     answered: FxHashMap<RequesterId, VecDeque<u32>>,
-    /// How many grants were issued.
+    /// The number of grants that were issued.
     pub issued: u64,
-    /// How many requests were refused for lack of budget.
+    /// The number of requests that were refused for lack of budget.
     pub refused: u64,
 }
 
 impl GrantIssuer {
-    /// Sets what the fleet may send a worker by grants in a window; 0 ends the warm-up.
+    /// Sets the work that the fleet may send to a worker by grants in each window; 0 ends the warm-up.
     pub fn set_budget(&mut self, worker: WorkerId, work_per_window: Nanos, window: Nanos) {
         if work_per_window == 0 {
             self.budgets.remove(&worker);
@@ -99,9 +99,10 @@
         budget.window = window;
     }
 
-    /// Answers a request; `None` if nothing is granted.
+    /// Answers a request; returns `None` if nothing is granted.
     ///
-    /// The lease has been held since `lease_since`: those of the previous holder must have expired.
+    /// `lease_since` is the time since which this process has held the lease. Nothing is granted until
+    /// the grants of a previous holder must have expired.
     pub fn issue(
         &mut self,
         now: Nanos,
@@ -134,7 +135,7 @@
             self.refused += 1;
             return None;
         }
-        // Charged before the answer is sent.
+        // The budget is charged before the answer is sent.
         if !is_active(Mutation::KeepGrantedWork) {
             budget.issued.push_back(IssuedGrant { at: now, work });
         }
@@ -143,7 +144,8 @@
         Some(GrantTerms { work, validity })
     }
 
-    /// Forgets what was issued, as the lease is lost; the next holder waits until it has expired.
+    /// Discards all issued grants after the loss of the lease. The next holder waits until these have
+    /// expired.
     pub fn clear(&mut self) {
         self.answered.clear();
         for budget in self.budgets.values_mut() {
--- a/crates/cluster/src/grants/tests.rs
+++ b/crates/cluster/src/grants/tests.rs
@@ -1,3 +1,4 @@
+//! Issuing of grants: duplicate requests, the wait after a handover of the lease, and the budget.
 use super::*;
 use crate::member::tests::record;
 use rosewall::types::WorkerId;
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -1,22 +1,25 @@
-//! The lease on issuing warm-up grants: at most one quorum member holds it at a time (Gray and Cheriton 1989).
+//! The lease on issuing warm-up grants: at most one quorum member holds it at a time (Gray and Cheriton
+//! 1989).
 //!
-//! More than half of the quorum must vote for the holder. A vote holds on the voter's clock from the moment at which it is
-//! given, the lease on the holder's clock from the moment at which it was requested, each corrected by the maximal clock
-//! drift: so two leases never overlap, whatever is lost, late or paused. Nothing is persisted: a voter that has just
-//! started withholds its vote until all that it may have promised before has expired.
+//! A candidate needs the votes of more than half of the quorum. A vote is valid on the voter's clock
+//! from the time at which it is given; the lease is valid on the holder's clock from the time at which
+//! it was requested. Both are corrected by the maximum clock drift, so two leases never overlap under
+//! message loss, delays or pauses. Nothing is persisted: a voter that has just started withholds its
+//! vote until all its earlier promises must have expired.
 use crate::member::{Name, ProcessId};
 use crate::time::MILLISECOND;
 use rosewall::mutation::{Mutation, is_active};
 use rosewall::types::Nanos;
 
-/// How long a lease lasts, and how long a voter that starts withholds its vote.
+/// The duration of a lease, and the time for which a starting voter withholds its vote, both before the
+/// correction for clock drift.
 pub const LEASE_DURATION: Nanos = 2_000 * MILLISECOND;
-/// Clocks may differ in speed by one part in this many, a hundred times the error of a quartz clock.
+/// Clock rates may be off by one part in this many: a hundred times the error of a quartz clock.
 const CLOCK_DRIFT_DIVISOR: Nanos = 100;
-/// How often the lease is requested: three requests may be lost before it expires.
+/// The interval of lease requests: three of them may be lost before the lease expires.
 const RENEW_INTERVAL: Nanos = LEASE_DURATION / 4;
 
-/// A span on the local clock within which `span` has passed on every other clock.
+/// Returns a span on the local clock during which at least `span` passes on every other clock.
 pub fn with_drift_margin(span: Nanos) -> Nanos {
     span + 2 * span / CLOCK_DRIFT_DIVISOR
 }
@@ -29,7 +32,7 @@
 }
 
 impl LeaseVoter {
-    /// A voter that starts now.
+    /// Returns a voter that starts now and withholds its vote at first.
     pub fn new(now: Nanos) -> Self {
         let withheld_for = if is_active(Mutation::ForgetLeasePromise) {
             0
@@ -42,7 +45,7 @@
         }
     }
 
-    /// Answers a lease request; returns whether the lease is promised to the candidate.
+    /// Handles a lease request; returns whether the vote is given to the candidate.
     pub fn vote(&mut self, now: Nanos, candidate: ProcessId) -> bool {
         let renews = self.promised_to.as_ref() == Some(&candidate);
         if !renews && now < self.promised_until && !is_active(Mutation::PromiseLeaseTwice) {
@@ -54,47 +57,48 @@
     }
 }
 
-/// Which candidate is to try for a free lease, so that votes are not split.
+/// Whether a candidate requests a free lease; only one does, so that votes are not split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Candidacy {
-    /// The first quorum member that runs, by this member's view.
+    /// The first running quorum member in this member's view: requests a free lease.
     Preferred,
-    /// Any other: it only renews a lease that it holds.
+    /// Any other quorum member: only renews a lease that it holds.
     Backup,
 }
 
-/// A quorum member that holds the lease or tries to.
+/// A quorum member as holder of the lease or candidate for it.
 #[derive(Default)]
 pub struct LeaseCandidate {
     /// The number of the current round.
     seq: u32,
-    /// When the current round began.
+    /// The time at which the current round began.
     requested_at: Nanos,
-    /// Who has voted for it in the current round.
+    /// The members that have voted for this candidate in the current round.
     votes: Vec<Name>,
     expires_at: Nanos,
     next_round_at: Nanos,
-    /// Since when the lease has been held without a break.
+    /// The time since which the lease has been held without interruption.
     held_since: Nanos,
 }
 
 impl LeaseCandidate {
-    /// Whether it holds the lease.
+    /// Whether this member holds the lease.
     pub fn holds(&self, now: Nanos) -> bool {
         now < self.expires_at
     }
 
-    /// Since when it has held the lease without a break, if it holds it.
+    /// Returns the time since which this member has held the lease without interruption, or `None` if
+    /// it does not hold it.
     pub fn held_since(&self, now: Nanos) -> Option<Nanos> {
         self.holds(now).then_some(self.held_since)
     }
 
-    /// When [`LeaseCandidate::start_round`] is to be called next.
+    /// Returns the time at which [`LeaseCandidate::start_round`] is to be called next.
     pub fn next_timeout(&self) -> Nanos {
         self.next_round_at
     }
 
-    /// Starts a round if one is due, and returns its number.
+    /// Starts a round if one is due and returns its number.
     pub fn start_round(&mut self, now: Nanos, candidacy: Candidacy) -> Option<u32> {
         let preferred = candidacy == Candidacy::Preferred;
         if now < self.next_round_at || !(preferred || self.holds(now)) {
@@ -109,7 +113,7 @@
         Some(self.seq)
     }
 
-    /// Counts a vote in the round `seq`; more than half of `quorum_size` make a lease.
+    /// Counts a vote in the round `seq`; votes of more than half of `quorum_size` give the lease.
     pub fn handle_vote(&mut self, now: Nanos, seq: u32, voter: &Name, quorum_size: usize) {
         if seq != self.seq || self.votes.contains(voter) {
             return;
@@ -119,7 +123,8 @@
         if (self.votes.len() + uncounted) * 2 <= quorum_size {
             return;
         }
-        // Every vote was given after the request, so a lease that counts from the request ends before any of them.
+        // Every vote was given after the request, so a lease that is valid from the request ends before
+        // any of them.
         let granted_at = if is_active(Mutation::LeaseFromReply) {
             now
         } else {
@@ -135,7 +140,7 @@
         self.expires_at = self.expires_at.max(expires_at);
     }
 
-    /// Gives the lease up.
+    /// Ends the lease at once, as if it had expired.
     pub fn relinquish(&mut self) {
         self.expires_at = 0;
     }
--- a/crates/cluster/src/lease/tests.rs
+++ b/crates/cluster/src/lease/tests.rs
@@ -1,3 +1,4 @@
+//! Majorities, late votes and overlapping promises.
 use super::*;
 
 fn process(name: &str) -> ProcessId {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,17 +1,17 @@
-//! What the dispatchers of a fleet are to each other, as state machines: nothing here does I/O, reads a clock or chooses a
-//! worker.
+//! Coordination between the dispatchers of a fleet, as state machines: nothing here does I/O, reads
+//! a clock or chooses a worker.
 //!
-//! | module | what it decides |
+//! | module | responsible for |
 //! | --- | --- |
-//! | [`cluster`] | puts the machines together for one process |
-//! | [`membership`] | which members run (SWIM with Lifeguard) |
+//! | [`cluster`] | the state of one process in the cluster, composed of the other state machines |
+//! | [`membership`] | failure detection and the set of running members (SWIM with Lifeguard) |
 //! | `ranks` | the rank of each member |
-//! | `lease` | which member may issue warm-up grants |
-//! | [`grants`] | what is granted for a warming worker, and which grants still count |
-//! | [`peer_load`] | how load reports are batched and judged |
-//! | [`register`] | how the quorum agrees on the fleet's settings (CASPaxos; not yet used by the dispatcher) |
-//! | [`datagram`], [`member`] | the format of datagrams and of what is known of a member |
-//! | [`config`], [`error`] | the cluster file of an operator, and what can be wrong |
+//! | `lease` | the lease that permits one member to issue warm-up grants |
+//! | [`grants`] | issuing and accepting warm-up grants |
+//! | [`peer_load`] | batching of load reports, and checks of received ones |
+//! | [`register`] | agreement of the quorum on the fleet's settings (CASPaxos; not yet used by the dispatcher) |
+//! | [`datagram`], [`member`] | the datagram format and the record of a member |
+//! | [`config`], [`error`] | the cluster file and the errors reported to operators |
 //! | `simulated` | many members on a virtual clock and network, for tests |
 pub mod cluster;
 pub mod config;
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -1,46 +1,46 @@
-//! What is known of one member, as it is stored and passed on.
+//! The record of one member, as it is stored and disseminated.
 use std::net::SocketAddr;
 
-/// The longest name of a member, in bytes.
+/// The maximum length of a member's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 32;
-/// The claimed rank of a member that has claimed none.
+/// The claimed rank of a member that has not claimed one.
 pub const NO_RANK: u16 = u16::MAX;
 
-/// A member's name.
+/// The name of a member, which [`is_name`] accepts.
 pub type Name = std::rc::Rc<str>;
 
-/// Whether a text may be a name: ASCII letters, digits, `.`, `-` and `_`.
+/// Whether a text is a valid name: 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, `.`, `-` or `_`.
 pub fn is_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(allowed)
 }
 
-/// FNV-1a with 32 bits.
+/// Returns the 32-bit FNV-1a hash.
 pub fn fnv1a(bytes: &[u8]) -> u32 {
     bytes.iter().fold(0x811c_9dc5, |hash, byte| {
         (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193)
     })
 }
 
-/// One run of the process of a member.
+/// Identifies one process of a member: its name and the generation of the start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProcessId {
     /// The member's name.
     pub name: Name,
-    /// The generation of the run, as in [`MemberRecord::generation`].
+    /// The generation of the process, as in [`MemberRecord::generation`].
     pub generation: u64,
 }
 
-/// SWIM's states of a member; of two states of one incarnation the greater wins.
+/// SWIM's states of a member. Of two states of one incarnation the greater takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer and may still refute that.
+    /// The member did not answer a probe and may still refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It said that it stops.
+    /// The member announced that it leaves.
     Left,
 }
 
@@ -51,29 +51,30 @@
     }
 }
 
-/// What is known of one member, as it is passed on.
+/// The record of one member, as it is disseminated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberRecord {
-    /// Its name, unique in the cluster.
+    /// The member's name, unique in the cluster.
     pub name: Name,
-    /// Where it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub addr: SocketAddr,
-    /// Drawn at each start of its process, higher than at the start before.
+    /// Generated at each start of the member's process, higher than at the previous start.
     pub generation: u64,
-    /// Raised by the member alone, to refute a suspicion or to announce a change.
+    /// Incremented only by the member itself, to refute a suspicion or to announce a change.
     pub incarnation: u32,
-    /// Its state in this incarnation.
+    /// The member's state in this incarnation.
     pub state: MemberState,
-    /// The rank that it has claimed, or [`NO_RANK`].
+    /// The rank that the member has claimed, or [`NO_RANK`].
     pub claimed_rank: u16,
-    /// Whether it holds the lease and issues warm-up grants.
+    /// Whether the member holds the lease and issues warm-up grants.
     pub issues_grants: bool,
-    /// Of a suspicion: the hash of the name of who suspects.
+    /// In a suspicion, the FNV-1a hash of the name of the member that suspects; otherwise not
+    /// significant.
     pub suspected_by: u32,
 }
 
 impl MemberRecord {
-    /// The run of the process that the record is of.
+    /// Returns the process that the record describes.
     pub fn process(&self) -> ProcessId {
         ProcessId {
             name: self.name.clone(),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The same record with the member suspected by the named one.
+    /// Returns the same record with the state suspect, on suspicion by the named member.
     pub(crate) fn with_suspicion_by(&self, accuser: &str) -> MemberRecord {
         MemberRecord {
             state: MemberState::Suspect,
--- a/crates/cluster/src/member/tests.rs
+++ b/crates/cluster/src/member/tests.rs
@@ -1,7 +1,7 @@
-//! Fixtures of members.
+//! Member fixtures for tests.
 use super::*;
 
-/// A record with a value of its own in each field.
+/// Returns a record with a distinct value in each field.
 pub(crate) fn record(name: &str) -> MemberRecord {
     MemberRecord {
         name: name.into(),
--- a/crates/cluster/src/membership/anti_entropy.rs
+++ b/crates/cluster/src/membership/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Repairs what updates missed: digests and pages of records, seeds, and probes of dead members.
+//! Anti-entropy, which repairs missed updates: digests, pages of records, contact with seeds, and probes
+//! of dead members.
 use super::Membership;
 use crate::datagram::Part;
 use crate::member::{MemberRecord, MemberState};
@@ -7,22 +8,25 @@
 use rosewall::types::Nanos;
 use std::net::SocketAddr;
 
-/// How often a dead member is probed, one at a time: a partition heals within seconds.
+/// The mean interval between probes of dead members, one member at a time; with it the sides of a
+/// healed partition merge within seconds.
 const DEAD_PROBE_INTERVAL: Nanos = 1_000 * MILLISECOND;
-/// How long dead members are remembered, so that old updates do not bring them back.
+/// Records of members that are dead or have left are kept for this time, so that old updates do not
+/// add them again.
 const DEAD_RETENTION: Nanos = 600_000 * MILLISECOND;
-/// How often seeds are contacted while no other member is known.
+/// The interval of contact with all seeds while no other member is known.
 const ISOLATED_SEED_INTERVAL: Nanos = 500 * MILLISECOND;
-/// How often seeds that are not known as members are contacted later.
+/// The interval of contact with seeds that are not known as members, once other members are known.
 const SEED_INTERVAL: Nanos = 5_000 * MILLISECOND;
-/// The least time between two page requests.
+/// The minimum time between two page requests.
 const PAGE_INTERVAL: Nanos = 300 * MILLISECOND;
-/// The same while more than a page is missing, as when all members start.
+/// The minimum time between two page requests while the views differ by more than a page, as when
+/// all members start.
 const CATCH_UP_PAGE_INTERVAL: Nanos = 60 * MILLISECOND;
 /// The number of records of a page.
 const PAGE_RECORDS: usize = 26;
 
-/// When what is due, and which page is requested next.
+/// Times of the next actions, and the offset of the next page request.
 pub(super) struct AntiEntropy {
     next_dead_probe_at: Nanos,
     next_seed_at: Nanos,
@@ -46,7 +50,7 @@
 }
 
 impl Membership {
-    /// Requests a page if the sender's view differs.
+    /// Requests a page of records if the sender's view differs, and sends one of its own.
     pub(super) fn handle_digest(
         &mut self,
         now: Nanos,
@@ -74,14 +78,14 @@
         out.send(from, parts);
     }
 
-    /// Answers a page request.
+    /// Answers a page request with a digest and a page of records.
     pub(super) fn handle_page_request(&self, from: SocketAddr, offset: u16, out: &mut Outbox) {
         let mut parts = vec![self.digest_part()];
         parts.extend(self.page(offset));
         out.send(from, parts);
     }
 
-    /// A page of records, from the index `offset` and from the first one again after the last.
+    /// Returns a page of records from the index `offset`, wrapping around after the last record.
     fn page(&self, offset: u16) -> impl Iterator<Item = Part> {
         let count = self.members.len();
         self.members
@@ -92,7 +96,7 @@
             .map(|member| Part::Record(member.record.clone()))
     }
 
-    /// Probes a random dead member, which may run again or be in another partition, if that is due.
+    /// Probes a random dead member, which may run again or have been partitioned, if a probe is due.
     pub(super) fn probe_dead_member(&mut self, now: Nanos, out: &mut Outbox) {
         if now < self.anti_entropy.next_dead_probe_at {
             return;
@@ -119,7 +123,7 @@
         );
     }
 
-    /// Requests a page of each seed that is not known as a member, if that is due.
+    /// Requests a page from each seed that is not known as a member, if contact is due.
     pub(super) fn contact_seeds(&mut self, now: Nanos, out: &mut Outbox) {
         if now < self.anti_entropy.next_seed_at {
             return;
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Passes updates on: piggybacked on all datagrams, and by gossip while there are any.
+//! Dissemination of updates: piggybacked on all datagrams, and by gossip while any are queued.
 use super::Membership;
 use crate::datagram::{DatagramEncoder, Part};
 use crate::member::Name;
@@ -7,21 +7,22 @@
 use rosewall::types::Nanos;
 use std::collections::VecDeque;
 
-/// How often gossip is sent while there are updates.
+/// The interval of gossip while updates are queued.
 const GOSSIP_INTERVAL: Nanos = 100 * MILLISECOND;
-/// To how many random members gossip is sent.
+/// The number of random members that receive each gossip.
 const GOSSIP_FANOUT: usize = 3;
-/// How often an update is sent, times the decimal logarithm of the number of members. At 20% loss it misses one in a thousand
-/// members in less than one of a thousand cases; anti-entropy repairs that.
+/// The number of transmissions of an update, divided by the decimal logarithm of the number of
+/// members. At 20% loss an update misses one in a thousand members in less than one of a thousand
+/// cases; anti-entropy repairs that.
 const RETRANSMIT_MULTIPLIER: f64 = 5.0;
-/// How many updates one datagram carries.
+/// The maximum number of updates piggybacked on one datagram.
 const MAX_UPDATES_PER_DATAGRAM: usize = 12;
 
-/// The members whose records are passed on.
+/// The queue of members whose records are to be disseminated.
 pub(super) struct UpdateQueue {
-    /// The newest update first.
+    /// Names of the queued members, newest update first.
     names: VecDeque<Name>,
-    /// How often this member's own record was gossiped as it is.
+    /// The number of gossip rounds since this member's own record last changed.
     own_transmissions: u32,
     pub(super) next_gossip_at: Nanos,
 }
@@ -37,7 +38,8 @@
 }
 
 impl Membership {
-    /// A datagram with these parts and as many updates as fit. The own record is in its header.
+    /// Encodes a datagram with these parts and as many queued updates as fit. Its header carries this
+    /// member's own record.
     pub fn encode(&mut self, parts: &[Part]) -> Vec<u8> {
         let mut encoder = DatagramEncoder::new(self.cluster_hash, &self.own);
         for part in parts {
@@ -64,7 +66,7 @@
         encoder.finish()
     }
 
-    /// Passes a member's record on from now.
+    /// Queues a member's record for dissemination, or restarts its dissemination.
     pub(super) fn queue_update(&mut self, name: &Name) {
         if let Some(member) = self.members.get_mut(name) {
             member.transmissions = 0;
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Passes this member's own record on in a new incarnation.
+    /// Disseminates this member's own record in a new incarnation.
     pub(super) fn announce_own_record(&mut self) {
         self.own.incarnation += 1;
         self.updates.own_transmissions = 0;
@@ -84,7 +86,7 @@
         !self.updates.names.is_empty() || self.updates.own_transmissions < self.retransmit_limit()
     }
 
-    /// Sends datagrams for the updates alone, if they are due.
+    /// Sends datagrams that carry only updates to random members, if gossip is due.
     pub(super) fn gossip(&mut self, now: Nanos, out: &mut Outbox) {
         if now < self.updates.next_gossip_at {
             return;
--- a/crates/cluster/src/membership/duplicate_name.rs
+++ b/crates/cluster/src/membership/duplicate_name.rs
@@ -1,4 +1,5 @@
-//! Records about this member itself: it refutes suspicions, and goes on standby while a later process has its name.
+//! Received records of this member itself: refutation of suspicions, and standby while a later process
+//! runs under this member's name.
 use super::{Change, Membership};
 use crate::datagram::Part;
 use crate::member::{MemberRecord, MemberState};
@@ -7,18 +8,19 @@
 use rosewall::types::Nanos;
 use std::net::SocketAddr;
 
-/// How often a process on standby pings the other of its name.
+/// The interval at which a process on standby pings the other process with its name.
 const STANDBY_PROBE_INTERVAL: Nanos = 2_000 * MILLISECOND;
-/// How long the other process must be silent until this one is a member again.
+/// A process on standby is a member again once it has received no datagram from the other process for
+/// this time.
 const STANDBY_TIMEOUT: Nanos = 6_000 * MILLISECOND;
 
-/// Another process of this member's name.
+/// Another process with this member's name.
 struct OtherProcess {
     addr: SocketAddr,
     last_received_at: Nanos,
 }
 
-/// Whether this process is on standby, and for whom.
+/// The standby state of this process; active while another process with its name is known.
 pub(super) struct Standby {
     other: Option<OtherProcess>,
     next_probe_at: Nanos,
@@ -42,7 +44,7 @@
 }
 
 impl Membership {
-    /// Pings the other process of this name, and takes part again once it is silent.
+    /// Pings the other process with this name, and ends the standby once it no longer answers.
     pub(super) fn watch_duplicate(&mut self, now: Nanos, out: &mut Outbox) {
         let Some(other) = &self.standby.other else {
             return;
@@ -59,25 +61,25 @@
         }
     }
 
-    /// Handles a datagram of a process with this member's name.
+    /// Handles a datagram from a process with this member's name.
     pub(super) fn handle_duplicate(&mut self, now: Nanos, other: &MemberRecord, out: &mut Outbox) {
         let is_own_datagram = other.generation == self.own.generation;
         if is_own_datagram || self.leaving {
             return;
         }
         if other.generation < self.own.generation {
-            // It learns from the header that a later process runs.
+            // The header of any datagram shows the other process that a later one runs.
             return out.send_updates(other.addr);
         }
         if other.addr == self.own.addr {
-            // An earlier process at this address, whose clock was ahead.
+            // An earlier process at this address had a clock that was ahead.
             self.own.generation = other.generation + 1;
         } else if other.state != MemberState::Left {
             self.enter_standby(now, other.addr);
         }
     }
 
-    /// Handles a record about this member that another one passed on.
+    /// Handles a record of this member that another member sent.
     pub(super) fn handle_own_record(&mut self, now: Nanos, record: &MemberRecord) {
         if self.leaving {
             return;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Overrides what others hold of this member with a higher incarnation.
+    /// Refutes a suspicion or death of this member by announcing a higher incarnation.
     fn refute(&mut self, incarnation: u32) {
         self.own.incarnation = incarnation;
         self.probing.degrade_local_health();
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -1,4 +1,4 @@
-//! Applies received records to the members, and takes suspects that refute nothing for dead.
+//! Application of received records to the members, and expiry of suspicions.
 use super::state_table::{Precedence, Transition, transition};
 use super::{Change, Member, Membership, PROBE_PERIOD};
 use crate::member::MemberState::{Alive, Dead, Left, Suspect};
@@ -7,11 +7,11 @@
 use rosewall::types::Nanos;
 use std::cmp::Ordering;
 
-/// The time in which a suspect that many suspect may refute, in probe periods.
+/// The suspicion timeout with [`CONFIRMATIONS_FOR_MIN`] or more confirmations, in probe periods.
 const MIN_SUSPICION_PERIODS: f64 = 3.0;
-/// The time in which a suspect that one member suspects may refute, in probe periods.
+/// The suspicion timeout without confirmations, in probe periods.
 const MAX_SUSPICION_PERIODS: f64 = 5.0;
-/// How many confirmations shorten that time to the minimum.
+/// The number of confirmations that shorten the suspicion timeout to the minimum.
 const CONFIRMATIONS_FOR_MIN: f64 = 3.0;
 
 impl Membership {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes suspects for dead that have not refuted that in time.
+    /// Declares suspects dead that have not refuted the suspicion in time.
     pub(super) fn expire_suspicions(&mut self, now: Nanos) {
         let expired: Vec<Name> = self
             .suspects()
@@ -81,7 +81,7 @@
         self.queue_update(&name);
     }
 
-    /// Counts one more member that suspects the record's.
+    /// Records that one more member suspects the member of the record, which shortens the timeout.
     fn confirm_suspicion(&mut self, record: &MemberRecord) {
         let Some(known) = self.members.get_mut(&record.name) else {
             return;
@@ -125,7 +125,7 @@
         self.queue_update(&record.name);
     }
 
-    /// Suspects the member that was at the address that another has now.
+    /// Suspects the member whose address another member now uses.
     fn suspect_previous_at_address(&mut self, now: Nanos, new: &MemberRecord) {
         let previous = self
             .live_others()
@@ -136,7 +136,7 @@
         }
     }
 
-    /// How long a suspect may refute, by the number of confirmations of the suspicion.
+    /// Returns the time in which a suspect may refute, by the number of confirmations.
     fn suspicion_timeout(&self, confirmations: usize) -> Nanos {
         let unit = PROBE_PERIOD as f64 * self.log_count();
         let part = (confirmations as f64 + 1.0).ln() / (CONFIRMATIONS_FOR_MIN + 1.0).ln();
@@ -156,7 +156,7 @@
     }
 }
 
-/// What is logged as a member's state changes.
+/// Returns the change to log for a transition between two states; `None` if there is nothing to log.
 fn change(old: MemberState, new: MemberState, name: &Name) -> Option<Change> {
     let name = name.clone();
     match (old, new) {
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1,14 +1,16 @@
-//! Which members run: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health (Dadgar, Phillips, Currey 2018).
+//! Failure detection and membership: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health
+//! (Dadgar, Phillips, Currey 2018).
 //!
-//! In each period one member is pinged, also by others if it does not answer. A member that no one reaches is suspected. It
-//! may refute that with a higher incarnation, and is taken for dead after a time that shrinks with the number of members
-//! that suspect it. Updates are piggybacked on the datagrams that are sent anyway.
+//! In each period one member is pinged; if it does not answer, other members ping it as well. A
+//! member that no one reaches is suspected. It can refute the suspicion with a higher incarnation;
+//! otherwise it is declared dead after a timeout that shrinks with the number of members that
+//! suspect it. Updates are piggybacked on all datagrams.
 //!
-//! - `state_table`: which of two records wins
-//! - `merge`: applying a received record, and the suspicion timeout
+//! - `state_table`: precedence between two records of a member
+//! - `merge`: applying received records, and the suspicion timeout
 //! - `probing`: pings, indirect pings and their timeouts
 //! - `dissemination`: piggybacked updates and gossip
-//! - `anti_entropy`: digests and pages of records, seeds, probes of dead members
+//! - `anti_entropy`: digests, pages of records, contact with seeds, probes of dead members
 //! - `duplicate_name`: standby while another process has this member's name
 //! - `view`: the running members
 mod anti_entropy;
@@ -34,28 +36,28 @@
 use std::net::SocketAddr;
 use view::ViewSummary;
 
-/// The time from one probe to the next: a dead member is known everywhere within some 3 s, of which two or three periods until
-/// it is probed and 1.5 s to refute the suspicion.
+/// The time between two probes. A dead member is known everywhere within about 3 s, including two or
+/// three periods until it is probed and 1.5 s in which it may refute the suspicion.
 const PROBE_PERIOD: Nanos = 250 * MILLISECOND;
-/// A process that has handled neither input nor timeouts for this time was not running.
+/// A process that has handled neither input nor timeouts for this time counts as paused.
 const PAUSE_THRESHOLD: Nanos = 4 * PROBE_PERIOD / 5;
-/// A rank is claimed once it has been the same for this time.
+/// A member claims a rank once the assigned rank has not changed for this time.
 const RANK_SETTLE_TIME: Nanos = 1_000 * MILLISECOND;
-/// How many members are notified as this one leaves; a large cluster learns it from those.
+/// The number of members that a leaving member notifies; these spread the update to the others.
 const LEAVE_FANOUT: usize = 64;
 
 /// A member other than this process.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What is known of it.
+    /// The latest record of the member.
     pub record: MemberRecord,
-    /// Since when it has been in its state.
+    /// The time at which the member entered its state.
     since: Nanos,
-    /// When a suspect is taken for dead.
+    /// The time at which the member is declared dead if it is still a suspect.
     suspect_until: Nanos,
-    /// The hashes of the names of those who suspect it.
+    /// Hashes of the names of the members that suspect it.
     suspected_by: Vec<u32>,
-    /// How often its current record was passed on.
+    /// The number of transmissions of its current record.
     transmissions: u32,
     /// Whether its record is in the update queue.
     queued: bool,
@@ -64,52 +66,52 @@
 /// A change of the membership, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The member runs.
+    /// The member was added, or runs again after it was dead or had left.
     Joined(Name),
-    /// The member did not answer.
+    /// The member did not answer probes, or another member suspects it.
     Suspected(Name),
     /// The member refuted a suspicion.
     Refuted(Name),
-    /// The member is taken for dead.
+    /// The member did not refute a suspicion in time and is declared dead.
     Died(Name),
-    /// The member stopped in order.
+    /// The member announced that it leaves.
     Left(Name),
-    /// Another process, at this address, has this member's name; this process is on standby.
+    /// Another process, at this address, runs under this member's name; this process is on standby.
     DuplicateName(SocketAddr),
-    /// The other process of this name is gone; this process is a member again.
+    /// The other process with this name no longer answers; this process is a member again.
     DuplicateNameGone,
 }
 
-/// Counters since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MembershipCounts {
-    /// Members that became suspects.
+    /// Transitions of members to the state suspect.
     pub suspected: u64,
-    /// Suspicions of this process that it refuted.
+    /// Suspicions of this process that this process refuted.
     pub refuted: u64,
-    /// Members that were taken for dead.
+    /// Transitions of members to the state dead.
     pub died: u64,
 }
 
-/// What a process needs to join.
+/// Parameters with which a process joins the cluster.
 pub struct MembershipConfig {
-    /// The hash of the cluster's name.
+    /// FNV-1a hash of the cluster's name; datagrams of other clusters are dropped by it.
     pub cluster_hash: u32,
-    /// This member's name.
+    /// This member's name, unique in the cluster.
     pub name: Name,
-    /// Where this member receives datagrams.
+    /// The address at which this member receives datagrams.
     pub listen: SocketAddr,
-    /// Members to ask for others.
+    /// Addresses of members that are contacted first; this member's own address is ignored.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// A rank that this member may claim.
+/// The rank that is assigned to this member, before it is claimed.
 struct RankCandidate {
     rank: u16,
     since: Nanos,
 }
 
-/// The members, as one process knows them.
+/// The members of the cluster, as known to one process.
 pub struct Membership {
     own: MemberRecord,
     cluster_hash: u32,
@@ -121,22 +123,25 @@
     anti_entropy: AntiEntropy,
     standby: Standby,
     rank: RankCandidate,
-    /// When this process last handled input or a timeout.
+    /// The time at which this process last handled input or a timeout.
     last_active: Nanos,
     leaving: bool,
-    /// Whether it ever knew another member.
+    /// Whether this process has ever known another member.
     has_had_peers: bool,
     rng: Pcg,
     changes: Vec<Change>,
-    /// Counters since the start.
+    /// Counters since the start of the process.
     pub counts: MembershipCounts,
 }
 
 impl Membership {
-    /// A member that starts now. Its generation is higher at each start, as far as the clock goes.
+    /// Returns the state of a member that starts now.
+    ///
+    /// The generation is derived from the clock, so a later start has a higher one unless the clock
+    /// was set back.
     pub fn new(config: MembershipConfig, now: Nanos, seed: u64) -> Self {
         let mut rng = Pcg::new(seed);
-        // Two starts in one instant of a coarse clock differ in the random part.
+        // The random part distinguishes two starts within one tick of a coarse clock.
         let generation = now & !0xffff | (rng.unit() * 65_536.0) as u64;
         let listen = config.listen;
         let own = MemberRecord {
@@ -174,32 +179,33 @@
         }
     }
 
-    /// This member's own record.
+    /// Returns this member's own record.
     pub fn own_record(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Whether another process has this member's name, or this one is leaving: then it takes no part.
+    /// Whether this process takes no part in the cluster, since it is leaving or another process
+    /// runs under its name.
     pub fn is_standby(&self) -> bool {
         self.standby.is_active() || self.leaving
     }
 
-    /// Whether this process ever knew another member.
+    /// Whether this process has ever known another member.
     pub fn has_had_peers(&self) -> bool {
         self.has_had_peers
     }
 
-    /// Another member by its name.
+    /// Returns another member by its name, in any state.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// Takes the changes since the last call.
+    /// Removes and returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Announces whether this member issues grants.
+    /// Sets and announces whether this member issues warm-up grants.
     pub fn set_issues_grants(&mut self, issues_grants: bool) {
         if self.own.issues_grants != issues_grants {
             self.own.issues_grants = issues_grants;
@@ -207,7 +213,7 @@
         }
     }
 
-    /// Claims the rank that follows from the view, once it has been the same for some time.
+    /// Claims the rank assigned by the view, once it has not changed for `RANK_SETTLE_TIME`.
     pub fn claim_stable_rank(&mut self, now: Nanos, rank: u16) {
         if self.rank.rank != rank {
             self.rank = RankCandidate { rank, since: now };
@@ -217,7 +223,7 @@
         }
     }
 
-    /// When [`Membership::handle_timeout`] is to be called next.
+    /// Returns the time at which [`Membership::handle_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Nanos {
         if self.leaving {
             return Nanos::MAX / 2;
@@ -231,7 +237,7 @@
             self.probing.next_timeout(),
             gossip,
         ];
-        // Early enough that a process that runs does not look paused.
+        // Early enough that a running process is not classified as paused.
         let activity_timeout = self.last_active + PAUSE_THRESHOLD / 2;
         optional
             .into_iter()
@@ -240,7 +246,7 @@
             .fold(activity_timeout, Nanos::min)
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due.
     pub fn handle_timeout(&mut self, now: Nanos, out: &mut Outbox) {
         self.handle_pause(now);
         if self.leaving {
@@ -277,7 +283,8 @@
             return;
         }
         self.merge(now, sender.clone());
-        // A member that is known in a worse state than it claims is notified, so that it can refute that.
+        // A member that is known in a worse state than it claims receives the known record, so that
+        // it can refute it.
         if let Some(known) = self.members.get(&sender.name)
             && known.record.state > sender.state
             && known.record.generation >= sender.generation
@@ -314,7 +321,7 @@
         }
     }
 
-    /// Announces that this member stops, so that others need not find out.
+    /// Announces that this member leaves, so that the others need not detect it.
     pub fn leave(&mut self, out: &mut Outbox) {
         self.leaving = true;
         self.own.state = MemberState::Left;
@@ -324,7 +331,8 @@
         }
     }
 
-    /// Discards what this process waited for if it was not running: missing answers then mean nothing.
+    /// Discards pending probes after a pause of this process, since answers may have been missed
+    /// during it, and extends the timeouts of suspects by its duration.
     fn handle_pause(&mut self, now: Nanos) {
         let gap = now.saturating_sub(self.last_active);
         self.last_active = now;
@@ -343,7 +351,7 @@
         (self.rng.unit() * length as f64) as usize
     }
 
-    /// The addresses of up to `count` random running members, without the one excluded.
+    /// Returns the addresses of up to `count` random running members other than `excluded`.
     fn random_peers(&mut self, count: usize, excluded: Option<&Name>) -> Vec<SocketAddr> {
         let candidates = self
             .live_others()
--- a/crates/cluster/src/membership/probing.rs
+++ b/crates/cluster/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes one member in each period: a ping, then indirect pings through others, then a suspicion.
+//! Probing of one member in each period: a ping, then indirect pings through others, then a suspicion.
 use super::{Member, Membership, PROBE_PERIOD};
 use crate::datagram::Part;
 use crate::member::{MemberState, Name};
@@ -8,28 +8,32 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Indirect pings follow after this time: ten times the round trip of a slow data centre.
+/// The shortest wait for an answer before indirect pings are sent: ten times the round trip of a
+/// slow data centre.
 const MIN_PROBE_TIMEOUT: Nanos = 80 * MILLISECOND;
-/// The same where round trips are longer, so that an indirect answer arrives in the same period.
+/// The longest wait before indirect pings are sent, so that an indirect answer still arrives in the
+/// same period.
 const MAX_PROBE_TIMEOUT: Nanos = 4 * PROBE_PERIOD / 5;
-/// How many probes are remembered, to measure round trips that end after their period.
+/// The number of recent probes that are kept, to measure round trips that end after their period.
 const MAX_TRACKED_PROBES: usize = 16;
-/// How many members are asked for an indirect ping (the paper's k).
+/// The number of members that receive a request for an indirect ping (the paper's k).
 const INDIRECT_PROBES: usize = 3;
 /// The upper bound of Lifeguard's local health score.
 const MAX_LOCAL_HEALTH: u64 = 4;
-/// How much more often members are probed while one is suspected, to find many dead ones soon.
+/// The factor by which probes are more frequent while a member is suspected, so that many dead members
+/// are detected soon.
 const SUSPECT_PROBE_SPEEDUP: Nanos = 3;
-/// With each measurement the longest round trip is reduced by this part of it, so that it follows shorter ones.
+/// With each measurement the longest round trip decays by one part in this many, so that it follows
+/// shorter ones.
 const ROUND_TRIP_DECAY_DIVISOR: Nanos = 32;
 
 /// The probe of the current period.
 struct Probe {
     seq: u32,
     name: Name,
-    /// When indirect pings are sent, unless they were.
+    /// The time at which indirect pings are due; `None` once they are sent.
     indirect_at: Option<Nanos>,
-    /// How many helpers were asked and have not yet sent a nack.
+    /// The number of members that received an indirect ping and have not answered with a nack.
     unresponsive_helpers: usize,
 }
 
@@ -50,13 +54,13 @@
 /// The state of the failure detector.
 pub(super) struct Probing {
     next_period_at: Nanos,
-    /// Whom to probe next, from the end.
+    /// The members that are still to be probed in this round; the last is next.
     order: Vec<Name>,
     current: Option<Probe>,
     recent: VecDeque<SentProbe>,
     longest_round_trip: Nanos,
     proxied_pings: Vec<ProxiedPing>,
-    /// 0 is healthy; with a higher score this member is slower to suspect others.
+    /// Lifeguard's local health score: 0 is healthy; a higher score slows this member's suspicions.
     local_health: u64,
     last_seq: u32,
 }
@@ -89,7 +93,7 @@
             .min()
     }
 
-    /// Forgets what was waited for and starts a period soon.
+    /// Discards the current probe and the proxied pings, and schedules a new period.
     pub(super) fn restart(&mut self, now: Nanos) {
         self.current = None;
         self.proxied_pings.clear();
@@ -102,7 +106,7 @@
         }
     }
 
-    /// The ping of a target for another member.
+    /// Returns the ping of a target on behalf of another member, and registers it.
     pub(super) fn proxy_ping(
         &mut self,
         now: Nanos,
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Records that this member may be at fault itself.
+    /// Raises the local health score, since this member itself may be faulty.
     pub(super) fn degrade_local_health(&mut self) {
         self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
     }
@@ -132,14 +136,14 @@
         1 + self.local_health
     }
 
-    /// How long an answer may take before indirect pings are sent.
+    /// Returns the wait for an answer before indirect pings are sent.
     fn probe_timeout(&self) -> Nanos {
         let with_margin = self.longest_round_trip + self.longest_round_trip / 2;
         MIN_PROBE_TIMEOUT.max(with_margin.min(MAX_PROBE_TIMEOUT))
     }
 
-    /// Measures the round trip if the probed member itself answers. The longest one counts, since in several regions most
-    /// members are far away.
+    /// Measures the round trip if the probed member itself answers. The longest one is kept, since in
+    /// a cluster of several regions most members are remote.
     fn record_round_trip(&mut self, now: Nanos, seq: u32, from: &Name) {
         let sent = self
             .recent
@@ -152,7 +156,7 @@
         }
     }
 
-    /// Remembers a probe that is sent now.
+    /// Registers a probe that is sent now.
     fn track(&mut self, now: Nanos, seq: u32, name: Name) {
         self.recent.push_back(SentProbe {
             seq,
@@ -170,8 +174,8 @@
         });
     }
 
-    /// The time from one probe to the next. It is no shorter than an answer, also an indirect one, may take: otherwise one
-    /// suspicion would cause others.
+    /// Returns the time between two probes. It is no shorter than a direct or indirect answer may
+    /// take; otherwise the faster probing during one suspicion would cause false ones.
     fn period(&self, any_suspect: bool) -> Nanos {
         let full = PROBE_PERIOD * self.health_multiplier();
         let speedup = if any_suspect {
@@ -184,7 +188,7 @@
 }
 
 impl Membership {
-    /// Ends the probe of the last period and starts the next, if that is due.
+    /// Ends the probe of the last period and starts the next one, if the period is over.
     pub(super) fn run_probe_period(&mut self, now: Nanos, out: &mut Outbox) {
         if now < self.probing.next_period_at {
             return;
@@ -195,7 +199,7 @@
         self.probing.next_period_at = now + self.probing.period(any_suspect);
     }
 
-    /// Answers the requesters of proxied pings that were not answered.
+    /// Sends a nack to the requester of each proxied ping that was not answered in time.
     pub(super) fn expire_proxied_pings(&mut self, now: Nanos, out: &mut Outbox) {
         self.probing.proxied_pings.retain(|ping| {
             let expired = ping.expires_at <= now;
@@ -207,7 +211,7 @@
         });
     }
 
-    /// Asks others to ping a member that has not answered so far.
+    /// Requests indirect pings of the probed member from others, if it has not answered in time.
     pub(super) fn send_indirect_pings(&mut self, now: Nanos, out: &mut Outbox) {
         let due = |probe: &&Probe| probe.indirect_at.is_some_and(|at| at <= now);
         let Some(probe) = self.probing.current.as_ref().filter(due) else {
@@ -247,7 +251,7 @@
         }
     }
 
-    /// The next member in a random order that is drawn anew for each round of all members.
+    /// Returns the next member of a random order, which is generated anew once all members were probed.
     fn next_probe_target(&mut self) -> Option<Name> {
         loop {
             while let Some(name) = self.probing.order.pop() {
@@ -294,7 +298,8 @@
         let Some(probe) = self.probing.current.take() else {
             return;
         };
-        // If no helper answers at all, the fault may be on this side; a single one may be dead as well.
+        // If none of the helpers answers, this member itself may be faulty; one that does not answer
+        // may as well be dead.
         let helpers = INDIRECT_PROBES.min(self.count().saturating_sub(2));
         if probe.unresponsive_helpers > 0 && probe.unresponsive_helpers == helpers {
             self.probing.degrade_local_health();
--- a/crates/cluster/src/membership/state_table.rs
+++ b/crates/cluster/src/membership/state_table.rs
@@ -1,23 +1,23 @@
-//! SWIM's rules on which of two records of a member wins.
+//! SWIM's precedence rules between a known and a received record of a member.
 use crate::member::MemberState::{self, Alive, Dead, Left, Suspect};
 
-/// How a received record relates to the known one.
+/// Precedence of a received record over the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Precedence {
-    /// Of a later generation, or of a higher incarnation of the same.
+    /// A later generation, or a higher incarnation of the same generation.
     Newer,
-    /// Of the same incarnation.
+    /// The same generation and incarnation.
     Same,
-    /// Of an earlier one.
+    /// An earlier generation or incarnation.
     Older,
 }
 
-/// What a received record changes.
+/// Effect of a received record on the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Transition {
-    /// It replaces the known record.
+    /// The received record replaces the known one.
     Replace,
-    /// It confirms the suspicion.
+    /// The received record confirms the suspicion.
     Confirm,
 }
 
@@ -28,7 +28,7 @@
     transition: Transition,
 }
 
-/// What is not listed changes nothing.
+/// Combinations that are not listed have no effect.
 const TABLE: &[Row] = &[
     Row {
         known: &[Alive, Suspect, Dead, Left],
@@ -62,7 +62,7 @@
     },
 ];
 
-/// What a record with the state `received` changes at one with the state `known`.
+/// Returns the effect of a record in the state `received` on a known one in the state `known`.
 pub(super) fn transition(
     known: MemberState,
     precedence: Precedence,
--- a/crates/cluster/src/membership/tests.rs
+++ b/crates/cluster/src/membership/tests.rs
@@ -1,3 +1,4 @@
+//! Precedence of a received record by its incarnation.
 use super::*;
 use crate::member::tests::record;
 use test_case::test_case;
@@ -10,7 +11,8 @@
     }
 }
 
-/// The state of a member of incarnation 3 after another member has passed on its death in this incarnation.
+/// Returns the state of a member of incarnation 3 after another member has sent a record of its death
+/// with the given incarnation.
 #[test_case(3 => MemberState::Dead; "of the same incarnation")]
 #[test_case(2 => MemberState::Alive; "of an earlier incarnation")]
 pub(crate) fn state_after_a_record_of_its_death(incarnation: u32) -> MemberState {
--- a/crates/cluster/src/membership/view.rs
+++ b/crates/cluster/src/membership/view.rs
@@ -3,13 +3,13 @@
 use crate::datagram::Part;
 use crate::member::{MemberRecord, fnv1a};
 
-/// What is kept up to date of the view.
+/// Properties of the view that are updated with each record.
 pub(super) struct ViewSummary {
-    /// How many others run.
+    /// The number of running members, this one excluded.
     live_others: usize,
-    /// The others' part of the digest.
+    /// The sum of the digests of the other members' records, modulo 2^32.
     digest_sum: u32,
-    /// Whether the view or a claimed rank has changed since it was last asked.
+    /// Whether the view or a claimed rank has changed since [`Membership::take_view_changed`].
     changed: bool,
 }
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Accounts for a record that takes the place of another.
+    /// Updates the summary for a record that is added or replaces another.
     pub(super) fn replace(&mut self, old: Option<&MemberRecord>, new: &MemberRecord) {
         self.changed = true;
         if let Some(old) = old.filter(|old| old.state.is_live()) {
@@ -43,12 +43,12 @@
 }
 
 impl Membership {
-    /// Whether the named member runs, by this process's view; it runs itself.
+    /// Whether the named member runs according to this process's view, which includes this process.
     pub fn is_live(&self, name: &str) -> bool {
         *name == *self.own.name || self.members.get(name).is_some_and(Member::is_live)
     }
 
-    /// The members that run, without this one.
+    /// Returns the running members, this one excluded.
     pub fn live_others(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members
             .values()
@@ -56,7 +56,7 @@
             .map(|member| &member.record)
     }
 
-    /// All members that run, in the order of their names.
+    /// Returns all running members, this one included, ordered by name.
     pub fn view(&self) -> Vec<&MemberRecord> {
         let mut view: Vec<&MemberRecord> = self.live_others().collect();
         let index = view.partition_point(|record| record.name < self.own.name);
@@ -64,17 +64,17 @@
         view
     }
 
-    /// How many members run, this one included.
+    /// Returns the number of running members, this one included.
     pub fn count(&self) -> usize {
         self.view.live_others + 1
     }
 
-    /// Equal where the same processes are in the view with the same claimed ranks.
+    /// Returns a digest of the view: equal for views with the same processes and claimed ranks.
     pub fn digest(&self) -> u32 {
         self.view.digest_sum.wrapping_add(digest_of(&self.own))
     }
 
-    /// Whether the view or a claimed rank has changed since the last call.
+    /// Whether the view or a claimed rank has changed since the last call; resets the flag.
     pub fn take_view_changed(&mut self) -> bool {
         std::mem::take(&mut self.view.changed)
     }
@@ -86,7 +86,8 @@
         }
     }
 
-    /// The factor by which timeouts and retransmissions grow with the number of members.
+    /// Returns the factor of timeouts and retransmissions: the decimal logarithm of the number of
+    /// members, at least 1.
     pub(super) fn log_count(&self) -> f64 {
         (self.count() as f64).log10().max(1.0)
     }
--- a/crates/cluster/src/outbox.rs
+++ b/crates/cluster/src/outbox.rs
@@ -1,17 +1,17 @@
-//! Datagrams that are to be sent, before they are encoded.
+//! Queue of datagrams that are to be sent, before they are encoded.
 use crate::datagram::Part;
 use std::net::SocketAddr;
 
-/// A datagram that is to be sent; without parts it carries the header and membership updates only.
+/// A datagram that is to be sent; without parts it carries only the header and membership updates.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// Where it goes.
+    /// The receiver's address.
     pub to: SocketAddr,
-    /// What it is sent for.
+    /// The parts that are encoded before membership updates.
     pub parts: Vec<Part>,
 }
 
-/// The datagrams that one input leads to, in the order in which they are sent.
+/// The datagrams that result from one input, in the order in which they are sent.
 #[derive(Debug, Default)]
 pub struct Outbox(Vec<Outgoing>);
 
@@ -26,7 +26,7 @@
         self.send(to, Vec::new());
     }
 
-    /// Takes all datagrams out.
+    /// Removes and returns all datagrams.
     pub fn take(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.0)
     }
--- a/crates/cluster/src/quota.rs
+++ b/crates/cluster/src/quota.rs
@@ -1,4 +1,4 @@
-//! A limit on how much one process sends in a second.
+//! Rate limit on what one process sends.
 use crate::time::SECOND;
 use rosewall::types::Nanos;
 
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Takes one unit of the current window; false if none is left.
+    /// Takes one unit of the current window; returns false if none is left.
     pub(crate) fn try_take(&mut self) -> bool {
         if self.used >= LIMIT {
             return false;
--- a/crates/cluster/src/ranks/tests.rs
+++ b/crates/cluster/src/ranks/tests.rs
@@ -1,3 +1,4 @@
+//! Stability of ranks as members join and leave.
 use super::*;
 use proptest::prelude::*;
 
@@ -8,7 +9,7 @@
     }
 }
 
-/// Every member claims the rank that it was assigned.
+/// Lets every member claim its assigned rank; returns the ranks.
 fn settle(claims: &mut [RankClaim]) -> Vec<u16> {
     let ranks = assign_ranks(claims);
     for (claim, rank) in claims.iter_mut().zip(&ranks) {
@@ -17,7 +18,7 @@
     ranks
 }
 
-/// How many members with a claim were assigned another rank than they claim.
+/// Returns the number of members whose assigned rank differs from the claimed one.
 fn count_moved(claims: &[RankClaim]) -> usize {
     let ranks = assign_ranks(claims);
     let pairs = ranks.iter().zip(claims);
