--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -1,7 +1,7 @@
-//! The load that members report to each other, by worker.
+//! Reports between members on their load at each worker.
 //!
-//! Reports are batched for some ms, many to a datagram, each with its age. Of what is received, one member's reports of
-//! silence count for a limited number of workers.
+//! Reports are batched for some ms, many to a datagram, each with its age. One member's reports that
+//! workers are silent count for a limited number of workers only.
 use crate::datagram::Part;
 use crate::member::Name;
 use crate::quota::PerSecondQuota;
@@ -10,22 +10,24 @@
 use rosewall::types::{Nanos, PeerLoad, WorkerId};
 use std::collections::BTreeMap;
 
-/// How long a report waits for others to the same member: well under the second in which queues change.
+/// The time for which a report is delayed to be batched with others to the same member; queues change
+/// more slowly, within about a second.
 const BATCH_DELAY: Nanos = 25 * MILLISECOND;
-/// How many reports fit into a datagram.
+/// The maximum number of reports in a datagram.
 const MAX_REPORTS_PER_DATAGRAM: usize = 40;
 /// The unit of a report's age in a datagram.
 const AGE_UNIT: Nanos = 4 * MILLISECOND;
-/// The unit of [`PeerLoad::work`].
+/// The unit of [`PeerLoad::work_units`].
 const WORK_UNIT: Nanos = 16 * MILLISECOND;
-/// How many reports one process sends in a second: some 65 KB.
+/// The maximum number of reports that one process sends per second: some 65 KB.
 const MAX_REPORTS_PER_SECOND: u64 = 5_000;
-/// For how many workers one member's reports of silence count, where [`MAX_SILENT_DIVISOR`] allows no more. A member that finds
-/// more of them silent is likely cut off itself.
+/// The number of workers for which one member's reports of silence always count; more are allowed by
+/// [`MAX_SILENT_DIVISOR`]. A member that reports more silent workers has probably lost its own
+/// connection.
 const MAX_SILENT_WORKERS: usize = 2;
-/// One member's reports of silence count for one part in this many of the workers that it reports on.
+/// One member's reports of silence count for up to one in this many of the workers it reports on.
 const MAX_SILENT_DIVISOR: usize = 4;
-/// How long a report counts towards what a member reports on.
+/// A worker counts as one that a member reports on for this time after a report.
 const REPORT_RETENTION: Nanos = 10_000 * MILLISECOND;
 
 struct QueuedReport {
@@ -33,12 +35,12 @@
     queued_at: Nanos,
 }
 
-/// The reports to one member that are due.
+/// A batch of reports to one member, at most one datagram.
 #[derive(Debug, PartialEq)]
 pub struct ReportBatch {
-    /// Whom they go to.
+    /// The name of the receiving member.
     pub to: Name,
-    /// The reports, at most one datagram of them.
+    /// The reports, each a [`Part::PeerLoad`].
     pub parts: Vec<Part>,
 }
 
@@ -51,7 +53,8 @@
 }
 
 impl LoadSender {
-    /// Queues a report to a member; it replaces a queued one of the same worker.
+    /// Queues a report to a member; it replaces a queued report on the same worker. A report beyond the
+    /// quota of this second is dropped.
     pub fn queue(&mut self, now: Nanos, to: &Name, load: PeerLoad) {
         self.quota.advance(now);
         let queue = self.queues.entry(to.clone()).or_default();
@@ -73,12 +76,12 @@
         self.flush_at.get_or_insert(now + BATCH_DELAY);
     }
 
-    /// When [`LoadSender::take_due`] is to be called next.
+    /// Returns the time at which [`LoadSender::take_due`] is to be called next, if any.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.flush_at
     }
 
-    /// The batches that are due.
+    /// Removes and returns the batches that are due.
     pub fn take_due(&mut self, now: Nanos) -> Vec<ReportBatch> {
         if self.flush_at.is_none_or(|at| now < at) {
             return Vec::new();
@@ -115,14 +118,14 @@
     silent: bool,
 }
 
-/// The latest reports of one member.
+/// The latest reports of one member, by worker.
 #[derive(Default)]
 struct Reporter {
     workers: BTreeMap<WorkerId, WorkerReport>,
 }
 
 impl Reporter {
-    /// Records a report; returns how many workers the member reports as silent.
+    /// Records a report; returns the number of workers that the member reports as silent.
     fn record(&mut self, now: Nanos, worker: WorkerId, silent: bool) -> usize {
         self.workers
             .retain(|_, report| now < report.received_at + REPORT_RETENTION);
@@ -139,19 +142,20 @@
     }
 }
 
-/// Judges the reports of other members.
+/// Checks and adjusts the reports of other members.
 #[derive(Default)]
 pub struct LoadReceiver {
     reporters: BTreeMap<Name, Reporter>,
-    /// How many reports of silence were ignored.
+    /// The number of reports of silence that were ignored.
     pub ignored_silence: u64,
 }
 
 impl LoadReceiver {
-    /// A report as it counts now.
+    /// Returns the adjusted report.
     ///
-    /// Work that has completed since the report was made is subtracted. Silence counts for few workers only: a member whose own
-    /// link is down finds all workers silent.
+    /// The work that the worker is expected to have completed since the report is subtracted. Reports of
+    /// silence beyond the limit are changed to an unknown speed, since to a member whose own link is
+    /// down all workers are silent.
     pub fn receive(&mut self, now: Nanos, from: &Name, mut load: PeerLoad, age: u8) -> PeerLoad {
         let completed = Nanos::from(age) * AGE_UNIT * Nanos::from(load.half_slots) / 2 / WORK_UNIT;
         load.work_units = load.work_units.saturating_sub(completed.min(65_535) as u16);
@@ -168,7 +172,7 @@
         load
     }
 
-    /// Forgets those that are no longer members.
+    /// Discards the reports of processes that are no longer members.
     pub fn retain_members(&mut self, is_member: impl Fn(&Name) -> bool) {
         self.reporters.retain(|name, _| is_member(name));
     }
--- a/crates/cluster/src/peer_load/tests.rs
+++ b/crates/cluster/src/peer_load/tests.rs
@@ -1,3 +1,4 @@
+//! Batching of reports, the correction for their age, and the limit on reports of silence.
 use super::*;
 
 fn load(worker: u8, work: u16) -> PeerLoad {
--- a/crates/cluster/src/register/acceptor.rs
+++ b/crates/cluster/src/register/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: promises and accepted values, each persisted before it is answered.
+//! The acceptor: promises and accepted values, each persisted before the answer is sent.
 use super::types::{AfterPersist, PendingWrite};
 use super::{AcceptedValue, Ballot, Document, Effect, Message, Register, ReplicaId};
 use rosewall::mutation::{Mutation, is_active};
@@ -6,9 +6,10 @@
 use std::rc::Rc;
 
 impl Register {
-    /// Reports the result of a write.
+    /// Handles the result of a write.
     ///
-    /// After a failed one nothing is answered and nothing is applied: the proposer tries another replica, or again.
+    /// After a failed write nothing is answered and nothing is applied; the proposer needs other
+    /// replicas or a later round.
     pub fn handle_write_result(
         &mut self,
         now: Nanos,
@@ -56,7 +57,7 @@
         self.persist_and_reply(from, Message::Accepted { ballot }, effects);
     }
 
-    /// Asks for a write of the current state; the rest follows once it has succeeded.
+    /// Requests a write of the current state; `after` is executed once it has succeeded.
     pub(super) fn persist(&mut self, after: AfterPersist, effects: &mut Vec<Effect>) {
         self.last_serial += 1;
         let serial = self.last_serial;
@@ -75,7 +76,7 @@
     }
 
     fn handle_persisted(&mut self, now: Nanos, serial: u64, effects: &mut Vec<Effect>) {
-        // A write holds the whole state, so it includes the earlier ones.
+        // A write contains the whole state, so it includes the earlier ones.
         let completed: Vec<PendingWrite> = self
             .pending_writes
             .extract_if(.., |write| write.serial <= serial)
--- a/crates/cluster/src/register/learner.rs
+++ b/crates/cluster/src/register/learner.rs
@@ -1,11 +1,12 @@
-//! The learner: takes up chosen documents, and never an older one.
+//! The learner: commits chosen documents, but never an older one than the committed one.
 use super::types::AfterPersist;
 use super::{Document, DocumentId, Effect, Register};
 use rosewall::mutation::{Mutation, is_active};
 use std::rc::Rc;
 
 impl Register {
-    /// Takes up a document that was fetched on [`Effect::Fetch`]; false if it is not the one that was chosen.
+    /// Commits a document that was fetched on [`Effect::Fetch`]; returns false if it is not the chosen
+    /// one.
     pub fn handle_fetched(
         &mut self,
         chosen: DocumentId,
@@ -20,7 +21,7 @@
         true
     }
 
-    /// Commits the accepted document if it is the chosen one, and fetches that otherwise.
+    /// Commits the accepted document if it is the chosen one; otherwise fetches the chosen one.
     pub(super) fn handle_chosen(&mut self, chosen: DocumentId, effects: &mut Vec<Effect>) {
         if chosen.version <= self.persistent.committed.version {
             return;
--- a/crates/cluster/src/register/mod.rs
+++ b/crates/cluster/src/register/mod.rs
@@ -1,15 +1,15 @@
-//! The fleet's settings as one replicated register: CASPaxos (Rystsov 2018), which is Paxos (Lamport 1998) on one value that is
-//! changed by a function of the value before.
+//! The fleet's settings as one replicated register: CASPaxos (Rystsov 2018), a variant of Paxos
+//! (Lamport 1998) on one value in which each change is a function of the previous value.
 //!
-//! A change names the version that it is based on; it gets the next version or is refused. What more than half of the replicas
-//! accept under one ballot is chosen: it outlives any minority of them and a restart of all, and no other document ever has its
-//! version.
+//! A change names the version that it is based on; it gets the next version or is refused. A document
+//! that more than half of the replicas accept under one ballot is chosen: it survives the loss of any
+//! minority and a restart of all replicas, and no other document ever has its version.
 //!
-//! Nothing is answered before the disk has what the answer rests on: the machine asks for a write with [`Effect::Persist`], is
-//! notified of its result, and only then replies. It is fed messages and timeouts; transferring documents and writing files is up
-//! to its driver.
+//! No message is answered before the state that the answer depends on is persisted: the state machine
+//! requests a write with [`Effect::Persist`] and replies only after the driver reports its success.
+//! Inputs are messages and timeouts; the driver transfers documents and writes files.
 //!
-//! - `types`: ballots, documents, messages, effects
+//! - `types`: ballots, documents, messages, outcomes, effects
 //! - `proposer`: changes, rounds and majorities
 //! - `acceptor`: promises, accepted values and writes
 //! - `learner`: chosen documents
@@ -30,33 +30,34 @@
 use std::rc::Rc;
 use types::{PendingWrite, Proposal};
 
-/// A replica that has accepted what it does not know to be chosen finds out after this and up to as much again.
+/// A replica that has accepted a document without learning that it is chosen starts a round to resolve
+/// this after this delay plus a random part of up to the same length.
 const RESOLVE_DELAY: Nanos = 1_000 * MILLISECOND;
 
-/// One replica: proposer, acceptor and learner.
+/// The state machine of one replica: proposer, acceptor and learner.
 #[derive(Clone, Debug)]
 pub struct Register {
     id: ReplicaId,
     replica_count: u8,
-    /// What the disk has once all pending writes have succeeded.
+    /// The state on disk once all pending writes have succeeded.
     persistent: PersistentState,
-    /// The document that this replica applies; it is on the disk.
+    /// The document that this replica applies; it is persisted.
     applied: Rc<Document>,
     proposal: Option<Proposal>,
-    /// The highest round seen anywhere.
+    /// The highest round in any own or received ballot.
     highest_round: u64,
     last_serial: u64,
     pending_writes: Vec<PendingWrite>,
     resolve_at: Nanos,
     rng: Pcg,
-    /// How many writes failed.
+    /// The number of failed writes.
     pub failed_writes: u64,
-    /// How many messages and documents were dropped as malformed.
+    /// The number of messages and fetched documents that were dropped as malformed.
     pub malformed: u64,
 }
 
 impl Register {
-    /// A replica that starts now with what its disk has.
+    /// Returns a replica that starts now with the state that it has persisted.
     pub fn new(
         id: ReplicaId,
         replica_count: u8,
@@ -88,12 +89,12 @@
         register
     }
 
-    /// The document that this replica applies.
+    /// Returns the document that this replica applies.
     pub fn committed(&self) -> &Rc<Document> {
         &self.applied
     }
 
-    /// A document that this replica has, for one that fetches it.
+    /// Returns the identified document, if this replica has it, for a replica that fetches it.
     pub fn document(&self, id: &DocumentId) -> Option<&Rc<Document>> {
         let accepted = self.persistent.accepted.iter().map(|value| &value.document);
         accepted
@@ -101,7 +102,7 @@
             .find(|document| document.version == id.version && document.digest() == id.digest)
     }
 
-    /// When [`Register::handle_timeout`] is to be called next.
+    /// Returns the time at which [`Register::handle_timeout`] is to be called next, if any.
     pub fn next_timeout(&self) -> Option<Nanos> {
         match &self.proposal {
             Some(proposal) => Some(proposal.retry_at),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Handles a message of another replica.
+    /// Handles a message from another replica.
     pub fn handle_message(
         &mut self,
         now: Nanos,
@@ -131,7 +132,7 @@
                 self.resolve_at = self.with_jitter(now, RESOLVE_DELAY);
                 self.handle_accept(from, ballot, document, effects);
             }
-            // The next round is above it.
+            // The next round of this replica is higher.
             Message::Preempted { promised, .. } => {
                 self.highest_round = self.highest_round.max(promised.round);
             }
@@ -143,13 +144,14 @@
         }
     }
 
-    /// Whether it has accepted a document that it does not know to be chosen.
+    /// Whether this replica has accepted a document without learning that it is chosen.
     fn has_unconfirmed(&self) -> bool {
         let accepted = self.persistent.accepted.as_ref();
         accepted.is_some_and(|value| value.document.version > self.persistent.committed.version)
     }
 
-    /// A random moment from one to two spans after now, so that two proposers do not preempt each other for ever.
+    /// Returns a random time from one to two spans after `now`, so that two proposers do not preempt
+    /// each other forever.
     fn with_jitter(&mut self, now: Nanos, span: Nanos) -> Nanos {
         now + span + (self.rng.unit() * span as f64) as Nanos
     }
@@ -163,7 +165,7 @@
     }
 }
 
-/// Whether a message uses another proposer's ballot, or carries a document that is too long.
+/// Whether a message has another proposer's ballot, or a document above [`MAX_DOCUMENT_BYTES`].
 fn is_malformed(from: ReplicaId, message: &Message) -> bool {
     match message {
         Message::Prepare { ballot } => ballot.replica != from,
--- a/crates/cluster/src/register/proposer.rs
+++ b/crates/cluster/src/register/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer: carries one change at a time through rounds of two phases.
+//! The proposer: executes one change at a time in rounds of two phases.
 use super::types::{Operation, Phase, Proposal, ReplicaSet};
 use super::{
     AcceptedValue, Ballot, Document, Effect, MAX_DOCUMENT_BYTES, Message, Outcome, RESOLVE_DELAY,
@@ -9,21 +9,22 @@
 use rosewall::types::Nanos;
 use std::rc::Rc;
 
-/// A round that has not ended begins anew after this and up to as much again: several round trips between far regions, and two
-/// disks.
+/// A round that has not ended is restarted after this time plus a random part of up to the same length.
+/// It covers several round trips between distant regions and the writes of two disks.
 const ROUND_TIMEOUT: Nanos = 400 * MILLISECOND;
-/// After this time a change that has found no majority is abandoned.
+/// A change that has not reached a majority is abandoned after this time.
 const PROPOSAL_TIMEOUT: Nanos = 10_000 * MILLISECOND;
 
-/// What is proposed in the second phase.
+/// The document to propose in the second phase.
 struct Choice {
     document: Rc<Document>,
-    /// How the change ends once the document is chosen.
+    /// The result of the change once the document is chosen.
     outcome: Outcome,
 }
 
 impl Register {
-    /// Proposes to replace the document of version `based_on`.
+    /// Proposes to replace the document of version `based_on` by `text`; [`Effect::Completed`] reports
+    /// the result.
     pub fn propose(&mut self, now: Nanos, based_on: u64, text: &str, effects: &mut Vec<Effect>) {
         let is_busy = |proposal: &Proposal| proposal.operation.is_put();
         if self.proposal.as_ref().is_some_and(is_busy) {
@@ -38,7 +39,7 @@
         self.start_round(now, operation, now + PROPOSAL_TIMEOUT, effects);
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due.
     pub fn handle_timeout(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         match &self.proposal {
             Some(proposal) if now >= proposal.deadline => {
@@ -169,7 +170,7 @@
     }
 }
 
-/// What an operation makes of the document that a majority knows as the newest.
+/// Applies an operation to the current document, the newest one known to a majority.
 fn choose(operation: &Operation, current: Rc<Document>) -> Choice {
     let version = current.version;
     match operation {
@@ -177,7 +178,7 @@
             document: current,
             outcome: Outcome::Unknown,
         },
-        // Its own document, which an earlier round left with some acceptors.
+        // The proposed document itself, which some acceptors accepted in an earlier round.
         Operation::Put { based_on, text } if version == based_on + 1 && current.text == **text => {
             Choice {
                 document: current,
--- a/crates/cluster/src/register/types.rs
+++ b/crates/cluster/src/register/types.rs
@@ -1,28 +1,28 @@
-//! The values that replicas store, exchange and answer with.
+//! Values that replicas store and exchange, and the results that they return.
 use rosewall::types::Nanos;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// The longest document, in bytes: a thousand times what the largest known settings take.
+/// The maximum length of a document's text, in bytes: a thousand times the largest known settings.
 pub const MAX_DOCUMENT_BYTES: usize = 1024 * 1024;
 
-/// A replica's place in the list of replicas.
+/// The index of a replica in the list of replicas.
 pub type ReplicaId = u8;
 
-/// SHA-256 of a document's version and text.
+/// The SHA-256 hash of a document's version and text.
 pub type Digest = [u8; 32];
 
-/// The settings of a fleet as they were submitted, with their version; version 0 is none yet.
+/// The settings of a fleet as submitted, with their version. Version 0 is the initial empty document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Document {
-    /// Its version.
+    /// The version, incremented by 1 with each accepted change.
     pub version: u64,
-    /// The submitted text.
+    /// The text as submitted.
     pub text: String,
 }
 
 impl Document {
-    /// The digest of version and text.
+    /// Returns the digest of version and text.
     pub fn digest(&self) -> Digest {
         use sha2::Digest as _;
         let mut hasher = sha2::Sha256::new();
@@ -31,7 +31,7 @@
         hasher.finalize().into()
     }
 
-    /// What identifies it.
+    /// Returns the identifier of this document.
     pub fn id(&self) -> DocumentId {
         DocumentId {
             version: self.version,
@@ -40,35 +40,36 @@
     }
 }
 
-/// Identifies a document.
+/// Identifies a document by version and content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DocumentId {
-    /// Its version.
+    /// The version of the document.
     pub version: u64,
-    /// Its digest.
+    /// The digest of the document.
     pub digest: Digest,
 }
 
-/// A ballot; no two replicas ever begin the same, and all are in one order.
+/// A ballot. Ballots of different replicas differ, and all ballots are totally ordered.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// The round.
+    /// The round, which orders ballots first.
     pub round: u64,
-    /// The proposer.
+    /// The proposer, which orders ballots of the same round.
     #[serde(rename = "by")]
     pub replica: ReplicaId,
 }
 
-/// A document that an acceptor has accepted, and under which ballot.
-/// It is stored as a pair.
+/// A document that an acceptor has accepted, with the ballot of its acceptance.
+///
+/// The serialized form is a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(Ballot, Rc<Document>)", into = "(Ballot, Rc<Document>)")]
 pub struct AcceptedValue {
-    /// The ballot.
+    /// The ballot under which the document was accepted.
     pub ballot: Ballot,
-    /// The document.
+    /// The accepted document.
     pub document: Rc<Document>,
 }
 
@@ -84,14 +85,14 @@
     }
 }
 
-/// What a replica has on its disk, complete at each moment.
+/// The state that a replica persists. It is replaced atomically, so the disk always has a complete one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PersistentState {
-    /// No lower ballot is accepted any more.
+    /// The highest promised ballot; lower ballots are not accepted.
     pub promised: Ballot,
-    /// The document that was accepted last.
+    /// The last accepted document, if any.
     pub accepted: Option<AcceptedValue>,
-    /// The newest document that is known to be chosen; the replica applies it.
+    /// The newest document known to be chosen, which the replica applies.
     #[serde(rename = "in_force")]
     pub committed: Rc<Document>,
 }
@@ -99,100 +100,101 @@
 /// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Message {
-    /// Paxos' phase 1a.
+    /// Phase 1a of Paxos: requests a promise.
     Prepare {
         /// The proposer's ballot.
         ballot: Ballot,
     },
-    /// Phase 1b.
+    /// Phase 1b of Paxos: promises to accept no lower ballot.
     Promise {
-        /// That of the Prepare.
+        /// The ballot of the Prepare.
         ballot: Ballot,
-        /// What the acceptor has accepted before.
+        /// The last document that the acceptor accepted, if any.
         accepted: Option<AcceptedValue>,
     },
-    /// Answers a Prepare or an Accept below a promise.
+    /// Rejects a Prepare or an Accept whose ballot is too low for the acceptor's promise.
     Preempted {
-        /// That of the message.
+        /// The ballot of the rejected message.
         ballot: Ballot,
-        /// The acceptor's promise.
+        /// The ballot that the acceptor has promised.
         promised: Ballot,
     },
-    /// Phase 2a.
+    /// Phase 2a of Paxos: proposes a document.
     Accept {
         /// The proposer's ballot.
         ballot: Ballot,
         /// The proposed document.
         document: Rc<Document>,
     },
-    /// Phase 2b.
+    /// Phase 2b of Paxos: accepts the proposed document.
     Accepted {
-        /// That of the Accept.
+        /// The ballot of the Accept.
         ballot: Ballot,
     },
-    /// The document is chosen; a replica that lacks it fetches it.
+    /// Announces that the document is chosen; a replica that lacks it fetches it.
     Chosen(DocumentId),
 }
 
-/// How a change ended.
+/// The result of a proposed change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It was chosen, and will be applied by all replicas.
+    /// The change was chosen and will be applied by all replicas.
     Accepted {
-        /// The version that it has.
+        /// The version of the new document.
         version: u64,
     },
-    /// Another change was chosen in between.
+    /// The change was refused, since it is not based on the current version.
     Conflict {
         /// The version that the change is based on.
         based_on: u64,
-        /// The version that is chosen.
+        /// The version that is currently chosen.
         current: u64,
     },
-    /// Too few replicas answered: it may or may not have been accepted.
+    /// Too few replicas answered in time: the change may or may not be chosen.
     Unknown,
     /// Another change is in progress at this replica.
     Busy,
     /// The document is longer than [`MAX_DOCUMENT_BYTES`].
     TooLarge {
-        /// Its length.
+        /// The length of the document, in bytes.
         bytes: usize,
     },
 }
 
-/// Something that the driver of a replica is to carry out.
+/// An action for the driver of a replica to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Send a message.
     Send {
-        /// To whom.
+        /// The receiver.
         to: ReplicaId,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// Write the state to a temporary file, sync and rename it, then report the result of the write with the serial.
+    /// Write the state to a temporary file, sync and rename it, then report the result with
+    /// [`Register::handle_write_result`](super::Register::handle_write_result).
     Persist {
-        /// The number of the write.
+        /// The number of the write, to be reported with its result.
         serial: u64,
-        /// The state.
+        /// The state to write.
         state: PersistentState,
     },
     /// The change that was proposed at this replica has ended.
     Completed(Outcome),
-    /// Apply this document, which is on the disk.
+    /// Apply this document, which is persisted.
     Committed(Rc<Document>),
-    /// Fetch a document that was chosen and that this replica lacks.
+    /// Fetch a chosen document that this replica lacks from another replica.
     Fetch(DocumentId),
 }
 
-/// What follows a write, once the disk has it.
+/// The action that follows a successful write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum AfterPersist {
     Reply { to: ReplicaId, message: Message },
     Commit(Rc<Document>),
 }
 
-/// A write whose result is not known yet.
+/// A write whose result is not yet reported.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingWrite {
     pub serial: u64,
@@ -213,12 +215,12 @@
     }
 }
 
-/// What a proposer does with the register.
+/// The change that a proposer makes to the register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Operation {
-    /// Replaces the document of this version.
+    /// Replaces the document of the version `based_on`.
     Put { based_on: u64, text: Rc<str> },
-    /// Only finds out what is chosen.
+    /// Proposes the current document unchanged, which determines whether it is chosen.
     Resolve,
 }
 
@@ -231,7 +233,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     Preparing,
-    /// With the proposed document, and how the change ends once that is chosen.
+    /// The document is proposed; `outcome` is the result of the change once it is chosen.
     Accepting {
         document: Rc<Document>,
         outcome: Outcome,
@@ -244,12 +246,12 @@
     pub operation: Operation,
     pub ballot: Ballot,
     pub phase: Phase,
-    /// Who has answered in this phase.
+    /// The replicas that have answered in this phase.
     pub responders: ReplicaSet,
-    /// Of what the responders have accepted before, that with the highest ballot.
+    /// Of the documents that the responders have accepted, the one with the highest ballot.
     pub highest_accepted: Option<AcceptedValue>,
-    /// When a round with a higher ballot begins.
+    /// The time at which a round with a higher ballot starts.
     pub retry_at: Nanos,
-    /// When the change is abandoned.
+    /// The time at which the change is abandoned.
     pub deadline: Nanos,
 }
