--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -1,4 +1,5 @@
-//! The cluster file of an operator: TOML, each key checked, errors with file, line and key.
+//! Parser of the cluster file that an operator writes: TOML with strict keys; errors name the file, line
+//! and key.
 use crate::error::ClusterError;
 use crate::member::is_name;
 use crate::time::MILLISECOND;
@@ -8,22 +9,23 @@
 use std::path::Path;
 use toml::{Spanned, Value};
 
-/// How one dispatcher joins the others.
+/// The configuration with which one dispatcher joins a cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterConfig {
-    /// The name of the cluster.
+    /// The name of the cluster, the same for all its members.
     pub cluster: String,
     /// The name of this dispatcher, unique in the cluster.
     pub name: String,
-    /// Where it receives datagrams.
+    /// The IPv4 address at which this dispatcher receives datagrams.
     pub listen: SocketAddr,
-    /// Dispatchers to ask for others.
+    /// Addresses of dispatchers that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// The names of the dispatchers that vote on the lease.
+    /// The names of the dispatchers that vote on the lease: none, 1, 3 or 5.
     pub quorum: Vec<String>,
-    /// A relay that all datagrams go by, each preceded by the other side's address.
+    /// A relay through which all datagrams pass, each prefixed with the other side's address; `None` for
+    /// direct exchange.
     pub relay: Option<SocketAddr>,
-    /// How far the machines' wall clocks may differ.
+    /// The maximum difference between the machines' wall clocks.
     pub max_clock_skew: Nanos,
 }
 
@@ -49,21 +51,21 @@
     ];
 }
 
-const EXPECTED_NAME: &str = "up to 32 letters, digits, points, minuses and underlines";
+const EXPECTED_NAME: &str = "1 to 32 ASCII letters, digits, '.', '-' or '_'";
 const EXPECTED_ADDRESS: &str = "an IPv4 address and a port, such as \"10.0.0.4:7946\"";
-/// The format version of the file.
+/// The supported format version of the file.
 const FILE_VERSION: i64 = 1;
-/// Clocks with any synchronization are closer.
+/// The default of [`ClusterConfig::max_clock_skew`]; synchronized clocks differ by less.
 const DEFAULT_MAX_CLOCK_SKEW_MS: i64 = 10_000;
 const LARGEST_CLOCK_SKEW_MS: i64 = 3_600_000;
 
 type Table = BTreeMap<Spanned<String>, Spanned<Value>>;
 
-/// Parses the text of a cluster file; `path` is for error messages.
+/// Parses the text of a cluster file; `path` appears only in error messages.
 ///
 /// # Errors
 ///
-/// A [`ClusterError`] that names the first fault in the file.
+/// Returns a [`ClusterError`] for the first fault in the file.
 pub fn parse(path: &Path, text: &str) -> Result<ClusterConfig, ClusterError> {
     let file = File::parse(path, text)?;
     file.require(key::VERSION, "1", |value| {
@@ -86,7 +88,7 @@
     })
 }
 
-/// A file whose keys all exist.
+/// A parsed file without unknown keys.
 struct File<'a> {
     path: &'a Path,
     text: &'a str,
@@ -98,7 +100,7 @@
         let table: Table = toml::from_str(text).map_err(|error| ClusterError::Syntax {
             path: path.to_path_buf(),
             line: error.span().map_or(1, |span| line_of(text, span.start)),
-            what: error.message().to_string(),
+            message: error.message().to_string(),
         })?;
         let is_unknown = |key: &&Spanned<String>| !key::ALL.contains(&key.get_ref().as_str());
         if let Some(unknown) = table.keys().find(is_unknown) {
@@ -112,7 +114,7 @@
         Ok(File { path, text, table })
     }
 
-    /// The value of a key, if the file has it.
+    /// Returns the value of a key, or `None` if the file does not have the key.
     fn get<T>(
         &self,
         key: &'static str,
@@ -132,7 +134,7 @@
         read(value.get_ref()).map(Some).ok_or_else(invalid)
     }
 
-    /// The value of a key that the file must have.
+    /// Returns the value of a mandatory key.
     fn require<T>(
         &self,
         key: &'static str,
@@ -172,13 +174,13 @@
                 .filter(|ms| (0..=LARGEST_CLOCK_SKEW_MS).contains(ms))
         };
         let ms = self
-            .get(key::MAX_CLOCK_SKEW_MS, "0 to 3600000 (ms)", in_range)?
+            .get(key::MAX_CLOCK_SKEW_MS, "from 0 to 3600000 (ms)", in_range)?
             .unwrap_or(DEFAULT_MAX_CLOCK_SKEW_MS);
         Ok(ms as Nanos * MILLISECOND)
     }
 }
 
-/// The number of the line that holds the byte at `offset`.
+/// Returns the number of the line, from 1, that contains the byte at `offset`.
 fn line_of(text: &str, offset: usize) -> usize {
     let before = text.as_bytes().iter().take(offset);
     1 + before.filter(|byte| **byte == b'\n').count()
@@ -200,7 +202,7 @@
     move |value| value.as_array()?.iter().map(&item).collect()
 }
 
-/// The key that was probably meant by an unknown one.
+/// Returns the known key closest to an unknown one, unless all differ too much.
 fn nearest(word: &str, keys: &[&'static str]) -> Option<&'static str> {
     let nearest = keys
         .iter()
@@ -211,7 +213,7 @@
         .map(|(_, key)| key)
 }
 
-/// The Levenshtein distance of two words.
+/// Returns the Levenshtein distance of two words.
 fn edit_distance(one: &str, other: &str) -> usize {
     let other: Vec<char> = other.chars().collect();
     let mut row: Vec<usize> = (0..=other.len()).collect();
--- a/crates/cluster/src/config/tests.rs
+++ b/crates/cluster/src/config/tests.rs
@@ -1,3 +1,4 @@
+//! Valid files, and the errors of invalid ones.
 use super::*;
 use crate::error::ClusterError;
 use test_case::test_case;
@@ -25,12 +26,12 @@
     assert_eq!(parse_text(text).unwrap().quorum, ["n1", "n2", "n3"]);
 }
 
-#[test_case("seedz = []", "c.toml:6: no key is called \"seedz\", the nearest is \"seeds\""; "unknown key")]
-#[test_case("keepers = [\"a\", \"b\"]", "c.toml:6: keepers are 2"; "two quorum members")]
-#[test_case("keepers = [\"a\", \"a\", \"b\"]", "c.toml:6: keepers are 2"; "one quorum member twice")]
-#[test_case("through = \"host:1\"", "c.toml:6: through is \"host:1\", but has to be an IPv4 address"; "an address with a name")]
-#[test_case("clocks_ms = -1", "c.toml:6: clocks_ms is -1"; "a negative skew")]
-#[test_case("x = [", "c.toml:6: this is not TOML"; "no TOML")]
+#[test_case("seedz = []", "c.toml:6: unknown key \"seedz\", did you mean \"seeds\"?"; "unknown key")]
+#[test_case("keepers = [\"a\", \"b\"]", "c.toml:6: keepers must name 1, 3 or 5 dispatchers, each once, got 2 different names"; "two quorum members")]
+#[test_case("keepers = [\"a\", \"a\", \"b\"]", "c.toml:6: keepers must name 1, 3 or 5 dispatchers, each once, got 2 different names"; "one quorum member twice")]
+#[test_case("through = \"host:1\"", "c.toml:6: through must be an IPv4 address and a port, such as \"10.0.0.4:7946\", got \"host:1\""; "an address with a name")]
+#[test_case("clocks_ms = -1", "c.toml:6: clocks_ms must be from 0 to 3600000 (ms), got -1"; "a negative skew")]
+#[test_case("x = [", "c.toml:6: invalid TOML: "; "no TOML")]
 fn an_error_names_file_line_and_key(line: &str, message: &str) {
     let error = parse_text(&format!("{VALID}{line}\n")).unwrap_err();
 
--- a/crates/cluster/src/datagram/decoder.rs
+++ b/crates/cluster/src/datagram/decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes datagrams from untrusted bytes.
+//! Decoder of datagrams from untrusted bytes.
 use super::{
     Datagram, DecodeError, ISSUES_GRANTS_BIT, MAGIC, MAX_DATAGRAM_BYTES, Part, VERSION, tag,
 };
@@ -6,7 +6,7 @@
 use rosewall::types::{PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
-/// Decodes a datagram of this cluster.
+/// Decodes a datagram of the cluster with the name hash `cluster`.
 ///
 /// # Errors
 ///
@@ -115,7 +115,7 @@
         })
     }
 
-    /// One part; an inner `None` for an unknown tag.
+    /// Decodes one part; the inner `None` stands for an unknown tag.
     fn part(&mut self) -> Option<Option<Part>> {
         let tag = self.u8()?;
         let length = usize::from(self.u8()?);
--- a/crates/cluster/src/datagram/encoder.rs
+++ b/crates/cluster/src/datagram/encoder.rs
@@ -1,4 +1,4 @@
-//! Encodes datagrams.
+//! Encoder of datagrams.
 use super::{ISSUES_GRANTS_BIT, MAGIC, MAX_DATAGRAM_BYTES, Part, VERSION, tag};
 use crate::member::{MAX_NAME_BYTES, MemberRecord};
 use rosewall::types::WorkerId;
@@ -12,7 +12,7 @@
 }
 
 impl DatagramEncoder {
-    /// Starts a datagram with its header.
+    /// Starts a datagram with its header; `cluster` is the hash of the cluster's name.
     pub fn new(cluster: u32, sender: &MemberRecord) -> Self {
         let mut datagram = Writer(Vec::with_capacity(MAX_DATAGRAM_BYTES));
         datagram.bytes(&MAGIC);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds a part; false, and nothing added, if it does not fit.
+    /// Adds a part. If it does not fit, returns false and leaves the datagram unchanged.
     pub fn push(&mut self, part: &Part) -> bool {
         self.part.0.clear();
         self.part.part(part);
@@ -36,7 +36,7 @@
         fits
     }
 
-    /// The bytes of the datagram.
+    /// Returns the bytes of the datagram.
     pub fn finish(self) -> Vec<u8> {
         self.datagram.0
     }
--- a/crates/cluster/src/datagram/mod.rs
+++ b/crates/cluster/src/datagram/mod.rs
@@ -1,6 +1,7 @@
-//! The datagrams between dispatchers: a header with the sender's own record, then parts.
+//! The format of datagrams between dispatchers: a header with the sender's own record, then parts.
 //!
-//! Each part carries its length, so that a part with an unknown tag is skipped. Numbers are big-endian.
+//! Each part starts with its tag and length, so parts with unknown tags can be skipped. Numbers are
+//! big-endian.
 mod decoder;
 mod encoder;
 
@@ -11,13 +12,14 @@
 use rosewall::types::{PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
-/// The longest datagram, in bytes: it passes common networks unfragmented, with space left for tunnel headers.
+/// The maximum length of a datagram, in bytes. It is not fragmented in common networks, even with tunnel
+/// headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// The first bytes of every datagram.
 const MAGIC: [u8; 2] = *b"rC";
 /// The version of this format.
 const VERSION: u8 = 1;
-/// The bit of a record's state byte that says that the member issues grants.
+/// The bit of a record's state byte that is set if the member issues grants.
 const ISSUES_GRANTS_BIT: u8 = 0x80;
 
 /// The tags of the parts on the wire.
@@ -39,47 +41,47 @@
 /// One part of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
-    /// Asks the named member for an [`Part::Ack`].
+    /// Requests an [`Part::Ack`] from the named member.
     Ping {
-        /// Repeated in the answer.
+        /// The number of the ping, repeated in the answer.
         seq: u32,
-        /// Who is pinged; a process of another name does not answer.
+        /// The name of the pinged member; a process with another name does not answer.
         target: Name,
     },
     /// Answers a ping.
     Ack {
-        /// That of the ping.
+        /// The number of the ping.
         seq: u32,
     },
-    /// Answers an indirect ping whose target did not answer.
+    /// Answers an indirect ping whose target did not answer in time.
     Nack {
-        /// That of the indirect ping.
+        /// The number of the indirect ping.
         seq: u32,
     },
-    /// Asks the receiver to ping another member for the sender.
+    /// Requests that the receiver ping another member on behalf of the sender.
     IndirectPing {
-        /// Repeated in the answer.
+        /// The number of the indirect ping, repeated in the answer.
         seq: u32,
-        /// Who is to be pinged.
+        /// The name of the member to ping.
         target: Name,
-        /// Where the target receives datagrams.
+        /// The address at which the target receives datagrams.
         addr: SocketAddr,
     },
-    /// What the sender knows of a member.
+    /// The sender's record of a member.
     Record(MemberRecord),
     /// Summarizes the sender's view of the running members.
     Digest {
-        /// Equal hashes mean equal views.
+        /// The digest of the view; equal for equal views.
         hash: u32,
-        /// How many members run.
+        /// The number of running members.
         count: u16,
     },
-    /// Asks for a page of the receiver's records.
+    /// Requests a page of the receiver's records.
     PageRequest {
         /// The index of the first record.
         offset: u16,
     },
-    /// Asks a quorum member for its vote for the lease.
+    /// Requests a quorum member's vote for the lease.
     LeaseRequest {
         /// The number of the round.
         seq: u32,
@@ -91,9 +93,9 @@
         /// Whether the voter promises the lease to the receiver.
         granted: bool,
     },
-    /// Asks the lease holder for a warm-up grant.
+    /// Requests a warm-up grant from the lease holder.
     GrantRequest {
-        /// Repeated in the answer.
+        /// The number of the request, repeated in the answer.
         seq: u32,
         /// The warming worker.
         worker: WorkerId,
@@ -102,20 +104,20 @@
     },
     /// Answers a grant request.
     Grant {
-        /// That of the request.
+        /// The number of the request.
         seq: u32,
         /// The warming worker.
         worker: WorkerId,
-        /// The granted work, in ms of one slot; 0 for none.
+        /// The granted work, in ms of one slot; 0 if nothing is granted.
         work_ms: u32,
-        /// How long the grant is valid, counted from the request.
+        /// The time for which the grant is valid, counted from the request, in ms.
         validity_ms: u16,
     },
-    /// What the sender has in flight at a worker, and how fast that runs.
+    /// The sender's load in flight at a worker, and the worker's speed.
     PeerLoad {
-        /// The load.
+        /// The reported load.
         load: PeerLoad,
-        /// The age of the figures, in units of 4 ms.
+        /// The age of the report, in units of 4 ms, at most 255.
         age: u8,
     },
 }
@@ -125,24 +127,24 @@
 pub struct Datagram {
     /// The sender's own record.
     pub sender: MemberRecord,
-    /// Its parts with known tags.
+    /// The parts with known tags, in the order of the datagram.
     pub parts: Vec<Part>,
 }
 
-/// Why a datagram is dropped.
+/// Reasons to drop a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Longer than [`MAX_DATAGRAM_BYTES`], or shorter than the header.
-    #[error("the datagram is too long, or shorter than its header")]
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`] or shorter than the header.
+    #[error("the datagram is longer than {MAX_DATAGRAM_BYTES} bytes or shorter than its header")]
     Length,
-    /// It does not begin with the magic bytes.
+    /// The datagram does not begin with the magic bytes.
     #[error("the datagram does not begin with the magic bytes")]
     Magic,
-    /// Of another version of the format.
-    #[error("the datagram has version {0}")]
+    /// The datagram has another version of the format.
+    #[error("the datagram has format version {0}, expected {VERSION}")]
     Version(u8),
-    /// Of another cluster.
-    #[error("the datagram is of another cluster")]
+    /// The datagram is from another cluster.
+    #[error("the datagram is from another cluster")]
     Cluster,
     /// A record or a part is malformed.
     #[error("a part of the datagram is malformed")]
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -1,3 +1,4 @@
+//! Encoding and decoding of datagrams, also of malformed ones.
 use super::*;
 use crate::member::tests::record;
 use proptest::prelude::*;
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -1,103 +1,107 @@
-//! What can be wrong with the cluster, each with a stable code and with what an operator can do.
+//! Errors of the cluster's configuration and operation, each with a stable code and a remedy.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A fault in the cluster's configuration or in its operation.
+/// An error in the cluster's configuration or operation.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// The cluster file cannot be read.
     #[error("{path} cannot be read")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The cluster file is not TOML.
-    #[error("{path}:{line}: this is not TOML: {what}")]
+    /// The cluster file is not valid TOML.
+    #[error("{path}:{line}: invalid TOML: {message}")]
     Syntax {
-        /// The file.
+        /// The path of the cluster file.
         path: PathBuf,
-        /// The line of the fault.
+        /// The line of the fault, from 1.
         line: usize,
-        /// What the parser says.
-        what: String,
+        /// The message of the parser.
+        message: String,
     },
-    /// The cluster file has a key that does not exist.
-    #[error("{path}:{line}: no key is called {key:?}{}", nearest.map(|near| format!(", the nearest is {near:?}")).unwrap_or_default())]
+    /// The cluster file has an unknown key.
+    #[error("{path}:{line}: unknown key {key:?}{}", nearest.map(|near| format!(", did you mean {near:?}?")).unwrap_or_default())]
     UnknownKey {
-        /// The file.
+        /// The path of the cluster file.
         path: PathBuf,
         /// The line of the key.
         line: usize,
-        /// The key.
+        /// The unknown key.
         key: String,
-        /// The key that was probably meant.
+        /// The closest known key, unless all differ too much.
         nearest: Option<&'static str>,
     },
     /// A value of the cluster file is out of range or of the wrong type.
-    #[error("{path}:{line}: {key} is {value}, but has to be {expected}")]
+    #[error("{path}:{line}: {key} must be {expected}, got {value}")]
     InvalidValue {
-        /// The file.
+        /// The path of the cluster file.
         path: PathBuf,
         /// The line of the value.
         line: usize,
-        /// Its key.
+        /// The key of the value.
         key: &'static str,
-        /// The value.
+        /// The invalid value, as TOML.
         value: String,
-        /// What is allowed.
+        /// The permitted values.
         expected: &'static str,
     },
-    /// The cluster file lacks a key.
+    /// The cluster file lacks a mandatory key.
     #[error("{path}: {key} is missing")]
     Missing {
-        /// The file.
+        /// The path of the cluster file.
         path: PathBuf,
-        /// The key.
+        /// The missing key.
         key: &'static str,
     },
-    /// The quorum has a size that makes no majority, or a name twice.
-    #[error("{path}:{line}: keepers are {count}, but a majority needs 1, 3 or 5 of them")]
+    /// The quorum has a size other than 1, 3 or 5, or names a dispatcher twice.
+    #[error(
+        "{path}:{line}: keepers must name 1, 3 or 5 dispatchers, each once, got {count} different names"
+    )]
     QuorumSize {
-        /// The file.
+        /// The path of the cluster file.
         path: PathBuf,
         /// The line of the key.
         line: usize,
         /// The number of different names.
         count: usize,
     },
-    /// The configuration has both ways to exchange load reports.
-    #[error("the file gives both talk and cluster")]
+    /// The configuration enables both methods of exchanging load reports.
+    #[error("the configuration sets both talk and cluster")]
     TalkAndCluster,
     /// The datagram socket cannot be opened.
-    #[error("datagrams cannot be received at {listen}")]
+    #[error("cannot open a datagram socket at {listen}")]
     Listen {
         /// The configured address.
         listen: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Another process has the same name.
-    #[error("another process runs as {name} at {other}: this one is on standby")]
+    /// Another process runs under this member's name.
+    #[error("another process at {other} runs under the name {name}; this one is on standby")]
     DuplicateName {
-        /// The name.
+        /// The name of both members.
         name: String,
-        /// Where the other one receives datagrams.
+        /// The address at which the other process receives datagrams.
         other: SocketAddr,
     },
-    /// Datagrams of another version of the format arrive.
-    #[error("{count} datagrams of version {version} were dropped")]
+    /// Datagrams with another version of the format were received and dropped.
+    #[error(
+        "dropped {count} datagrams with another format version, the last with version {version}"
+    )]
     VersionMismatch {
-        /// The version of the last one.
+        /// The version of the last dropped datagram.
         version: u8,
-        /// How many since the start.
+        /// The number of dropped datagrams since the start of the process.
         count: u64,
     },
 }
 
 impl ClusterError {
-    /// The code, which stays the same from one release to the next.
+    /// Returns the code of the error, which is stable across releases.
     pub fn code(&self) -> &'static str {
         match self {
             ClusterError::Unreadable { .. } => "RW-CLUSTER-UNREAD",
@@ -113,39 +117,38 @@
         }
     }
 
-    /// What an operator can do.
+    /// Returns the remedy: the action for an operator to take.
     pub fn remedy(&self) -> &'static str {
         match self {
             ClusterError::Unreadable { .. } => {
                 "check the path under `cluster` in the configuration, and its permissions"
             }
-            ClusterError::Syntax { .. } => "correct that line; deploy/cluster.toml is an example",
+            ClusterError::Syntax { .. } => "correct the line; deploy/cluster.toml is an example",
             ClusterError::UnknownKey { .. } => {
                 "correct or remove the key; docs/cluster.md lists them"
             }
-            ClusterError::InvalidValue { .. } => {
-                "set it to such a value; docs/cluster.md has the units"
-            }
-            ClusterError::Missing { .. } => "add it; deploy/cluster.toml is an example",
+            ClusterError::InvalidValue { .. } => "correct the value; docs/cluster.md has the units",
+            ClusterError::Missing { .. } => "add the key; deploy/cluster.toml is an example",
             ClusterError::QuorumSize { .. } => {
                 "name 1, 3 or 5 dispatchers, the same in all files, or none"
             }
             ClusterError::TalkAndCluster => {
-                "remove `talk`: the members exchange load reports without it"
+                "remove `talk`; the members of a cluster exchange load reports without it"
             }
             ClusterError::Listen { .. } => {
-                "set an IPv4 address of this machine whose port is free, or stop the process that has it"
+                "set an IPv4 address of this machine with a free port, or stop the process that uses the port"
             }
             ClusterError::DuplicateName { .. } => {
-                "give one of the two another name; this one goes on serving, but is no member meanwhile"
+                "give one of the two another name; until then this one serves requests but is not a member"
             }
             ClusterError::VersionMismatch { .. } => {
-                "bring the dispatchers that send them to this program's version, or this one to theirs"
+                "run the same version of the program on all dispatchers of the cluster"
             }
         }
     }
 
-    /// The line for the log, or for standard error as a start fails: code, message, causes and remedy.
+    /// Returns the line for the log, or for standard error if the start fails: code, message, causes and
+    /// remedy.
     pub fn line(&self) -> String {
         let mut text = format!("{}: {self}", self.code());
         let mut source = std::error::Error::source(self);
