--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -33,7 +33,7 @@
     pub malformed: u64,
     /// Datagrams dropped because they had another version of the format.
     pub other_version: u64,
-    /// Datagrams dropped because they came from another cluster.
+    /// Datagrams dropped because they belong to another cluster.
     pub other_cluster: u64,
 }
 
--- a/crates/cluster/src/config/tests.rs
+++ b/crates/cluster/src/config/tests.rs
@@ -26,12 +26,12 @@
     assert_eq!(parse_text(text).unwrap().quorum, ["n1", "n2", "n3"]);
 }
 
-#[test_case("seedz = []", "c.toml:6: unknown key \"seedz\", did you mean \"seeds\"?"; "unknown key")]
+#[test_case("seedz = []", "c.toml:6: unknown key \"seedz\", the nearest known key is \"seeds\""; "unknown key")]
 #[test_case("keepers = [\"a\", \"b\"]", "c.toml:6: keepers must name 1, 3 or 5 dispatchers, each once, got 2 different names"; "two quorum members")]
 #[test_case("keepers = [\"a\", \"a\", \"b\"]", "c.toml:6: keepers must name 1, 3 or 5 dispatchers, each once, got 2 different names"; "one quorum member twice")]
-#[test_case("through = \"host:1\"", "c.toml:6: through must be an IPv4 address and a port, such as \"10.0.0.4:7946\", got \"host:1\""; "an address with a name")]
+#[test_case("through = \"host:1\"", "c.toml:6: through must be an IPv4 address and a port, such as \"10.0.0.4:7946\", got \"host:1\""; "an address with a host name")]
 #[test_case("clocks_ms = -1", "c.toml:6: clocks_ms must be from 0 to 3600000 (ms), got -1"; "a negative skew")]
-#[test_case("x = [", "c.toml:6: invalid TOML: "; "no TOML")]
+#[test_case("x = [", "c.toml:6: invalid TOML: "; "invalid TOML")]
 fn an_error_names_file_line_and_key(line: &str, message: &str) {
     let error = parse_text(&format!("{VALID}{line}\n")).unwrap_err();
 
@@ -52,6 +52,6 @@
 #[test_case("keeper", Some("keepers"))]
 #[test_case("clock_ms", Some("clocks_ms"))]
 #[test_case("zzz", None)]
-fn the_nearest_known_key_is_suggested(word: &str, meant: Option<&str>) {
-    assert_eq!(nearest(word, &["seeds", "keepers", "clocks_ms"]), meant);
+fn the_nearest_known_key_is_suggested(word: &str, expected: Option<&str>) {
+    assert_eq!(nearest(word, &["seeds", "keepers", "clocks_ms"]), expected);
 }
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -24,7 +24,7 @@
         message: String,
     },
     /// The cluster file has an unknown key.
-    #[error("{path}:{line}: unknown key {key:?}{}", nearest.map(|near| format!(", did you mean {near:?}?")).unwrap_or_default())]
+    #[error("{path}:{line}: unknown key {key:?}{}", nearest.map(|near| format!(", the nearest known key is {near:?}")).unwrap_or_default())]
     UnknownKey {
         /// The path of the cluster file.
         path: PathBuf,
--- a/crates/cluster/src/ranks/tests.rs
+++ b/crates/cluster/src/ranks/tests.rs
@@ -10,7 +10,7 @@
 }
 
 /// Lets every member claim its assigned rank; returns the ranks.
-fn settle(claims: &mut [RankClaim]) -> Vec<u16> {
+fn claim_assigned_ranks(claims: &mut [RankClaim]) -> Vec<u16> {
     let ranks = assign_ranks(claims);
     for (claim, rank) in claims.iter_mut().zip(&ranks) {
         claim.claimed_rank = *rank;
@@ -36,11 +36,11 @@
     ) {
         let claimed_rank = |at: usize| if claimed[at] > 60 { NO_RANK } else { claimed[at] };
         let mut all: Vec<RankClaim> = (0..count).map(|at| claim(format!("n{at:03}"), claimed_rank(at))).collect();
-        let settled = settle(&mut all);
-        let mut sorted = settled.clone();
+        let ranks = claim_assigned_ranks(&mut all);
+        let mut sorted = ranks.clone();
         sorted.sort_unstable();
         prop_assert!(sorted.into_iter().eq(0..count as u16));
-        prop_assert_eq!(&assign_ranks(&all), &settled);
+        prop_assert_eq!(&assign_ranks(&all), &ranks);
 
         let mut fewer = all.clone();
         fewer.remove(index % count);
--- a/crates/cluster/src/register/test_replicas.rs
+++ b/crates/cluster/src/register/test_replicas.rs
@@ -1,11 +1,11 @@
-//! Replicas with disks and a network that the tests control.
+//! Replicas with disks and a network under control of the tests, and the invariants checked at each effect.
 use super::types::Proposal;
 use super::*;
 use std::collections::BTreeMap;
 use std::hash::Hash;
 
 impl Register {
-    /// All that its next steps follow from, except times and random numbers.
+    /// Returns the state that determines the next steps, without times and random numbers.
     pub fn state(&self) -> impl Hash + use<> {
         let proposal = self.proposal.clone().map(|proposal| Proposal {
             retry_at: 0,
@@ -30,12 +30,12 @@
 
 #[derive(Clone)]
 pub(super) struct TestReplica {
-    /// `None` while it does not run.
+    /// The state machine; `None` while the replica does not run.
     pub register: Option<Register>,
     pub disk: PersistentState,
-    /// The writes that are not on the disk yet, the oldest first.
+    /// Pending writes, the oldest first.
     pub writes: Vec<Write>,
-    /// The highest version that it ever applied.
+    /// The highest version that the replica has applied.
     pub applied_version: u64,
 }
 
@@ -46,19 +46,19 @@
     pub message: Message,
 }
 
-/// When a write reaches the disk.
+/// The time at which a write reaches the disk.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Disks {
     Immediate,
-    /// With [`TestReplicas::write`].
+    /// On a call of [`TestReplicas::write`].
     Deferred,
 }
 
-/// What happens to a message in the network once it is delivered.
+/// Whether a message stays in the network after its delivery.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Delivery {
     Once,
-    /// It may be delivered again.
+    /// The message stays and may be delivered again.
     Repeatable,
 }
 
@@ -67,9 +67,9 @@
     pub now: Nanos,
     pub replicas: Vec<TestReplica>,
     pub network: Vec<Envelope>,
-    /// The digest of each version, by all that was ever committed.
+    /// The digest of each version that any replica has committed.
     digests: BTreeMap<u64, Digest>,
-    /// The versions of changes that were answered as accepted.
+    /// The versions of changes with the outcome accepted.
     pub accepted: Vec<u64>,
     pub outcomes: Vec<Outcome>,
     starts: u64,
@@ -110,13 +110,13 @@
         let version = register.committed().version;
         assert!(
             version >= replica.applied_version,
-            "replica {index} goes back from {} to {version}",
+            "replica {index} regresses from version {} to {version}",
             replica.applied_version
         );
         replica.register = Some(register);
     }
 
-    /// Ends a replica at once; the first `written` of its pending writes have reached the disk.
+    /// Stops a replica abruptly; the first `written` of its pending writes reach the disk.
     pub fn crash(&mut self, index: usize, written: usize) {
         let replica = &mut self.replicas[index];
         replica.register = None;
@@ -133,7 +133,7 @@
         self.with_register_boxed(index, Box::new(action));
     }
 
-    /// Boxed, as effects lead to further calls.
+    /// Boxed, since effects lead to recursive calls.
     fn with_register_boxed(&mut self, index: usize, action: Action<'_>) {
         let mut effects = Vec::new();
         if let Some(register) = &mut self.replicas[index].register {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// A change that is answered as accepted is on more than half of the disks.
+    /// Asserts that an accepted change is on more than half of the disks.
     fn complete(&mut self, outcome: Outcome) {
         if let Outcome::Accepted { version } = outcome {
             let has_accepted = |replica: &&TestReplica| {
@@ -181,7 +181,8 @@
         self.outcomes.push(outcome);
     }
 
-    /// No two documents have one version, no replica goes back, and each applies what its disk has.
+    /// Asserts that a version has one document, that no replica applies an older version, and that each
+    /// applies only what is on its disk.
     fn commit(&mut self, index: usize, document: &Document) {
         let (version, digest) = (document.version, document.digest());
         let known = *self.digests.entry(version).or_insert(digest);
@@ -189,17 +190,18 @@
         let replica = &mut self.replicas[index];
         assert!(
             version > replica.applied_version,
-            "replica {index} goes back from {} to {version}",
+            "replica {index} regresses from version {} to {version}",
             replica.applied_version
         );
         assert_eq!(
             *replica.disk.committed, *document,
-            "replica {index} applies what its disk has not"
+            "replica {index} applies a document that is not on its disk"
         );
         replica.applied_version = version;
     }
 
-    /// The document may arrive truncated; then it is fetched again when it is announced again.
+    /// Fetches a document from another replica, at times truncated; it is then fetched again when it is
+    /// announced again.
     fn fetch(&mut self, index: usize, id: DocumentId) {
         let registers = self
             .replicas
@@ -217,7 +219,7 @@
         });
     }
 
-    /// Proposes a change of what the replica has committed.
+    /// Proposes a change of the document that the replica has committed.
     pub fn propose(&mut self, index: usize, text: &str) {
         self.with_register(index, |register, now, effects| {
             let based_on = register.committed().version;
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Ends the oldest pending write of a replica.
+    /// Completes the oldest pending write of a replica.
     pub fn write(&mut self, index: usize, succeeded: bool) {
         if self.replicas[index].writes.is_empty() {
             return;
@@ -263,7 +265,7 @@
         });
     }
 
-    /// Runs all replicas without faults for a time.
+    /// Starts the stopped replicas and runs all for `ms` milliseconds without faults.
     pub fn run_without_faults(&mut self, ms: u64) {
         for index in 0..self.replicas.len() {
             if self.replicas[index].register.is_none() {
@@ -282,7 +284,7 @@
         }
     }
 
-    /// One random step, faults included.
+    /// Performs one random step, which may be a fault.
     pub fn step(&mut self, rng: &mut Pcg, serial: u64) {
         let mut below = |limit: usize| (rng.unit() * limit as f64) as usize;
         let (index, messages) = (below(self.replicas.len()), self.network.len());
@@ -314,11 +316,11 @@
         }
     }
 
-    /// The document that a running replica applies.
+    /// Returns the document that a running replica applies.
     ///
     /// # Panics
     ///
-    /// If the replica does not run.
+    /// Panics if the replica does not run.
     pub fn committed(&self, index: usize) -> &Rc<Document> {
         self.register(index).committed()
     }
--- a/crates/cluster/src/register/tests.rs
+++ b/crates/cluster/src/register/tests.rs
@@ -1,6 +1,6 @@
 //! Replicas under random schedules and under all small ones.
 //!
-//! What is checked is what disks have and what was answered, not what a replica believes.
+//! The checks compare persisted states and reported outcomes, not the internal state of a replica.
 use super::test_replicas::{Delivery, Disks, TestReplicas};
 use super::*;
 use std::collections::HashSet;
@@ -8,8 +8,9 @@
 use std::hash::{Hash, Hasher};
 use test_case::test_case;
 
-/// Loss, repeats, any order, failed writes, crashes in the middle of writes and concurrent proposals; then no faults: the
-/// replicas come to one document that is no older than any that was accepted. Returns how many changes were accepted.
+/// Runs replicas under loss, duplicates, reordering, failed writes, crashes during writes and concurrent
+/// proposals, then without faults. Asserts that a majority applies one document that is no older than any
+/// accepted one. Returns the number of accepted changes.
 fn run_random_schedule(seed: u64, replica_count: usize, steps: u64) -> usize {
     let mut replicas = TestReplicas::new(replica_count, seed, Disks::Deferred);
     let mut rng = Pcg::new(seed);
@@ -17,7 +18,7 @@
         replicas.step(&mut rng, seed.wrapping_add(serial));
     }
 
-    // A change after the faults reaches all replicas; what went before is settled by it.
+    // A change after the faults determines which of the earlier ones are chosen.
     replicas.run_without_faults(15_000);
     replicas.propose(0, "the last");
     replicas.run_without_faults(15_000);
@@ -57,11 +58,11 @@
         .map(|seed| run_random_schedule(seed, replica_count_of(seed), 1_500))
         .sum();
 
-    // Replicas that accept nothing would violate nothing either.
+    // Without accepted changes the checks would be vacuous.
     assert!(accepted > 600, "{accepted} changes were accepted");
 }
 
-/// `cargo test -p rosewall-cluster --release -- --ignored ten_thousand`
+/// Run with `cargo test -p rosewall-cluster --release -- --ignored ten_thousand`.
 #[test]
 #[ignore = "takes minutes: run by the command above after changes to the register"]
 fn ten_thousand_random_schedules_violate_nothing() {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Identifies a state of all replicas and the network; the order of messages in the network does not matter.
+/// Returns a hash of the state of all replicas and the network, regardless of the order of messages.
 fn state_hash(replicas: &TestReplicas, crashes: usize) -> u64 {
     let mut hasher = DefaultHasher::new();
     let mut messages: Vec<u64> = replicas
@@ -92,8 +93,9 @@
     hasher.finish()
 }
 
-/// Explores every order of messages, each of which may be lost, with up to `crashes` crashes of any replica at any moment:
-/// three replicas, two of which propose at once. Returns how many states there are.
+/// Explores every order of messages with up to `crashes` crashes of any replica at any time, for three
+/// replicas of which two propose concurrently. A message that is never delivered counts as lost. Returns the
+/// number of distinct states.
 fn explore_all_schedules(crashes: usize) -> usize {
     let mut initial = TestReplicas::new(3, 1, Disks::Immediate);
     initial.propose(0, "a");
@@ -121,7 +123,7 @@
             open.push((next, crashes - 1));
         }
     }
-    // Of two changes that are based on one version, at most one is accepted.
+    // At most one of two changes that are based on the same version is accepted.
     assert_eq!(both_accepted, 0, "states in which both were accepted");
     seen.len()
 }
@@ -259,7 +261,7 @@
     use super::*;
     use rosewall::mutation::{REGISTER, activate};
 
-    fn is_found(mutation: Mutation) -> bool {
+    fn is_detected(mutation: Mutation) -> bool {
         activate(Some(mutation));
         let result = std::panic::catch_unwind(|| {
             explore_all_schedules(1);
@@ -276,8 +278,8 @@
         let missed: Vec<Mutation> = REGISTER
             .iter()
             .copied()
-            .filter(|mutation| !is_found(*mutation))
+            .filter(|mutation| !is_detected(*mutation))
             .collect();
-        assert!(missed.is_empty(), "not found: {missed:?}");
+        assert!(missed.is_empty(), "not detected: {missed:?}");
     }
 }
--- a/crates/cluster/src/simulated/member.rs
+++ b/crates/cluster/src/simulated/member.rs
@@ -4,44 +4,44 @@
 use rosewall::types::{FleetPosition, Nanos, WorkerId};
 use std::net::SocketAddr;
 
-/// How many datagrams the socket buffer of a paused member holds.
+/// The capacity of the socket buffer of a paused member, in datagrams.
 const SOCKET_BUFFER_DATAGRAMS: usize = 200;
 
-/// What the decisions of a member were notified of, or what was logged.
+/// A notification to the dispatch decisions of a member, or a logged error.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observed {
-    /// The fleet view changed.
+    /// A change of the fleet view.
     FleetView(Option<FleetPosition>),
-    /// A warm-up grant.
+    /// An accepted warm-up grant.
     WarmUpGranted {
         /// The warming worker.
         worker: WorkerId,
-        /// The granted work.
+        /// The granted work, in ns of one concurrency slot.
         work: Nanos,
-        /// When the grant expires, on the member's clock.
+        /// The time on the member's clock at which the grant expires.
         until: Nanos,
     },
-    /// A line of the log that reports an error.
+    /// A log line with an error.
     Error(String),
 }
 
 /// One running member.
 pub struct SimulatedMember {
-    /// Its state machine.
+    /// The state machine under test.
     pub cluster: Cluster,
     pub(super) config: ClusterConfig,
-    /// What its clock shows at the start of the simulation.
+    /// The time of its clock at the start of the simulation, in ns.
     clock_offset: f64,
-    /// How fast its clock runs.
+    /// The rate of its clock relative to the virtual clock.
     clock_rate: f64,
     pub(super) paused_until: Option<Nanos>,
-    /// What arrived while it was paused.
+    /// Datagrams that arrived during a pause, with their senders.
     buffered: Vec<(SocketAddr, Vec<u8>)>,
-    /// What was observed, with the virtual time.
+    /// Observations, with their virtual times.
     pub observed: Vec<(Nanos, Observed)>,
-    /// The bytes that it has sent.
+    /// The number of bytes sent since the start.
     pub sent_bytes: u64,
-    /// The datagrams that it has sent.
+    /// The number of datagrams sent since the start.
     pub sent_datagrams: u64,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The time on its own clock.
+    /// Converts a virtual time to the time on this member's clock.
     pub fn local_time(&self, now: Nanos) -> Nanos {
         (self.clock_offset + now as f64 * self.clock_rate) as Nanos
     }
@@ -74,7 +74,7 @@
         self.paused_until.is_some_and(|until| until > now)
     }
 
-    /// Keeps a datagram that arrives during a pause, if the buffer has space.
+    /// Buffers a datagram that arrives during a pause, unless the buffer is full.
     pub(super) fn buffer(&mut self, from: SocketAddr, bytes: Vec<u8>) {
         if self.buffered.len() < SOCKET_BUFFER_DATAGRAMS {
             self.buffered.push((from, bytes));
@@ -110,7 +110,7 @@
         self.observed.push((now, observed));
     }
 
-    /// The virtual time until its next timeout.
+    /// Returns the virtual time until the member's next timeout.
     pub(super) fn wait_until_timeout(&self, now: Nanos) -> Nanos {
         let next_timeout = self.cluster.next_timeout();
         let wait = next_timeout.saturating_sub(self.local_time(now)) as f64 / self.clock_rate;
--- a/crates/cluster/src/simulated/mod.rs
+++ b/crates/cluster/src/simulated/mod.rs
@@ -1,7 +1,7 @@
-//! Many members on one virtual clock, for tests.
+//! Simulation of many members on one virtual clock, for tests.
 //!
-//! Datagrams between them are lost, delayed, duplicated and cut; members have clocks of their own, pause, end and start
-//! again. All of it follows from one seed.
+//! Datagrams can be lost, delayed, duplicated or blocked. Members have clocks of their own, and can
+//! pause, stop and restart. All random choices follow from one seed.
 mod member;
 mod network;
 
@@ -17,11 +17,12 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// How often [`SimulatedCluster::run_until_agreed`] looks whether the members agree.
+/// The interval at which [`SimulatedCluster::run_until_agreed`] checks whether the members agree.
 const AGREEMENT_CHECK_INTERVAL: Nanos = 20 * MILLISECOND;
-/// A member is woken this much after its timeout, to be past it on its own clock.
+/// The delay of a wake-up after a member's timeout, so that the timeout has passed on its own clock.
 const WAKE_MARGIN: Nanos = 1_000;
-/// How much clocks may differ in speed, from the slowest to the fastest.
+/// The difference between the rates of the slowest and the fastest clock: each is within the drift that
+/// leases allow for.
 const CLOCK_RATE_SPREAD: f64 = 0.018;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -34,7 +35,7 @@
     Wake(usize),
 }
 
-/// An event at its time; of two at one time the one that was scheduled first comes first.
+/// An event with its time; events at the same time are ordered by their scheduling.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Scheduled {
     at: Nanos,
@@ -42,13 +43,13 @@
     event: Event,
 }
 
-/// Members on one virtual clock and network.
+/// A cluster of members on one virtual clock and network.
 pub struct SimulatedCluster {
-    /// The virtual time.
+    /// The virtual time since the start of the simulation.
     pub now: Nanos,
-    /// The members by their index; `None` where none runs.
+    /// The members by index; `None` for those that do not run.
     pub members: Vec<Option<SimulatedMember>>,
-    /// What happens to datagrams.
+    /// The simulated network, with its faults.
     pub network: Network,
     queue: BinaryHeap<Reverse<Scheduled>>,
     last_serial: u64,
@@ -56,7 +57,7 @@
 }
 
 impl SimulatedCluster {
-    /// A cluster of up to `count` members, of whom none runs yet.
+    /// Returns a cluster of up to `count` members, none of which runs yet.
     pub fn new(count: usize, seed: u64) -> Self {
         SimulatedCluster {
             now: 0,
@@ -68,12 +69,13 @@
         }
     }
 
-    /// A random number below `limit`.
+    /// Returns a random number below `limit`.
     pub fn random_below(&mut self, limit: u64) -> u64 {
         (self.rng.unit() * limit as f64) as u64
     }
 
-    /// The configuration of the member at `index`; the first `quorum_size` members are the quorum.
+    /// Returns the configuration of the member at `index`; the first `quorum_size` members are the
+    /// quorum.
     pub fn config_of(&self, index: usize, quorum_size: usize) -> ClusterConfig {
         ClusterConfig {
             cluster: "simulated".to_string(),
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Starts a member; its clock is off by up to `skew`, and if that is not 0, by up to one in a hundred in speed.
+    /// Starts a member. Its clock is ahead by up to `skew`; unless that is 0, its rate is off by up to
+    /// half of [`CLOCK_RATE_SPREAD`].
     pub fn start(&mut self, index: usize, config: ClusterConfig, skew: Nanos) {
         let spread = if skew > 0 { CLOCK_RATE_SPREAD } else { 0.0 };
         let offset = 1e18 + self.rng.unit() * skew as f64;
@@ -100,7 +103,7 @@
         self.schedule(self.now, Event::Wake(index));
     }
 
-    /// Starts a member again under its name, with no state left.
+    /// Restarts a member under its name, without its previous state.
     pub fn restart(&mut self, index: usize, skew: Nanos) {
         let config = match &self.members[index] {
             Some(member) => member.config.clone(),
@@ -109,12 +112,12 @@
         self.start(index, config, skew);
     }
 
-    /// Ends a member without a word.
+    /// Stops a member abruptly, without an announcement.
     pub fn kill(&mut self, index: usize) {
         self.members[index] = None;
     }
 
-    /// Ends a member in order.
+    /// Stops a member after it has announced that it leaves.
     pub fn leave(&mut self, index: usize) {
         let mut effects = Vec::new();
         if let Some(member) = &mut self.members[index] {
@@ -124,7 +127,7 @@
         self.members[index] = None;
     }
 
-    /// Stops a member from running until then.
+    /// Pauses a member until the given virtual time.
     pub fn pause(&mut self, index: usize, until: Nanos) {
         if let Some(member) = &mut self.members[index] {
             member.paused_until = Some(until);
@@ -138,28 +141,29 @@
         member.is_some_and(|member| member.is_paused(self.now))
     }
 
-    /// The member at `index`.
+    /// Returns the member at `index`.
     ///
     /// # Panics
     ///
-    /// If none runs there.
+    /// Panics if the member does not run.
     pub fn member(&self, index: usize) -> &SimulatedMember {
         self.members[index].as_ref().expect("the member runs")
     }
 
-    /// The members that run.
+    /// Returns the running members, paused ones included.
     pub fn running_members(&self) -> impl Iterator<Item = &SimulatedMember> {
         self.members.iter().flatten()
     }
 
-    /// The indices of the members that run.
+    /// Returns the indices of the running members.
     pub fn running(&self) -> Vec<usize> {
         (0..self.members.len())
             .filter(|index| self.members[*index].is_some())
             .collect()
     }
 
-    /// Calls a member's cluster with its local time, if it runs and is not paused.
+    /// Calls `action` with a member's cluster and local time, and applies the effects. Does nothing if the
+    /// member is paused or does not run.
     pub fn with_cluster(
         &mut self,
         index: usize,
@@ -176,7 +180,7 @@
         self.apply_effects(index, effects);
     }
 
-    /// Runs until a time.
+    /// Runs the simulation until the given virtual time.
     pub fn run(&mut self, until: Nanos) {
         while let Some(event) = self.next_event(until) {
             match event {
@@ -187,7 +191,7 @@
         self.now = until;
     }
 
-    /// Whether all these members know just each other, each with a rank of its own.
+    /// Whether the views of these members contain exactly these members, each with a distinct rank.
     pub fn agree(&self, indices: &[usize]) -> bool {
         let mut ranks: Vec<u16> = Vec::new();
         for index in indices {
@@ -211,7 +215,8 @@
                 .all(|index| digest(index) == digest(&indices[0]))
     }
 
-    /// Runs until these members agree; returns how long that took, or `None` after the limit.
+    /// Runs until these members agree; returns the time that it took, or `None` if they do not agree
+    /// within the limit.
     pub fn run_until_agreed(&mut self, indices: &[usize], limit: Nanos) -> Option<Nanos> {
         let start = self.now;
         while self.now < start + limit {
@@ -232,7 +237,7 @@
         }));
     }
 
-    /// Takes the next event up to a time, and advances the clock to it.
+    /// Removes and returns the next event up to the given time, and advances the clock to it.
     fn next_event(&mut self, until: Nanos) -> Option<Event> {
         let Reverse(next) = self.queue.peek()?;
         if next.at > until {
@@ -260,7 +265,7 @@
         });
     }
 
-    /// Handles what was buffered during a pause, and what is due.
+    /// Handles the datagrams that were buffered during a pause, and a due timeout.
     fn wake(&mut self, index: usize) {
         if self.is_paused(index) {
             return;
--- a/crates/cluster/src/simulated/network.rs
+++ b/crates/cluster/src/simulated/network.rs
@@ -1,49 +1,49 @@
-//! The network between simulated members.
+//! The simulated network between members, with loss, delays, duplicates, partitions and blocked links.
 use crate::time::MILLISECOND;
 use rosewall::pcg::Pcg;
 use rosewall::types::Nanos;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The number of regions.
+/// The number of regions; the member at an index is in the region `index % REGIONS`.
 const REGIONS: usize = 3;
 
-/// What happens to datagrams on their way.
+/// The properties of a link between members.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
     /// The probability that a datagram is lost.
     pub loss: f64,
     /// The probability that a datagram arrives twice.
     pub duplication: f64,
-    /// The least delay.
+    /// The minimum delay.
     pub delay: Nanos,
-    /// The most that is added to the delay, drawn for each datagram.
+    /// The maximum of the random delay that is added for each datagram.
     pub jitter: Nanos,
 }
 
-/// A member's place in the network.
+/// The index and address of a member.
 #[derive(Clone, Copy, Debug)]
 pub struct Address {
-    /// The member's index.
+    /// The index of the member in the cluster.
     pub index: usize,
-    /// Where it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub addr: SocketAddr,
 }
 
-/// Where the member at `index` receives datagrams.
+/// Returns the address at which the member at `index` receives datagrams.
 pub fn address(index: usize) -> SocketAddr {
     ([10, 0, (index / 250) as u8, (index % 250) as u8 + 1], 7946).into()
 }
 
-/// The network.
+/// The state of the simulated network.
 pub struct Network {
-    /// What happens to all datagrams.
+    /// The properties of all links.
     pub link: Link,
-    /// The delay that is added between two of the three regions; members belong to them in turn.
+    /// The delay that is added between members of different regions.
     pub inter_region_delay: Nanos,
-    /// The partition of each member; datagrams pass only within one.
+    /// The partition of each member; datagrams pass only within a partition.
     pub partition: Vec<u32>,
-    /// Pairs of sender and receiver that are cut.
+    /// Pairs of sender and receiver whose datagrams are dropped.
     pub cut_links: Vec<(usize, usize)>,
     indices: BTreeMap<SocketAddr, usize>,
 }
@@ -67,7 +67,7 @@
         self.indices.get(&addr).copied()
     }
 
-    /// The delays after which copies of a datagram arrive: none if it is lost.
+    /// Returns the delay of each delivered copy of a datagram; none if it is lost.
     pub(super) fn delays(&self, from: &Address, to: SocketAddr, rng: &mut Pcg) -> Vec<Nanos> {
         let Some(to) = self.index_of(to) else {
             return Vec::new();
--- a/crates/cluster/src/simulated/tests.rs
+++ b/crates/cluster/src/simulated/tests.rs
@@ -1,4 +1,4 @@
-//! Many members together, with faults between them.
+//! Clusters of many simulated members, with and without faults.
 use super::*;
 use crate::time::SECOND;
 
@@ -9,7 +9,7 @@
 
 const QUORUM_SIZE: usize = 3;
 
-/// A cluster whose members have all just been started.
+/// Returns a cluster whose members have just been started.
 fn starting(count: usize, seed: u64) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(count, seed);
     for index in 0..count {
@@ -19,7 +19,7 @@
     cluster
 }
 
-/// A cluster whose members agree and have claimed their ranks.
+/// Returns a cluster whose members agree and have claimed their ranks.
 fn started(count: usize, seed: u64) -> SimulatedCluster {
     let mut cluster = starting(count, seed);
     agree_within(&mut cluster, 40 * SECOND);
@@ -27,11 +27,11 @@
     cluster
 }
 
-/// How long it takes until all running members agree; panics after the limit.
+/// Returns the time until all running members agree; panics if they do not within the limit.
 fn agree_within(cluster: &mut SimulatedCluster, limit: Nanos) -> Nanos {
     let running = cluster.running();
     let took = cluster.run_until_agreed(&running, limit);
-    took.expect("the running members never agreed")
+    took.expect("the running members did not agree within the limit")
 }
 
 fn to_ms(duration: Nanos) -> Nanos {
--- a/crates/cluster/src/simulated/tests/grants.rs
+++ b/crates/cluster/src/simulated/tests/grants.rs
@@ -1,3 +1,5 @@
+//! Warm-up grants of many members under loss, delays, pauses, restarts and partitions: the grants used in a
+//! window never exceed the budget.
 use super::*;
 use rosewall::types::WorkerId;
 use std::collections::VecDeque;
@@ -11,10 +13,10 @@
 const COUNT: usize = 8;
 const STEP: Nanos = 20 * MILLISECOND;
 
-/// A grant that a member may still use.
+/// An accepted grant that is not yet used.
 struct UnusedGrant {
     member: usize,
-    /// Which run of the member got it.
+    /// The generation of the member's process that accepted it; a restart loses the grant.
     generation: u32,
     work: Nanos,
     until: Nanos,
@@ -25,19 +27,19 @@
     work: Nanos,
 }
 
-/// The work of the grants that were used.
+/// The work of all used grants.
 pub struct UsedWork {
     pub max_in_a_window: Nanos,
     pub total: Nanos,
 }
 
-/// Members that request grants for one worker as fast as they can, and use each at a random moment of its validity or at its
-/// end, while faults happen.
+/// Members that request grants for one worker in each step, and use each at a random time of its validity or
+/// at its end, while faults are injected.
 struct GrantScenario {
     cluster: SimulatedCluster,
     rng: Pcg,
     skew: Nanos,
-    /// How many observations of each member's current run were looked at.
+    /// The number of observations of each member's current process that were handled.
     observed_counts: [usize; COUNT],
     generations: [u32; COUNT],
     unused: Vec<UnusedGrant>,
@@ -143,7 +145,7 @@
                 let index = self.random_below(8) as usize;
                 self.cluster.kill(index);
             }
-            // Mostly a member of the quorum.
+            // Three of the four candidates are quorum members.
             2 | 3 => {
                 let index = self.random_below(4) as usize;
                 self.restart(index);
@@ -191,7 +193,7 @@
     }
 }
 
-/// What is used in a scenario of this many seconds.
+/// Runs a scenario of this many seconds; returns the work of the used grants.
 pub fn run_scenario(seed: u64, seconds: u64) -> UsedWork {
     let mut scenario = GrantScenario::new(seed);
     while scenario.cluster.now < seconds * SECOND {
@@ -200,7 +202,7 @@
     scenario.used_work()
 }
 
-/// Asserts that no window of the scenario holds more than the budget; returns the work that was used in all.
+/// Asserts that the work used in each window of the scenario is within the budget; returns the total work.
 fn check_scenario(seed: u64) -> Nanos {
     let used = run_scenario(seed, 20);
     assert!(
@@ -216,7 +218,7 @@
 fn the_grants_used_in_a_window_never_exceed_the_budget() {
     let total: Nanos = (0..150).map(check_scenario).sum();
 
-    // With all those faults a good part of the budget is still used.
+    // A considerable part of the budget is used in spite of the faults, so the check is not vacuous.
     assert!(
         total > 150 * 20 * WORK_PER_WINDOW / 8,
         "{} s used",
@@ -224,7 +226,7 @@
     );
 }
 
-/// `cargo test -p rosewall-cluster --release -- --ignored ten_thousand`
+/// Run with `cargo test -p rosewall-cluster --release -- --ignored ten_thousand`.
 #[test]
 #[ignore = "takes minutes: run by the command above after changes to leases or grants"]
 fn the_grants_used_in_a_window_never_exceed_the_budget_in_ten_thousand_scenarios() {
--- a/crates/cluster/src/simulated/tests/membership.rs
+++ b/crates/cluster/src/simulated/tests/membership.rs
@@ -1,3 +1,4 @@
+//! Failure detection, agreement and traffic of many members under kills, loss, pauses and partitions.
 use super::*;
 use crate::cluster::Cluster;
 use test_case::test_case;
@@ -17,13 +18,13 @@
     }
 }
 
-/// Measured with members in three regions.
+/// Measurements of a cluster with members in three regions.
 struct RegionFigures {
-    /// The datagrams of each member in a second while nothing happens.
+    /// The number of datagrams that each member sends per second while no member fails.
     datagrams_per_second: f64,
-    /// How many suspicions were refuted, after one member has died.
+    /// The number of refuted suspicions in the whole run, in which one member is killed at the end.
     refuted: u64,
-    /// How long it took until the others agreed on that.
+    /// The time until the other members agreed after the kill.
     agreed_after: Nanos,
 }
 
@@ -82,8 +83,9 @@
     }
 }
 
-/// How long each member has not known all others.
+/// Tracks for how long each member's view lacks running members.
 struct IncompleteViews {
+    /// The time since which each member's view is incomplete.
     since: Vec<Option<Nanos>>,
     longest: Nanos,
 }
@@ -154,7 +156,7 @@
     let others: Vec<usize> = (0..8).filter(|index| *index != 2).collect();
     cluster
         .run_until_agreed(&others, 4 * SECOND)
-        .expect("the paused member was never dropped");
+        .expect("the paused member was not removed");
 
     cluster.run(cluster.now + 8 * SECOND);
     agree_within(&mut cluster, 4 * SECOND);
@@ -190,7 +192,7 @@
         cluster.run(cluster.now + 8 * SECOND);
         assert!(
             cluster.agree(&minority),
-            "each side is a cluster of its own"
+            "the members of the minority do not agree"
         );
 
         cluster.network.partition.fill(0);
@@ -200,7 +202,7 @@
     }
 }
 
-/// The member receives nothing and is received: others answer it, it sees no answers to its probes.
+/// The member sends but receives nothing: the others answer its probes, but the answers do not arrive.
 #[test]
 fn a_member_that_receives_nothing_is_removed_and_the_others_keep_each_other() {
     let mut cluster = started(8, 4);
@@ -248,7 +250,7 @@
     cluster.run(30 * SECOND);
     assert!(
         cluster.agree(&[0, 1, 2, 3]),
-        "the older one is a member again"
+        "the older process is not a member again"
     );
 }
 
@@ -290,7 +292,7 @@
     assert!(took <= 500 * MILLISECOND, "{} ms", to_ms(took));
 }
 
-/// Otherwise a process that stops would loop for what was due long ago.
+/// Guards against a stopping process that loops on timeouts that are long overdue.
 #[test]
 fn a_member_that_leaves_has_no_timeouts() {
     let mut cluster = started(3, 1);
@@ -304,7 +306,7 @@
     cluster.with_cluster(1, check);
 }
 
-/// Large ones by command: `cargo test -p rosewall-cluster --release -- --ignored`.
+/// Run the large clusters with `cargo test -p rosewall-cluster --release -- --ignored`.
 #[test_case(10; "ten")]
 #[test_case(100; "a hundred")]
 #[test_case(300 => ignore["takes minutes: run by the command above"]; "three hundred")]
--- a/crates/cluster/src/simulated/tests/mutations.rs
+++ b/crates/cluster/src/simulated/tests/mutations.rs
@@ -1,4 +1,4 @@
-//! Each mutation of the cluster is found by a test.
+//! Checks that the tests detect each mutation of the cluster.
 use super::grants::{WORK_PER_WINDOW, run_scenario};
 use super::membership::{
     a_member_suspects_no_one_after_a_pause,
@@ -9,7 +9,7 @@
 use crate::{grants, lease, membership, peer_load};
 use rosewall::mutation::{CLUSTER, Mutation, activate};
 
-/// Runs the tests that are meant to find the mutation.
+/// Runs the tests that must detect the mutation.
 fn run_tests_for(mutation: Mutation) {
     match mutation {
         Mutation::IgnorePause => a_member_suspects_no_one_after_a_pause(),
@@ -38,7 +38,7 @@
     }
 }
 
-fn is_found(mutation: Mutation) -> bool {
+fn is_detected(mutation: Mutation) -> bool {
     activate(Some(mutation));
     let result = std::panic::catch_unwind(|| run_tests_for(mutation));
     activate(None);
@@ -50,7 +50,7 @@
     let missed: Vec<Mutation> = CLUSTER
         .iter()
         .copied()
-        .filter(|mutation| !is_found(*mutation))
+        .filter(|mutation| !is_detected(*mutation))
         .collect();
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    assert!(missed.is_empty(), "not detected: {missed:?}");
 }
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -1,8 +1,8 @@
-//! Locks the cluster's state machines: seeded runs on a lossy network must lead to exactly the datagrams, views, grants and
-//! stored records that they led to when the digests were taken.
+//! Locks the behaviour of the cluster's state machines: seeded runs on a lossy network must give exactly the
+//! datagrams, views, grants and stored states that the digests were computed from.
 //!
-//! Effects enter the digest as bytes and numbers, so renaming a type or rewording a log line cannot change it. A digest may
-//! only change together with an intended change of behaviour, which the commit then states.
+//! Effects enter the digest as bytes and numbers, so a renamed type or reworded log line does not change it.
+//! A digest may change only with an intended change of behaviour, which the commit states.
 use rosewall::pcg::Pcg;
 use rosewall::types::{FleetPosition, Nanos, PeerLoad, WorkerId};
 use rosewall_cluster::cluster::{Cluster, Effect, LogLine};
@@ -65,7 +65,7 @@
     RandomAction,
 }
 
-/// Several members on one virtual clock and a network that loses, doubles and delays datagrams.
+/// Several members on one virtual clock and a network that loses, duplicates, delays and corrupts datagrams.
 struct Members {
     clusters: Vec<Option<Cluster>>,
     quorum: usize,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// One of the things that the decisions, the operators or a crash do to a member.
+    /// Performs a random action on a member: a call of the dispatch decisions, a crash, a leave or a start.
     fn random_action(&mut self) {
         let delay = (5 + below(&mut self.rng, 60)) * MILLISECOND;
         self.push(delay, Event::RandomAction);
@@ -275,7 +275,7 @@
     )
 }
 
-/// Replicas of the register on a network that loses and reorders, with disks that fail and crashes between.
+/// Replicas of the register on a network that loses and reorders messages, with failing disks and restarts.
 struct Replicas {
     registers: Vec<Register>,
     disks: Vec<PersistentState>,
@@ -424,7 +424,8 @@
         }
     }
 
-    /// One step: time passes, a message or a write arrives, a change is handed in, or a replica restarts.
+    /// Performs one random step: advances the time, then delivers a message, completes a write, proposes a
+    /// change, restarts a replica or handles a timeout.
     fn step(&mut self, number: u64) {
         self.now += below(&mut self.rng, 20) * MILLISECOND;
         let at = below(&mut self.rng, self.registers.len() as u64) as usize;
--- a/crates/cluster/tests/stored_register.rs
+++ b/crates/cluster/tests/stored_register.rs
@@ -1,7 +1,7 @@
-//! The record of a replica of the register keeps the form of earlier versions.
+//! Compatibility of the stored state of a register replica with earlier versions.
 use rosewall_cluster::register::PersistentState;
 
-/// As version 0.1 wrote it.
+/// The state as version 0.1 stores it.
 const STORED: &str = concat!(
     r#"{"promised":{"round":4,"by":2},"#,
     r#""accepted":[{"round":3,"by":1},{"version":2,"text":"new"}],"#,
@@ -9,7 +9,7 @@
 );
 
 #[test]
-fn a_record_of_an_earlier_version_is_read_and_written_as_before() {
+fn a_stored_state_of_an_earlier_version_round_trips() {
     let state: PersistentState = serde_json::from_str(STORED).expect("readable");
 
     assert_eq!((state.promised.round, state.promised.replica), (4, 2));
