--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -7,15 +7,15 @@
 mod tests;
 
 /// The most that a wait strains another class, in times to spare: beyond it a class loses no more by longer waits.
-const MAX_STRAIN: f64 = 1.5;
+const MAX_SLACK_USAGE: f64 = 1.5;
 
-/// The strain at which all requests are rejected while starts are in time, and the factor by which late starts lower it.
-const CERTAIN_ADMISSION: f64 = 3.0;
-const STRAIN_SLOPE: f64 = 2.0;
+/// The slack_usage at which all requests are rejected while starts are in time, and the factor by which late starts lower it.
+const ADMISSION_INTERCEPT: f64 = 3.0;
+const ADMISSION_SLOPE: f64 = 2.0;
 const LATE_STARTS_SLOPE: f64 = 3.0;
 
-/// The weight of the latest request in the rejected share, for each unit of rarity: the last seven to twenty count.
-const REJECTED_SHARE_WEIGHT: f64 = 0.05;
+/// The weight of the latest request in the rejected share, for each unit of low_traffic_factor: the last seven to twenty count.
+const REJECTED_FRACTION_WEIGHT: f64 = 0.05;
 
 impl Dispatcher {
     /// Whether a request is sent. Under overload, a request that would spend much of its time to spare waiting is rejected
@@ -29,26 +29,33 @@
             .iter()
             .map(|class| class.weight_per_work(self.settings.weight_basis))
             .fold(0.0, f64::max);
-        let late = self.start_delays.congestion(now, self.rarity).late;
-        let strain = selection.strain
-            + self.rejected_share
-                * self.strain_on_other_classes(class_index, selection.wait, selection.strain);
-        let probability = (CERTAIN_ADMISSION
-            - STRAIN_SLOPE * strain * (1.0 + LATE_STARTS_SLOPE * late))
+        let late_fraction = self
+            .start_delays
+            .congestion(now, self.low_traffic_factor)
+            .late_fraction;
+        let slack_usage = selection.slack_usage
+            + self.rejected_fraction
+                * self.slack_usage_of_other_classes(
+                    class_index,
+                    selection.wait,
+                    selection.slack_usage,
+                );
+        let probability = (ADMISSION_INTERCEPT
+            - ADMISSION_SLOPE * slack_usage * (1.0 + LATE_STARTS_SLOPE * late_fraction))
             .clamp(0.0, 1.0);
         let is_admitted =
             probability >= 1.0 || self.rng.unit() < probability.powf(max_weight / weight);
         if weight >= max_weight {
-            self.rejected_share += REJECTED_SHARE_WEIGHT
-                * self.rarity
-                * (f64::from(!is_admitted) - self.rejected_share);
+            self.rejected_fraction += REJECTED_FRACTION_WEIGHT
+                * self.low_traffic_factor
+                * (f64::from(!is_admitted) - self.rejected_fraction);
         }
         is_admitted
     }
 
     /// How much more a wait strains another class than the one that would add to it, by the other's relative weight.
     /// Without it only the class with the most time to spare is served while queues are long.
-    fn strain_on_other_classes(&self, class_index: usize, wait: f64, strain: f64) -> f64 {
+    fn slack_usage_of_other_classes(&self, class_index: usize, wait: f64, slack_usage: f64) -> f64 {
         let basis = self.settings.weight_basis;
         let weight = self.classes[class_index].weight_per_work(basis);
         self.classes
@@ -57,7 +64,7 @@
             .filter(|(index, other)| *index != class_index && other.request_count > 0.0)
             .map(|(_, other)| {
                 let relative_weight = (other.weight_per_work(basis) / weight).min(1.0);
-                relative_weight * ((wait / other.mean_time_to_spare()).min(MAX_STRAIN) - strain)
+                relative_weight * ((wait / other.mean_slack()).min(MAX_SLACK_USAGE) - slack_usage)
             })
             .fold(0.0, f64::max)
     }
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -1,6 +1,6 @@
 use super::{Dispatcher, Selection};
 use crate::policy::test_support::{
-    MS, arrive, attempt_ended, dispatcher, dispatcher_of, handle, overdue_request, request,
+    MS, attempt_ended, dispatcher, dispatcher_of, handle, overdue_request, request, send_request,
     settings, start_attempt, start_recent_attempts, warm_endpoints,
 };
 use crate::time::SECOND;
@@ -8,29 +8,29 @@
 use test_case::test_case;
 
 /// A worker at which a request would wait for so long, and for such a part of its time to spare.
-fn waiting(wait: f64, strain: f64) -> Selection {
+fn waiting(wait: f64, slack_usage: f64) -> Selection {
     Selection {
         worker: 0,
         wait,
-        strain,
+        slack_usage,
     }
 }
 
 #[test_case(0.5, 2 => true; "time to spare")]
 #[test_case(2.1, 2 => false; "would come late")]
 #[test_case(1.99, 0 => false; "those of low weight go first")]
-fn requests_are_rejected_by_strain_and_weight(strain: f64, class: u8) -> bool {
+fn requests_are_rejected_by_strain_and_weight(slack_usage: f64, class: u8) -> bool {
     let mut d = dispatcher(1);
     let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
-    d.admit(0, key, waiting(0.0, strain))
+    d.admit(0, key, waiting(0.0, slack_usage))
 }
 
 /// Between two rare starts the late ones must not be forgotten, or a jam would persist.
 #[test_case(1.0 => true; "where many are seen")]
 #[test_case(5.0 => false; "where few are")]
-fn late_starts_lose_their_weight_in_two_seconds(rarity: f64) -> bool {
+fn late_starts_lose_their_weight_in_two_seconds(low_traffic_factor: f64) -> bool {
     let mut d = dispatcher(1);
-    d.rarity = rarity;
+    d.low_traffic_factor = low_traffic_factor;
     start_recent_attempts(&mut d, 10_000 * MS, 0.0, 32);
     let key = d.requests.insert(overdue_request(request(1, 2, MS, 0)));
     (0..20).all(|_| d.admit(13_000 * MS, key, waiting(0.0, 0.6)))
@@ -40,10 +40,10 @@
 #[test_case(0, 0.0 => true; "the heaviest are admitted")]
 #[test_case(0, 0.9 => false; "the heaviest are rejected")]
 #[test_case(2, 0.9 => true; "itself the heaviest")]
-fn a_wait_counts_by_what_it_costs_heavier_classes(class: u8, rejected_share: f64) -> bool {
+fn a_wait_counts_by_what_it_costs_heavier_classes(class: u8, rejected_fraction: f64) -> bool {
     let mut d = dispatcher(1);
     (0..5).for_each(|_| d.classes[2].record_request(100e6));
-    d.rejected_share = rejected_share;
+    d.rejected_fraction = rejected_fraction;
     let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
     // A wait of one second: half of its own time to spare, two and a half times theirs.
     d.admit(0, key, waiting(SECOND, 0.5))
@@ -56,7 +56,7 @@
     let mut d = dispatcher_of(300, 0, warm_endpoints(200));
     let sent = |id: &RequestId| {
         let now = (10_000 + Nanos::from(*id) * gap) * MS;
-        let actions = arrive(&mut d, now, request(*id, 2, 100 * MS, now));
+        let actions = send_request(&mut d, now, request(*id, 2, 100 * MS, now));
         matches!(actions[..], [Action::SendAttempt { .. }])
     };
     let sent = (0..16).filter(sent).count();
@@ -83,12 +83,12 @@
 /// How many of 100 requests of a class are admitted that would wait for 0.8 s, while all requests of the highest weight are
 /// rejected.
 fn admitted_of_100(mut d: Dispatcher, class: u8) -> usize {
-    let time_to_spare = if class == 2 { 4e9 } else { 4e8 };
+    let slack = if class == 2 { 4e9 } else { 4e8 };
     let active = overdue_request(request(1, class, MS, 0));
     let key = d.requests.insert(active);
     let kept = |_: &usize| {
-        d.rejected_share = 1.0;
-        d.admit(0, key, waiting(0.8e9, 0.8e9 / time_to_spare))
+        d.rejected_fraction = 1.0;
+        d.admit(0, key, waiting(0.8e9, 0.8e9 / slack))
     };
     (0..100).filter(kept).count()
 }
@@ -122,9 +122,9 @@
         worker.start_delay,
         worker.start_delay_at,
     ) = (2.6, 9.0, 200.0 * 1e6, now);
-    d.unobserved_share = 0.0;
+    d.unobserved_fraction = 0.0;
     start_recent_attempts(&mut d, now, 0.0, late);
-    let actions = arrive(&mut d, now, request(1, 0, 300 * MS, now));
+    let actions = send_request(&mut d, now, request(1, 0, 300 * MS, now));
     matches!(actions[..], [Action::SendAttempt { .. }])
 }
 
@@ -134,7 +134,7 @@
     d.workers[0].service_time_factor = 4.0;
     for id in 1..=20 {
         let now = u64::from(id) * 1_000 * MS;
-        let actions = arrive(&mut d, now, request(id, 0, 300 * MS, now));
+        let actions = send_request(&mut d, now, request(id, 0, 300 * MS, now));
         assert!(
             matches!(actions[..], [Action::SendAttempt { .. }]),
             "{actions:?}"
@@ -146,7 +146,10 @@
             attempt_ended(id, 0, Outcome::Succeeded),
         );
     }
-    assert_eq!(d.start_delays.congestion(21_000 * MS, 1.0).late, 0.0);
+    assert_eq!(
+        d.start_delays.congestion(21_000 * MS, 1.0).late_fraction,
+        0.0
+    );
 }
 
 /// Small requests must not be rejected for waits that only large ones have.
@@ -154,7 +157,7 @@
 #[test_case(100, 5_000 => false; "many times a small time to spare")]
 fn delays_count_relative_to_the_time_to_spare(hint: Nanos, wait: Nanos) -> bool {
     let mut d = dispatcher(1);
-    arrive(
+    send_request(
         &mut d,
         MS,
         Request {
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -71,7 +71,7 @@
             id: AttemptId::new(request_id, attempt_index as u8),
             sent_at: now,
             expected_wait,
-            time_to_spare: active.time_to_spare(now, worker.service_time_factor),
+            slack: active.slack(now, worker.service_time_factor),
             service_time: active.demand.service_time,
         });
         active.push_attempt(Attempt {
@@ -98,7 +98,7 @@
     fn start_overdue_at(&self, now: Nanos, key: usize, selection: Selection) -> Nanos {
         let worker = &self.workers[selection.worker];
         let service_times = if self.settings.reports_starts {
-            self.unobserved_share * (1.0 - decay(1.0, worker.last_response_at, now, SECOND))
+            self.unobserved_fraction * (1.0 - decay(1.0, worker.last_response_at, now, SECOND))
         } else {
             UNREPORTED_SERVICE_TIMES
         };
@@ -203,7 +203,7 @@
         self.start_delays
             .record_end(AttemptId::new(request_id, attempt_index));
         self.on_load_report(now, attempt.worker, report);
-        let reason = self.learn_from_outcome(now, key, &attempt, outcome);
+        let reason = self.apply_outcome(now, key, &attempt, outcome);
         self.report_load(now, attempt.worker, reason, actions);
         if outcome == Outcome::ConnectFailed {
             self.select_subsets(now);
@@ -220,7 +220,7 @@
     }
 
     /// Learns from the end of an attempt, and returns the reason to report the load of its worker.
-    fn learn_from_outcome(
+    fn apply_outcome(
         &mut self,
         now: Nanos,
         key: usize,
@@ -260,7 +260,7 @@
         class.observe_service_time(active.request.hint, service_time);
         let factor =
             (service_time / active.demand.service_time).clamp(MIN_SAMPLE_FACTOR, MAX_SAMPLE_FACTOR);
-        let is_warm = self.warmth(&self.workers[worker_index], now) >= 1.0;
+        let is_warm = self.slow_start_factor(&self.workers[worker_index], now) >= 1.0;
         let worker = &mut self.workers[worker_index];
         let is_slow = factor > SLOW_MULTIPLE * worker.service_time_factor;
         worker.observe_service_time_factor(now, factor, is_warm);
--- a/src/policy/diffeqal.rs
+++ b/src/policy/diffeqal.rs
@@ -87,17 +87,17 @@
     let mut bound = 0.0;
     bounds.clear();
     for (weight, shift) in weights.iter().zip(class_shifts) {
-        let mut left = weight * work_per_weight;
-        while bin < BINS && all_work[bin] - used_of_bin <= left {
+        let mut remaining = weight * work_per_weight;
+        while bin < BINS && all_work[bin] - used_of_bin <= remaining {
             interval_work +=
                 class_work[bin] * (1.0 - used_of_bin / all_work[bin].max(f64::MIN_POSITIVE));
-            left -= all_work[bin] - used_of_bin;
+            remaining -= all_work[bin] - used_of_bin;
             bin += 1;
             used_of_bin = 0.0;
         }
         if bin < BINS {
-            used_of_bin += left;
-            interval_work += class_work[bin] * left / all_work[bin];
+            used_of_bin += remaining;
+            interval_work += class_work[bin] * remaining / all_work[bin];
         }
         bound += (1.0 + shift) * std::mem::take(&mut interval_work);
         bounds.push(bound);
@@ -170,19 +170,22 @@
         shift: f64,
     ) -> f64 {
         let worker = &self.workers[worker_index];
-        let warmth = self.warmth(worker, now);
-        let warm_up_part = if self.settings.uses_warm_up_grants && self.has_fleet_view {
-            warmth
-        } else if warmth < 1.0 {
+        let slow_start_factor = self.slow_start_factor(worker, now);
+        let warm_up_fraction = if self.settings.uses_warm_up_grants && self.has_fleet_view {
+            slow_start_factor
+        } else if slow_start_factor < 1.0 {
             // Who has the turn at a warming worker serves all of its interval meanwhile.
-            warmth * self.warm_up_turn(worker, now).represented_dispatchers
+            slow_start_factor
+                * self
+                    .base_warm_up_allowance(worker, now)
+                    .represented_dispatchers
         } else {
-            warmth
+            slow_start_factor
         };
         let idempotency = self.classes[class_index].settings.idempotency;
         let failures =
             worker.failure_score_for(now, self.mean_failure_score, class_index, idempotency);
-        (1.0 + shift) * worker.size * (1.0 - failures) * warm_up_part
+        (1.0 + shift) * worker.size * (1.0 - failures) * warm_up_fraction
     }
 
     /// The place in the class's subset of the worker whose interval a request falls into. The request is already in the
@@ -193,11 +196,12 @@
         let work = active.demand.work;
         self.recompute_intervals(now, class_index);
         let class = &self.classes[class_index];
-        let position = work_below(&class.histogram, work) / class.histogram.iter().sum::<f64>();
+        let work_fraction =
+            work_below(&class.histogram, work) / class.histogram.iter().sum::<f64>();
         let last = class.interval_bounds.last().copied().unwrap_or(0.0);
         let interval = class
             .interval_bounds
-            .partition_point(|bound| *bound <= position * last);
+            .partition_point(|bound| *bound <= work_fraction * last);
         interval.min(class.subset.len().saturating_sub(1))
     }
 }
--- a/src/policy/diffeqal/tests.rs
+++ b/src/policy/diffeqal/tests.rs
@@ -1,5 +1,5 @@
 use super::{ShiftRatios, compute_interval_bounds, semi_geometric_shifts};
-use crate::policy::test_support::{MS, arrive, dispatcher, only_attempt, request};
+use crate::policy::test_support::{MS, dispatcher, only_attempt, request, send_request};
 use crate::state::{BINS, bin_index};
 use crate::types::Nanos;
 use std::collections::BTreeSet;
@@ -74,7 +74,7 @@
     let worker_for = |hint: Nanos| {
         let mut d = dispatcher(10);
         d.classes[0].histogram[bin_index(1e6)] = 1e6;
-        only_attempt(&arrive(&mut d, MS, request(1, 0, hint * MS, 0))).addr[3]
+        only_attempt(&send_request(&mut d, MS, request(1, 0, hint * MS, 0))).addr[3]
     };
     let workers: BTreeSet<u8> = (0..40).map(|step| worker_for(100 + 5 * step)).collect();
     assert!(workers.len() > 6, "{workers:?}");
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -19,12 +19,12 @@
 /// How long a request waits before it is dispatched again where no worker may take it, as warming workers may soon.
 const REDISPATCH_DELAY: Nanos = 25_000_000;
 
-/// The half-life of the histogram at the least rarity.
+/// The half-life of the histogram at the least low_traffic_factor.
 const HISTOGRAM_HALF_LIFE: f64 = 20.0 * SECOND;
 
 /// The number of requests in the histogram below which it decays more slowly, and the most that its half-life grows by.
 const MIN_HISTOGRAM_REQUESTS: f64 = 150.0;
-const MAX_RARITY: f64 = 3.0;
+const MAX_LOW_TRAFFIC_FACTOR: f64 = 3.0;
 
 /// The decisions of one dispatcher. See [`crate::policy`] for how to call it.
 #[derive(Default)]
@@ -55,7 +55,7 @@
     /// Whether membership has ever reported who runs.
     pub(super) has_fleet_view: bool,
     /// The part of the fleet's requests that other dispatchers send.
-    pub(super) unobserved_share: f64,
+    pub(super) unobserved_fraction: f64,
     /// How many dispatchers use one worker.
     pub(super) dispatchers_per_worker: f64,
 
@@ -63,8 +63,8 @@
     pub(super) histograms_decayed_at: Nanos,
     /// The service-time factor of each worker type.
     pub(super) worker_type_factors: Vec<RunningMean>,
-    /// How much longer estimates are kept as few requests are seen: from 1 to [`MAX_RARITY`].
-    pub(super) rarity: f64,
+    /// How much longer estimates are kept as few requests are seen: from 1 to [`MAX_LOW_TRAFFIC_FACTOR`].
+    pub(super) low_traffic_factor: f64,
     /// The mean work of recent requests of all classes.
     pub(super) mean_work: f64,
     pub(super) start_delays: StartDelays,
@@ -72,7 +72,7 @@
     /// The mean of the slots that others use at a worker, by load reports.
     pub(super) mean_other_slots: f64,
     /// The part of the recent requests of the highest weight that was rejected.
-    pub(super) rejected_share: f64,
+    pub(super) rejected_fraction: f64,
     /// Invalid values in load reports since the last log line about them.
     pub(super) invalid_report_values: u64,
     pub(super) mean_failure_score: f64,
@@ -107,8 +107,8 @@
             exchanges_load: settings.exchanges_load && settings.dispatchers > 1.0,
             dispatchers: settings.dispatchers,
             rank: settings.rank as usize,
-            unobserved_share: 1.0 - 1.0 / settings.dispatchers,
-            rarity: 1.0,
+            unobserved_fraction: 1.0 - 1.0 / settings.dispatchers,
+            low_traffic_factor: 1.0,
             zone_delays: ZoneDelays::new(settings.zone),
             settings,
             ..Dispatcher::default()
@@ -228,14 +228,15 @@
             .iter()
             .map(|class| class.request_count)
             .sum::<f64>();
-        self.rarity = (MIN_HISTOGRAM_REQUESTS / requests).clamp(1.0, MAX_RARITY);
+        self.low_traffic_factor =
+            (MIN_HISTOGRAM_REQUESTS / requests).clamp(1.0, MAX_LOW_TRAFFIC_FACTOR);
         self.mean_work = self
             .classes
             .iter()
             .flat_map(|class| &class.histogram)
             .sum::<f64>()
             / requests;
-        let half_life = HISTOGRAM_HALF_LIFE * self.rarity;
+        let half_life = HISTOGRAM_HALF_LIFE * self.low_traffic_factor;
         let factor = decay(1.0, self.histograms_decayed_at, now, half_life);
         self.histograms_decayed_at = now;
         for class in &mut self.classes {
--- a/src/policy/dispatcher/tests.rs
+++ b/src/policy/dispatcher/tests.rs
@@ -1,5 +1,5 @@
 use crate::policy::test_support::{
-    MS, arrive, dispatcher, dispatcher_of, endpoint, handle, request,
+    MS, dispatcher, dispatcher_of, endpoint, handle, request, send_request,
 };
 use crate::timers::attempt_timer;
 use crate::types::{Action, Endpoint, EndpointState, Event, WorkerId};
@@ -10,7 +10,7 @@
 #[test]
 fn without_workers_a_request_is_rejected_once_it_cannot_be_in_time() {
     let mut d = dispatcher(0);
-    assert!(arrive(&mut d, 0, request(1, 2, 100 * MS, 0)).is_empty());
+    assert!(send_request(&mut d, 0, request(1, 2, 100 * MS, 0)).is_empty());
     let actions = handle(
         &mut d,
         450 * MS,
@@ -45,7 +45,7 @@
         (0..workers).map(listed).collect(),
     );
     let actions: Vec<Action> = (1..40)
-        .flat_map(|n| arrive(&mut d, 0, request(n, 2, 100 * MS, 0)))
+        .flat_map(|n| send_request(&mut d, 0, request(n, 2, 100 * MS, 0)))
         .collect();
     let has_sent = actions
         .iter()
--- a/src/policy/dispatcher/tests/rules.rs
+++ b/src/policy/dispatcher/tests/rules.rs
@@ -227,10 +227,10 @@
             })
             .map(|sent| sent.work)
             .sum();
-        let warmth = 0.2 + 0.8 * (now - started) as f64 / 10e9;
-        let limit = 3.0 * self.max_capacity_per_size * 2.0 * SECOND * warmth * 0.5;
+        let slow_start_factor = 0.2 + 0.8 * (now - started) as f64 / 10e9;
+        let limit = 3.0 * self.max_capacity_per_size * 2.0 * SECOND * slow_start_factor * 0.5;
         assert!(
-            started == 0 || warmth > 1.0 || sent < limit,
+            started == 0 || slow_start_factor > 1.0 || sent < limit,
             "a warming worker overloaded"
         );
     }
--- a/src/policy/endpoint_list/tests.rs
+++ b/src/policy/endpoint_list/tests.rs
@@ -1,6 +1,6 @@
 use super::Dispatcher;
 use crate::policy::test_support::{
-    MS, arrive, dispatcher, endpoint, handle, list_endpoints, request, settings, worker_id,
+    MS, dispatcher, endpoint, handle, list_endpoints, request, send_request, settings, worker_id,
 };
 use crate::timers::{POLL_TIMER, TICK_TIMER};
 use crate::types::{Action, EndpointState, Event, ListScope, Nanos};
@@ -12,7 +12,7 @@
     let mut d = dispatcher(2);
     list_endpoints(&mut d, MS, ListScope::Delta, vec![endpoint(0, state, 0)]);
     for n in 0..20 {
-        let actions = arrive(&mut d, 2 * MS, request(n, 0, 10 * MS, 0));
+        let actions = send_request(&mut d, 2 * MS, request(n, 0, 10 * MS, 0));
         assert!(actions.iter().all(
             |action| !matches!(action, Action::SendAttempt { worker, .. } if *worker == worker_id(0))
         ));
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -9,7 +9,7 @@
 use crate::state::RequestState::{
     self, Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight,
 };
-use crate::state::RequestStep::{self, Fail, Forward, Nothing, Reject};
+use crate::state::RequestStep::{self, Fail, Nothing, Redispatch, Reject};
 use crate::time::SECOND;
 use crate::types::{Action, Nanos, Outcome, RequestId};
 
@@ -60,15 +60,15 @@
         Nothing,
     ),
     transition(IN_FLIGHT, Succeeded, ANY, Completed, Nothing),
-    transition(&[InFlight], NotRun, ANY, Pending, Forward),
-    transition(&[RetryInFlight], NotRun, ANY, PendingMayHaveRun, Forward),
-    transition(&[InFlight], MayHaveRun, &[Idempotent], Pending, Forward),
+    transition(&[InFlight], NotRun, ANY, Pending, Redispatch),
+    transition(&[RetryInFlight], NotRun, ANY, PendingMayHaveRun, Redispatch),
+    transition(&[InFlight], MayHaveRun, &[Idempotent], Pending, Redispatch),
     transition(
         IN_FLIGHT,
         MayHaveRun,
         &[IdempotentWithKey],
         PendingMayHaveRun,
-        Forward,
+        Redispatch,
     ),
     transition(&[InFlight], MayHaveRun, &[NonIdempotent], Completed, Fail),
     transition(&[Pending], GivenUp, ANY, Completed, Reject),
@@ -127,7 +127,7 @@
         active.state = state;
         match step {
             Nothing => {}
-            Forward => return self.dispatch_request(now, key, actions),
+            Redispatch => return self.dispatch_request(now, key, actions),
             Reject => actions.push(Action::Reject {
                 request_id,
                 retry_after: self.settings.max_retry_after.min(RETRY_AFTER) as Nanos,
--- a/src/policy/lifecycle/tests.rs
+++ b/src/policy/lifecycle/tests.rs
@@ -1,5 +1,5 @@
 use super::next;
-use crate::policy::test_support::{MS, arrive, attempt_ended, dispatcher, handle, request};
+use crate::policy::test_support::{MS, attempt_ended, dispatcher, handle, request, send_request};
 use crate::settings::Idempotency::{self, Idempotent, IdempotentWithKey, NonIdempotent};
 use crate::state::RequestState::{Completed, InFlight, Pending, PendingMayHaveRun, RetryInFlight};
 use crate::state::{RequestInput, RequestState, RequestStep};
@@ -7,11 +7,11 @@
 use crate::types::{Action, Event, Outcome};
 use test_case::test_case;
 
-#[test_case(InFlight, RequestInput::NotRun, NonIdempotent => (Pending, RequestStep::Forward); "non-idempotent, proven not run")]
+#[test_case(InFlight, RequestInput::NotRun, NonIdempotent => (Pending, RequestStep::Redispatch); "non-idempotent, proven not run")]
 #[test_case(InFlight, RequestInput::MayHaveRun, NonIdempotent => (Completed, RequestStep::Fail); "non-idempotent, may have run")]
-#[test_case(InFlight, RequestInput::MayHaveRun, Idempotent => (Pending, RequestStep::Forward); "idempotent runs again")]
-#[test_case(InFlight, RequestInput::MayHaveRun, IdempotentWithKey => (PendingMayHaveRun, RequestStep::Forward); "with a key in its scope")]
-#[test_case(RetryInFlight, RequestInput::NotRun, IdempotentWithKey => (PendingMayHaveRun, RequestStep::Forward); "an earlier attempt may still have run")]
+#[test_case(InFlight, RequestInput::MayHaveRun, Idempotent => (Pending, RequestStep::Redispatch); "idempotent runs again")]
+#[test_case(InFlight, RequestInput::MayHaveRun, IdempotentWithKey => (PendingMayHaveRun, RequestStep::Redispatch); "with a key in its scope")]
+#[test_case(RetryInFlight, RequestInput::NotRun, IdempotentWithKey => (PendingMayHaveRun, RequestStep::Redispatch); "an earlier attempt may still have run")]
 #[test_case(Pending, RequestInput::GivenUp, NonIdempotent => (Completed, RequestStep::Reject); "nothing sent may be rejected")]
 #[test_case(PendingMayHaveRun, RequestInput::GivenUp, IdempotentWithKey => (Completed, RequestStep::Fail); "what may have run fails")]
 #[test_case(InFlight, RequestInput::GivenUp, Idempotent => (Completed, RequestStep::Fail); "deadline with an attempt in flight")]
@@ -33,7 +33,7 @@
 #[test_case(2, false => vec!["reject"]; "non-idempotent and pending")]
 fn a_shutdown_brings_deadlines_forward(class: u8, in_flight: bool) -> Vec<&'static str> {
     let mut d = dispatcher(if in_flight { 2 } else { 0 });
-    let attempts = arrive(&mut d, 0, request(1, class, 100 * MS, 0));
+    let attempts = send_request(&mut d, 0, request(1, class, 100 * MS, 0));
     assert_eq!(attempts.len(), usize::from(in_flight));
     let event = if in_flight {
         attempt_ended(1, 0, Outcome::TimedOut)
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -19,7 +19,7 @@
 const OTHER_SLOTS_WEIGHT: f64 = 0.1;
 
 /// The times for which a started request surely runs, in its expected service time.
-const SURELY_RUNNING: std::ops::RangeInclusive<f64> = 0.25..=2.0;
+const KNOWN_RUNNING_AGE: std::ops::RangeInclusive<f64> = 0.25..=2.0;
 
 /// The least part of its age that a request which has outrun its expectation is expected to run on.
 const OVERRUN_REMAINING_PART: f64 = 0.3;
@@ -119,7 +119,7 @@
         worker.other_slots *= if self.exchanges_load {
             0.0
         } else {
-            self.unobserved_share
+            self.unobserved_fraction
         };
         worker.other_slots_at = now;
         self.mean_other_slots += OTHER_SLOTS_WEIGHT * (worker.other_slots - self.mean_other_slots);
@@ -152,7 +152,7 @@
     /// Starts may be reported before the ends that made place for them, and lost requests do not end.
     pub(super) fn observe_slots(&mut self, now: Nanos, completed_key: usize, worker_index: usize) {
         let worker = &self.workers[worker_index];
-        let surely_ran = |key: usize, active: &ActiveRequest, attempt: &Attempt| {
+        let known_to_have_run = |key: usize, active: &ActiveRequest, attempt: &Attempt| {
             let started_at = attempt.started_at.filter(|started_at| {
                 attempt.worker == worker_index
                     && attempt.in_flight
@@ -163,8 +163,8 @@
             };
             let age = (now - started_at) as f64;
             let service_time = active.demand.service_time * worker.service_time_factor;
-            let earliest = SURELY_RUNNING.start() * service_time;
-            let latest = SURELY_RUNNING.end() * service_time;
+            let earliest = KNOWN_RUNNING_AGE.start() * service_time;
+            let latest = KNOWN_RUNNING_AGE.end() * service_time;
             key == completed_key || (earliest..=latest).contains(&age)
         };
         let slots_running = self
@@ -174,7 +174,7 @@
                 active
                     .attempts()
                     .iter()
-                    .any(|attempt| surely_ran(*key, active, attempt))
+                    .any(|attempt| known_to_have_run(*key, active, attempt))
             })
             .map(|(_, active)| f64::from(active.request.slots))
             .sum();
--- a/src/policy/load_report/tests.rs
+++ b/src/policy/load_report/tests.rs
@@ -1,5 +1,5 @@
 use crate::policy::test_support::{
-    MS, arrive, dispatcher, handle, request, start_attempt, succeeded,
+    MS, dispatcher, handle, request, send_request, start_attempt, succeeded,
 };
 use crate::timers::TICK_TIMER;
 use crate::types::{Action, Event, Nanos, Report};
@@ -9,7 +9,7 @@
 fn late_reports_do_not_raise_slots() {
     let mut d = dispatcher(1);
     for id in 0..4 {
-        arrive(&mut d, 0, request(id, 0, 100 * MS, 0));
+        send_request(&mut d, 0, request(id, 0, 100 * MS, 0));
     }
     let report = Report {
         count: 2,
@@ -32,7 +32,7 @@
 ) -> f64 {
     let mut d = dispatcher(1);
     for id in 0..3 {
-        arrive(&mut d, 0, request(id, 0, 100 * MS, 0));
+        send_request(&mut d, 0, request(id, 0, 100 * MS, 0));
     }
     for id in 0..2 {
         start_attempt(&mut d, MS, id);
@@ -71,7 +71,7 @@
     let mut d = dispatcher(2);
     for id in 1..=4 {
         let now = u64::from(id) * 500 * MS;
-        arrive(&mut d, now, request(id, 0, 100 * MS, now));
+        send_request(&mut d, now, request(id, 0, 100 * MS, now));
         start_attempt(&mut d, now, id);
         handle(&mut d, now + 200 * MS, succeeded(id));
     }
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -1,6 +1,7 @@
 use super::{CLASS_FAILURE_HALF_LIFE, Dispatcher, FAILURE_HALF_LIFE};
 use crate::policy::test_support::{
-    MS, arrive, attempt_ended, dispatcher, handle, only_attempt, request, start_attempt, worker_id,
+    MS, attempt_ended, dispatcher, handle, only_attempt, request, send_request, start_attempt,
+    worker_id,
 };
 use crate::settings::Idempotency::Idempotent;
 use crate::time::SECOND;
@@ -12,7 +13,7 @@
 #[test_case(Outcome::WorkerError => (false, 0.5); "the worker may be")]
 fn only_failures_of_the_worker_raise_its_score(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
-    arrive(&mut d, 0, request(1, 0, 100 * MS, 0));
+    send_request(&mut d, 0, request(1, 0, 100 * MS, 0));
     let actions = handle(&mut d, 0, attempt_ended(1, 0, outcome));
     let has_failed = actions == [Action::Fail { request_id: 1 }];
     (has_failed, d.workers[0].failure_score.value)
@@ -22,8 +23,8 @@
 #[test_case(false => (true, 2.0); "nothing starts")]
 fn a_lost_attempt_counts_neither_as_load_nor_as_failure(starts: bool) -> (bool, f64) {
     let mut d = dispatcher(1);
-    arrive(&mut d, MS, request(1, 2, 100 * MS, MS));
-    arrive(&mut d, 50 * MS, request(2, 0, 100 * MS, 50 * MS));
+    send_request(&mut d, MS, request(1, 2, 100 * MS, MS));
+    send_request(&mut d, 50 * MS, request(2, 0, 100 * MS, 50 * MS));
     if starts {
         start_attempt(&mut d, 60 * MS, 2);
     }
@@ -54,7 +55,7 @@
         } else {
             Outcome::Succeeded
         };
-        arrive(&mut d, 0, request(n, class, 100 * MS, 0));
+        send_request(&mut d, 0, request(n, class, 100 * MS, 0));
         start_attempt(&mut d, 0, n);
         let ended = AttemptEnded {
             request_id: n,
@@ -92,7 +93,7 @@
     now: Nanos,
 ) -> bool {
     let mut d = dispatcher(1);
-    d.unobserved_share = 1.0;
+    d.unobserved_fraction = 1.0;
     d.workers[0].last_response_at = last_response_at * MS;
     let now = now.max(1) * MS + 60_000 * MS * u64::from(last_response_at == 0);
     let mut actions = Vec::new();
@@ -114,7 +115,7 @@
     d.workers[0].class_failure_scores[0].raise(0, CLASS_FAILURE_HALF_LIFE, 0.6);
     (1..=20).any(|id| {
         let now = (after + u64::from(id)) * MS;
-        let actions = arrive(&mut d, now, request(id, class, 50 * MS, now));
+        let actions = send_request(&mut d, now, request(id, class, 50 * MS, now));
         let worker = only_attempt(&actions);
         handle(&mut d, now, attempt_ended(id, 0, Outcome::Succeeded));
         worker == worker_id(0)
--- a/src/policy/peer_load.rs
+++ b/src/policy/peer_load.rs
@@ -111,23 +111,23 @@
         };
         let load = worker.load_report(reason);
         let send = |to: u16| Action::SendPeerLoad { to, load };
-        let Some((place, eligible)) = self.eligible_place(worker_index) else {
+        let Some((position, eligible)) = self.eligible_position(worker_index) else {
             return;
         };
         let size = self.subset_size(eligible);
         if self.has_fleet_view {
-            actions.extend(self.ranked_peers(place, eligible, size).map(send));
+            actions.extend(self.ranked_peers(position, eligible, size).map(send));
         } else {
-            actions.extend(self.configured_peers(place, eligible, size).map(send));
+            actions.extend(self.configured_peers(position, eligible, size).map(send));
         }
     }
 
-    /// The place of a worker among those eligible for the first class that it serves, and their number.
-    fn eligible_place(&self, worker_index: usize) -> Option<(usize, usize)> {
+    /// The position of a worker among those eligible for the first class that it serves, and their number.
+    fn eligible_position(&self, worker_index: usize) -> Option<(usize, usize)> {
         self.classes.iter().find_map(|class: &RequestClass| {
             let mut eligible = class.eligible_workers.iter();
-            let place = eligible.position(|worker| *worker == worker_index)?;
-            Some((place, class.eligible_workers.len()))
+            let position = eligible.position(|worker| *worker == worker_index)?;
+            Some((position, class.eligible_workers.len()))
         })
     }
 }
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -1,7 +1,7 @@
 use super::Dispatcher;
 use crate::policy::test_support::{
-    MS, arrive, dispatcher, exchanging_dispatcher, exchanging_dispatcher_of_rank, handle, request,
-    start_attempt, succeeded, worker_id,
+    MS, dispatcher, exchanging_dispatcher, exchanging_dispatcher_of_rank, handle, request,
+    send_request, start_attempt, succeeded, worker_id,
 };
 use crate::types::{Action, Event, Nanos, PeerLoad};
 use test_case::test_case;
@@ -15,7 +15,7 @@
 fn slots_in_use_by_peers_are_not_free(reported: Option<(u8, u16)>, at: Nanos) -> bool {
     let mut d = exchanging_dispatcher(3, 2);
     let send_attempt = |d: &mut Dispatcher, id, now| {
-        let actions = arrive(d, now, request(id, 2, 100 * MS, now));
+        let actions = send_request(d, now, request(id, 2, 100 * MS, now));
         actions.into_iter().find_map(|action| {
             if let Action::SendAttempt { worker, .. } = action {
                 Some(worker)
@@ -70,7 +70,7 @@
     } else {
         dispatcher(1)
     };
-    arrive(&mut d, MS, request(1, 2, 100 * MS, 0));
+    send_request(&mut d, MS, request(1, 2, 100 * MS, 0));
     start_attempt(&mut d, MS, 1);
     d.refresh_worker_loads((age + 1) * MS);
     (d.workers[0].observed_service_time_factor().factor * 100.0).round() as i64
@@ -93,7 +93,7 @@
 #[test_case(1, 20 => Vec::<(u16, u8)>::new(); "no peers")]
 fn loads_are_reported_where_peers_would_be_wrong(dispatchers: u32, end: Nanos) -> Vec<(u16, u8)> {
     let mut d = exchanging_dispatcher(dispatchers, 2);
-    let mut actions = arrive(&mut d, MS, request(1, 2, 100 * MS, 0));
+    let mut actions = send_request(&mut d, MS, request(1, 2, 100 * MS, 0));
     actions.extend(handle(&mut d, end * MS, succeeded(1)));
     sent_loads(&actions)
 }
@@ -102,7 +102,7 @@
 #[test]
 fn loads_are_reported_to_dispatchers_that_use_the_worker() {
     let mut d = exchanging_dispatcher_of_rank(7, 40, 30);
-    let actions = arrive(&mut d, MS, request(1, 2, 100 * MS, 0));
+    let actions = send_request(&mut d, MS, request(1, 2, 100 * MS, 0));
     let at = d.requests[0].attempts()[0].worker;
     let users = (0..40).filter(|rank| {
         *rank != 7
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how much work a warming worker gets.
 //!
 //! A worker that has just started fails when all dispatchers together send it too much within the overload window.
-//! Without warm-up grants the dispatchers take turns at it, by a schedule that follows from the settings and the clock
+//! Without warm-up grants the dispatchers take rotation_size at it, by a schedule that follows from the settings and the clock
 //! alone. With warm-up grants its budget has two parts: one is granted by one issuer at a time to whoever requests it
 //! (`rosewall-cluster`), the other is reserved for two dispatchers by their configured ranks, for when no message
 //! arrives.
@@ -15,14 +15,14 @@
 mod tests;
 
 /// The part of a warming worker's capacity in any window that grants may use.
-const GRANTED_SHARE: f64 = 0.5;
+const GRANTED_FRACTION: f64 = 0.5;
 
 /// The part reserved in total for dispatchers that know others. With the granted share it stays under two thirds, so that
 /// a third is left for those that do not know of the worker's start.
-const RESERVED_SHARE: f64 = 0.15;
+const RESERVED_FRACTION: f64 = 0.15;
 
 /// The part reserved in total for dispatchers that have never had a view of the fleet.
-const RESERVED_SHARE_WITHOUT_VIEW: f64 = 0.45;
+const RESERVED_FRACTION_WITHOUT_VIEW: f64 = 0.45;
 
 /// How many dispatchers divide the reserved share of one worker: each part must be large enough for a request.
 const RESERVING_DISPATCHERS: f64 = 2.0;
@@ -33,22 +33,22 @@
 /// How long after its warm-up a worker's budget is still set to 0.
 const BUDGET_CLEARED_FOR: Nanos = 5_000_000_000;
 
-/// The part of a warming worker's capacity that turns may use. The rest is for dispatchers that do not know of its
+/// The part of a warming worker's capacity that rotation_size may use. The rest is for dispatchers that do not know of its
 /// start and for requests that run longer than expected.
-const TURN_SHARE: f64 = 0.5;
+const SCHEDULED_FRACTION: f64 = 0.5;
 
-/// The number of dispatchers that have a turn at once at a worker that has just started.
-const INITIAL_CONCURRENT_TURNS: f64 = 2.0;
+/// The number of dispatchers that have a rotation_position at once at a worker that has just started.
+const INITIAL_CONCURRENT_SENDERS: f64 = 2.0;
 
-/// The length of a turn in overload windows. The first is a pause, as the turn before may have filled it.
-const WINDOWS_PER_TURN: u64 = 4;
+/// The length of a rotation_position in overload windows. The first is a pause, as the rotation_position before may have filled it.
+const WINDOWS_PER_ROTATION_STEP: u64 = 4;
 
 /// What a dispatcher may send to a warming worker without a grant.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct WarmUpTurn {
+pub(super) struct WarmUpAllowance {
     /// The work in any overload window, in nanoseconds.
     pub(super) allowance: f64,
-    /// The number of dispatchers on whose behalf it sends; 0 where it is not its turn.
+    /// The number of dispatchers on whose behalf it sends; 0 where it is not its rotation_position.
     pub(super) represented_dispatchers: f64,
 }
 
@@ -83,7 +83,7 @@
 
 impl Dispatcher {
     /// The part of its full capacity that a worker has by the settings' slowest warm-up.
-    pub(super) fn warmth(&self, worker: &Worker, now: Nanos) -> f64 {
+    pub(super) fn slow_start_factor(&self, worker: &Worker, now: Nanos) -> f64 {
         if worker.started_at == 0 {
             return 1.0;
         }
@@ -101,7 +101,7 @@
                 .iter()
                 .filter(|worker| worker.state == EndpointState::Ready)
         };
-        let has_warm = ready().any(|worker| self.warmth(worker, now) >= 1.0);
+        let has_warm = ready().any(|worker| self.slow_start_factor(worker, now) >= 1.0);
         // Only own requests count: with their type's factor, workers not yet used would be left idle as they warm up.
         let factor = |worker: &Worker| {
             if worker.factor_samples > 0.0 {
@@ -111,7 +111,7 @@
             }
         };
         let mut capacities: Vec<f64> = ready()
-            .filter(|worker| !has_warm || self.warmth(worker, now) >= 1.0)
+            .filter(|worker| !has_warm || self.slow_start_factor(worker, now) >= 1.0)
             .map(|worker| worker.slots / factor(worker) / worker.size)
             .collect();
         capacities.sort_unstable_by(f64::total_cmp);
@@ -122,45 +122,46 @@
     }
 
     /// This dispatcher's part in what a warming worker gets.
-    pub(super) fn warm_up_turn(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
+    pub(super) fn base_warm_up_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpAllowance {
         if self.settings.uses_warm_up_grants {
             self.reserved_allowance(worker, now)
         } else {
-            self.scheduled_turn(worker, now)
+            self.scheduled_allowance(worker, now)
         }
     }
 
-    /// The turn by the schedule. Dispatchers of neighbouring ranks use different workers, so one in `turns` represents all
-    /// that use this one. More have a turn at once as the worker warms up; the allowance of each stays the same.
-    fn scheduled_turn(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
-        let warmth = self.warmth(worker, now);
+    /// The rotation_position by the schedule. Dispatchers of neighbouring ranks use different workers, so one in `rotation_size` represents all
+    /// that use this one. More have a rotation_position at once as the worker warms up; the allowance of each stays the same.
+    fn scheduled_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpAllowance {
+        let slow_start_factor = self.slow_start_factor(worker, now);
         let window = self.settings.overload_window.max(1.0);
-        let total_allowance = TURN_SHARE
+        let total_allowance = SCHEDULED_FRACTION
             * self.settings.overload_multiple
             * self.capacity_per_size
             * worker.size
-            * warmth
+            * slow_start_factor
             * window;
-        let turns = if self.exchanges_load {
+        let rotation_size = if self.exchanges_load {
             self.dispatchers_per_worker.ceil()
         } else {
             MAX_DISPATCHERS_PER_WORKER
         }
         .min(self.dispatchers);
         let initial = self.settings.slow_start_initial.max(0.01);
-        let concurrent_turns = (INITIAL_CONCURRENT_TURNS * warmth / initial)
+        let concurrent_senders = (INITIAL_CONCURRENT_SENDERS * slow_start_factor / initial)
             .floor()
-            .clamp(1.0, turns);
-        let own_turn = (self.settings.rank * turns / self.dispatchers) as u64;
+            .clamp(1.0, rotation_size);
+        let own_position = (self.settings.rank * rotation_size / self.dispatchers) as u64;
         let offset = schedule_offset(worker.id);
         let window_number = now / window as u64 + offset;
-        let is_pause = window_number.is_multiple_of(WINDOWS_PER_TURN);
-        let turn = (window_number / WINDOWS_PER_TURN + offset + own_turn) % (turns as u64);
-        let has_turn = !is_pause && turn < concurrent_turns as u64;
-        WarmUpTurn {
-            allowance: total_allowance / concurrent_turns,
-            represented_dispatchers: if has_turn {
-                turns / concurrent_turns
+        let is_pause = window_number.is_multiple_of(WINDOWS_PER_ROTATION_STEP);
+        let rotation_position = (window_number / WINDOWS_PER_ROTATION_STEP + offset + own_position)
+            % (rotation_size as u64);
+        let may_send = !is_pause && rotation_position < concurrent_senders as u64;
+        WarmUpAllowance {
+            allowance: total_allowance / concurrent_senders,
+            represented_dispatchers: if may_send {
+                rotation_size / concurrent_senders
             } else {
                 0.0
             },
@@ -168,9 +169,9 @@
     }
 
     /// What this dispatcher may still send to a warming worker now.
-    pub(super) fn warm_up_allowance(&self, worker: &Worker, now: Nanos) -> f64 {
-        let turn = self.warm_up_turn(worker, now);
-        let own = if turn.represented_dispatchers > 0.0 {
+    pub(super) fn remaining_warm_up_allowance(&self, worker: &Worker, now: Nanos) -> f64 {
+        let rotation_position = self.base_warm_up_allowance(worker, now);
+        let own = if rotation_position.represented_dispatchers > 0.0 {
             let window_start = self.overload_window_start(now);
             let sent = worker
                 .recent_work
@@ -178,7 +179,7 @@
                 .filter(|sent| sent.at >= window_start)
                 .map(|sent| sent.work)
                 .sum::<f64>();
-            turn.allowance - sent
+            rotation_position.allowance - sent
         } else {
             0.0
         };
@@ -192,7 +193,7 @@
     /// Counts an attempt against what may be sent to its worker.
     pub(super) fn record_sent_work(&mut self, now: Nanos, worker_index: usize, work: f64) {
         let window_start = self.overload_window_start(now);
-        let is_warming = self.warmth(&self.workers[worker_index], now) < 1.0;
+        let is_warming = self.slow_start_factor(&self.workers[worker_index], now) < 1.0;
         let worker = &mut self.workers[worker_index];
         worker.recent_work.retain(|sent| sent.at >= window_start);
         let work = if is_warming {
@@ -210,9 +211,9 @@
     pub(super) fn add_warm_up_grant(&mut self, worker: WorkerId, work: Nanos, until: Nanos) {
         if let Some(&index) = self.worker_indices.get(&worker) {
             let grants = &mut self.workers[index].warm_up_grants;
-            let place = grants.partition_point(|grant| grant.expires_at <= until);
+            let index = grants.partition_point(|grant| grant.expires_at <= until);
             grants.insert(
-                place,
+                index,
                 WarmUpGrant {
                     expires_at: until,
                     unused_work: work as f64,
@@ -224,17 +225,21 @@
     /// What a warming worker can take from all dispatchers in any window that has begun by now.
     fn warm_up_capacity(&self, worker: &Worker, now: Nanos) -> f64 {
         let window = self.settings.overload_window.max(1.0);
-        let warmth = self.warmth(worker, now.saturating_sub(window as Nanos));
-        self.settings.overload_multiple * self.capacity_per_size * worker.size * warmth * window
+        let slow_start_factor = self.slow_start_factor(worker, now.saturating_sub(window as Nanos));
+        self.settings.overload_multiple
+            * self.capacity_per_size
+            * worker.size
+            * slow_start_factor
+            * window
     }
 
     /// What this dispatcher may send to a warming worker without a grant. The two dispatchers whose configured ranks
     /// follow the worker's offset may, but not in the first window of a process, as its predecessor may have.
-    fn reserved_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpTurn {
+    fn reserved_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpAllowance {
         let share = if self.has_fleet_view {
-            RESERVED_SHARE
+            RESERVED_FRACTION
         } else {
-            RESERVED_SHARE_WITHOUT_VIEW
+            RESERVED_FRACTION_WITHOUT_VIEW
         };
         let dispatchers = self.settings.dispatchers;
         let holders = RESERVING_DISPATCHERS.min(dispatchers);
@@ -242,7 +247,7 @@
             .distance_after(schedule_offset(worker.id))
             .is_some_and(|distance| distance < holders as u64);
         let is_first_window = now < self.started_at + self.settings.overload_window as Nanos;
-        WarmUpTurn {
+        WarmUpAllowance {
             allowance: share * self.warm_up_capacity(worker, now) / holders,
             represented_dispatchers: if is_holder && !is_first_window {
                 dispatchers / holders
@@ -299,11 +304,12 @@
         let window = self.settings.overload_window as Nanos;
         let duration = self.settings.slow_start_duration as Nanos;
         for worker in &self.workers {
-            let is_warming = worker.state == EndpointState::Ready && self.warmth(worker, now) < 1.0;
+            let is_warming =
+                worker.state == EndpointState::Ready && self.slow_start_factor(worker, now) < 1.0;
             let started_recently =
                 worker.started_at > 0 && worker.started_at + duration + BUDGET_CLEARED_FOR > now;
             let work = if is_warming {
-                GRANTED_SHARE * self.warm_up_capacity(worker, now)
+                GRANTED_FRACTION * self.warm_up_capacity(worker, now)
             } else if started_recently {
                 0.0
             } else {
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -1,8 +1,9 @@
 use super::Dispatcher;
 use crate::pcg::Pcg;
 use crate::policy::test_support::{
-    MS, arrive, attempt_ended, dispatcher, dispatcher_of, endpoint, exchanging_dispatcher_of_rank,
-    handle, list_endpoints, request, settings, start_recent_attempts, succeeded, warm_endpoints,
+    MS, attempt_ended, dispatcher, dispatcher_of, endpoint, exchanging_dispatcher_of_rank, handle,
+    list_endpoints, request, send_request, settings, start_recent_attempts, succeeded,
+    warm_endpoints,
 };
 use crate::settings::Idempotency::Idempotent;
 use crate::state::RequestState::InFlight;
@@ -34,7 +35,7 @@
         deadline: 99_000 * MS,
         ..request(n, 0, 300 * MS, at * MS)
     };
-    let posts = (0..20).map(|n| arrive(&mut d, at * MS, one(n)));
+    let posts = (0..20).map(|n| send_request(&mut d, at * MS, one(n)));
     posts
         .flatten()
         .filter(|action| matches!(action, Action::SendAttempt { .. }))
@@ -53,7 +54,7 @@
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
     list_endpoints(&mut d, 2_000 * MS, ListScope::Cached, endpoints);
     start_recent_attempts(&mut d, at * MS, start_delay, 32);
-    !arrive(&mut d, at * MS, request(1, 0, 20 * MS, at * MS)).is_empty()
+    !send_request(&mut d, at * MS, request(1, 0, 20 * MS, at * MS)).is_empty()
         && d.requests
             .iter()
             .any(|(_, active)| active.attempts_sent == 1)
@@ -109,7 +110,7 @@
     dispatchers: u32,
     workers: u8,
     replaced: u8,
-    min_share: f64,
+    min_fraction: f64,
 ) {
     let started = 50_000 * MS;
     let endpoints: Vec<Endpoint> = (0..workers)
@@ -137,14 +138,14 @@
     // What they can do at their coldest: two slots at a fifth of their speed.
     let capacity = 2.0 * 0.2 * 4.0 * f64::from(replaced);
     assert!(
-        total > min_share * capacity,
+        total > min_fraction * capacity,
         "warming workers got {total} s of {capacity} s of work"
     );
     for worker in 0..replaced {
         for from in (0..30).map(|part| started + part * 100 * MS) {
-            let warmth = 0.2 + 0.8 * (from - started) as f64 / 10e9;
+            let slow_start_factor = 0.2 + 0.8 * (from - started) as f64 / 10e9;
             assert!(
-                work_in_second(worker, from) < 3.0 * 2.0 * warmth,
+                work_in_second(worker, from) < 3.0 * 2.0 * slow_start_factor,
                 "warming worker {worker} overloaded"
             );
         }
@@ -161,12 +162,12 @@
         let budget = |d: &mut Dispatcher| {
             d.workers[9].started_at = 1;
             d.update_fleet_estimates(at);
-            d.warm_up_allowance(&d.workers[9], at).max(0.0)
+            d.remaining_warm_up_allowance(&d.workers[9], at).max(0.0)
         };
         let sum = users.iter_mut().map(budget).sum::<f64>();
-        let warmth = 0.2 + 0.8 * at as f64 / 10e9;
+        let slow_start_factor = 0.2 + 0.8 * at as f64 / 10e9;
         assert!(
-            warmth >= 1.0 || sum <= 3.0 * 2.0 * warmth * SECOND,
+            slow_start_factor >= 1.0 || sum <= 3.0 * 2.0 * slow_start_factor * SECOND,
             "{sum} at {at}"
         );
     }
@@ -205,7 +206,7 @@
 #[test_case(50, Some(60) => 0; "to the process before, and completed since")]
 fn work_sent_before_a_start_was_known_counts(sent_at: Nanos, completed: Option<Nanos>) -> usize {
     let mut d = dispatcher(1);
-    arrive(&mut d, sent_at * MS, request(1, 2, 100 * MS, sent_at * MS));
+    send_request(&mut d, sent_at * MS, request(1, 2, 100 * MS, sent_at * MS));
     if let Some(at) = completed {
         handle(&mut d, at * MS, succeeded(1));
     }
@@ -237,12 +238,12 @@
         .iter_mut()
         .for_each(|worker| worker.service_time_factor = 3.0);
     d.update_fleet_estimates(MS);
-    let unobserved_share = d.capacity_per_size;
+    let unobserved_fraction = d.capacity_per_size;
     d.workers
         .iter_mut()
         .for_each(|worker| worker.factor_samples = 1.0);
     d.update_fleet_estimates(MS);
-    assert_eq!((unobserved_share, d.capacity_per_size * 3.0), (1.0, 1.0));
+    assert_eq!((unobserved_fraction, d.capacity_per_size * 3.0), (1.0, 1.0));
 }
 
 #[test_case(Some(100 * MS) => 3; "of a known size")]
@@ -261,7 +262,7 @@
         deadline: 99_000 * MS,
         ..request(n, 0, 0, 2_000 * MS)
     };
-    let posts = (0..20).map(|n| arrive(&mut d, 2_000 * MS, one(n)));
+    let posts = (0..20).map(|n| send_request(&mut d, 2_000 * MS, one(n)));
     posts
         .flatten()
         .filter(|action| matches!(action, Action::SendAttempt { .. }))
--- a/src/policy/slow_start/tests/grants.rs
+++ b/src/policy/slow_start/tests/grants.rs
@@ -1,6 +1,6 @@
 //! Warm-up grants and the shares that are reserved beside them.
 use crate::policy::Dispatcher;
-use crate::policy::slow_start::GRANTED_SHARE;
+use crate::policy::slow_start::GRANTED_FRACTION;
 use crate::policy::test_support::{MS, granting_dispatcher, set_fleet_view, worker_id};
 use crate::types::{Action, Event, Nanos, Request};
 use test_case::test_case;
@@ -30,7 +30,7 @@
                 sum += part / d.warm_up_capacity(worker, now);
             }
         }
-        assert!(sum > 0.0 && sum + GRANTED_SHARE <= limit + 1e-9, "{sum}");
+        assert!(sum > 0.0 && sum + GRANTED_FRACTION <= limit + 1e-9, "{sum}");
     }
 }
 
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,6 +1,6 @@
 //! Subset selection: which workers this dispatcher uses, and which other dispatchers use a worker.
 //!
-//! The eligible workers of a class are divided by id into as many parts as the subset has places, and a dispatcher uses
+//! The eligible workers of a class are divided by id into as many parts as the subset has positions, and a dispatcher uses
 //! one worker of each part. So a worker serves about the same interval of sizes whoever sends to it.
 use super::Dispatcher;
 use crate::types::{FleetPosition, Nanos};
@@ -27,7 +27,7 @@
         let FleetPosition { rank, dispatchers } = position.unwrap_or(configured);
         self.rank = usize::from(rank);
         self.dispatchers = f64::from(dispatchers).max(1.0);
-        self.unobserved_share = 1.0 - 1.0 / self.dispatchers;
+        self.unobserved_fraction = 1.0 - 1.0 / self.dispatchers;
         self.has_fleet_view |= position.is_some();
         self.select_subsets(now);
     }
@@ -106,37 +106,40 @@
     /// alone. An unreachable worker is replaced by the next reachable one that is warm.
     fn ranked_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
         let count = eligible.len();
-        let is_reachable = |place: usize| !self.workers[eligible[place]].is_unreachable(now);
-        let mut places: Vec<usize> = (0..size)
+        let is_reachable = |position: usize| !self.workers[eligible[position]].is_unreachable(now);
+        let mut positions: Vec<usize> = (0..size)
             .map(|part| (part * count + self.rank * size % count) / size)
             .collect();
         for part in 0..size {
-            if is_reachable(places[part]) {
+            if is_reachable(positions[part]) {
                 continue;
             }
             let replacement = (1..count)
-                .map(|step| (places[part] + step) % count)
-                .find(|place| {
-                    is_reachable(*place)
-                        && self.is_warm(now, eligible[*place])
-                        && !places.contains(place)
+                .map(|step| (positions[part] + step) % count)
+                .find(|position| {
+                    is_reachable(*position)
+                        && self.is_warm(now, eligible[*position])
+                        && !positions.contains(position)
                 });
-            places[part] = replacement.unwrap_or(places[part]);
+            positions[part] = replacement.unwrap_or(positions[part]);
         }
-        places.sort_unstable();
-        places.into_iter().map(|place| eligible[place]).collect()
+        positions.sort_unstable();
+        positions
+            .into_iter()
+            .map(|position| eligible[position])
+            .collect()
     }
 
-    /// The ranks of the other dispatchers that use the eligible worker at a place, where dispatchers come and go.
+    /// The ranks of the other dispatchers that use the eligible worker at a position, where dispatchers come and go.
     pub(super) fn ranked_peers(
         &self,
-        place: usize,
+        position: usize,
         eligible: usize,
         size: usize,
     ) -> impl Iterator<Item = u16> {
         let own_rank = self.rank;
         let uses = move |rank: usize| {
-            (rank * size % eligible + eligible - place * size % eligible) % eligible < size
+            (rank * size % eligible + eligible - position * size % eligible) % eligible < size
         };
         (0..self.dispatchers as usize)
             .filter(move |rank| *rank != own_rank && uses(*rank))
@@ -146,19 +149,19 @@
     /// The same by the ranks of the settings: one of each block of dispatchers, as [`Self::configured_worker`] selects.
     pub(super) fn configured_peers(
         &self,
-        place: usize,
+        position: usize,
         eligible: usize,
         size: usize,
     ) -> impl Iterator<Item = u16> {
         let own_rank = self.rank;
         let dispatchers = self.dispatchers as usize;
         let part = (0..size)
-            .rfind(|part| part * eligible / size <= place)
+            .rfind(|part| part * eligible / size <= position)
             .unwrap_or(0);
         let start = part * eligible / size;
         let count = (part + 1) * eligible / size - start;
         let in_block = move |block: usize| {
-            block * count + (place - start + count - part * block % count) % count
+            block * count + (position - start + count - part * block % count) % count
         };
         (0..=dispatchers / count)
             .map(in_block)
@@ -167,6 +170,6 @@
     }
 
     fn is_warm(&self, now: Nanos, worker: usize) -> bool {
-        self.warmth(&self.workers[worker], now) >= 1.0
+        self.slow_start_factor(&self.workers[worker], now) >= 1.0
     }
 }
--- a/src/policy/subset/tests.rs
+++ b/src/policy/subset/tests.rs
@@ -109,9 +109,10 @@
     let mut d = granting_dispatcher(13, 4, 10, 0);
     set_fleet_view(&mut d, Some((4, 13)));
     let size = subsets[0].len();
-    for place in 0..10 {
-        let peers: Vec<u16> = d.ranked_peers(place, 10, size).collect();
-        let users = (0..13_u16).filter(|to| *to != 4 && subsets[usize::from(*to)].contains(&place));
+    for position in 0..10 {
+        let peers: Vec<u16> = d.ranked_peers(position, 10, size).collect();
+        let users =
+            (0..13_u16).filter(|to| *to != 4 && subsets[usize::from(*to)].contains(&position));
         assert_eq!(peers, users.collect::<Vec<_>>());
     }
 }
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -88,7 +88,7 @@
 }
 
 /// A request arrives.
-pub(crate) fn arrive(d: &mut Dispatcher, now: Nanos, request: Request) -> Vec<Action> {
+pub(crate) fn send_request(d: &mut Dispatcher, now: Nanos, request: Request) -> Vec<Action> {
     handle(d, now, Event::RequestArrived(request))
 }
 
@@ -125,17 +125,17 @@
     let wait = 2.0 * SECOND;
     for request in 0..32 {
         let id = AttemptId::new(1_000_000 + request, 0);
-        let time_to_spare = if request >= 32 - late {
+        let slack = if request >= 32 - late {
             0.5 * wait
         } else {
             1.25 * wait
         };
-        let expected_wait = wait - delay * time_to_spare;
+        let expected_wait = wait - delay * slack;
         d.start_delays.record_sent(SentAttempt {
             id,
             sent_at: now - wait as Nanos,
             expected_wait,
-            time_to_spare,
+            slack,
             service_time: 0.0,
         });
         d.start_delays.record_start(id, now);
--- a/src/policy/worker_selection.rs
+++ b/src/policy/worker_selection.rs
@@ -18,7 +18,7 @@
 const SUBSET_DISTANCE_COST: f64 = 1.6;
 
 /// The part of the time to spare below which a wait is within the error of the estimates.
-const NEGLIGIBLE_STRAIN: f64 = 0.05;
+const NEGLIGIBLE_SLACK_USAGE: f64 = 0.05;
 
 /// The failure score from which on a worker is not taken without comparing costs.
 const MAX_FAILURE_SCORE: f64 = 0.25;
@@ -34,7 +34,7 @@
     /// The expected wait there, in nanoseconds.
     pub(super) wait: f64,
     /// The wait as a part of the request's time to spare.
-    pub(super) strain: f64,
+    pub(super) slack_usage: f64,
 }
 
 /// What a request can expect of a worker.
@@ -42,11 +42,11 @@
     /// The failure score that counts for the request.
     failures: f64,
     /// How long the request may wait there, 1 ns at least.
-    time_to_spare: f64,
+    slack: f64,
     /// The expected wait, in nanoseconds.
     wait: f64,
     /// The wait and the network delay as a part of the time to spare.
-    strain: f64,
+    slack_usage: f64,
 }
 
 /// What is the same for all workers that are considered for a request.
@@ -61,9 +61,9 @@
     mean_work: f64,
     /// The fleet's delay of starts in times to spare, as far as other dispatchers cause it.
     fleet_delay: f64,
-    late_starts: f64,
-    /// The cost of each place between a worker and the request's interval.
-    cost_per_place: f64,
+    late_fraction: f64,
+    /// The cost of each position between a worker and the request's interval.
+    cost_per_position: f64,
 }
 
 impl SelectionContext<'_> {
@@ -83,18 +83,18 @@
     }
 }
 
-/// The places of a subset by their distance from one of them: itself, then the next above and below by turns.
-fn places_outward(from: usize, count: usize) -> impl Iterator<Item = (usize, usize)> {
+/// The positions of a subset by their distance from one of them: itself, then the next above and below by turns.
+fn positions_by_distance(from: usize, count: usize) -> impl Iterator<Item = (usize, usize)> {
     (0..2 * count).filter_map(move |step| {
         let distance = step.div_ceil(2);
-        let place = if step % 2 == 1 {
+        let position = if step % 2 == 1 {
             from.checked_add(distance)
         } else {
             from.checked_sub(distance)
         };
-        place
-            .filter(|place| *place < count)
-            .map(|place| (place, distance))
+        position
+            .filter(|position| *position < count)
+            .map(|position| (position, distance))
     })
 }
 
@@ -111,8 +111,8 @@
         let mut missing_grant_for = None;
         let mut least_cost = f64::INFINITY;
         let mut selected = None;
-        for (place, distance) in places_outward(interval, context.workers.len()) {
-            let index = context.workers[place];
+        for (position, distance) in positions_by_distance(interval, context.workers.len()) {
+            let index = context.workers[position];
             if context.forbids_worker(&self.workers, index) {
                 continue;
             }
@@ -123,21 +123,21 @@
                 continue;
             }
             let estimate = self.estimate(&context, index);
-            let select = |strain| {
+            let select = |slack_usage| {
                 Some(Selection {
                     worker: index,
                     wait: estimate.wait,
-                    strain,
+                    slack_usage,
                 })
             };
             if self.is_suitable(&context, index, &estimate) {
-                selected = select(estimate.wait / estimate.time_to_spare);
+                selected = select(estimate.wait / estimate.slack);
                 break;
             }
             let cost = self.cost(&context, index, distance, &estimate);
             if cost < least_cost {
                 least_cost = cost;
-                selected = select(self.admission_strain(&context, index, estimate.wait));
+                selected = select(self.admission_slack_usage(&context, index, estimate.wait));
             }
         }
         self.missing_grant_for = missing_grant_for;
@@ -156,13 +156,16 @@
         } else {
             &class.subset
         };
-        let Congestion { delay, late } = self.start_delays.congestion(now, self.rarity);
-        let fleet_delay = self.unobserved_share * delay;
+        let Congestion {
+            delay,
+            late_fraction,
+        } = self.start_delays.congestion(now, self.low_traffic_factor);
+        let fleet_delay = self.unobserved_fraction * delay;
         // The more dispatchers use a worker the less is known of it, and the more a request keeps to its interval.
         let uncertainty = ((self.dispatchers_per_worker - MIN_DISPATCHERS_PER_WORKER)
             / (MAX_DISPATCHERS_PER_WORKER - MIN_DISPATCHERS_PER_WORKER))
             .clamp(0.0, 1.0);
-        let cost_per_place =
+        let cost_per_position =
             SUBSET_DISTANCE_COST * uncertainty * fleet_delay / workers.len().max(1) as f64;
         SelectionContext {
             now,
@@ -172,23 +175,23 @@
             bound_to,
             mean_work: class.mean_work(),
             fleet_delay,
-            late_starts: late,
-            cost_per_place: if bound_to.is_some() {
+            late_fraction,
+            cost_per_position: if bound_to.is_some() {
                 0.0
             } else {
-                cost_per_place
+                cost_per_position
             },
         }
     }
 
     fn exceeds_warm_up_allowance(&self, context: &SelectionContext, index: usize) -> bool {
         let worker = &self.workers[index];
-        self.warmth(worker, context.now) < 1.0
-            && self.warm_up_allowance(worker, context.now) < context.active.warm_up_work
+        self.slow_start_factor(worker, context.now) < 1.0
+            && self.remaining_warm_up_allowance(worker, context.now) < context.active.warm_up_work
             && !is_active(Mutation::IgnoreSlowStart)
     }
 
-    /// Whether this dispatcher's part of a worker's slots, less what peers use, has place for the request. A larger
+    /// Whether this dispatcher's part of a worker's slots, less what peers use, has position for the request. A larger
     /// request may have all of the part.
     fn has_free_slot(&self, context: &SelectionContext, index: usize) -> bool {
         let worker = &self.workers[index];
@@ -197,9 +200,10 @@
         } else {
             self.dispatchers
         };
-        let part = (worker.slots.round() / sharing).max(1.0);
+        let quota = (worker.slots.round() / sharing).max(1.0);
         let slots_required = context.active.demand.slots_required;
-        worker.slots_in_use + worker.peer_load(context.now).slots + slots_required.min(part) <= part
+        worker.slots_in_use + worker.peer_load(context.now).slots + slots_required.min(quota)
+            <= quota
     }
 
     /// What a request can expect of a worker.
@@ -207,10 +211,10 @@
         let active = context.active;
         let worker = &self.workers[index];
         let class_index = usize::from(active.request.class);
-        let time_to_spare = active
-            .time_to_spare(context.now, worker.service_time_factor)
+        let slack = active
+            .slack(context.now, worker.service_time_factor)
             .max(1.0);
-        let fleet = self.fleet_means(context, index, time_to_spare);
+        let fleet = self.fleet_means(context, index, slack);
         let wait = worker.expected_wait(context.now, active.demand.slots_required, fleet);
         Estimate {
             failures: worker.failure_score_for(
@@ -219,20 +223,20 @@
                 class_index,
                 active.idempotency,
             ),
-            time_to_spare,
+            slack,
             wait,
-            strain: wait / time_to_spare + self.zone_delays.part(worker.zone, time_to_spare),
+            slack_usage: wait / slack + self.zone_delays.slack_usage(worker.zone, slack),
         }
     }
 
     /// Whether a request can start about at once, at a worker that is no outlier.
     fn is_suitable(&self, context: &SelectionContext, index: usize, estimate: &Estimate) -> bool {
         estimate.failures < MAX_FAILURE_SCORE
-            && estimate.strain < NEGLIGIBLE_STRAIN
+            && estimate.slack_usage < NEGLIGIBLE_SLACK_USAGE
             && self.has_free_slot(context, index)
     }
 
-    /// The cost of a worker that is not suitable, `distance` places away from the request's interval.
+    /// The cost of a worker that is not suitable, `distance` positions away from the request's interval.
     fn cost(
         &self,
         context: &SelectionContext,
@@ -248,35 +252,34 @@
             .any(|attempt| attempt.worker == index);
         // Own attempts count once more than in the wait, as other dispatchers see and do the same.
         let own_load =
-            (worker.remaining_work / estimate.time_to_spare + worker.slots_in_use) / worker.slots;
-        let distance_cost = context.cost_per_place * distance as f64;
-        estimate.strain + own_load + estimate.failures + f64::from(has_failed_there) + distance_cost
+            (worker.remaining_work / estimate.slack + worker.slots_in_use) / worker.slots;
+        let distance_cost = context.cost_per_position * distance as f64;
+        estimate.slack_usage
+            + own_load
+            + estimate.failures
+            + f64::from(has_failed_there)
+            + distance_cost
     }
 
-    /// The strain for admission at a worker that is not suitable. That a worker is slow is no overload: it counts only as
+    /// The slack_usage for admission at a worker that is not suitable. That a worker is slow is no overload: it counts only as
     /// far as starts are late.
-    fn admission_strain(&self, context: &SelectionContext, index: usize, wait: f64) -> f64 {
-        let lateness = (LATE_FACTOR_SLOPE * context.late_starts).min(1.0);
+    fn admission_slack_usage(&self, context: &SelectionContext, index: usize, wait: f64) -> f64 {
+        let lateness = (LATE_FACTOR_SLOPE * context.late_fraction).min(1.0);
         let factor = 1.0 + (self.workers[index].service_time_factor - 1.0) * lateness;
-        wait / context.active.time_to_spare(context.now, factor).max(1.0)
+        wait / context.active.slack(context.now, factor).max(1.0)
     }
 
     /// The means of the fleet for a worker. A warming worker is not as busy as the rest, as its load is limited.
-    fn fleet_means(
-        &self,
-        context: &SelectionContext,
-        index: usize,
-        time_to_spare: f64,
-    ) -> FleetMeans {
+    fn fleet_means(&self, context: &SelectionContext, index: usize, slack: f64) -> FleetMeans {
         let means = FleetMeans {
             work: context.mean_work,
             ..FleetMeans::default()
         };
-        if self.warmth(&self.workers[index], context.now) < 1.0 {
+        if self.slow_start_factor(&self.workers[index], context.now) < 1.0 {
             return means;
         }
         FleetMeans {
-            start_delay: context.fleet_delay * time_to_spare,
+            start_delay: context.fleet_delay * slack,
             other_slots: self.mean_other_slots,
             ..means
         }
--- a/src/policy/worker_selection/tests.rs
+++ b/src/policy/worker_selection/tests.rs
@@ -1,7 +1,7 @@
 use super::Dispatcher;
 use crate::policy::test_support::{
-    MS, arrive, attempt_ended, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle,
-    only_attempt, request, start_attempt, start_recent_attempts, succeeded, warm_endpoints,
+    MS, attempt_ended, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle, only_attempt,
+    request, send_request, start_attempt, start_recent_attempts, succeeded, warm_endpoints,
 };
 use crate::state::{FleetMeans, Worker, bin_index};
 use crate::time::SECOND;
@@ -36,7 +36,7 @@
 #[test_case(Outcome::ConnectFailed; "unreachable")]
 fn a_worker_that_accepts_nothing_is_passed_over(outcome: Outcome) {
     let mut d = dispatcher(3);
-    let first = only_attempt(&arrive(&mut d, MS, request(1, 0, 100 * MS, MS)));
+    let first = only_attempt(&send_request(&mut d, MS, request(1, 0, 100 * MS, MS)));
 
     let actions = handle(&mut d, 2 * MS, attempt_ended(1, 0, outcome));
 
@@ -47,7 +47,7 @@
 #[test]
 fn a_retry_goes_to_another_worker() {
     let mut d = dispatcher(2);
-    let first = only_attempt(&arrive(&mut d, 0, request(1, 0, 100 * MS, 0)));
+    let first = only_attempt(&send_request(&mut d, 0, request(1, 0, 100 * MS, 0)));
     for worker in &mut d.workers {
         worker.set_start_delay(0, 0.1 * SECOND);
     }
@@ -58,9 +58,9 @@
     assert_ne!(only_attempt(&actions), first);
 }
 
-/// The place in the subset of the worker selected for a request of 10 ms, where the whole fleet waits for three tenths of
+/// The position in the subset of the worker selected for a request of 10 ms, where the whole fleet waits for three tenths of
 /// its time to spare and the last worker for `part` of that.
-fn place_selected_where_all_have_queues(mut d: Dispatcher, part: f64) -> usize {
+fn selected_position(mut d: Dispatcher, part: f64) -> usize {
     let now = 100_000 * MS;
     start_recent_attempts(&mut d, now, 0.3, 0);
     d.classes[0].histogram[bin_index(1e7)] = 1e7;
@@ -69,11 +69,11 @@
     d.classes[2].request_count = 10.0;
     let last = *d.classes[0].subset.last().unwrap();
     // Its latency objective and twice its service time.
-    let time_to_spare = d.classes[0].settings.latency_objective + 10e6;
-    let delay = part * 0.3 * d.unobserved_share * time_to_spare;
+    let slack = d.classes[0].settings.latency_objective + 10e6;
+    let delay = part * 0.3 * d.unobserved_fraction * slack;
     d.workers[last].set_start_delay(now, delay);
 
-    let worker = only_attempt(&arrive(&mut d, now, request(1, 0, 10 * MS, now)));
+    let worker = only_attempt(&send_request(&mut d, now, request(1, 0, 10 * MS, now)));
 
     d.classes[0]
         .subset
@@ -83,17 +83,17 @@
 }
 
 /// Short requests must not queue behind long ones because a worker seems a little less busy.
-#[test_case(0.5 => 0; "half of the fleet's wait is not worth seven places")]
+#[test_case(0.5 => 0; "half of the fleet's wait is not worth seven positions")]
 #[test_case(0.0 => 7; "an idle one is")]
 fn a_short_request_stays_near_its_interval_where_all_have_queues(part: f64) -> usize {
-    place_selected_where_all_have_queues(dispatcher_of_large_fleet(), part)
+    selected_position(dispatcher_of_large_fleet(), part)
 }
 
 /// All dispatchers use the same eight workers.
 #[test_case(4 => 7; "four share each")]
 #[test_case(12 => 0; "twelve share each")]
 fn requests_keep_to_intervals_the_more_the_less_is_known_of_workers(dispatchers: u32) -> usize {
-    place_selected_where_all_have_queues(dispatcher_of(dispatchers, 0, warm_endpoints(8)), 0.5)
+    selected_position(dispatcher_of(dispatchers, 0, warm_endpoints(8)), 0.5)
 }
 
 #[test_case(0, 10 => true; "a short request stays in its zone")]
@@ -105,7 +105,7 @@
     subset[..7].iter().for_each(|at| d.workers[*at].zone = 2);
     d.zone_delays.observe(1, 2e6);
     d.zone_delays.observe(2, 80e6);
-    let actions = arrive(&mut d, now, request(1, class, hint * MS, now));
+    let actions = send_request(&mut d, now, request(1, class, hint * MS, now));
     let worker = only_attempt(&actions);
     d.workers[d.worker_indices[&worker]].zone == 1
 }
@@ -116,10 +116,10 @@
     let at = d.classes[0].subset[0];
     d.classes[0].subset.truncate(1);
     d.workers[at].zone = 2;
-    arrive(&mut d, 0, request(1, 0, 10 * MS, 0));
+    send_request(&mut d, 0, request(1, 0, 10 * MS, 0));
     start_attempt(&mut d, 80 * MS, 1);
     assert_eq!(
-        (d.zone_delays.extra(2), d.zone_delays.extra(1)),
+        (d.zone_delays.extra_delay(2), d.zone_delays.extra_delay(1)),
         (80e6, 0.0)
     );
 }
@@ -139,7 +139,7 @@
     for id in 0..60 {
         let class = if id % 3 == 0 { 2 } else { 0 };
         let now = Nanos::from(id) * 10_000 * MS;
-        let actions = arrive(&mut d, now, request_without_hint(id, class, now));
+        let actions = send_request(&mut d, now, request_without_hint(id, class, now));
         let worker = only_attempt(&actions);
         workers[usize::from(class == 2)].push(worker.addr[3]);
         let end = AttemptEnded {
@@ -167,14 +167,14 @@
         deadline: now + 3_000 * MS,
         ..request_without_hint(1, 2, now)
     };
-    let actions = arrive(&mut d, now, request);
+    let actions = send_request(&mut d, now, request);
     assert!(
         matches!(actions[..], [Action::SendAttempt { .. }]),
         "{actions:?}"
     );
     let active = &d.requests[d.request_keys[&1]];
     assert_eq!(
-        (active.demand.service_time, active.time_to_spare(now, 1.0)),
+        (active.demand.service_time, active.slack(now, 1.0)),
         (750e6, 2_250e6)
     );
 }
@@ -193,7 +193,7 @@
             hint: hint.map(|hint| hint * MS),
             ..request(id, class, 0, now)
         };
-        arrive(&mut d, now, request);
+        send_request(&mut d, now, request);
         let expected = d.requests[d.request_keys[&id]].demand.service_time / MS as f64;
         start_attempt(&mut d, now, id);
         handle(&mut d, now + took * MS, succeeded(id));
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -14,17 +14,17 @@
 /// burst fills all queues within two.
 const DELAY_WEIGHT: f64 = 0.2;
 
-/// The weight of the newest attempt in the part that starts late, for each unit of rarity: seven to twenty count.
+/// The weight of the newest attempt in the part that starts late, for each unit of low_traffic_factor: seven to twenty count.
 const LATE_WEIGHT: f64 = 0.05;
 
 /// The number of attempts that are kept. Others would weigh less than a thousandth.
-const MAX_ATTEMPTS: usize = 32;
+const MAX_OBSERVED_ATTEMPTS: usize = 32;
 
 /// The longest delay that counts, in times to spare: no request is sent that would wait longer.
 const MAX_DELAY: f64 = 1.5;
 
 /// The least time to spare that a delay is measured by, in service times.
-const MIN_TIME_TO_SPARE: f64 = 0.25;
+const MIN_SLACK: f64 = 0.25;
 
 /// One attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -50,7 +50,7 @@
     /// The wait that this dispatcher's own earlier attempts explain.
     pub(crate) expected_wait: f64,
     /// How long it may wait and still meet its latency objective; not above 0 where it cannot at an idle worker.
-    pub(crate) time_to_spare: f64,
+    pub(crate) slack: f64,
     /// How long it is expected to run.
     pub(crate) service_time: f64,
 }
@@ -59,16 +59,13 @@
     /// How much longer than expected it has waited by now, in times to spare.
     fn delay(&self, now: Nanos) -> f64 {
         let delay = (self.age(now) - self.expected_wait).max(0.0);
-        let time_to_spare = self
-            .time_to_spare
-            .max(MIN_TIME_TO_SPARE * self.service_time)
-            .max(1.0);
-        (delay / time_to_spare).min(MAX_DELAY)
+        let slack = self.slack.max(MIN_SLACK * self.service_time).max(1.0);
+        (delay / slack).min(MAX_DELAY)
     }
 
     /// Whether a start now is too late because of its wait. What would be late at an idle worker does not indicate a queue.
     fn is_late(&self, now: Nanos) -> bool {
-        self.time_to_spare > 0.0 && self.age(now) > self.time_to_spare
+        self.slack > 0.0 && self.age(now) > self.slack
     }
 
     fn age(&self, now: Nanos) -> f64 {
@@ -98,7 +95,7 @@
     /// The mean delay of a start, in times to spare.
     pub(crate) delay: f64,
     /// The part of the attempts that start too late.
-    pub(crate) late: f64,
+    pub(crate) late_fraction: f64,
 }
 
 /// The latest attempts, in the order in which they were sent.
@@ -110,7 +107,7 @@
 impl Default for StartDelays {
     fn default() -> Self {
         StartDelays {
-            attempts: VecDeque::with_capacity(MAX_ATTEMPTS),
+            attempts: VecDeque::with_capacity(MAX_OBSERVED_ATTEMPTS),
         }
     }
 }
@@ -118,7 +115,7 @@
 impl StartDelays {
     /// Adds an attempt that was sent.
     pub(crate) fn record_sent(&mut self, sent: SentAttempt) {
-        if self.attempts.len() == MAX_ATTEMPTS {
+        if self.attempts.len() == MAX_OBSERVED_ATTEMPTS {
             self.attempts.pop_front();
         }
         self.attempts
@@ -145,31 +142,32 @@
         }
     }
 
-    /// The estimate as of now. `rarity` is 1 where many attempts are seen and higher where few are: starts then lose their
-    /// weight more slowly, with a half-life of `rarity` seconds, and each attempt counts for more.
-    pub(crate) fn congestion(&self, now: Nanos, rarity: f64) -> Congestion {
-        let late_weight = LATE_WEIGHT * rarity;
+    /// The estimate as of now. `low_traffic_factor` is 1 where many attempts are seen and higher where few are: starts then lose their
+    /// weight more slowly, with a half-life of `low_traffic_factor` seconds, and each attempt counts for more.
+    pub(crate) fn congestion(&self, now: Nanos, low_traffic_factor: f64) -> Congestion {
+        let late_weight = LATE_WEIGHT * low_traffic_factor;
         let mut estimate = Congestion::default();
         for ObservedAttempt { sent, start } in &self.attempts {
             let observed = match start {
                 Some(start) => {
-                    let left = decay(1.0, start.at, now, SECOND * rarity);
+                    let left = decay(1.0, start.at, now, SECOND * low_traffic_factor);
                     Congestion {
                         delay: left * start.delay,
-                        late: left * f64::from(start.is_late),
+                        late_fraction: left * f64::from(start.is_late),
                     }
                 }
                 None => Congestion {
                     delay: sent.delay(now).max(estimate.delay),
-                    late: if sent.is_late(now) {
+                    late_fraction: if sent.is_late(now) {
                         1.0
                     } else {
-                        estimate.late
+                        estimate.late_fraction
                     },
                 },
             };
             estimate.delay += DELAY_WEIGHT * (observed.delay - estimate.delay);
-            estimate.late += late_weight * (observed.late - estimate.late);
+            estimate.late_fraction +=
+                late_weight * (observed.late_fraction - estimate.late_fraction);
         }
         estimate
     }
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -2,7 +2,7 @@
 use test_case::test_case;
 
 const MS: Nanos = 1_000_000;
-const RARITY: f64 = 1.0;
+const LOW_TRAFFIC_FACTOR: f64 = 1.0;
 
 /// Sends attempt `request` at `at` ms: it has 100 ms to spare, of which nothing is expected to be spent.
 fn send(delays: &mut StartDelays, request: RequestId, at: Nanos) -> AttemptId {
@@ -11,7 +11,7 @@
         id,
         sent_at: at * MS,
         expected_wait: 0.0,
-        time_to_spare: 1e8,
+        slack: 1e8,
         service_time: 1e7,
     });
     id
@@ -27,15 +27,18 @@
 fn waiting_attempts_raise_the_estimate_before_any_has_started() {
     let mut delays = StartDelays::default();
     send_all(&mut delays, 0..5, 0);
-    assert_eq!(delays.congestion(0, RARITY), Congestion::default());
-    let soon = delays.congestion(50 * MS, RARITY);
+    assert_eq!(
+        delays.congestion(0, LOW_TRAFFIC_FACTOR),
+        Congestion::default()
+    );
+    let soon = delays.congestion(50 * MS, LOW_TRAFFIC_FACTOR);
     assert!(
-        (0.3..0.4).contains(&soon.delay) && soon.late == 0.0,
+        (0.3..0.4).contains(&soon.delay) && soon.late_fraction == 0.0,
         "{soon:?}"
     );
-    let later = delays.congestion(200 * MS, RARITY);
+    let later = delays.congestion(200 * MS, LOW_TRAFFIC_FACTOR);
     assert!(
-        later.delay > 0.9 && (0.2..0.3).contains(&later.late),
+        later.delay > 0.9 && (0.2..0.3).contains(&later.late_fraction),
         "{later:?}"
     );
 }
@@ -44,9 +47,9 @@
 fn attempts_just_sent_do_not_lower_the_estimate() {
     let mut delays = StartDelays::default();
     send_all(&mut delays, 0..5, 0);
-    let before = delays.congestion(200 * MS, RARITY);
+    let before = delays.congestion(200 * MS, LOW_TRAFFIC_FACTOR);
     send_all(&mut delays, 5..10, 200);
-    assert_eq!(delays.congestion(200 * MS, RARITY), before);
+    assert_eq!(delays.congestion(200 * MS, LOW_TRAFFIC_FACTOR), before);
 }
 
 /// A hung worker is no jam of the whole fleet.
@@ -58,8 +61,11 @@
         let id = send(&mut delays, request, 10);
         delays.record_start(id, 11 * MS);
     }
-    let estimate = delays.congestion(1_000 * MS, RARITY);
-    assert!(estimate.delay < 0.05 && estimate.late < 0.1, "{estimate:?}");
+    let estimate = delays.congestion(1_000 * MS, LOW_TRAFFIC_FACTOR);
+    assert!(
+        estimate.delay < 0.05 && estimate.late_fraction < 0.1,
+        "{estimate:?}"
+    );
 }
 
 /// Some workers at capacity are no jam of the whole fleet.
@@ -67,20 +73,23 @@
 fn attempts_that_end_before_they_start_are_forgotten() {
     let mut delays = StartDelays::default();
     let id = send(&mut delays, 1, 0);
-    assert!(delays.congestion(200 * MS, RARITY).delay > 0.0);
+    assert!(delays.congestion(200 * MS, LOW_TRAFFIC_FACTOR).delay > 0.0);
     delays.record_end(id);
-    assert_eq!(delays.congestion(200 * MS, RARITY), Congestion::default());
+    assert_eq!(
+        delays.congestion(200 * MS, LOW_TRAFFIC_FACTOR),
+        Congestion::default()
+    );
 }
 
 #[test_case(1.0 => true; "where many are seen")]
 #[test_case(3.0 => false; "where few are")]
-fn starts_lose_their_weight_in_two_seconds(rarity: f64) -> bool {
+fn starts_lose_their_weight_in_two_seconds(low_traffic_factor: f64) -> bool {
     let mut delays = StartDelays::default();
     for request in 0..40 {
         let id = send(&mut delays, request, 0);
         delays.record_start(id, 100 * MS);
     }
-    delays.congestion(2_200 * MS, rarity).delay < 0.25
+    delays.congestion(2_200 * MS, low_traffic_factor).delay < 0.25
 }
 
 #[test]
@@ -91,21 +100,24 @@
         id,
         sent_at: 0,
         expected_wait: 0.0,
-        time_to_spare: -1.0,
+        slack: -1.0,
         service_time: 1e8,
     });
     delays.record_start(id, 10 * MS);
-    assert_eq!(delays.congestion(10 * MS, RARITY).late, 0.0);
+    assert_eq!(
+        delays.congestion(10 * MS, LOW_TRAFFIC_FACTOR).late_fraction,
+        0.0
+    );
 }
 
 #[test]
 fn only_the_latest_attempts_are_kept_and_each_counts_once() {
     let mut delays = StartDelays::default();
     send_all(&mut delays, 0..1_000, 0);
-    assert_eq!(delays.attempts.len(), MAX_ATTEMPTS);
+    assert_eq!(delays.attempts.len(), MAX_OBSERVED_ATTEMPTS);
     let id = AttemptId::new(999, 0);
     delays.record_start(id, MS);
-    let before = delays.congestion(MS, RARITY);
+    let before = delays.congestion(MS, LOW_TRAFFIC_FACTOR);
     delays.record_end(id);
-    assert_eq!(delays.congestion(MS, RARITY), before);
+    assert_eq!(delays.congestion(MS, LOW_TRAFFIC_FACTOR), before);
 }
--- a/src/state/class.rs
+++ b/src/state/class.rs
@@ -6,7 +6,7 @@
 
 /// The largest part of its clients' patience that a class is assumed to run for before any of its requests has
 /// completed. The rest is left for queues, so that the first request is sent.
-const MAX_UNKNOWN_SERVICE_SHARE: f64 = 0.25;
+const MAX_UNKNOWN_SERVICE_FRACTION: f64 = 0.25;
 
 /// A weight below which a class counts as one of this weight, so that weights can be divided by.
 const MIN_WEIGHT: f64 = 1e-9;
@@ -78,7 +78,7 @@
             // The latency objective may be close to the deadline, which would leave no time for any queue.
             self.service_times
                 .mean
-                .min(MAX_UNKNOWN_SERVICE_SHARE * time_to_deadline as f64)
+                .min(MAX_UNKNOWN_SERVICE_FRACTION * time_to_deadline as f64)
         };
         let mean = if self.has_hints {
             self.mean_work() / slots
@@ -106,7 +106,7 @@
     }
 
     /// How long a request of mean work may wait and still meet its latency objective.
-    pub(crate) fn mean_time_to_spare(&self) -> f64 {
+    pub(crate) fn mean_slack(&self) -> f64 {
         let stretch = (self.settings.objective_stretch - 1.0).max(0.0);
         (self.settings.latency_objective + stretch * self.mean_work()).max(1.0)
     }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -46,7 +46,7 @@
     /// Nothing.
     Nothing,
     /// The request is dispatched again.
-    Forward,
+    Redispatch,
     /// The client is told that nothing ran.
     Reject,
     /// The client is told that the request failed.
@@ -161,7 +161,7 @@
 
     /// How long it may wait from a moment on and still meet its latency objective, at a worker of this service-time
     /// factor. Negative where it cannot.
-    pub(crate) fn time_to_spare(&self, from: Nanos, service_time_factor: f64) -> f64 {
+    pub(crate) fn slack(&self, from: Nanos, service_time_factor: f64) -> f64 {
         self.objective_deadline.saturating_sub(from) as f64
             - self.demand.service_time * service_time_factor
     }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -18,12 +18,12 @@
 /// The part of the time to spare that is within the error of a worker's estimated queue and counts as nothing.
 const NEGLIGIBLE: f64 = 0.05;
 
-/// The least recent start delays, in nanoseconds, inside the dispatcher's zone and outside it.
+/// The least recent start delays, in nanoseconds, within_zone the dispatcher's zone and cross_zone it.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneDelays {
     own_zone: u16,
-    inside: Option<f64>,
-    outside: Option<f64>,
+    within_zone: Option<f64>,
+    cross_zone: Option<f64>,
 }
 
 impl ZoneDelays {
@@ -37,26 +37,26 @@
     /// Learns from a start at a worker of `zone`, and how much later it was than this dispatcher's own work explains.
     pub(crate) fn observe(&mut self, zone: u16, delay: f64) {
         let estimate = if zone == self.own_zone {
-            &mut self.inside
+            &mut self.within_zone
         } else {
-            &mut self.outside
+            &mut self.cross_zone
         };
         let limit = estimate.map_or(MAX_DELAY, |known| known * RISE);
         *estimate = Some(delay.min(limit));
     }
 
     /// How much longer the network takes to `zone` than to the own zone.
-    pub(crate) fn extra(&self, zone: u16) -> f64 {
+    pub(crate) fn extra_delay(&self, zone: u16) -> f64 {
         if zone == self.own_zone {
             return 0.0;
         }
-        let inside = self.inside.unwrap_or(0.0);
-        let outside = self.outside.unwrap_or(0.0);
-        (outside - inside).max(0.0)
+        let within_zone = self.within_zone.unwrap_or(0.0);
+        let cross_zone = self.cross_zone.unwrap_or(0.0);
+        (cross_zone - within_zone).max(0.0)
     }
 
     /// The part of a request's time to spare that the network takes to `zone`, beyond what is negligible.
-    pub(crate) fn part(&self, zone: u16, time_to_spare: f64) -> f64 {
-        (self.extra(zone) / time_to_spare - NEGLIGIBLE).max(0.0)
+    pub(crate) fn slack_usage(&self, zone: u16, slack: f64) -> f64 {
+        (self.extra_delay(zone) / slack - NEGLIGIBLE).max(0.0)
     }
 }
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -14,8 +14,8 @@
     let mut delays = ZoneDelays::new(1);
     same.iter().for_each(|delay| delays.observe(1, delay * MS));
     other.iter().for_each(|delay| delays.observe(2, delay * MS));
-    assert_eq!(delays.extra(1), 0.0);
-    (delays.extra(2) / MS).round() as i64
+    assert_eq!(delays.extra_delay(1), 0.0);
+    (delays.extra_delay(2) / MS).round() as i64
 }
 
 #[test]
@@ -23,13 +23,13 @@
     let mut delays = ZoneDelays::new(0);
     delays.observe(3, 10.0 * MS);
     (0..30).for_each(|_| delays.observe(3, 40.0 * MS));
-    assert_eq!(delays.extra(3), 40.0 * MS);
+    assert_eq!(delays.extra_delay(3), 40.0 * MS);
 }
 
 #[test_case(2_000.0 => 0; "a long request can bear the delay")]
 #[test_case(100.0 => 750; "a short one cannot")]
-fn part_of_the_time_to_spare(time_to_spare: f64) -> i64 {
+fn part_of_the_time_to_spare(slack: f64) -> i64 {
     let mut delays = ZoneDelays::new(0);
     delays.observe(1, 80.0 * MS);
-    (delays.part(1, time_to_spare * MS) * 1000.0).round() as i64
+    (delays.slack_usage(1, slack * MS) * 1000.0).round() as i64
 }
