--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,8 @@
-//! rosewall decides which worker gets which request. It performs no I/O and reads no clock.
+//! Decision logic of rosewall: selects a worker for each request. Performs no I/O and reads no
+//! clock.
 //!
-//! See [`policy`] for the decisions and how to call them, and [`types`] for their events and actions.
+//! [`policy`] holds the decisions and describes how to call them; [`types`] defines their events
+//! and actions.
 pub mod mutation;
 pub mod pcg;
 pub mod policy;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,7 @@
-//! Admission control: which requests are rejected while the fleet is overloaded.
+//! Admission control: rejects requests while the fleet is overloaded.
+//!
+//! Slack is the time that a request may wait and still meet its latency objective. Slack usage is
+//! the expected wait as a fraction of the slack.
 use super::Dispatcher;
 use super::worker_selection::Selection;
 use crate::types::Nanos;
@@ -6,21 +9,29 @@
 #[cfg(test)]
 mod tests;
 
-/// The most that a wait strains another class, in times to spare: beyond it a class loses no more by longer waits.
+/// Upper bound of the slack usage that a wait causes for another class. A longer wait costs that
+/// class nothing more.
 const MAX_SLACK_USAGE: f64 = 1.5;
 
-/// The slack_usage at which all requests are rejected while starts are in time, and the factor by which late starts lower it.
+/// Admission probability at a slack usage of 0, before it is limited to 1.
 const ADMISSION_INTERCEPT: f64 = 3.0;
+
+/// Decrease of the admission probability for each unit of slack usage. Without late starts, all
+/// requests are admitted up to a slack usage of 1 and none from 1.5.
 const ADMISSION_SLOPE: f64 = 2.0;
+
+/// Relative increase of the slope for each unit of the fraction of late starts.
 const LATE_STARTS_SLOPE: f64 = 3.0;
 
-/// The weight of the latest request in the rejected share, for each unit of low_traffic_factor: the last seven to twenty count.
+/// Weight of the latest request in the rejected fraction, for each unit of the low-traffic factor.
+/// The last 7 to 20 requests count.
 const REJECTED_FRACTION_WEIGHT: f64 = 0.05;
 
 impl Dispatcher {
-    /// Whether a request is sent. Under overload, a request that would spend much of its time to spare waiting is rejected
-    /// by chance: those of lower weight more often, and all sooner the more recent attempts have started too late. Waits
-    /// are estimates: without late starts little is rejected.
+    /// Returns whether a request is admitted. Under overload, a request that would spend much of
+    /// its slack waiting is rejected at random. Requests of lower weight are rejected more often,
+    /// and all requests more often the more recent attempts have started late. Waits are estimates,
+    /// so few requests are rejected without late starts.
     pub(super) fn admit(&mut self, now: Nanos, key: usize, selection: Selection) -> bool {
         let class_index = usize::from(self.requests[key].request.class);
         let weight = self.classes[class_index].weight_per_work(self.settings.weight_basis);
@@ -53,8 +64,9 @@
         is_admitted
     }
 
-    /// How much more a wait strains another class than the one that would add to it, by the other's relative weight.
-    /// Without it only the class with the most time to spare is served while queues are long.
+    /// Returns the largest amount by which a wait uses more slack of another class than of the class
+    /// that adds to the queue, multiplied by the other class's relative weight. Without this term,
+    /// only the class with the most slack is served while queues are long.
     fn slack_usage_of_other_classes(&self, class_index: usize, wait: f64, slack_usage: f64) -> f64 {
         let basis = self.settings.weight_basis;
         let weight = self.classes[class_index].weight_per_work(basis);
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they are sent, and what their start, delay and end show about a worker.
+//! Attempts: sends them, and updates the estimates of a worker from their start, delay and end.
 use super::Dispatcher;
 use super::lifecycle::{classify_outcome, next};
 use super::outlier::{BUSY_WEIGHT, OVERRUN_WEIGHT, UNRESPONSIVE_WEIGHT};
@@ -11,35 +11,44 @@
 use crate::timers::{attempt_of, attempt_timer};
 use crate::types::{Action, AttemptEnded, Nanos, Outcome, RequestId};
 
-/// How late a start may be before the worker is checked for life: a multiple of the expected wait, which counts up to
-/// a limit, and a constant.
+/// A start is overdue after this multiple of the expected wait plus [`START_TOLERANCE`].
 const START_TOLERANCE_MULTIPLE: f64 = 1.5;
+
+/// Upper bound of the expected wait in the calculation of an overdue start, in nanoseconds.
 const MAX_TOLERATED_WAIT: f64 = 2.0 * SECOND;
+
+/// Time added to the tolerated wait for a start, in nanoseconds.
 const START_TOLERANCE: f64 = 0.3 * SECOND;
 
-/// The service times after which an attempt is overdue where starts are not reported.
+/// Service times after which an attempt is overdue if workers do not report starts.
 const UNREPORTED_SERVICE_TIMES: f64 = 2.0;
 
-/// How long a started attempt may run before it counts as an overrun.
+/// A started attempt counts as an overrun after this multiple of its expected service time plus
+/// [`OVERRUN_TOLERANCE`].
 const OVERRUN_MULTIPLE: f64 = 2.0;
+
+/// Time added to the tolerated service time, in nanoseconds.
 const OVERRUN_TOLERANCE: f64 = 0.5 * SECOND;
 
-/// The least time between two checks of an overdue attempt.
+/// Minimum time between two checks of an overdue attempt.
 const MIN_RECHECK_DELAY: Nanos = 300_000_000;
 
-/// The bounds of the service-time factor that one request shows, as hints are rough.
+/// Lower bound of the service-time factor of one request. Hints are rough.
 const MIN_SAMPLE_FACTOR: f64 = 0.2;
+
+/// Upper bound of the service-time factor of one request. Hints are rough.
 const MAX_SAMPLE_FACTOR: f64 = 10.0;
 
-/// The number of samples that the latest request's factor is averaged with.
+/// Maximum number of earlier samples that the factor of the latest request is averaged with.
 const MAX_FACTOR_SAMPLES: f64 = 9.0;
 
-/// The factor, relative to the worker's, above which a completed request is reported to peers at once.
+/// Factor, relative to the worker's, above which a completed request is reported to peers at once.
 const SLOW_MULTIPLE: f64 = 2.0;
 
 impl Worker {
-    /// Learns the service-time factor of a completed request. The first ones at a warm worker count more; a warming one
-    /// is slow for another reason.
+    /// Adds the service-time factor of a completed request to the estimate. The first samples at a
+    /// warm worker weigh more. Samples at a warming worker weigh less, as it is slow because it is
+    /// warming up.
     fn observe_service_time_factor(&mut self, now: Nanos, factor: f64, is_warm: bool) {
         self.factor_samples = if is_warm {
             (self.factor_samples + 1.0).min(MAX_FACTOR_SAMPLES)
@@ -93,8 +102,8 @@
         self.report_load(now, selection.worker, ReportReason::LoadChanged, actions);
     }
 
-    /// When the start of an attempt is overdue. Another dispatcher's request of like size may be ahead at a worker that
-    /// has not responded within the last second.
+    /// Returns the time at which the start of an attempt is overdue. At a worker that has not
+    /// responded within the last second, another dispatcher's request of similar size may be ahead.
     fn start_overdue_at(&self, now: Nanos, key: usize, selection: Selection) -> Nanos {
         let worker = &self.workers[selection.worker];
         let service_times = if self.settings.reports_starts {
@@ -139,7 +148,8 @@
         });
     }
 
-    /// Handles the timer of a request: it is dispatched again if it still waits, else its attempt is overdue.
+    /// Handles the timer of a request. A pending request is dispatched again; otherwise its attempt
+    /// is overdue.
     pub(super) fn on_request_timer(&mut self, now: Nanos, token: u64, actions: &mut Vec<Action>) {
         let (request_id, attempt_index) = attempt_of(token);
         let Some(&key) = self.request_keys.get(&request_id) else {
@@ -219,7 +229,8 @@
         self.apply_input(now, request_id, input, actions);
     }
 
-    /// Learns from the end of an attempt, and returns the reason to report the load of its worker.
+    /// Updates the estimates from the end of an attempt. Returns the reason for a report of the
+    /// worker's load.
     fn apply_outcome(
         &mut self,
         now: Nanos,
@@ -239,7 +250,8 @@
             worker.record_connect_failure(now);
         }
         if classify_outcome(outcome) == RequestInput::NotRun {
-            // The worker answers at once: without this it would look idle and attract all requests.
+            // The worker rejects at once. Without this delay it would appear idle and attract all
+            // requests.
             let time_left = active.objective_deadline.saturating_sub(now) as f64;
             worker.set_start_delay(now, worker.start_delay.max(time_left));
         }
@@ -282,7 +294,8 @@
         self.worker_type_factors[worker_type].observe(factor);
     }
 
-    /// Updates the service-time factor of all workers. One that has run nothing for this dispatcher has its type's.
+    /// Updates the service-time factor of all workers. A worker that has completed no request of
+    /// this dispatcher has the factor of its type.
     pub(super) fn update_service_time_factors(&mut self, now: Nanos) {
         for worker in &mut self.workers {
             let type_factor = self
@@ -297,7 +310,7 @@
         }
     }
 
-    /// An attempt that is still in flight, and the key of its request.
+    /// Returns an attempt that is still in flight, and the key of its request.
     fn attempt_in_flight(
         &self,
         request_id: RequestId,
--- a/src/policy/diffeqal.rs
+++ b/src/policy/diffeqal.rs
@@ -1,8 +1,9 @@
-//! DIFFEQAL: which interval of request sizes each worker serves.
+//! DIFFEQAL: assigns an interval of request sizes to each worker.
 //!
-//! After N. Mi, Q. Zhang, A. Riska and E. Smirni, "Load Balancing for Performance Differentiation in Dual-Priority
-//! Clustered Servers". Step one shifts work from the first workers to the last by `R`; step two shifts each class again
-//! by its own `R^c`. `docs/design.md` lists the differences from the paper.
+//! Follows N. Mi, Q. Zhang, A. Riska and E. Smirni, "Load Balancing for Performance Differentiation
+//! in Dual-Priority Clustered Servers". Step one shifts work from the first workers to the last by
+//! `R`; step two shifts each class again by its own `R^c`. `docs/design.md` lists the differences
+//! from the paper.
 use super::Dispatcher;
 use crate::state::{BINS, Bins, work_below};
 use crate::types::Nanos;
@@ -10,26 +11,31 @@
 #[cfg(test)]
 mod tests;
 
-/// The autocorrelation above which arrivals count as correlated.
+/// Autocorrelation above which arrivals count as correlated.
 const CORRELATED_ABOVE: f64 = 0.1;
 
-/// The shift ratios of the paper.
+/// `R` of the paper, for correlated arrivals.
 const SEMI_GEOMETRIC_SHIFT: f64 = 0.4;
+
+/// `R^low` of the paper.
 const LOW_PRIORITY_SHIFT: f64 = 0.4;
+
+/// `R^high` of the paper.
 const HIGH_PRIORITY_SHIFT: f64 = 0.2;
 
-/// The shift ratios `R`, `R^low` and `R^high`.
+/// Shift ratios `R`, `R^low` and `R^high`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ShiftRatios {
-    /// Of all work, in step one.
+    /// Ratio of all work, in step one.
     pub(super) all: f64,
-    /// Of low and high priority, in step two.
+    /// Ratio of low-priority work, in step two.
     pub(super) low: f64,
+    /// Ratio of high-priority work, in step two.
     pub(super) high: f64,
 }
 
 impl ShiftRatios {
-    /// The ratios by the autocorrelation of arrivals of low and of high priority.
+    /// Returns the ratios for the autocorrelations of low-priority and high-priority arrivals.
     pub(super) fn from_autocorrelation(low: f64, high: f64) -> Self {
         let is_correlated = |estimate: f64| estimate > CORRELATED_ABOVE;
         let all = if is_correlated(low) || is_correlated(high) {
@@ -53,7 +59,8 @@
     }
 }
 
-/// The paper's semi-geometric routine: `count` shifts that sum to 0, the first of them `-ratio`.
+/// Semi-geometric routine of the paper: returns `count` shifts that sum to 0, the first of them
+/// `-ratio`.
 pub(super) fn semi_geometric_shifts(count: usize, ratio: f64) -> impl Iterator<Item = f64> {
     let mut adjustment = -ratio;
     let mut carried = 0.0;
@@ -70,8 +77,9 @@
     })
 }
 
-/// The bounds of the intervals, as cumulative work of one class. `weights` are the parts of all work that step one assigns
-/// to the workers; each keeps (1 + its class shift) times what it then has of the class.
+/// Computes the upper bounds of the intervals, as cumulative work of one class. `weights` are the
+/// relative amounts of all work that step one assigns to the workers. Step two multiplies the work
+/// of the class at each worker by 1 plus the worker's class shift.
 pub(super) fn compute_interval_bounds(
     all_work: &Bins,
     class_work: &Bins,
@@ -130,7 +138,7 @@
         self.interval_weights = weights;
     }
 
-    /// The ratio of step two for a class. Without a second priority there is nothing to differentiate.
+    /// Returns the ratio of step two for a class, which is 0 if all classes have the same priority.
     fn class_shift_ratio(&self, class_index: usize, ratios: ShiftRatios) -> f64 {
         let has_one_priority = self
             .classes
@@ -145,7 +153,7 @@
         }
     }
 
-    /// The recent work of all classes that need the same worker type.
+    /// Returns the recent work of all classes that require the same worker type.
     fn work_of_worker_type(&self, class_index: usize) -> Bins {
         let worker_type = self.classes[class_index].settings.worker_type;
         let mut sum = [0.0; BINS];
@@ -161,7 +169,8 @@
         sum
     }
 
-    /// The part of all work that step one assigns to a worker: by its shift, size, failures and warm-up.
+    /// Returns the relative amount of all work that step one assigns to a worker, from its shift,
+    /// size, failure score and warm-up.
     fn interval_weight(
         &self,
         now: Nanos,
@@ -174,7 +183,8 @@
         let warm_up_fraction = if self.settings.uses_warm_up_grants && self.has_fleet_view {
             slow_start_factor
         } else if slow_start_factor < 1.0 {
-            // Who has the turn at a warming worker serves all of its interval meanwhile.
+            // The dispatcher that may currently send to a warming worker serves its whole interval
+            // on behalf of the others.
             slow_start_factor
                 * self
                     .base_warm_up_allowance(worker, now)
@@ -188,8 +198,9 @@
         (1.0 + shift) * worker.size * (1.0 - failures) * warm_up_fraction
     }
 
-    /// The place in the class's subset of the worker whose interval a request falls into. The request is already in the
-    /// histogram, so that one larger than all before falls into any of the intervals that its own work fills.
+    /// Returns the position in the class's subset of the worker whose interval contains the request.
+    /// The histogram already includes the request, so that a request larger than all earlier ones
+    /// falls into any of the intervals that its own work fills.
     pub(super) fn interval_of(&mut self, now: Nanos, key: usize) -> usize {
         let active = &self.requests[key];
         let class_index = usize::from(active.request.class);
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: its state, its start, and which part of the decisions handles each event.
+//! State and startup of the dispatcher, and routing of each event to the decision that handles it.
 use crate::pcg::Pcg;
 use crate::settings::{Settings, SettingsError, SettingsMap};
 use crate::start_delays::StartDelays;
@@ -16,14 +16,17 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a request waits before it is dispatched again where no worker may take it, as warming workers may soon.
+/// Delay before a request is dispatched again if no worker may accept it. A warming worker may
+/// accept it soon.
 const REDISPATCH_DELAY: Nanos = 25_000_000;
 
-/// The half-life of the histogram at the least low_traffic_factor.
+/// Half-life of the histograms in nanoseconds, at a low-traffic factor of 1.
 const HISTOGRAM_HALF_LIFE: f64 = 20.0 * SECOND;
 
-/// The number of requests in the histogram below which it decays more slowly, and the most that its half-life grows by.
+/// Number of recent requests below which the histograms decay more slowly.
 const MIN_HISTOGRAM_REQUESTS: f64 = 150.0;
+
+/// Upper bound of the factor by which low traffic extends half-lives.
 const MAX_LOW_TRAFFIC_FACTOR: f64 = 3.0;
 
 /// The decisions of one dispatcher. See [`crate::policy`] for how to call it.
@@ -38,61 +41,62 @@
     pub(super) requests: Slab<ActiveRequest>,
     pub(super) request_keys: FxHashMap<RequestId, usize>,
     pub(super) max_attempts: usize,
-    /// Arrivals of requests of low and of high priority.
+    /// Inter-arrival times of requests of low priority and of high priority, in this order.
     pub(super) inter_arrival_times: [InterArrivalTimes; 2],
     pub(super) exchanges_load: bool,
 
-    // The endpoint list.
+    // Endpoint list.
     pub(super) watching_endpoints: bool,
     pub(super) next_poll_at: Nanos,
     pub(super) poll_failures: u32,
 
-    // The fleet of dispatchers.
-    /// How many dispatchers run.
+    // Fleet of dispatchers.
+    /// Number of running dispatchers.
     pub(super) dispatchers: f64,
-    /// This one's rank among them.
+    /// Rank of this dispatcher, from 0.
     pub(super) rank: usize,
-    /// Whether membership has ever reported who runs.
+    /// Whether membership has ever reported a fleet position.
     pub(super) has_fleet_view: bool,
-    /// The part of the fleet's requests that other dispatchers send.
+    /// Fraction of the fleet's requests that other dispatchers send.
     pub(super) unobserved_fraction: f64,
-    /// How many dispatchers use one worker.
+    /// Number of dispatchers that use one worker.
     pub(super) dispatchers_per_worker: f64,
 
     // Estimates.
     pub(super) histograms_decayed_at: Nanos,
-    /// The service-time factor of each worker type.
+    /// Service-time factor of each worker type, indexed by type.
     pub(super) worker_type_factors: Vec<RunningMean>,
-    /// How much longer estimates are kept as few requests are seen: from 1 to [`MAX_LOW_TRAFFIC_FACTOR`].
+    /// Factor by which half-lives of estimates are extended at low request rates, from 1 to
+    /// [`MAX_LOW_TRAFFIC_FACTOR`].
     pub(super) low_traffic_factor: f64,
-    /// The mean work of recent requests of all classes.
+    /// Mean work of recent requests of all classes, in nanoseconds of one slot.
     pub(super) mean_work: f64,
     pub(super) start_delays: StartDelays,
     pub(super) zone_delays: ZoneDelays,
-    /// The mean of the slots that others use at a worker, by load reports.
+    /// Mean number of slots that other dispatchers use at a worker, from load reports.
     pub(super) mean_other_slots: f64,
-    /// The part of the recent requests of the highest weight that was rejected.
+    /// Fraction of the recent requests of the highest weight that was rejected.
     pub(super) rejected_fraction: f64,
     /// Invalid values in load reports since the last log line about them.
     pub(super) invalid_report_values: u64,
     pub(super) mean_failure_score: f64,
-    /// The capacity of a fully warm worker for each unit of its listed size.
+    /// Capacity of a fully warm worker for each unit of its listed size.
     pub(super) capacity_per_size: f64,
 
-    /// The warming worker that the latest request would have gone to with a grant.
+    /// Index of the warming worker that the latest request would have been sent to with a grant.
     pub(super) missing_grant_for: Option<usize>,
 
-    // Buffers that are kept to save allocations.
-    /// Workers with attempts of this dispatcher in flight.
+    // Buffers retained to avoid allocations.
+    /// Indices of the workers with attempts of this dispatcher in flight.
     pub(super) workers_in_use: Vec<usize>,
     pub(super) interval_weights: Vec<f64>,
 }
 
 impl Dispatcher {
-    /// Starts a dispatcher. `seed` determines all random draws.
+    /// Starts a dispatcher. `seed` determines all random numbers.
     ///
     /// # Errors
-    /// When a required setting is missing, or a setting cannot be used.
+    /// Returns an error if a required setting is missing or a setting has an invalid value.
     pub fn start(now: Nanos, seed: u64, map: &SettingsMap) -> Result<Self, SettingsError> {
         let class_settings = Settings::read_classes(map)?;
         let settings = Settings::read(map)?;
@@ -115,7 +119,7 @@
         })
     }
 
-    /// Handles one event and appends the actions that follow from it.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { scope, endpoints } => {
@@ -130,8 +134,8 @@
                 self.apply_input(now, request_id, RequestInput::ClientDisconnected, actions)
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end, actions),
-            // No decision asks for health checks: attempts themselves show a worker's health. The simulator's protocol
-            // can deliver the event all the same.
+            // No decision requests health checks: attempts already show a worker's health. The
+            // simulator's protocol can still deliver the event.
             Event::HealthChecked(_) => {}
             Event::PeerLoad { from, load } => self.on_peer_load(now, from, load),
             Event::FleetView(position) => self.set_fleet_position(now, position),
@@ -147,7 +151,7 @@
         }
     }
 
-    /// Brings all later deadlines forward, so that each request is answered before the dispatcher ends.
+    /// Limits all deadlines to `by`, so that each request is answered before the process exits.
     fn advance_deadlines(&mut self, by: Nanos) {
         for (_, active) in &mut self.requests {
             active.request.deadline = active.request.deadline.min(by);
@@ -178,7 +182,7 @@
         self.log_outliers(now, actions);
     }
 
-    /// Updates what the decisions know of the whole fleet of workers.
+    /// Updates the estimates that cover the whole fleet of workers.
     pub(super) fn update_fleet_estimates(&mut self, now: Nanos) {
         self.update_mean_failure_score(now);
         self.update_capacity_per_size(now);
@@ -187,7 +191,7 @@
     fn on_request_arrived(&mut self, now: Nanos, request: Request, actions: &mut Vec<Action>) {
         let class_index = usize::from(request.class);
         let Some(class) = self.classes.get_mut(class_index) else {
-            // Without the class's settings it is not known whether a retry is safe.
+            // Without settings for the class it is unknown whether a retry is safe.
             actions.push(Action::Reject {
                 request_id: request.id,
                 retry_after: 0,
@@ -221,7 +225,7 @@
         self.dispatch_request(now, key, actions);
     }
 
-    /// Updates how rare requests are and their mean work, then decays all histograms.
+    /// Updates the low-traffic factor and the mean work of requests, then decays all histograms.
     fn update_request_estimates(&mut self, now: Nanos) {
         let requests = self
             .classes
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Sends a request to a worker, or rejects it, or lets it wait for a warming worker.
+    /// Sends a request to a worker, rejects it, or delays it until a warming worker may accept it.
     pub(super) fn dispatch_request(&mut self, now: Nanos, key: usize, actions: &mut Vec<Action>) {
         let active = &self.requests[key];
         let request_id = active.request.id;
@@ -272,7 +276,7 @@
     }
 }
 
-/// Classes above the median priority weight are of high priority.
+/// Marks the classes above the median priority weight as of high priority.
 fn mark_high_priority(classes: &mut [RequestClass]) {
     let mut weights: Vec<f64> = classes
         .iter()
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: when it is polled, and how snapshots and deltas change the workers.
+//! The endpoint list: schedules polls, and applies snapshots and deltas to the workers.
 use super::Dispatcher;
 use crate::mutation::{Mutation, is_active};
 use crate::state::{SentWork, Worker};
@@ -9,18 +9,20 @@
 #[cfg(test)]
 mod tests;
 
-/// The backoff after the first failed poll. It doubles with each failure in a row, up to three times.
+/// Backoff after the first failed poll, in nanoseconds. Doubles with each consecutive failure.
 const POLL_BACKOFF: f64 = 0.5 * SECOND;
+
+/// Maximum number of doublings of the backoff.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// The least size that a worker counts as.
+/// Lower bound of the size of a worker.
 const MIN_SIZE: f64 = 0.01;
 
 impl Dispatcher {
-    /// Asks for the endpoint list, where that is needed and due.
+    /// Requests the endpoint list if the settings require it and a poll is due.
     pub(super) fn poll_endpoints(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if self.settings.polls_endpoints && !self.watching_endpoints && now >= self.next_poll_at {
-            // Not again until this poll has failed.
+            // No further poll until this one fails.
             self.next_poll_at = Nanos::MAX;
             actions.push(Action::WatchEndpoints);
         }
@@ -60,8 +62,8 @@
         self.poll_endpoints(now, actions);
     }
 
-    /// Schedules the next poll after a failed one. It has a timer of its own and a random backoff, so that dispatchers that
-    /// started together do not poll together.
+    /// Schedules the next poll after a failed one. The poll has its own timer and a random backoff,
+    /// so that dispatchers that started together do not poll together.
     fn schedule_poll(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let doublings = self.poll_failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
         let backoff = POLL_BACKOFF * f64::from(1 << doublings);
@@ -97,7 +99,7 @@
         worker.group = endpoint.group;
         worker.size = f64::from(endpoint.size).max(MIN_SIZE);
         if scope == ListScope::Cached {
-            // A process of this dispatcher that ended just before may have used this window's allowance.
+            // An earlier process of this dispatcher may have used the allowance of this window.
             worker.recent_work.push_back(SentWork {
                 at: now,
                 work: f64::INFINITY,
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Lists for each class the ready workers that may run its requests, by id.
+    /// Updates the list of ready workers that may run requests of each class, ordered by id.
     fn update_eligible_workers(&mut self) {
         let mut ready: Vec<usize> = (0..self.workers.len()).collect();
         ready.retain(|index| self.workers[*index].state == EndpointState::Ready);
@@ -118,7 +120,8 @@
 }
 
 impl Worker {
-    /// A new process runs in place of the one before. What was sent since its start may have gone to it and still counts.
+    /// Resets the state of a worker that has been replaced by a new process. Work sent since the
+    /// start of the new process may have reached it and still counts.
     fn restart(&mut self, started_at: Nanos) {
         self.clear_failures();
         self.start_delay = 0.0;
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The life of a request: what may follow each outcome of an attempt, by the state of the request and by whether it
-//! may run again.
+//! Request lifecycle: state transitions and resulting steps for each outcome of an attempt, by the
+//! idempotency of the request.
 use super::Dispatcher;
 use crate::mutation::{Mutation, is_active};
 use crate::settings::Idempotency::{self, Idempotent, IdempotentWithKey, NonIdempotent};
@@ -16,7 +16,8 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a rejected client is asked to wait, where the settings allow as much: a usual request has then completed.
+/// Retry delay stated to a rejected client, in nanoseconds, if the settings allow as much. A typical
+/// request completes within this time.
 const RETRY_AFTER: f64 = 0.5 * SECOND;
 
 /// One row of the state table.
@@ -49,7 +50,7 @@
 const NOT_REJECTABLE: &[RequestState] = &[InFlight, PendingMayHaveRun, RetryInFlight];
 const ACTIVE: &[RequestState] = &[Pending, InFlight, PendingMayHaveRun, RetryInFlight];
 
-/// The state table. An input that has no row for a state changes nothing.
+/// State table. An input without a row for the current state changes nothing.
 const TRANSITIONS: &[Transition] = &[
     transition(&[Pending], AttemptSent, ANY, InFlight, Nothing),
     transition(
@@ -76,7 +77,7 @@
     transition(ACTIVE, ClientDisconnected, ANY, Completed, Nothing),
 ];
 
-/// The next state of a request, and what has to be done.
+/// Returns the next state of a request and the step to execute.
 pub(super) fn next(
     state: RequestState,
     input: RequestInput,
@@ -92,12 +93,13 @@
         .map_or((state, Nothing), |row| (row.to, row.step))
 }
 
-/// What the outcome of an attempt means for its request. Only outcomes that prove it count as not run.
+/// Maps the outcome of an attempt to an input of its request. An attempt counts as not run only if
+/// the outcome proves it.
 pub(super) fn classify_outcome(outcome: Outcome) -> RequestInput {
     match outcome {
         Outcome::Succeeded => Succeeded,
         Outcome::AtCapacity | Outcome::ConnectFailed | Outcome::NotSent => NotRun,
-        // Any other worker would find the same fault.
+        // Any other worker would reject the request too.
         Outcome::InvalidRequest => GivenUp,
         Outcome::WorkerError | Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
             MayHaveRun
@@ -106,7 +108,7 @@
 }
 
 impl Dispatcher {
-    /// Applies one input to a request and carries out what follows.
+    /// Applies an input to a request and executes the resulting step.
     pub(super) fn apply_input(
         &mut self,
         now: Nanos,
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -1,4 +1,4 @@
-//! The load at the workers: by their own reports and by this dispatcher's attempts.
+//! Load of the workers, from their own reports and from this dispatcher's attempts in flight.
 use super::Dispatcher;
 use crate::state::{ActiveRequest, Attempt, Overruns, Worker};
 use crate::time::{SECOND, decay};
@@ -7,30 +7,36 @@
 #[cfg(test)]
 mod tests;
 
-/// Values of load reports from here on are invalid: no worker has as many slots or requests.
+/// Exclusive upper bound of valid values in load reports. No worker has as many slots or requests.
 const REPORT_VALUE_LIMIT: f32 = 1e4;
 
-/// How far free slots must exceed the known slots to count, and how much of the way they raise them: reports are noisy,
-/// and their maximum would be the noisiest.
+/// Minimum excess of reported free slots over the known slots for the report to count.
 const FREE_SLOTS_TOLERANCE: f64 = 0.25;
+
+/// Fraction of the excess by which a report raises the known slots. Reports are noisy, and their
+/// maximum would be the noisiest.
 const FREE_SLOTS_WEIGHT: f64 = 0.2;
 
-/// The weight of one report in the mean of the slots that others use.
+/// Weight of one report in the mean number of slots that other dispatchers use.
 const OTHER_SLOTS_WEIGHT: f64 = 0.1;
 
-/// The times for which a started request surely runs, in its expected service time.
+/// Ages at which a started request is known to be running, in multiples of its expected service
+/// time.
 const KNOWN_RUNNING_AGE: std::ops::RangeInclusive<f64> = 0.25..=2.0;
 
-/// The least part of its age that a request which has outrun its expectation is expected to run on.
-const OVERRUN_REMAINING_PART: f64 = 0.3;
+/// Minimum remaining time of a request that has exceeded its expected service time, as a fraction
+/// of its age.
+const OVERRUN_REMAINING_FRACTION: f64 = 0.3;
 
-/// The least service time and the most overrun that count in the service-time factor.
+/// Lower bound of the expected service time in the calculation of overruns, in nanoseconds.
 const MIN_SERVICE_TIME: f64 = 1e6;
+
+/// Upper bound of the service-time factor of an overrun.
 const MAX_OVERRUN: f64 = 10.0;
 
 impl Worker {
-    /// Adds an attempt in flight to the load. What it has outrun its expectation by counts as an overrun where
-    /// `counts_overruns`.
+    /// Adds an attempt in flight to the load. If `counts_overruns`, an attempt that exceeds its
+    /// expected service time counts as an overrun.
     fn add_attempt_load(
         &mut self,
         now: Nanos,
@@ -38,7 +44,7 @@
         attempt: &Attempt,
         counts_overruns: bool,
     ) {
-        // A lost attempt would make the worker look full until its deadline.
+        // A lost attempt would make the worker appear at capacity until its deadline.
         if self.was_overtaken(attempt) {
             return;
         }
@@ -47,7 +53,7 @@
         let age = now.saturating_sub(attempt.started_at.unwrap_or(now)) as f64;
         self.slots_in_use += slots;
         self.remaining_work += slots
-            * (service_time * self.service_time_factor - age).max(OVERRUN_REMAINING_PART * age);
+            * (service_time * self.service_time_factor - age).max(OVERRUN_REMAINING_FRACTION * age);
         let Some(started_at) = attempt.started_at else {
             let delay = attempt.unexplained_delay(now);
             if delay > decay(self.start_delay, self.start_delay_at, now, SECOND) {
@@ -60,7 +66,7 @@
             self.overruns.sum += factor;
             self.overruns.count += 1.0;
         }
-        // What an earlier process of the worker had started is lost.
+        // Requests that an earlier process of the worker had started are lost.
         if started_at >= self.started_at {
             self.slots_running += f64::from(active.request.slots);
         }
@@ -77,7 +83,7 @@
             worker.remaining_work = 0.0;
             worker.overruns = Overruns::default();
         }
-        // Hints are rough: overruns count only where several dispatchers share what they observe.
+        // Hints are rough: overruns count only if several dispatchers exchange their observations.
         let counts_overruns = self.exchanges_load;
         for (_, active) in &self.requests {
             for attempt in active.attempts().iter().filter(|attempt| attempt.in_flight) {
@@ -115,7 +121,8 @@
             .or(by_free_slots)
             .unwrap_or(0.0)
             .max(0.0);
-        // Peers report others' load sooner. A single dispatcher would take its own newest requests for others'.
+        // With load exchange, the peers' own reports are more recent. A single dispatcher would
+        // count its own newest requests as load of others.
         worker.other_slots *= if self.exchanges_load {
             0.0
         } else {
@@ -137,7 +144,7 @@
         }
     }
 
-    /// Raises the slots of all workers of a type to what one of them was seen to use.
+    /// Raises the slots of all workers of a type to the number observed at one of them.
     fn raise_slots(&mut self, worker_type: u8, slots: f64) {
         for worker in self
             .workers
@@ -148,8 +155,9 @@
         }
     }
 
-    /// Learns the slots of a worker's type from a request that has just completed and those that surely ran beside it.
-    /// Starts may be reported before the ends that made place for them, and lost requests do not end.
+    /// Updates the slots of a worker's type from a request that has just completed and the requests
+    /// known to have run beside it. A start may be reported before the end that freed its slot, and
+    /// lost requests do not end.
     pub(super) fn observe_slots(&mut self, now: Nanos, completed_key: usize, worker_index: usize) {
         let worker = &self.workers[worker_index];
         let known_to_have_run = |key: usize, active: &ActiveRequest, attempt: &Attempt| {
@@ -181,7 +189,7 @@
         self.raise_slots(worker.worker_type, slots_running);
     }
 
-    /// Logs the number of invalid values in load reports, if any.
+    /// Logs the number of invalid values in load reports since the last call, if any.
     pub(super) fn log_invalid_reports(&mut self, actions: &mut Vec<Action>) {
         let count = std::mem::take(&mut self.invalid_report_values);
         if count > 0 {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,22 +1,24 @@
-//! Every decision of rosewall. One [`Dispatcher`] serves one submitter and shares nothing with others.
+//! The decisions of rosewall. One [`Dispatcher`] serves one submitter and shares no state with
+//! others.
 //!
-//! Call [`Dispatcher::start`] once, then [`Dispatcher::handle`] for each event in the order of arrival. The same calls
-//! always lead to the same actions. Times are nanoseconds on the caller's clock. Events and actions stand in
-//! [`crate::types`], the names of the settings in `docs/design.md`.
+//! Call [`Dispatcher::start`] once, then [`Dispatcher::handle`] for each event in the order of
+//! arrival. The decisions are deterministic: the same calls always return the same actions. Times
+//! are nanoseconds on the caller's clock. Events and actions are defined in [`crate::types`]; the
+//! settings are described in `docs/design.md`.
 //!
-//! | question | module |
+//! | module | responsibility |
 //! | --- | --- |
-//! | What may follow each outcome of an attempt? | `lifecycle` |
-//! | Which part of the work does each worker serve? | `diffeqal` |
-//! | Which worker gets a request? | `worker_selection` |
-//! | Which requests are rejected under overload? | `admission` |
-//! | When is a worker an outlier? | `outlier` |
-//! | Which workers does this dispatcher use? | `subset` |
-//! | How much work does a warming worker get? | `slow_start` |
-//! | What do dispatchers report to each other? | `peer_load` |
-//! | How busy is a worker? | `load_report` |
-//! | What is learned from an attempt? | `attempts` |
-//! | How is the endpoint list obtained and applied? | `endpoint_list` |
+//! | `lifecycle` | state transitions of a request after each outcome of an attempt |
+//! | `diffeqal` | division of the work into size intervals, one for each worker |
+//! | `worker_selection` | selection of the worker for a request |
+//! | `admission` | rejection of requests under overload |
+//! | `outlier` | outlier detection by failure scores |
+//! | `subset` | selection of the workers that this dispatcher uses |
+//! | `slow_start` | limits on the work sent to warming workers |
+//! | `peer_load` | exchange of load reports between dispatchers |
+//! | `load_report` | load of the workers, from their reports and from attempts in flight |
+//! | `attempts` | sending of attempts, and estimates updated from their results |
+//! | `endpoint_list` | polling and application of the endpoint list |
 mod admission;
 mod attempts;
 mod diffeqal;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: the failure score of a worker, and which workers are outliers by it.
+//! Outlier detection: maintains the failure scores of workers and logs the outliers.
 use super::Dispatcher;
 use crate::settings::Idempotency::{self, NonIdempotent};
 use crate::state::{FailureScore, Worker};
@@ -8,42 +8,51 @@
 #[cfg(test)]
 mod tests;
 
-/// The half-life of failure scores: several times the time between two attempts at one worker in low traffic.
+/// Half-life of failure scores, in nanoseconds: several times the interval between attempts at one
+/// worker at low request rates.
 pub(super) const FAILURE_HALF_LIFE: f64 = 5.0 * SECOND;
 
-/// The half-life of a class's failure score at a worker, for which only requests of that class make up.
+/// Half-life of a class's failure score at a worker, in nanoseconds. Longer, as only requests of
+/// that class lower the score.
 pub(super) const CLASS_FAILURE_HALF_LIFE: f64 = 3.0 * FAILURE_HALF_LIFE;
 
-/// The most that a worker's score above the fleet's mean counts.
+/// Upper bound of a worker's score above the fleet's mean.
 const MAX_RELATIVE_SCORE: f64 = 0.95;
 
-/// By how much each failure raises the score.
+// Weights of failures: each raises the score by this fraction of its distance to 1.
 const ERROR_WEIGHT: f64 = 0.5;
 const CLASS_ERROR_WEIGHT: f64 = 0.3;
 const TIMEOUT_WEIGHT: f64 = 0.5;
 const CONNECTION_WEIGHT: f64 = 0.6;
 pub(super) const UNRESPONSIVE_WEIGHT: f64 = 0.8;
 pub(super) const OVERRUN_WEIGHT: f64 = 0.15;
-/// A worker that starts other requests meanwhile is only busy.
+/// Weight of an overdue start at a worker that has started other requests since. Such a worker is
+/// busy, not faulty.
 pub(super) const BUSY_WEIGHT: f64 = 0.0;
 
-/// By how much each sign of health lowers the score.
+// Credits: each lowers the score by this fraction of itself.
 const START_CREDIT: f64 = 0.1;
 const SUCCESS_CREDIT: f64 = 0.2;
 const CLASS_SUCCESS_CREDIT: f64 = 0.2;
 
-/// The scores at which a worker is logged as an outlier, and as one no longer.
+/// Score above which a worker is logged as an outlier.
 const LOG_ABOVE: f64 = 0.5;
+
+/// Score at or below which an outlier is logged as recovered.
 const LOG_RECOVERED_BELOW: f64 = 0.1;
 
-/// How long a worker that fails to connect is replaced in the subset, doubled with each failure in a row.
+/// Time for which a worker is replaced in the subset after a failed connection. Doubles with each
+/// consecutive failure.
 const CONNECT_RETRY_DELAY: Nanos = 1_000_000_000;
+
+/// Maximum number of doublings of the delay.
 const MAX_CONNECT_RETRY_DOUBLINGS: u32 = 4;
 
 impl Worker {
-    /// The failure score that counts for a request: how far it lies above the fleet's mean, as what affects all workers
-    /// makes none an outlier; or the score of the request's class, which starts alone do not lower. A request that must
-    /// not run twice goes by the worst of all classes.
+    /// Returns the failure score that applies to a request: the larger of the worker's score above
+    /// the fleet's mean and the score of the request's class. Failures that affect all workers make
+    /// none an outlier. Starts alone do not lower the score of a class. For a non-idempotent
+    /// request the worst score of all classes counts.
     pub(super) fn failure_score_for(
         &self,
         now: Nanos,
@@ -61,7 +70,8 @@
             .fold(relative, f64::max)
     }
 
-    /// Replaces the worker in the subset for a while.
+    /// Records a failed connection. The worker is replaced in the subset until the retry delay has
+    /// passed.
     pub(super) fn record_connect_failure(&mut self, now: Nanos) {
         if !self.is_unreachable(now) {
             let doublings = self.connect_failures.min(MAX_CONNECT_RETRY_DOUBLINGS);
@@ -70,7 +80,7 @@
         }
     }
 
-    /// Notes a sign of health.
+    /// Records a start or a success, which shows that the worker responds.
     pub(super) fn record_response(&mut self, now: Nanos, credit: f64) {
         self.connect_failures = 0;
         self.connect_retry_at = 0;
@@ -78,7 +88,7 @@
         self.last_response_at = now;
     }
 
-    /// Notes that the worker has started a request.
+    /// Records that the worker has started a request.
     pub(super) fn record_start(&mut self, now: Nanos) {
         self.record_response(now, START_CREDIT);
         if std::mem::take(&mut self.unresponsive) {
@@ -86,7 +96,8 @@
         }
     }
 
-    /// Notes how an attempt ended. What only the request or the dispatcher caused does not count.
+    /// Records the outcome of an attempt. Outcomes caused by the request or the dispatcher alone
+    /// do not affect the score.
     pub(super) fn record_outcome(&mut self, now: Nanos, class_index: usize, outcome: Outcome) {
         let class_score = &mut self.class_failure_scores[class_index];
         let weight = match outcome {
@@ -108,12 +119,12 @@
         self.failure_score.raise(now, FAILURE_HALF_LIFE, weight);
     }
 
-    /// Notes that an attempt has not started, or not ended, in time.
+    /// Records that an attempt has not started, or not ended, in time.
     pub(super) fn record_overdue_attempt(&mut self, now: Nanos, weight: f64) {
         self.failure_score.raise(now, FAILURE_HALF_LIFE, weight);
     }
 
-    /// Forgets all failures, as a new process runs in place of the old one.
+    /// Clears all failures after the worker's process has been replaced.
     pub(super) fn clear_failures(&mut self) {
         self.failure_score = FailureScore::default();
         self.class_failure_scores.fill(FailureScore::default());
@@ -136,7 +147,7 @@
         self.mean_failure_score = sum / ready().count().max(1) as f64;
     }
 
-    /// Logs which workers have become outliers, and which have recovered.
+    /// Logs the workers that have become outliers or have recovered since the last call.
     pub(super) fn log_outliers(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         for worker in &mut self.workers {
             let score = worker.failure_score_for(now, self.mean_failure_score, 0, NonIdempotent);
--- a/src/policy/peer_load.rs
+++ b/src/policy/peer_load.rs
@@ -1,7 +1,8 @@
-//! Gossip between dispatchers: what each reports of its load at a worker, and what is made of others' reports.
+//! Load exchange between dispatchers: sends reports of the own load at a worker, and applies the
+//! reports of peers.
 //!
-//! Each dispatcher sees only its own requests. Without reports it would take for free what another has just filled, and
-//! would find out with requests of its own which worker is slow.
+//! Each dispatcher observes only its own requests. Without reports it would count slots as free that
+//! another dispatcher has just filled, and would detect slow workers only by its own requests.
 use super::Dispatcher;
 use super::outlier::FAILURE_HALF_LIFE;
 use crate::state::{Load, PeerLoadEstimate, RequestClass, Worker};
@@ -10,31 +11,33 @@
 #[cfg(test)]
 mod tests;
 
-/// A load is reported again once peers would be wrong by this part of a mean request's work.
+/// Error of the peers' estimate above which a load is reported again, as a fraction of the work of a
+/// mean request.
 const REPORT_TOLERANCE: f64 = 0.3;
 
-/// A load is reported again after this time at the latest, so that two lost messages do not let it expire.
+/// Maximum time between two reports of a load. The loss of one report does not let the load expire.
 const REPORT_INTERVAL: Nanos = 4_000_000_000;
 
-/// By how much a peer's report that a worker is unresponsive raises its failure score.
+/// Weight in the failure score of a peer's report that a worker is unresponsive.
 const PEER_UNRESPONSIVE_WEIGHT: f64 = 0.8;
 
-/// A worker that has responded within this time is not taken for unresponsive, whatever a peer reports.
+/// Time after a response within which peers' reports that the worker is unresponsive are ignored.
 const RECENT_RESPONSE: Nanos = 300_000_000;
 
-/// Why a load is reported to peers.
+/// Reason for a load report to peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ReportReason {
-    /// It may have changed, and is reported if peers would be wrong.
+    /// The load may have changed. It is reported only if the peers' estimate is out of tolerance.
     LoadChanged,
-    /// The worker proved much slower than expected.
+    /// The worker is much slower than expected.
     SlowWorker,
     /// The worker does not respond.
     UnresponsiveWorker,
 }
 
 impl Worker {
-    /// Whether peers have to be told anew, as they reduce what was reported by themselves.
+    /// Returns whether a new report is due. Peers reduce the last reported load over time, so a load
+    /// that decreases as expected needs no report.
     fn needs_load_report(&self, now: Nanos, mean_work: f64) -> bool {
         let assumed = self.last_sent_load.remaining(now, self.slots).work;
         let is_accurate = (self.remaining_work - assumed).abs() <= REPORT_TOLERANCE * mean_work;
@@ -42,7 +45,7 @@
         !is_accurate || (self.slots_in_use != 0.0 && !is_recent)
     }
 
-    /// The report of this dispatcher's load there.
+    /// Returns the report of this dispatcher's load at the worker.
     fn load_report(&self, reason: ReportReason) -> PeerLoad {
         let observed = self.observed_service_time_factor();
         let speed_code = if reason == ReportReason::UnresponsiveWorker {
@@ -57,7 +60,7 @@
 }
 
 impl Dispatcher {
-    /// Updates the estimates from what another dispatcher reports of a worker.
+    /// Updates the estimates from another dispatcher's report of its load at a worker.
     pub(super) fn on_peer_load(&mut self, now: Nanos, from: u16, load: PeerLoad) {
         let Some(&index) = self.worker_indices.get(&load.worker) else {
             return;
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Reports the load at all workers that are in use, as far as that is due.
+    /// Reports the load at each worker in use for which a report is due.
     pub(super) fn report_loads_in_use(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if !self.exchanges_load {
             return;
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Reports the load at a worker to the dispatchers that use it.
+    /// Reports the load at a worker to the other dispatchers that use it.
     pub(super) fn report_load(
         &mut self,
         now: Nanos,
@@ -122,7 +125,8 @@
         }
     }
 
-    /// The position of a worker among those eligible for the first class that it serves, and their number.
+    /// Returns the position of a worker among those eligible for the first class that it serves, and
+    /// the number of those workers.
     fn eligible_position(&self, worker_index: usize) -> Option<(usize, usize)> {
         self.classes.iter().find_map(|class: &RequestClass| {
             let mut eligible = class.eligible_workers.iter();
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,9 +1,10 @@
-//! Slow start: how much work a warming worker gets.
+//! Slow start: limits the work that is sent to a warming worker.
 //!
-//! A worker that has just started fails when all dispatchers together send it too much within the overload window.
-//! Without warm-up grants the dispatchers take rotation_size at it, by a schedule that follows from the settings and the clock
-//! alone. With warm-up grants its budget has two parts: one is granted by one issuer at a time to whoever requests it
-//! (`rosewall-cluster`), the other is reserved for two dispatchers by their configured ranks, for when no message
+//! A worker that has just started fails if all dispatchers together send it too much within the
+//! overload window. Without warm-up grants, the dispatchers use it in rotation, by a schedule that
+//! depends only on the settings and the clock. With warm-up grants, its budget has two parts. One is
+//! granted on request by a single issuer at a time (`rosewall-cluster`). The other is reserved for
+//! two dispatchers by their configured ranks, so that the worker gets work even if no message
 //! arrives.
 use super::Dispatcher;
 use super::subset::MAX_DISPATCHERS_PER_WORKER;
@@ -14,52 +15,55 @@
 #[cfg(test)]
 mod tests;
 
-/// The part of a warming worker's capacity in any window that grants may use.
+/// Fraction of a warming worker's capacity in any window that grants may use.
 const GRANTED_FRACTION: f64 = 0.5;
 
-/// The part reserved in total for dispatchers that know others. With the granted share it stays under two thirds, so that
-/// a third is left for those that do not know of the worker's start.
+/// Fraction reserved in total for dispatchers that have had a fleet view. Together with the granted
+/// fraction it stays below two thirds, which leaves a third for dispatchers that do not yet know of
+/// the worker's start.
 const RESERVED_FRACTION: f64 = 0.15;
 
-/// The part reserved in total for dispatchers that have never had a view of the fleet.
+/// Fraction reserved in total for dispatchers that have never had a fleet view.
 const RESERVED_FRACTION_WITHOUT_VIEW: f64 = 0.45;
 
-/// How many dispatchers divide the reserved share of one worker: each part must be large enough for a request.
+/// Number of dispatchers that divide the reserved fraction of one worker. Each quota must be large
+/// enough for a request.
 const RESERVING_DISPATCHERS: f64 = 2.0;
 
-/// How long a request waits for a grant: ten times the round trip inside a data centre.
+/// Maximum wait of a request for a grant: ten round trips inside a data centre.
 const GRANT_WAIT: Nanos = 5_000_000;
 
-/// How long after its warm-up a worker's budget is still set to 0.
+/// Time after its warm-up for which a worker's budget is still set to 0.
 const BUDGET_CLEARED_FOR: Nanos = 5_000_000_000;
 
-/// The part of a warming worker's capacity that rotation_size may use. The rest is for dispatchers that do not know of its
-/// start and for requests that run longer than expected.
+/// Fraction of a warming worker's capacity that scheduled dispatchers may use. The rest is for
+/// dispatchers that do not yet know of its start and for requests that run longer than expected.
 const SCHEDULED_FRACTION: f64 = 0.5;
 
-/// The number of dispatchers that have a rotation_position at once at a worker that has just started.
+/// Number of dispatchers that may send at the same time to a worker that has just started.
 const INITIAL_CONCURRENT_SENDERS: f64 = 2.0;
 
-/// The length of a rotation_position in overload windows. The first is a pause, as the rotation_position before may have filled it.
+/// Length of a rotation step in overload windows. The first window of each step is a pause, as the
+/// senders of the previous step may have filled it.
 const WINDOWS_PER_ROTATION_STEP: u64 = 4;
 
-/// What a dispatcher may send to a warming worker without a grant.
+/// Work that this dispatcher may send to a warming worker without a grant.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WarmUpAllowance {
-    /// The work in any overload window, in nanoseconds.
-    pub(super) allowance: f64,
-    /// The number of dispatchers on whose behalf it sends; 0 where it is not its rotation_position.
+    /// Work in any overload window, in nanoseconds of one slot.
+    pub(super) work: f64,
+    /// Number of dispatchers on whose behalf this one sends; 0 if it may not send now.
     pub(super) represented_dispatchers: f64,
 }
 
-/// A number that spreads the schedules of workers.
+/// Returns an offset that varies the schedules between workers.
 fn schedule_offset(worker: WorkerId) -> u64 {
     let [a, b, c, d] = worker.addr.map(u64::from);
     a + b + c + d + u64::from(worker.port)
 }
 
 impl Worker {
-    /// The work that grants still allow.
+    /// Returns the unused work of the grants that have not expired.
     fn unused_grants(&self, now: Nanos) -> f64 {
         self.warm_up_grants
             .iter()
@@ -68,7 +72,7 @@
             .sum()
     }
 
-    /// Takes work out of the grants, those that expire first before others, and returns what they do not cover.
+    /// Deducts work from the grants, in order of expiry, and returns the work that they do not cover.
     fn consume_grants(&mut self, now: Nanos, mut work: f64) -> f64 {
         self.warm_up_grants
             .retain(|grant| now < grant.expires_at && grant.unused_work > 0.0);
@@ -82,7 +86,8 @@
 }
 
 impl Dispatcher {
-    /// The part of its full capacity that a worker has by the settings' slowest warm-up.
+    /// Returns the fraction of its full capacity that a worker has, for the slowest warm-up that the
+    /// settings allow. 1 once the worker is warm.
     pub(super) fn slow_start_factor(&self, worker: &Worker, now: Nanos) -> f64 {
         if worker.started_at == 0 {
             return 1.0;
@@ -93,8 +98,9 @@
         (initial + (1.0 - initial) * age / duration).min(1.0)
     }
 
-    /// Estimates the capacity of a fully warm worker for each unit of its size: the lower quartile of what workers show,
-    /// of the warm ones where there are some. A minimum would fall as the fleet grows.
+    /// Estimates the capacity of a fully warm worker for each unit of its size: the lower quartile
+    /// over the warm workers, or over all ready workers if none is warm. A minimum would decrease as
+    /// the fleet grows.
     pub(super) fn update_capacity_per_size(&mut self, now: Nanos) {
         let ready = || {
             self.workers
@@ -102,7 +108,8 @@
                 .filter(|worker| worker.state == EndpointState::Ready)
         };
         let has_warm = ready().any(|worker| self.slow_start_factor(worker, now) >= 1.0);
-        // Only own requests count: with their type's factor, workers not yet used would be left idle as they warm up.
+        // Only the factor of own requests counts. With the factor of their type, unused workers would
+        // be left idle while they warm up.
         let factor = |worker: &Worker| {
             if worker.factor_samples > 0.0 {
                 worker.service_time_factor.max(1.0)
@@ -121,7 +128,8 @@
             .unwrap_or(0.0);
     }
 
-    /// This dispatcher's part in what a warming worker gets.
+    /// Returns this dispatcher's allowance at a warming worker, before the work already sent is
+    /// deducted.
     pub(super) fn base_warm_up_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpAllowance {
         if self.settings.uses_warm_up_grants {
             self.reserved_allowance(worker, now)
@@ -130,8 +138,10 @@
         }
     }
 
-    /// The rotation_position by the schedule. Dispatchers of neighbouring ranks use different workers, so one in `rotation_size` represents all
-    /// that use this one. More have a rotation_position at once as the worker warms up; the allowance of each stays the same.
+    /// Returns the allowance by the rotation schedule. Dispatchers of neighbouring ranks use different
+    /// workers, so the `rotation_size` positions of the rotation cover all dispatchers that use this
+    /// worker. More dispatchers send at the same time as the worker warms up; the allowance of each
+    /// stays the same.
     fn scheduled_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpAllowance {
         let slow_start_factor = self.slow_start_factor(worker, now);
         let window = self.settings.overload_window.max(1.0);
@@ -159,7 +169,7 @@
             % (rotation_size as u64);
         let may_send = !is_pause && rotation_position < concurrent_senders as u64;
         WarmUpAllowance {
-            allowance: total_allowance / concurrent_senders,
+            work: total_allowance / concurrent_senders,
             represented_dispatchers: if may_send {
                 rotation_size / concurrent_senders
             } else {
@@ -168,10 +178,10 @@
         }
     }
 
-    /// What this dispatcher may still send to a warming worker now.
+    /// Returns the work that this dispatcher may still send to a warming worker now.
     pub(super) fn remaining_warm_up_allowance(&self, worker: &Worker, now: Nanos) -> f64 {
-        let rotation_position = self.base_warm_up_allowance(worker, now);
-        let own = if rotation_position.represented_dispatchers > 0.0 {
+        let allowance = self.base_warm_up_allowance(worker, now);
+        let own = if allowance.represented_dispatchers > 0.0 {
             let window_start = self.overload_window_start(now);
             let sent = worker
                 .recent_work
@@ -179,7 +189,7 @@
                 .filter(|sent| sent.at >= window_start)
                 .map(|sent| sent.work)
                 .sum::<f64>();
-            rotation_position.allowance - sent
+            allowance.work - sent
         } else {
             0.0
         };
@@ -190,7 +200,7 @@
         }
     }
 
-    /// Counts an attempt against what may be sent to its worker.
+    /// Deducts the work of an attempt from the grants and the allowance at its worker.
     pub(super) fn record_sent_work(&mut self, now: Nanos, worker_index: usize, work: f64) {
         let window_start = self.overload_window_start(now);
         let is_warming = self.slow_start_factor(&self.workers[worker_index], now) < 1.0;
@@ -222,7 +232,8 @@
         }
     }
 
-    /// What a warming worker can take from all dispatchers in any window that has begun by now.
+    /// Returns the work that a warming worker can accept from all dispatchers in any overload window
+    /// that has begun by now.
     fn warm_up_capacity(&self, worker: &Worker, now: Nanos) -> f64 {
         let window = self.settings.overload_window.max(1.0);
         let slow_start_factor = self.slow_start_factor(worker, now.saturating_sub(window as Nanos));
@@ -233,10 +244,11 @@
             * window
     }
 
-    /// What this dispatcher may send to a warming worker without a grant. The two dispatchers whose configured ranks
-    /// follow the worker's offset may, but not in the first window of a process, as its predecessor may have.
+    /// Returns the reserved allowance at a warming worker. It belongs to the two dispatchers whose
+    /// configured ranks follow the worker's offset. It is 0 in the first window of a process, as an
+    /// earlier process may have used it.
     fn reserved_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpAllowance {
-        let share = if self.has_fleet_view {
+        let fraction = if self.has_fleet_view {
             RESERVED_FRACTION
         } else {
             RESERVED_FRACTION_WITHOUT_VIEW
@@ -248,7 +260,7 @@
             .is_some_and(|distance| distance < holders as u64);
         let is_first_window = now < self.started_at + self.settings.overload_window as Nanos;
         WarmUpAllowance {
-            allowance: share * self.warm_up_capacity(worker, now) / holders,
+            work: fraction * self.warm_up_capacity(worker, now) / holders,
             represented_dispatchers: if is_holder && !is_first_window {
                 dispatchers / holders
             } else {
@@ -257,16 +269,17 @@
         }
     }
 
-    /// How far the configured rank lies after an offset, counted around all configured dispatchers; none for a rank beyond
-    /// them.
+    /// Returns the distance from an offset up to the configured rank, modulo the number of configured
+    /// dispatchers. `None` if the rank is not below that number.
     fn distance_after(&self, offset: u64) -> Option<u64> {
         let rank = self.settings.rank as u64;
         let dispatchers = self.settings.dispatchers as u64;
         (rank < dispatchers).then(|| (rank + dispatchers - offset % dispatchers) % dispatchers)
     }
 
-    /// Whether a request waits for a grant to the warming worker that it would have gone to. It waits once and briefly:
-    /// without an answer it is dispatched as if there were no grants.
+    /// Requests a grant for the warming worker that the request would have been sent to. Returns
+    /// whether the request waits for it. A request waits once and briefly; if no grant arrives, it is
+    /// dispatched as if there were no grants.
     pub(super) fn waits_for_grant(
         &mut self,
         now: Nanos,
@@ -296,7 +309,8 @@
         true
     }
 
-    /// States the budget that may be granted for each warming worker, and 0 for those that have just become warm.
+    /// Sets the budget that may be granted for each warming worker, and 0 for each that has just
+    /// become warm.
     pub(super) fn update_warm_up_budgets(&self, now: Nanos, actions: &mut Vec<Action>) {
         if !self.settings.uses_warm_up_grants {
             return;
--- a/src/policy/slow_start/tests/grants.rs
+++ b/src/policy/slow_start/tests/grants.rs
@@ -21,13 +21,13 @@
                     set_fleet_view(&mut d, Some((0, 1 + rank)));
                 }
                 let worker = &d.workers[at];
-                let turn = d.reserved_allowance(worker, now);
-                let part = if turn.represented_dispatchers > 0.0 {
-                    turn.allowance
+                let allowance = d.reserved_allowance(worker, now);
+                let reserved = if allowance.represented_dispatchers > 0.0 {
+                    allowance.work
                 } else {
                     0.0
                 };
-                sum += part / d.warm_up_capacity(worker, now);
+                sum += reserved / d.warm_up_capacity(worker, now);
             }
         }
         assert!(sum > 0.0 && sum + GRANTED_FRACTION <= limit + 1e-9, "{sum}");
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,24 +1,29 @@
-//! Subset selection: which workers this dispatcher uses, and which other dispatchers use a worker.
+//! Subset selection: determines the workers that this dispatcher uses, and the other dispatchers
+//! that use a worker.
 //!
-//! The eligible workers of a class are divided by id into as many parts as the subset has positions, and a dispatcher uses
-//! one worker of each part. So a worker serves about the same interval of sizes whoever sends to it.
+//! The eligible workers of a class are divided by id into as many parts as the subset has positions.
+//! A dispatcher uses one worker of each part, so a worker serves about the same interval of sizes
+//! for all dispatchers.
 use super::Dispatcher;
 use crate::types::{FleetPosition, Nanos};
 
 #[cfg(test)]
 mod tests;
 
-/// The most dispatchers that use one worker, where they do not exchange their load: each still sees enough of it.
+/// Maximum number of dispatchers that use one worker, without load exchange. Each still sends enough
+/// requests to estimate the worker's load.
 pub(super) const MAX_DISPATCHERS_PER_WORKER: f64 = 12.0;
 
-/// The fewest dispatchers that use one worker, where there are as many. Each sees enough of it to know its queue.
+/// Minimum number of dispatchers that use one worker, if there are as many. Each sends enough
+/// requests to estimate the worker's queue.
 pub(super) const MIN_DISPATCHERS_PER_WORKER: f64 = 4.0;
 
-/// The size of a subset between these bounds: enough workers that uneven traffic evens out.
+/// Size of a subset between these bounds. Enough workers to even out uneven traffic.
 const SUBSET_SIZE: f64 = 8.0;
 
 impl Dispatcher {
-    /// Sets the number and the rank of the dispatchers that run; without a position those of the settings count.
+    /// Sets the rank of this dispatcher and the number of running dispatchers. Without a position,
+    /// the values of the settings apply.
     pub(super) fn set_fleet_position(&mut self, now: Nanos, position: Option<FleetPosition>) {
         let configured = FleetPosition {
             rank: self.settings.rank as u16,
@@ -32,8 +37,8 @@
         self.select_subsets(now);
     }
 
-    /// The number of dispatchers that subset sizes follow. Where dispatchers come and go it is rounded up to a power of
-    /// two, so that most changes move no subset.
+    /// Returns the number of dispatchers that determines subset sizes. With a fleet view it is rounded
+    /// up to a power of two, so that most changes of the fleet leave all subsets unchanged.
     fn nominal_dispatchers(&self) -> f64 {
         if self.has_fleet_view {
             self.dispatchers.log2().ceil().exp2()
@@ -42,7 +47,7 @@
         }
     }
 
-    /// How many of its eligible workers a class uses here.
+    /// Returns the number of workers that this dispatcher uses out of `eligible` ones.
     pub(super) fn subset_size(&self, eligible: usize) -> usize {
         let workers_per_dispatcher = eligible as f64 / self.nominal_dispatchers();
         let max_size = if self.exchanges_load {
@@ -73,7 +78,7 @@
         }
     }
 
-    /// The subset by the settings' rank, which no member of the fleet coordinates.
+    /// Returns the subset by the configured rank, for dispatchers without a fleet view.
     fn configured_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
         let count = eligible.len();
         (0..size)
@@ -84,9 +89,9 @@
             .collect()
     }
 
-    /// The worker of one part. Instead of an unreachable one it is a reachable other one of the part, a different one
-    /// for each block of dispatchers. None that is warming up replaces another, as its allowance is divided by who
-    /// regularly uses it.
+    /// Returns the worker of one part. An unreachable worker is replaced by another one of the part
+    /// that is reachable, a different one for each block of dispatchers. A warming worker never
+    /// replaces another, as its allowance is divided between its regular dispatchers.
     fn configured_worker(&self, now: Nanos, workers: &[usize], part: usize) -> usize {
         let count = workers.len();
         let block = self.rank / count;
@@ -101,9 +106,10 @@
             .unwrap_or(workers[regular])
     }
 
-    /// The subset by rank, where dispatchers come and go. The worker of a part moves on from one rank to the next, so
-    /// that the numbers of dispatchers that use two workers differ by one at most, and a subset depends on the own rank
-    /// alone. An unreachable worker is replaced by the next reachable one that is warm.
+    /// Returns the subset by rank, for dispatchers with a fleet view. The worker of a part advances
+    /// from one rank to the next, so that the numbers of dispatchers of any two workers differ by at
+    /// most 1, and the subset depends on no rank but the own. An unreachable worker is replaced by
+    /// the next reachable one that is warm.
     fn ranked_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
         let count = eligible.len();
         let is_reachable = |position: usize| !self.workers[eligible[position]].is_unreachable(now);
@@ -130,7 +136,8 @@
             .collect()
     }
 
-    /// The ranks of the other dispatchers that use the eligible worker at a position, where dispatchers come and go.
+    /// Returns the ranks of the other dispatchers that use the eligible worker at a position, by
+    /// [`Self::ranked_subset`].
     pub(super) fn ranked_peers(
         &self,
         position: usize,
@@ -146,7 +153,8 @@
             .map(|rank| rank as u16)
     }
 
-    /// The same by the ranks of the settings: one of each block of dispatchers, as [`Self::configured_worker`] selects.
+    /// Returns the ranks of the other dispatchers that use the eligible worker at a position, by
+    /// [`Self::configured_worker`]: one of each block of dispatchers.
     pub(super) fn configured_peers(
         &self,
         position: usize,
--- a/src/policy/worker_selection.rs
+++ b/src/policy/worker_selection.rs
@@ -1,7 +1,7 @@
-//! Worker selection: which worker gets a request.
+//! Worker selection: selects the worker for a request.
 //!
-//! It is the worker whose interval holds the request's size, or the nearest by id that can start it soon enough; failing
-//! that, the one of least cost.
+//! Selects the worker whose interval contains the request's size, or the nearest by id that can start
+//! it soon enough. If there is none, selects the worker with the lowest cost.
 use super::Dispatcher;
 use super::subset::{MAX_DISPATCHERS_PER_WORKER, MIN_DISPATCHERS_PER_WORKER};
 use crate::mutation::{Mutation, is_active};
@@ -14,60 +14,62 @@
 #[cfg(test)]
 mod tests;
 
-/// The cost of passing over a whole subset, in mean waits of the fleet, where the most dispatchers use a worker.
+/// Cost of a distance of a whole subset, in mean waits of the fleet, if the maximum number of
+/// dispatchers use a worker.
 const SUBSET_DISTANCE_COST: f64 = 1.6;
 
-/// The part of the time to spare below which a wait is within the error of the estimates.
+/// Slack usage below which a wait is within the error of the estimates.
 const NEGLIGIBLE_SLACK_USAGE: f64 = 0.05;
 
-/// The failure score from which on a worker is not taken without comparing costs.
+/// Failure score from which a worker is selected only by cost.
 const MAX_FAILURE_SCORE: f64 = 0.25;
 
-/// How fast the service-time factor of a worker counts for admission as starts get late.
+/// Weight of a worker's service-time factor in admission, for each unit of the fraction of late
+/// starts.
 const LATE_FACTOR_SLOPE: f64 = 3.0;
 
-/// The worker selected for a request.
+/// Worker selected for a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Selection {
-    /// The index of the worker.
+    /// Index of the worker.
     pub(super) worker: usize,
-    /// The expected wait there, in nanoseconds.
+    /// Expected wait at the worker, in nanoseconds.
     pub(super) wait: f64,
-    /// The wait as a part of the request's time to spare.
+    /// Wait as a fraction of the request's slack.
     pub(super) slack_usage: f64,
 }
 
-/// What a request can expect of a worker.
+/// Estimates for a request at a worker.
 struct Estimate {
-    /// The failure score that counts for the request.
+    /// Failure score that applies to the request.
     failures: f64,
-    /// How long the request may wait there, 1 ns at least.
+    /// Slack of the request, in nanoseconds, at least 1.
     slack: f64,
-    /// The expected wait, in nanoseconds.
+    /// Expected wait, in nanoseconds.
     wait: f64,
-    /// The wait and the network delay as a part of the time to spare.
+    /// Wait and extra network delay as a fraction of the slack.
     slack_usage: f64,
 }
 
-/// What is the same for all workers that are considered for a request.
+/// Inputs that are the same for all candidate workers of a request.
 struct SelectionContext<'a> {
     now: Nanos,
     active: &'a ActiveRequest,
     class: &'a RequestClass,
-    /// The workers that are considered, by id.
+    /// Indices of the candidate workers, ordered by id.
     workers: &'a [usize],
-    /// The attempt to whose retry scope the request is bound.
+    /// Attempt to whose retry scope and window the request is bound.
     bound_to: Option<UncertainAttempt>,
     mean_work: f64,
-    /// The fleet's delay of starts in times to spare, as far as other dispatchers cause it.
+    /// Mean start delay of the fleet that other dispatchers cause, as a fraction of the slack.
     fleet_delay: f64,
     late_fraction: f64,
-    /// The cost of each position between a worker and the request's interval.
+    /// Cost for each position of distance between a worker and the request's interval.
     cost_per_position: f64,
 }
 
 impl SelectionContext<'_> {
-    /// Whether the request is bound to a retry scope and window that do not allow this worker now.
+    /// Returns whether the request is bound to a retry scope and window that exclude this worker now.
     fn forbids_worker(&self, workers: &[Worker], index: usize) -> bool {
         let Some(bound_to) = self.bound_to else {
             return false;
@@ -83,7 +85,8 @@
     }
 }
 
-/// The positions of a subset by their distance from one of them: itself, then the next above and below by turns.
+/// Returns the positions of a subset in order of distance from `from`, with their distances. At equal
+/// distance the higher position comes first.
 fn positions_by_distance(from: usize, count: usize) -> impl Iterator<Item = (usize, usize)> {
     (0..2 * count).filter_map(move |step| {
         let distance = step.div_ceil(2);
@@ -99,7 +102,8 @@
 }
 
 impl Dispatcher {
-    /// Selects the worker for a request whose size falls into `interval`; none where no worker may take it now.
+    /// Selects the worker for a request whose size falls into `interval`. Returns `None` if no worker
+    /// may accept it now.
     pub(super) fn select_worker(
         &mut self,
         now: Nanos,
@@ -150,7 +154,7 @@
         let bound_to = active.first_uncertain_attempt.filter(|_| {
             active.idempotency == IdempotentWithKey && !is_active(Mutation::IgnoreRetryWindow)
         });
-        // A retry that is bound to a scope may have to leave the subset.
+        // A retry that is bound to a scope may need a worker outside the subset.
         let workers = if bound_to.is_some() {
             &class.eligible_workers
         } else {
@@ -161,7 +165,8 @@
             late_fraction,
         } = self.start_delays.congestion(now, self.low_traffic_factor);
         let fleet_delay = self.unobserved_fraction * delay;
-        // The more dispatchers use a worker the less is known of it, and the more a request keeps to its interval.
+        // The more dispatchers use a worker, the less certain its estimates are, and the more a
+        // deviation from the request's interval costs.
         let uncertainty = ((self.dispatchers_per_worker - MIN_DISPATCHERS_PER_WORKER)
             / (MAX_DISPATCHERS_PER_WORKER - MIN_DISPATCHERS_PER_WORKER))
             .clamp(0.0, 1.0);
@@ -191,8 +196,8 @@
             && !is_active(Mutation::IgnoreSlowStart)
     }
 
-    /// Whether this dispatcher's part of a worker's slots, less what peers use, has position for the request. A larger
-    /// request may have all of the part.
+    /// Returns whether this dispatcher's quota of a worker's slots, less the slots that peers use, has
+    /// capacity for the request. A request larger than the quota may use all of it.
     fn has_free_slot(&self, context: &SelectionContext, index: usize) -> bool {
         let worker = &self.workers[index];
         let sharing = if self.exchanges_load {
@@ -206,7 +211,7 @@
             <= quota
     }
 
-    /// What a request can expect of a worker.
+    /// Returns the estimates for a request at a worker.
     fn estimate(&self, context: &SelectionContext, index: usize) -> Estimate {
         let active = context.active;
         let worker = &self.workers[index];
@@ -229,14 +234,15 @@
         }
     }
 
-    /// Whether a request can start about at once, at a worker that is no outlier.
+    /// Returns whether the request can start almost at once at a worker that is not an outlier.
     fn is_suitable(&self, context: &SelectionContext, index: usize, estimate: &Estimate) -> bool {
         estimate.failures < MAX_FAILURE_SCORE
             && estimate.slack_usage < NEGLIGIBLE_SLACK_USAGE
             && self.has_free_slot(context, index)
     }
 
-    /// The cost of a worker that is not suitable, `distance` positions away from the request's interval.
+    /// Returns the cost of a worker that is not suitable, `distance` positions away from the request's
+    /// interval.
     fn cost(
         &self,
         context: &SelectionContext,
@@ -250,7 +256,8 @@
             .attempts()
             .iter()
             .any(|attempt| attempt.worker == index);
-        // Own attempts count once more than in the wait, as other dispatchers see and do the same.
+        // Own attempts count in addition to the wait, as other dispatchers observe the same state and
+        // send to the same worker.
         let own_load =
             (worker.remaining_work / estimate.slack + worker.slots_in_use) / worker.slots;
         let distance_cost = context.cost_per_position * distance as f64;
@@ -261,15 +268,16 @@
             + distance_cost
     }
 
-    /// The slack_usage for admission at a worker that is not suitable. That a worker is slow is no overload: it counts only as
-    /// far as starts are late.
+    /// Returns the slack usage for admission at a worker that is not suitable. A slow worker is not
+    /// overload: its service-time factor counts only to the extent that starts are late.
     fn admission_slack_usage(&self, context: &SelectionContext, index: usize, wait: f64) -> f64 {
         let lateness = (LATE_FACTOR_SLOPE * context.late_fraction).min(1.0);
         let factor = 1.0 + (self.workers[index].service_time_factor - 1.0) * lateness;
         wait / context.active.slack(context.now, factor).max(1.0)
     }
 
-    /// The means of the fleet for a worker. A warming worker is not as busy as the rest, as its load is limited.
+    /// Returns the fleet means that apply to a worker. A warming worker is less busy than the rest, as
+    /// its load is limited.
     fn fleet_means(&self, context: &SelectionContext, index: usize, slack: f64) -> FleetMeans {
         let means = FleetMeans {
             work: context.mean_work,
