--- a/src/mutation.rs
+++ b/src/mutation.rs
@@ -1,9 +1,10 @@
-//! Mutation testing: guards that can be left out on purpose, to show that the tests and the simulation find it.
+//! Mutation testing: faults that can be activated to check that the tests and the simulation detect
+//! them.
 //!
-//! Only a build with the feature `mutations` has them, one at a time and on one thread. In all others [`is_active`] is
-//! false at compile time.
+//! Only builds with the feature `mutations` contain them. At most one mutation is active on a thread.
+//! In all other builds [`is_active`] is false at compile time.
 
-/// A guard of the program that is left out.
+/// Fault that can be activated in place of a guard of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// A non-idempotent request is sent again after it may have run.
@@ -22,13 +23,13 @@
     DropDeadlineTimer,
     /// An old endpoint list replaces a newer one.
     AcceptStaleList,
-    /// A client's disconnection is not noticed, and its request is sent all the same.
+    /// A client's disconnection is ignored, and its request is still sent.
     IgnoreClientDisconnect,
     /// The connection of an attempt that failed is never closed.
     LeakConnection,
     /// The id of an active request is accepted again.
     AcceptDuplicateId,
-    /// A connection that broke after the last byte counts as one that never came up.
+    /// A connection lost after the last byte of the request counts as one that was never established.
     TreatLostAsNotRun,
     /// One answer in thirty-two ends before its last byte.
     TruncateAnswer,
@@ -36,10 +37,10 @@
     CloseWithoutAnswer,
     /// A reload drops the old watch before the new one has delivered anything.
     DropWatchOnReload,
-    /// Requests that were sent more than once stay active for ever.
+    /// Requests that were sent more than once are never removed.
     LeakRequest,
-    // Between dispatchers.
-    /// The time for which this process was paused counts as silence of others.
+    // Protocol between dispatchers.
+    /// The time for which this process was paused counts as silence of the other members.
     IgnorePause,
     /// Messages of an old incarnation are accepted.
     AcceptOldIncarnation,
@@ -49,48 +50,48 @@
     ForgetLeasePromise,
     /// A quorum member promises a lease while its earlier promise still holds.
     PromiseLeaseTwice,
-    /// One less than a majority of the quorum is enough for a lease.
+    /// One promise fewer than a majority of the quorum is enough for a lease.
     LeaseWithoutMajority,
-    /// A lease counts from the reply instead of from the request.
+    /// The duration of a lease starts at the reply instead of at the request.
     LeaseFromReply,
-    /// An issued grant is forgotten after a window, though it may be used later.
+    /// An issued grant is dropped after one window, though it may be used later.
     ForgetIssuedGrant,
-    /// A new grant issuer does not wait for what its predecessor issued.
+    /// A new grant issuer does not wait for the grants of its predecessor to expire.
     IssueWithoutHandoverWait,
     /// A duplicate grant request is granted again.
     GrantDuplicateRequest,
-    /// Granted work also stays in the issuer's budget.
+    /// Granted work is not deducted from the issuer's budget.
     KeepGrantedWork,
     /// A duplicate grant counts twice.
     AcceptDuplicateGrant,
-    /// A grant counts from the reply instead of from the request.
+    /// The duration of a grant starts at the reply instead of at the request.
     GrantFromReply,
     /// One member may report any number of workers as unresponsive.
     UnboundedSilenceReports,
-    // The replicated register of the fleet's settings.
-    /// A quorum member replies before its disk has what the reply rests on.
+    // Replicated register of the fleet's settings.
+    /// A quorum member replies before the state that the reply depends on is on disk.
     ReplyBeforePersist,
     /// Half of the quorum counts as a majority.
     MiscountMajority,
-    /// Values that the quorum has accepted before are not taken over.
+    /// A proposer does not adopt the value that the quorum has already accepted.
     IgnoreAcceptedValue,
-    /// A change gets the version after the one that it names, whatever is there.
+    /// A change gets the version after the one that it names, whatever the current version is.
     ReuseVersion,
     /// A quorum member accepts a ballot below its promise.
     AcceptBelowPromise,
-    /// A quorum member that restarts has promised no ballot.
+    /// A quorum member loses its promised ballot when it restarts.
     ForgetBallotPromise,
-    /// A document is taken for the chosen one by its version alone.
+    /// A document is accepted as the chosen one by its version alone.
     SkipDigestCheck,
-    /// A fetched document is applied though it is not complete.
+    /// A fetched document is applied although it is incomplete.
     ApplyPartialDocument,
-    /// A quorum member that restarts falls back behind what it had applied.
+    /// A quorum member that restarts returns to a version older than the one it had applied.
     RegressAfterRestart,
     /// An older document replaces a newer one.
     ApplyOlderDocument,
 }
 
-/// The mutations of the replicated register. The tests of `rosewall-cluster` find them.
+/// Mutations of the replicated register, which the tests of `rosewall-cluster` must detect.
 pub const REGISTER: &[Mutation] = &[
     Mutation::ReplyBeforePersist,
     Mutation::MiscountMajority,
@@ -104,7 +105,7 @@
     Mutation::ApplyOlderDocument,
 ];
 
-/// The mutations between dispatchers. The tests of `rosewall-cluster` find them.
+/// Mutations of the protocol between dispatchers, which the tests of `rosewall-cluster` must detect.
 pub const CLUSTER: &[Mutation] = &[
     Mutation::IgnorePause,
     Mutation::AcceptOldIncarnation,
@@ -122,7 +123,7 @@
     Mutation::UnboundedSilenceReports,
 ];
 
-/// The mutations of one dispatcher. The simulation finds them.
+/// Mutations of a single dispatcher, which the simulation must detect.
 pub const DISPATCHER: &[Mutation] = &[
     Mutation::RetryNonIdempotent,
     Mutation::IgnoreRetryWindow,
@@ -147,19 +148,19 @@
     static ACTIVE: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
-/// Activates a mutation on this thread, or none.
+/// Activates a mutation on this thread and deactivates any other. `None` deactivates all.
 #[cfg(feature = "mutations")]
 pub fn activate(mutation: Option<Mutation>) {
     ACTIVE.set(mutation);
 }
 
-/// Whether the mutation is active on this thread.
+/// Returns whether the mutation is active on this thread.
 #[cfg(feature = "mutations")]
 pub fn is_active(mutation: Mutation) -> bool {
     ACTIVE.get() == Some(mutation)
 }
 
-/// No mutation is active in this build.
+/// Returns false, as this build contains no mutations.
 #[cfg(not(feature = "mutations"))]
 #[inline(always)]
 pub const fn is_active(_: Mutation) -> bool {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings map, and the typed settings that the decisions are made by.
+//! The settings map, and the typed settings of the decisions.
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use thiserror::Error;
@@ -6,48 +6,49 @@
 #[cfg(test)]
 mod tests;
 
-/// Settings by name; the decisions and the programs read from it what they need.
+/// Values of settings by name, as text. The decisions and the programs read their settings from it.
 pub type SettingsMap = BTreeMap<String, String>;
 
-/// A setting that cannot be used. The message names the setting.
+/// Error for a setting that is missing or has an invalid value. The message names the setting.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// A required setting is absent.
     #[error("setting {name} is missing")]
     Missing {
-        /// The setting.
+        /// Name of the setting in the map.
         name: String,
     },
-    /// The value is not of the setting's type, or none of its words.
+    /// The value is not of the setting's type, or not one of its keywords.
     #[error("setting {name} cannot be read: {value:?}")]
     Unreadable {
-        /// The setting.
+        /// Name of the setting in the map.
         name: String,
-        /// Its value.
+        /// Text of the value.
         value: String,
     },
-    /// The value is below 0 or not a usable number.
+    /// The number is negative, not finite, or 1e18 or more.
     #[error("setting {name} is out of range: {value}")]
     OutOfRange {
-        /// The setting.
+        /// Name of the setting in the map.
         name: &'static str,
-        /// Its value.
+        /// Number that was read.
         value: f64,
     },
-    /// Dispatchers that exchange their load need ranks below their number.
+    /// The rank is not below the number of dispatchers, or there are more than 65535 dispatchers. Only
+    /// checked for dispatchers that exchange load.
     #[error("setting me is out of range: {rank} of {dispatchers} dispatchers")]
     RankOutOfRange {
-        /// The rank.
+        /// Configured rank, from 0.
         rank: f64,
-        /// How many dispatchers there are.
+        /// Configured number of dispatchers.
         dispatchers: f64,
     },
 }
 
-/// Reads one setting.
+/// Reads one required setting.
 ///
 /// # Errors
-/// When the setting is missing or its value is not of the type.
+/// Returns an error if the setting is missing or its value cannot be parsed.
 pub fn read_setting<T: FromStr>(map: &SettingsMap, name: &str) -> Result<T, SettingsError> {
     let value = map.get(name).ok_or_else(|| SettingsError::Missing {
         name: name.to_string(),
@@ -55,7 +56,7 @@
     value.parse().map_err(|_| unreadable(name, value))
 }
 
-/// Reads one setting that may be left out.
+/// Reads one optional setting.
 fn read_setting_or<T: FromStr>(
     map: &SettingsMap,
     name: &str,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Reads a number that is not negative; `true` counts as 1 and `false` as 0.
+/// Reads a non-negative number below 1e18. `true` counts as 1 and `false` as 0.
 fn read_quantity(map: &SettingsMap, name: &'static str) -> Result<f64, SettingsError> {
     let value = match read_setting::<bool>(map, name) {
         Ok(flag) => f64::from(flag),
@@ -88,13 +89,13 @@
     }
 }
 
-/// The unit to which the priority weights of the settings refer.
+/// Unit to which the priority weights of the settings refer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum WeightBasis {
     /// Each unit of work of a class has the same weight.
     #[default]
     Work,
-    /// Each request of a class has the same weight, however much work it is.
+    /// Each request of a class has the same weight, regardless of its work.
     Request,
 }
 
@@ -110,18 +111,18 @@
     }
 }
 
-/// Whether a request of a class may run more than once.
+/// Rule by which requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Idempotency {
-    /// Running it again is harmless.
+    /// A request may run again at any worker at any time.
     Idempotent,
-    /// Running it again is harmless within its retry scope and retry window.
+    /// A request may run again within its retry scope and retry window.
     IdempotentWithKey,
-    /// It must not run twice.
+    /// A request must not run twice.
     NonIdempotent,
 }
 
-/// The workers among which the idempotency key of a request is known.
+/// Set of workers that know the idempotency key of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RetryScope {
     /// All workers.
@@ -137,14 +138,14 @@
 pub(crate) struct ClassSettings {
     pub(crate) idempotency: Idempotency,
     pub(crate) retry_scope: RetryScope,
-    /// How long an idempotency key is known, in nanoseconds.
+    /// Time for which workers know an idempotency key, in nanoseconds.
     pub(crate) retry_window: u64,
-    /// The latency objective beside the stretch, in nanoseconds.
+    /// Constant part of the latency objective, in nanoseconds.
     pub(crate) latency_objective: f64,
-    /// Service times that the latency objective is extended by.
+    /// Multiple of the service time that is added to the latency objective.
     pub(crate) objective_stretch: f64,
     pub(crate) priority_weight: f64,
-    /// The worker type that requests of the class need; below 0 for any.
+    /// Worker type that requests of the class require; any type if negative.
     pub(crate) worker_type: i64,
 }
 
@@ -174,13 +175,13 @@
         })
     }
 
-    /// Whether workers of the type may run requests of the class.
+    /// Returns whether workers of the type may run requests of the class.
     pub(crate) fn accepts(&self, worker_type: u8) -> bool {
         self.worker_type < 0 || i64::from(worker_type) == self.worker_type
     }
 }
 
-/// The positions of the values in a load report that the decisions use.
+/// Positions of the used values in a load report; `None` if the report lacks them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportFields {
     pub(crate) free_slots: Option<usize>,
@@ -198,28 +199,28 @@
     }
 }
 
-/// The settings of one dispatcher, beside those of its classes. Times are in nanoseconds.
+/// Settings of one dispatcher, except those of its classes. Times are in nanoseconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Settings {
-    /// How many dispatchers there are, 1 at least.
+    /// Number of dispatchers, at least 1.
     pub(crate) dispatchers: f64,
-    /// The rank of this dispatcher, from 0.
+    /// Rank of this dispatcher, from 0.
     pub(crate) rank: f64,
     pub(crate) zone: u16,
     pub(crate) max_attempts: usize,
-    /// The longest time that a rejected client may be asked to wait; 0 where none may be stated.
+    /// Maximum retry delay stated to a rejected client; 0 if none may be stated.
     pub(crate) max_retry_after: f64,
     /// Whether workers report that a request has started.
     pub(crate) reports_starts: bool,
-    /// The part of its capacity that a worker has when it starts.
+    /// Fraction of its capacity that a worker has when it starts.
     pub(crate) slow_start_initial: f64,
     pub(crate) slow_start_duration: f64,
-    /// A worker fails when it gets more than this multiple of its capacity within the overload window.
+    /// Multiple of its capacity above which a worker fails if it gets more within the overload window.
     pub(crate) overload_multiple: f64,
     pub(crate) overload_window: f64,
-    /// Whether the endpoint list has to be asked for.
+    /// Whether the dispatcher has to poll the endpoint list.
     pub(crate) polls_endpoints: bool,
-    /// Whether dispatchers send each other their load.
+    /// Whether dispatchers send load reports to each other.
     pub(crate) exchanges_load: bool,
     /// Whether workers start requests in the order of their arrival.
     pub(crate) fifo_workers: bool,
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -1,8 +1,8 @@
-//! The delay of starts over the whole fleet, as this dispatcher's own attempts show it.
+//! Estimate of start delays over the whole fleet, from this dispatcher's own attempts.
 //!
-//! Attempts count in the order in which they were sent, not in that of their starts. One that has not started yet counts
-//! as if it started now: it can raise the estimate and never lowers it. Starts alone would tell of a queue only once it
-//! has been worked off.
+//! Attempts count in the order in which they were sent, not in the order of their starts. An attempt
+//! that has not started yet counts as if it started now, and can only raise the estimate. Starts
+//! alone would show a queue only after it has been processed.
 use crate::time::{SECOND, decay};
 use crate::types::{Nanos, RequestId};
 use std::collections::VecDeque;
@@ -10,23 +10,24 @@
 #[cfg(test)]
 mod tests;
 
-/// The weight of the newest attempt in the mean delay. A dispatcher of a large fleet sends one to five a second, and a
-/// burst fills all queues within two.
+/// Weight of the latest attempt in the mean delay. A dispatcher of a large fleet sends 1 to 5
+/// attempts per second, and a burst fills all queues within 2 seconds.
 const DELAY_WEIGHT: f64 = 0.2;
 
-/// The weight of the newest attempt in the part that starts late, for each unit of low_traffic_factor: seven to twenty count.
+/// Weight of the latest attempt in the late fraction, for each unit of the low-traffic factor. The
+/// last 7 to 20 attempts count.
 const LATE_WEIGHT: f64 = 0.05;
 
-/// The number of attempts that are kept. Others would weigh less than a thousandth.
-const MAX_OBSERVED_ATTEMPTS: usize = 32;
+/// Number of attempts that are retained. Earlier ones would have a weight below 0.001.
+const MAX_RETAINED_ATTEMPTS: usize = 32;
 
-/// The longest delay that counts, in times to spare: no request is sent that would wait longer.
-const MAX_DELAY: f64 = 1.5;
+/// Upper bound of a delay as a fraction of the slack. No request with a longer expected wait is sent.
+const MAX_RELATIVE_DELAY: f64 = 1.5;
 
-/// The least time to spare that a delay is measured by, in service times.
-const MIN_SLACK: f64 = 0.25;
+/// Lower bound of the slack that a delay is divided by, in service times.
+const MIN_SLACK_IN_SERVICE_TIMES: f64 = 0.25;
 
-/// One attempt of one request.
+/// Identifier of an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AttemptId {
     pub(crate) request_id: RequestId,
@@ -42,28 +43,33 @@
     }
 }
 
-/// An attempt as it is sent.
+/// Attempt at the time it is sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
     pub(crate) id: AttemptId,
     pub(crate) sent_at: Nanos,
-    /// The wait that this dispatcher's own earlier attempts explain.
+    /// Wait that this dispatcher's own earlier attempts explain, in nanoseconds.
     pub(crate) expected_wait: f64,
-    /// How long it may wait and still meet its latency objective; not above 0 where it cannot at an idle worker.
+    /// Time that the attempt may wait and still meet its latency objective, in nanoseconds. Not above
+    /// 0 if it cannot meet it even at an idle worker.
     pub(crate) slack: f64,
-    /// How long it is expected to run.
+    /// Expected service time, in nanoseconds.
     pub(crate) service_time: f64,
 }
 
 impl SentAttempt {
-    /// How much longer than expected it has waited by now, in times to spare.
+    /// Returns the wait by now in excess of the expected wait, as a fraction of the slack.
     fn delay(&self, now: Nanos) -> f64 {
         let delay = (self.age(now) - self.expected_wait).max(0.0);
-        let slack = self.slack.max(MIN_SLACK * self.service_time).max(1.0);
-        (delay / slack).min(MAX_DELAY)
+        let slack = self
+            .slack
+            .max(MIN_SLACK_IN_SERVICE_TIMES * self.service_time)
+            .max(1.0);
+        (delay / slack).min(MAX_RELATIVE_DELAY)
     }
 
-    /// Whether a start now is too late because of its wait. What would be late at an idle worker does not indicate a queue.
+    /// Returns whether a start now is late because of its wait. An attempt that would be late even at
+    /// an idle worker does not indicate a queue.
     fn is_late(&self, now: Nanos) -> bool {
         self.slack > 0.0 && self.age(now) > self.slack
     }
@@ -73,32 +79,32 @@
     }
 }
 
-/// How an attempt's wait ended.
+/// Start of an attempt.
 #[derive(Clone, Copy, Debug)]
 struct Start {
     at: Nanos,
-    /// In times to spare.
+    /// Delay as a fraction of the slack.
     delay: f64,
     is_late: bool,
 }
 
-/// An attempt and its start, if it has started.
+/// Attempt and its start; `None` if it has not started.
 #[derive(Clone, Copy, Debug)]
 struct ObservedAttempt {
     sent: SentAttempt,
     start: Option<Start>,
 }
 
-/// The state of the whole fleet's queues.
+/// Congestion estimate of the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Congestion {
-    /// The mean delay of a start, in times to spare.
+    /// Mean delay of a start, as a fraction of the slack.
     pub(crate) delay: f64,
-    /// The part of the attempts that start too late.
+    /// Fraction of the attempts that start late.
     pub(crate) late_fraction: f64,
 }
 
-/// The latest attempts, in the order in which they were sent.
+/// Latest attempts, in the order in which they were sent.
 #[derive(Debug)]
 pub(crate) struct StartDelays {
     attempts: VecDeque<ObservedAttempt>,
@@ -107,22 +113,22 @@
 impl Default for StartDelays {
     fn default() -> Self {
         StartDelays {
-            attempts: VecDeque::with_capacity(MAX_OBSERVED_ATTEMPTS),
+            attempts: VecDeque::with_capacity(MAX_RETAINED_ATTEMPTS),
         }
     }
 }
 
 impl StartDelays {
-    /// Adds an attempt that was sent.
+    /// Adds an attempt that was sent. The oldest one is removed if the buffer is full.
     pub(crate) fn record_sent(&mut self, sent: SentAttempt) {
-        if self.attempts.len() == MAX_OBSERVED_ATTEMPTS {
+        if self.attempts.len() == MAX_RETAINED_ATTEMPTS {
             self.attempts.pop_front();
         }
         self.attempts
             .push_back(ObservedAttempt { sent, start: None });
     }
 
-    /// Notes that an attempt has started.
+    /// Records that an attempt has started.
     pub(crate) fn record_start(&mut self, id: AttemptId, now: Nanos) {
         if let Some(index) = self.waiting_index(id) {
             let ObservedAttempt { sent, start } = &mut self.attempts[index];
@@ -134,16 +140,17 @@
         }
     }
 
-    /// Notes that an attempt has ended. One that never started is forgotten: that its worker was full, unresponsive or
-    /// gone does not affect others.
+    /// Records that an attempt has ended. An attempt that never started is removed, as a worker that
+    /// was at capacity, unresponsive or removed does not affect other workers.
     pub(crate) fn record_end(&mut self, id: AttemptId) {
         if let Some(index) = self.waiting_index(id) {
             self.attempts.remove(index);
         }
     }
 
-    /// The estimate as of now. `low_traffic_factor` is 1 where many attempts are seen and higher where few are: starts then lose their
-    /// weight more slowly, with a half-life of `low_traffic_factor` seconds, and each attempt counts for more.
+    /// Returns the estimate as of now. `low_traffic_factor` is 1 at high request rates and larger at
+    /// low ones. Starts lose their weight with a half-life of `low_traffic_factor` seconds, and the
+    /// weight of each attempt in the late fraction is multiplied by it.
     pub(crate) fn congestion(&self, now: Nanos, low_traffic_factor: f64) -> Congestion {
         let late_weight = LATE_WEIGHT * low_traffic_factor;
         let mut estimate = Congestion::default();
@@ -172,7 +179,7 @@
         estimate
     }
 
-    /// The index of an attempt that has neither started nor ended.
+    /// Returns the index of an attempt that has neither started nor ended.
     fn waiting_index(&self, id: AttemptId) -> Option<usize> {
         self.attempts
             .iter()
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -114,7 +114,7 @@
 fn only_the_latest_attempts_are_kept_and_each_counts_once() {
     let mut delays = StartDelays::default();
     send_all(&mut delays, 0..1_000, 0);
-    assert_eq!(delays.attempts.len(), MAX_OBSERVED_ATTEMPTS);
+    assert_eq!(delays.attempts.len(), MAX_RETAINED_ATTEMPTS);
     let id = AttemptId::new(999, 0);
     delays.record_start(id, MS);
     let before = delays.congestion(MS, LOW_TRAFFIC_FACTOR);
--- a/src/state/class.rs
+++ b/src/state/class.rs
@@ -1,14 +1,15 @@
-//! What is known of one request class.
+//! State and estimates of one request class.
 use super::histogram::{BINS, Bins, FIRST_BIN_START, bin_index, bin_start};
 use super::running_mean::RunningMean;
 use crate::settings::{ClassSettings, WeightBasis};
 use crate::types::Nanos;
 
-/// The largest part of its clients' patience that a class is assumed to run for before any of its requests has
-/// completed. The rest is left for queues, so that the first request is sent.
+/// Upper bound of the expected service time before any request of the class has completed, as a
+/// fraction of the time to the deadline. The rest remains for queues, so that the first request is
+/// sent.
 const MAX_UNKNOWN_SERVICE_FRACTION: f64 = 0.25;
 
-/// A weight below which a class counts as one of this weight, so that weights can be divided by.
+/// Lower bound of priority weights. Prevents division by zero.
 const MIN_WEIGHT: f64 = 1e-9;
 
 /// One request class: its settings, its recent requests and the workers that serve it.
@@ -16,20 +17,21 @@
     pub(crate) settings: ClassSettings,
     /// Whether the class is above the median priority weight.
     pub(crate) high_priority: bool,
-    /// Recent work by size.
+    /// Recent work by request size.
     pub(crate) histogram: Bins,
-    /// The number of recent requests in the histogram.
+    /// Decayed number of recent requests in the histogram.
     pub(crate) request_count: f64,
+    /// Whether any request of the class has had a hint.
     pub(crate) has_hints: bool,
-    /// Service times of completed requests without hints. Starts at the latency objective: classes that have not
-    /// been seen to run are told apart by what their clients expect, so that short requests do not queue behind
+    /// Service times of completed requests without hints. Starts at the latency objective, which
+    /// distinguishes classes without completed requests, so that short requests do not queue behind
     /// long ones.
     pub(crate) service_times: RunningMean,
-    /// All ready workers that may run its requests, by id.
+    /// Indices of all ready workers that may run requests of the class, ordered by worker id.
     pub(crate) eligible_workers: Vec<usize>,
-    /// Those of them that this dispatcher uses, by id.
+    /// Indices of the eligible workers that this dispatcher uses, ordered by worker id.
     pub(crate) subset: Vec<usize>,
-    /// For each worker of the subset, the work of this class at which its interval ends.
+    /// For each worker of the subset, the cumulative work of this class at which its interval ends.
     pub(crate) interval_bounds: Vec<f64>,
 }
 
@@ -58,13 +60,14 @@
         self.request_count += 1.0;
     }
 
-    /// Reduces the weight of all earlier requests to `factor` of what it is.
+    /// Multiplies the weight of all earlier requests by `factor`.
     pub(crate) fn decay_histogram(&mut self, factor: f64) {
         self.histogram.iter_mut().for_each(|work| *work *= factor);
         self.request_count *= factor;
     }
 
-    /// How long a request is expected to run: its hint, else the mean of earlier requests of the class.
+    /// Returns the expected service time of a request: its hint, or without one the mean of earlier
+    /// requests of the class.
     pub(crate) fn expected_service_time(
         &mut self,
         hint: Option<Nanos>,
@@ -88,15 +91,15 @@
         hint.map_or(mean, |hint| hint as f64)
     }
 
-    /// Learns from a completed request, if it had no hint.
+    /// Adds the service time of a completed request to the mean if the request had no hint.
     pub(crate) fn observe_service_time(&mut self, hint: Option<Nanos>, service_time: f64) {
         if hint.is_none() {
             self.service_times.observe(service_time);
         }
     }
 
-    /// The priority weight for each unit of work. Where the settings state weights by request, a short request weighs
-    /// more than a long one, as it takes less of the capacity.
+    /// Returns the priority weight for each unit of work. If the settings state weights by request, a
+    /// short request has more weight per unit of work than a long one, as it uses less capacity.
     pub(crate) fn weight_per_work(&self, basis: WeightBasis) -> f64 {
         let weight = self.settings.priority_weight.max(MIN_WEIGHT);
         match basis {
@@ -105,13 +108,14 @@
         }
     }
 
-    /// How long a request of mean work may wait and still meet its latency objective.
+    /// Returns the slack of a request of mean work: the time that it may wait and still meet its
+    /// latency objective.
     pub(crate) fn mean_slack(&self) -> f64 {
         let stretch = (self.settings.objective_stretch - 1.0).max(0.0);
         (self.settings.latency_objective + stretch * self.mean_work()).max(1.0)
     }
 
-    /// The mean work of recent requests.
+    /// Returns the mean work of recent requests, or the mean service time if there are none.
     pub(crate) fn mean_work(&self) -> f64 {
         if self.request_count > 0.0 {
             self.histogram.iter().sum::<f64>() / self.request_count
--- a/src/state/failure_score.rs
+++ b/src/state/failure_score.rs
@@ -1,8 +1,8 @@
-//! A score that rises with failures and decays with time.
+//! Failure score that rises with failures and decays over time.
 use crate::time::decay;
 use crate::types::Nanos;
 
-/// A failure score between 0 and 1, as of a moment.
+/// Failure score between 0 and 1, as of its last update.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureScore {
     pub(crate) value: f64,
@@ -10,9 +10,9 @@
 }
 
 impl FailureScore {
-    /// The score now, if it halves in `half_life`.
+    /// Returns the score decayed to `now` with the given half-life.
     pub(crate) fn now(&self, now: Nanos, half_life: f64) -> f64 {
-        // Most scores are 0: the decay need not be computed.
+        // Most scores are 0, and the decay need not be computed for them.
         if self.value > 0.0 {
             decay(self.value, self.updated_at, now, half_life)
         } else {
@@ -20,13 +20,13 @@
         }
     }
 
-    /// Raises the score by the part `weight` of its distance to 1.
+    /// Raises the score by the fraction `weight` of its distance to 1.
     pub(crate) fn raise(&mut self, now: Nanos, half_life: f64, weight: f64) {
         let score = self.now(now, half_life);
         self.set(now, score + weight * (1.0 - score));
     }
 
-    /// Lowers the score by the part `weight` of itself.
+    /// Lowers the score by the fraction `weight` of itself.
     pub(crate) fn lower(&mut self, now: Nanos, half_life: f64, weight: f64) {
         let score = self.now(now, half_life);
         self.set(now, score + -weight * score);
--- a/src/state/inter_arrival.rs
+++ b/src/state/inter_arrival.rs
@@ -1,12 +1,14 @@
-//! The autocorrelation of the times between arrivals.
+//! Estimate of the autocorrelation of inter-arrival times.
 use crate::time::SECOND;
 use crate::types::Nanos;
 
 #[cfg(test)]
 mod tests;
 
-/// The shortest time over which an estimate is made, and the fewest inter-arrival times that it needs.
+/// Minimum time covered by an estimate.
 const MIN_MEASUREMENT: Nanos = 5_000_000_000;
+
+/// Minimum number of inter-arrival times in an estimate.
 const MIN_INTERVALS: f64 = 100.0;
 
 /// Sums over the inter-arrival times of one priority class, for their lag-one autocorrelation.
@@ -19,7 +21,7 @@
     sum: f64,
     sum_of_squares: f64,
     sum_of_lag_one_products: f64,
-    /// The latest estimate of the autocorrelation.
+    /// Latest estimate of the lag-one autocorrelation; 0 before the first.
     pub(crate) autocorrelation: f64,
 }
 
@@ -36,7 +38,7 @@
         self.last_arrival = Some(now);
     }
 
-    /// Makes a new estimate once there are enough arrivals for it; until then the last one stays.
+    /// Updates the estimate once there are enough arrivals. Until then the previous one stays.
     pub(crate) fn update_estimate(&mut self, now: Nanos) {
         if now - self.measured_from < MIN_MEASUREMENT || self.count < MIN_INTERVALS {
             return;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the decisions remember: requests, workers, request classes, and the estimates kept for each of them. Nothing
-//! is decided here.
+//! State of the decisions: requests, workers, request classes, and the estimates for each of them.
+//! Makes no decisions.
 mod class;
 mod failure_score;
 mod histogram;
--- a/src/state/peer_load_estimate.rs
+++ b/src/state/peer_load_estimate.rs
@@ -1,7 +1,7 @@
-//! The load of another dispatcher at a worker, between two of its reports.
+//! Estimate of another dispatcher's load at a worker between two of its reports.
 use crate::types::Nanos;
 
-/// An amount of load at a worker.
+/// Amount of load at a worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     pub(crate) slots: f64,
@@ -9,19 +9,19 @@
     pub(crate) work: f64,
 }
 
-/// What a dispatcher last reported of its load at a worker.
+/// Last report of a dispatcher's load at a worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerLoadEstimate {
-    /// The rank of the dispatcher.
+    /// Rank of the dispatcher.
     pub(crate) from: u16,
     pub(crate) load: Load,
-    /// The service-time factor of that dispatcher's requests, if known.
+    /// Service-time factor of that dispatcher's requests at the worker, if known.
     pub(crate) service_time_factor: Option<f64>,
     pub(crate) reported_at: Nanos,
 }
 
 impl PeerLoadEstimate {
-    /// The load that is left by now at a worker with `worker_slots` slots.
+    /// Returns the load that remains by now at a worker with `worker_slots` slots.
     pub(crate) fn remaining(&self, now: Nanos, worker_slots: f64) -> Load {
         let Load { slots, work } = self.load;
         let done = now.saturating_sub(self.reported_at) as f64 * slots.min(worker_slots);
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -2,28 +2,30 @@
 use crate::settings::Idempotency;
 use crate::types::{Nanos, Request};
 
-/// The largest number of attempts that is made for one request, whatever the settings allow.
+/// Maximum number of attempts for one request, whatever the settings allow.
 pub(crate) const MAX_ATTEMPTS: usize = 6;
 
-/// How much more a request without a hint counts at a warming worker, as it may run longer than most.
+/// Multiple of its work that a request without a hint counts as at a warming worker. It may run
+/// longer than most requests.
 const UNHINTED_WARM_UP_MULTIPLE: f64 = 2.0;
 
-/// The state of a request. It changes by the state table in `policy::lifecycle`.
+/// State of a request. Transitions are defined by the state table in `policy::lifecycle`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestState {
     /// No attempt is in flight, and none may have run.
     Pending,
-    /// One attempt is in flight; none before it may have run, or running again is harmless.
+    /// One attempt is in flight. No earlier one may have run, or running it again is harmless.
     InFlight,
     /// No attempt is in flight; an earlier one may have run.
     PendingMayHaveRun,
     /// One attempt is in flight; an earlier one may have run.
     RetryInFlight,
-    /// The client has its final answer; attempts may still be in flight.
+    /// The request has its final answer, or its client has disconnected. Attempts may still be in
+    /// flight.
     Completed,
 }
 
-/// What happens to a request.
+/// Input to the state table of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestInput {
     /// An attempt was sent.
@@ -36,51 +38,51 @@
     MayHaveRun,
     /// No further attempt is made.
     GivenUp,
-    /// The client has disconnected, or its answer has begun.
+    /// The client has disconnected, or its response has begun. No other answer can be sent.
     ClientDisconnected,
 }
 
-/// What follows from an input.
+/// Step that follows from an input.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestStep {
-    /// Nothing.
+    /// No step follows.
     Nothing,
     /// The request is dispatched again.
     Redispatch,
-    /// The client is told that nothing ran.
+    /// The request is rejected: it did not run.
     Reject,
-    /// The client is told that the request failed.
+    /// The request is answered as failed: it may have run.
     Fail,
 }
 
 /// One attempt of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Attempt {
-    /// The index of its worker.
+    /// Index of the worker.
     pub(crate) worker: usize,
     pub(crate) sent_at: Nanos,
-    /// The wait that this dispatcher's earlier attempts were expected to cause.
+    /// Expected wait caused by this dispatcher's earlier attempts, in nanoseconds.
     pub(crate) expected_wait: f64,
     pub(crate) started_at: Option<Nanos>,
     pub(crate) in_flight: bool,
 }
 
 impl Attempt {
-    /// How much longer it has waited by now than this dispatcher's own work explains.
+    /// Returns the excess of the wait by now over the wait that this dispatcher's own work explains.
     pub(crate) fn unexplained_delay(&self, now: Nanos) -> f64 {
         ((now - self.sent_at) as f64 - self.expected_wait).max(0.0)
     }
 }
 
-/// The attempt after which it is uncertain whether the request has run.
+/// Attempt after which it is uncertain whether the request has run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UncertainAttempt {
-    /// The index of its worker.
+    /// Index of the worker.
     pub(crate) worker: usize,
     pub(crate) sent_at: Nanos,
 }
 
-/// What a request is expected to take of a worker.
+/// Expected demand of a request on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestDemand {
     /// Service time multiplied by slots.
@@ -90,21 +92,21 @@
     pub(crate) slots_required: f64,
 }
 
-/// A request that is not completed, or has attempts in flight.
+/// Request that is not completed or has attempts in flight.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest {
     pub(crate) request: Request,
     pub(crate) idempotency: Idempotency,
     pub(crate) state: RequestState,
     pub(crate) demand: RequestDemand,
-    /// The work that counts against the allowance of a warming worker.
+    /// Work deducted from the allowance of a warming worker.
     pub(crate) warm_up_work: f64,
-    /// The moment until which a completion meets the latency objective; the deadline at the latest.
+    /// Latest time of a completion that meets the latency objective, at most the deadline.
     pub(crate) objective_deadline: Nanos,
     attempts: [Attempt; MAX_ATTEMPTS],
     pub(crate) attempts_sent: usize,
     pub(crate) first_uncertain_attempt: Option<UncertainAttempt>,
-    /// Whether a warm-up grant was requested for it.
+    /// Whether a warm-up grant was requested for the request.
     pub(crate) grant_requested: bool,
 }
 
@@ -134,12 +136,12 @@
         }
     }
 
-    /// The attempts sent so far.
+    /// Returns the attempts sent so far.
     pub(crate) fn attempts(&self) -> &[Attempt] {
         &self.attempts[..self.attempts_sent]
     }
 
-    /// The attempts sent so far.
+    /// Returns the attempts sent so far, for modification.
     pub(crate) fn attempts_mut(&mut self) -> &mut [Attempt] {
         &mut self.attempts[..self.attempts_sent]
     }
@@ -150,7 +152,7 @@
         self.attempts_sent += 1;
     }
 
-    /// Notes that an attempt may have run. Only the first one binds later attempts.
+    /// Records that an attempt may have run. Only the first such attempt binds later ones.
     pub(crate) fn record_uncertain_attempt(&mut self, attempt: &Attempt) {
         self.first_uncertain_attempt
             .get_or_insert(UncertainAttempt {
@@ -159,8 +161,8 @@
             });
     }
 
-    /// How long it may wait from a moment on and still meet its latency objective, at a worker of this service-time
-    /// factor. Negative where it cannot.
+    /// Returns the slack at time `from`: the time that the request may wait and still meet its latency
+    /// objective, at a worker with this service-time factor. Negative if it cannot meet it.
     pub(crate) fn slack(&self, from: Nanos, service_time_factor: f64) -> f64 {
         self.objective_deadline.saturating_sub(from) as f64
             - self.demand.service_time * service_time_factor
--- a/src/state/running_mean.rs
+++ b/src/state/running_mean.rs
@@ -1,9 +1,10 @@
-//! A mean in which each of the latest values has the same weight.
+//! Running mean over the latest values.
 
-/// The number of values that the mean covers: older ones lose their weight as the mix of requests moves.
+/// Number of values that the mean covers. Older values lose their weight, as the mix of requests
+/// changes.
 const MAX_SAMPLES: f64 = 50.0;
 
-/// A mean over the latest values, and how many of them it has seen, up to a maximum.
+/// Mean over the latest values, and the number of values observed, up to a maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RunningMean {
     pub(crate) mean: f64,
@@ -11,7 +12,7 @@
 }
 
 impl RunningMean {
-    /// A mean that takes the first value observed; until then it is `initial`.
+    /// Creates a mean that is `initial` until the first value replaces it.
     pub(crate) fn starting_at(initial: f64) -> Self {
         RunningMean {
             mean: initial,
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker.
+//! State and estimates of one worker.
 use super::failure_score::FailureScore;
 use super::peer_load_estimate::{Load, PeerLoadEstimate};
 use super::request::Attempt;
@@ -6,60 +6,61 @@
 use crate::types::{EndpointState, Nanos, PeerLoad, WorkerId};
 use std::collections::VecDeque;
 
-/// The concurrency slots that a worker is assumed to have until more are seen.
+/// Concurrency slots that a worker is assumed to have until more are observed.
 const INITIAL_SLOTS: f64 = 2.0;
 
-/// The least number of samples that this dispatcher's own service-time factor counts for. Hints are rough: one slow
-/// request does not make a slow worker.
+/// Minimum number of samples that this dispatcher's own service-time factor counts as. Hints are
+/// rough, so one slow request does not prove a slow worker.
 const MIN_FACTOR_SAMPLES: f64 = 2.0;
 
-/// The time after which a load that a peer has not reported again no longer counts: the peer may be dead.
+/// Time after which a peer's load no longer counts unless reported again. The peer may be dead.
 const PEER_LOAD_EXPIRY: Nanos = 10_000_000_000;
 
-/// How much later than another attempt one must have been sent for its start to prove the order of service. Connections
-/// differ by less in the time that they take.
+/// Minimum time between the sending of two attempts for a start of the later one to prove that it
+/// overtook the earlier one. The latencies of connections differ by less.
 const OVERTAKING_TOLERANCE: Nanos = 20_000_000;
 
-/// Requests that run longer than expected: the sum of their service-time factors so far, and their number.
+/// Sum of the service-time factors so far, and count, of requests that run longer than expected.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Overruns {
     pub(crate) sum: f64,
     pub(crate) count: f64,
 }
 
-/// A service-time factor, and the number of samples that it rests on.
+/// Service-time factor, and the number of samples that it is based on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservedFactor {
     pub(crate) factor: f64,
     pub(crate) samples: f64,
 }
 
-/// Work sent to a worker.
+/// Work sent to a worker, in nanoseconds of one slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SentWork {
     pub(crate) at: Nanos,
     pub(crate) work: f64,
 }
 
-/// A grant to send work to a worker while it is warming up.
+/// Grant to send work to a worker while it is warming up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmUpGrant {
     pub(crate) expires_at: Nanos,
     pub(crate) unused_work: f64,
 }
 
-/// The means of the whole fleet, which the estimates for one worker approach while there is no news of it.
+/// Means over the whole fleet. The estimates for one worker approach them while there are no new
+/// observations of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FleetMeans {
-    /// The delay of starts, in nanoseconds.
+    /// Delay of starts, in nanoseconds.
     pub(crate) start_delay: f64,
-    /// The slots that other dispatchers use at a worker.
+    /// Slots that other dispatchers use at a worker.
     pub(crate) other_slots: f64,
-    /// The work of a request.
+    /// Work of a request, in nanoseconds of one slot.
     pub(crate) work: f64,
 }
 
-/// One worker.
+/// One worker as listed, and its estimates.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub(crate) id: WorkerId,
@@ -68,51 +69,57 @@
     pub(crate) worker_type: u8,
     pub(crate) group: u16,
     pub(crate) size: f64,
-    /// When its process started; 0 if that is long ago.
+    /// Start time of the worker's process; 0 if it is long ago.
     pub(crate) started_at: Nanos,
-    /// The most slots that workers of its type were seen to use at once.
+    /// Largest number of slots observed in use at once at workers of the same type.
     pub(crate) slots: f64,
-    /// Service time for one unit of expected service time, by own requests and peers' reports.
+    /// Ratio of actual to expected service time, from own requests and peers' reports.
     pub(crate) service_time_factor: f64,
-    /// The same by this dispatcher's completed requests alone, and how many of them it rests on.
+    /// The same ratio from this dispatcher's completed requests alone.
     pub(crate) own_service_time_factor: f64,
+    /// Number of samples of `own_service_time_factor`, up to a maximum.
     pub(crate) factor_samples: f64,
     pub(crate) overruns: Overruns,
     pub(crate) failure_score: FailureScore,
-    /// What errors of each request class left.
+    /// Failure score of each request class, indexed by class.
     pub(crate) class_failure_scores: Vec<FailureScore>,
-    /// Whether an attempt has not started in time. The next start clears it, and the failure score with it.
+    /// Whether an attempt has not started in time. The next start clears the flag and the failure
+    /// score.
     pub(crate) unresponsive: bool,
-    /// When the latest of the attempts that have started was sent.
+    /// Latest send time of the attempts that have started.
     pub(crate) latest_started_sent_at: Nanos,
-    /// When it last started or completed a request.
+    /// Time of the last start or success of a request.
     pub(crate) last_response_at: Nanos,
-    /// How much longer the last attempt waited for its start than this dispatcher's own work explains.
+    /// Excess of the last attempt's wait over the wait that this dispatcher's own work explains, in
+    /// nanoseconds.
     pub(crate) start_delay: f64,
     pub(crate) start_delay_at: Nanos,
-    /// The slots that other dispatchers use, by the last load report.
+    /// Slots that other dispatchers use, from the last load report.
     pub(crate) other_slots: f64,
     pub(crate) other_slots_at: Nanos,
-    /// The load that was last reported to peers.
+    /// Load in the last report to peers.
     pub(crate) last_sent_load: PeerLoadEstimate,
-    /// The latest load report of each peer.
+    /// Latest load report of each peer.
     pub(crate) peer_loads: Vec<PeerLoadEstimate>,
-    /// Consecutive failed connections, and the moment until which the worker is replaced in the subset.
+    /// Number of consecutive failed connections.
     pub(crate) connect_failures: u32,
+    /// Time until which the worker is replaced in the subset.
     pub(crate) connect_retry_at: Nanos,
-    /// What this dispatcher sent it within the overload window, less what grants covered.
+    /// Work that this dispatcher sent within the overload window and grants did not cover.
     pub(crate) recent_work: VecDeque<SentWork>,
-    /// Warm-up grants by expiry.
+    /// Warm-up grants, ordered by expiry.
     pub(crate) warm_up_grants: Vec<WarmUpGrant>,
-    /// Of this dispatcher's attempts in flight: slots taken, slots of started requests, work left.
+    /// Slots used by this dispatcher's attempts in flight.
     pub(crate) slots_in_use: f64,
+    /// Slots used by those of the attempts that have started.
     pub(crate) slots_running: f64,
+    /// Remaining work of this dispatcher's attempts in flight.
     pub(crate) remaining_work: f64,
     pub(crate) logged_as_outlier: bool,
 }
 
 impl Worker {
-    /// A worker that has just been listed.
+    /// Creates the state of a newly listed worker.
     pub(crate) fn new(id: WorkerId, started_at: Nanos, classes: usize) -> Self {
         Worker {
             id,
@@ -125,26 +132,26 @@
         }
     }
 
-    /// Whether it has failed to connect recently.
+    /// Returns whether a connection has failed recently, so that the worker is replaced in the subset.
     pub(crate) fn is_unreachable(&self, now: Nanos) -> bool {
         now < self.connect_retry_at
     }
 
-    /// Whether it serves requests in order and has started one that was sent later than this attempt, which is then
-    /// lost.
+    /// Returns whether the worker serves requests in order and has started one that was sent later
+    /// than this attempt. The attempt is then lost.
     pub(crate) fn was_overtaken(&self, attempt: &Attempt) -> bool {
         attempt.started_at.is_none()
             && self.latest_started_sent_at > attempt.sent_at + OVERTAKING_TOLERANCE
     }
 
-    /// Notes how late an attempt starts.
+    /// Records the unexplained delay of a start.
     pub(crate) fn set_start_delay(&mut self, now: Nanos, delay: f64) {
         self.start_delay = delay;
         self.start_delay_at = now;
     }
 
-    /// The expected wait for free slots, by this dispatcher's attempts and others' load: requests end one by one, as
-    /// fast as all slots work together.
+    /// Returns the expected wait for free slots, from this dispatcher's attempts and others' load.
+    /// Assumes that requests end one after another, at the combined rate of all slots.
     pub(crate) fn queue_wait(&self, slots_required: f64, others: Load) -> f64 {
         let slots_in_use = self.slots_in_use + others.slots;
         let slots_to_free = (slots_in_use + slots_required.min(self.slots) - self.slots).max(0.0);
@@ -155,8 +162,9 @@
         }
     }
 
-    /// How long a new request would wait for its start. What is not observed again drifts to the fleet's means within
-    /// about a second, so that a jam of which each dispatcher sees little is noticed.
+    /// Returns the expected wait of a new request for its start. Observations that are not repeated
+    /// converge to the fleet's means within about a second, which detects congestion of which each
+    /// dispatcher observes little.
     pub(crate) fn expected_wait(&self, now: Nanos, slots_required: f64, fleet: FleetMeans) -> f64 {
         let others = fleet.other_slots
             + decay(
@@ -180,7 +188,7 @@
         self.queue_wait(slots_required, load) + start_delay
     }
 
-    /// Stores a peer's report. Only the latest of each peer counts.
+    /// Stores a peer's load report in place of the peer's previous one.
     pub(crate) fn record_peer_load(&mut self, now: Nanos, from: u16, load: PeerLoad) {
         let service_time_factor = load.service_time_factor();
         let reported = PeerLoadEstimate {
@@ -205,14 +213,14 @@
         }
     }
 
-    /// The peers' reports that have not expired.
+    /// Returns the peers' load reports that have not expired.
     fn fresh_peer_loads(&self, now: Nanos) -> impl Iterator<Item = &PeerLoadEstimate> {
         self.peer_loads
             .iter()
             .filter(move |load| now < load.reported_at + PEER_LOAD_EXPIRY)
     }
 
-    /// The load of all peers.
+    /// Returns the total load of all peers.
     pub(crate) fn peer_load(&self, now: Nanos) -> Load {
         self.fresh_peer_loads(now)
             .map(|load| load.remaining(now, self.slots))
@@ -222,7 +230,8 @@
             })
     }
 
-    /// Combines the factor of own requests with those that peers reported. A peer's counts as one request.
+    /// Combines the factor of own requests with those reported by peers. A peer's factor counts as
+    /// one request.
     pub(crate) fn update_service_time_factor(&mut self, now: Nanos) {
         let (sum, count) = self
             .fresh_peer_loads(now)
@@ -235,7 +244,7 @@
         self.service_time_factor = (own_samples * own.factor + sum) / (own_samples + count);
     }
 
-    /// The factor of this dispatcher's own requests, completed and overrunning.
+    /// Returns the service-time factor of this dispatcher's own requests, completed and overrunning.
     pub(crate) fn observed_service_time_factor(&self) -> ObservedFactor {
         let Overruns { sum, count } = self.overruns;
         if count == 0.0 {
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,17 +1,18 @@
-//! The interface of the decisions: events in, actions out. It knows no protocol.
+//! Interface of the decisions: events in, actions out. Independent of any protocol.
 
-/// A time or a duration, in whole nanoseconds.
+/// Time or duration, in whole nanoseconds.
 pub type Nanos = u64;
 
-/// The number of a request inside one process.
+/// Number of a request, unique within one process.
 pub type RequestId = u32;
 
-/// A worker's address as listed. Subsets are divided by its order.
+/// Address of a worker in the endpoint list. Its order determines how workers are divided into
+/// subsets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId {
-    /// The IPv4 address.
+    /// Octets of the IPv4 address.
     pub addr: [u8; 4],
-    /// The TCP port.
+    /// TCP port.
     pub port: u16,
 }
 
@@ -21,142 +22,145 @@
     }
 }
 
-/// The state of a worker in the endpoint list.
+/// State of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The worker accepts requests.
     Ready,
-    /// It completes what it has and takes nothing new.
+    /// The worker completes its requests and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The worker is no longer listed, or has been removed.
     #[default]
     Removed,
 }
 
-/// One line of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// The worker.
+    /// Address that identifies the worker.
     pub worker: WorkerId,
-    /// Whether it takes requests.
+    /// State that the list gives; only ready workers get new requests.
     pub state: EndpointState,
-    /// Its zone.
+    /// Zone of the worker, compared with the dispatcher's own zone.
     pub zone: u16,
-    /// Its worker type. Workers of one type run the same classes and have like capacity.
+    /// Type of the worker. Workers of one type run the same classes and have similar capacity.
     pub worker_type: u8,
-    /// Its capacity relative to other workers.
+    /// Capacity relative to other workers.
     pub size: f32,
-    /// When its process started; 0 if that is long ago.
+    /// Start time of the worker's process; 0 if it is long ago.
     pub started: Nanos,
-    /// The group within which it shares idempotency keys.
+    /// Group of workers that share idempotency keys.
     pub group: u16,
 }
 
-/// What an endpoint list event covers.
+/// Scope of an endpoint list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Changed endpoints only.
     Delta,
-    /// All endpoints; others are gone.
+    /// All endpoints. Workers that are not included have been removed.
     Snapshot,
     /// All endpoints as last known before a restart.
     Cached,
-    /// Nothing: the list could not be obtained.
+    /// No endpoints: the list could not be obtained.
     Failed,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The worker's result is there.
+    /// The worker returned a result.
     Succeeded,
-    /// The worker reports a failure; the request may have run.
+    /// The worker reported a failure. The request may have run.
     WorkerError,
-    /// The worker finds fault with the request itself, as any other would.
+    /// The worker reported the request as invalid. Any other worker would too.
     InvalidRequest,
-    /// The worker did not take the request on; it did not run.
+    /// The worker rejected the request. The request did not run.
     AtCapacity,
-    /// The deadline came first; the request may have run.
+    /// The deadline passed before a result. The request may have run.
     TimedOut,
-    /// No connection, or it broke before the last byte; the request did not run.
+    /// No connection, or it was lost before the last byte of the request was sent. The request did
+    /// not run.
     ConnectFailed,
-    /// The connection broke after the last byte; the request may have run.
+    /// The connection was lost after the last byte of the request was sent. The request may have run.
     ConnectionLost,
-    /// Cancelled on the way; the request may have run.
+    /// Cancelled after it was sent. The request may have run.
     Cancelled,
-    /// Never sent; the request did not run.
+    /// Never sent. The request did not run.
     NotSent,
 }
 
-/// A worker's load report: the values of the setting `report.fields`, in its order.
+/// Load report of a worker: the values of the setting `report.fields`, in the order of the setting.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// How many values there are.
+    /// Number of values; 0 if the worker sent no report.
     pub count: usize,
-    /// The values; those from `count` on have no meaning.
+    /// Values of the report. Elements from index `count` on are undefined.
     pub values: [f32; 4],
 }
 
-/// A request as it arrives.
+/// Request as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Its number.
+    /// Number that identifies the request in later events and actions.
     pub id: RequestId,
-    /// The index of its class in the settings.
+    /// Index of the request class in the settings.
     pub class: u8,
-    /// The index of its tenant in the settings.
+    /// Index of the tenant in the settings.
     pub tenant: u16,
-    /// The service time that the client expects.
+    /// Service time that the client expects; `None` if it stated none.
     pub hint: Option<Nanos>,
-    /// The concurrency slots that it takes at a worker.
+    /// Concurrency slots that the request uses at a worker.
     pub slots: f32,
-    /// The units of memory that it takes; a worker has one for each slot.
+    /// Units of memory that the request uses. A worker has one unit for each slot.
     pub memory: f32,
-    /// The moment at which the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Nanos,
 }
 
-/// The end of an attempt.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request_id: RequestId,
-    /// The number of the attempt, from 0.
+    /// Index of the attempt within the request, from 0.
     pub attempt_index: u8,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Whether the request has its final answer, by this attempt or before.
+    /// Whether the request has its final answer, from this attempt or an earlier event.
     pub complete: bool,
-    /// The worker's load report; empty if there was none.
+    /// Load report of the worker; empty if it sent none.
     pub report: Report,
 }
 
-/// The load of one dispatcher at one worker, as it is reported to others.
+/// Load of one dispatcher at one worker, as reported to other dispatchers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerLoad {
-    /// The worker.
+    /// Worker that the load is at.
     pub worker: WorkerId,
-    /// The concurrency slots in use, in halves of a slot.
+    /// Concurrency slots in use, in halves of a slot.
     pub half_slots: u8,
-    /// The work left, in units of [`PeerLoad::WORK_UNIT`].
+    /// Remaining work, in units of [`PeerLoad::WORK_UNIT`].
     pub work_units: u16,
-    /// How the worker runs the sender's own requests: [`PeerLoad::SPEED_UNKNOWN`], [`PeerLoad::SPEED_UNRESPONSIVE`], else the
-    /// service-time factor in 32nds of an octave around 128.
+    /// Speed of the worker for the sender's own requests: [`PeerLoad::SPEED_UNKNOWN`],
+    /// [`PeerLoad::SPEED_UNRESPONSIVE`], or the service-time factor in 32nds of an octave, where 128
+    /// is a factor of 1.
     pub speed_code: u8,
 }
 
 impl PeerLoad {
-    /// Nothing is known of the worker's speed.
+    /// Speed code for a worker of unknown speed.
     pub const SPEED_UNKNOWN: u8 = 0;
-    /// The worker does not respond.
+    /// Speed code for a worker that does not respond.
     pub const SPEED_UNRESPONSIVE: u8 = 1;
-    /// The unit of `work_units`, in nanoseconds of one slot.
+    /// Unit of `work_units`, in nanoseconds of one slot.
     pub const WORK_UNIT: f64 = 16e6;
 
     const SPEED_CODE_OF_ONE: f64 = 128.0;
     const SPEED_CODES_PER_OCTAVE: f64 = 32.0;
 
-    /// A report of slots and of work in nanoseconds, rounded to what it can carry.
+    /// Creates a report of slots and of work in nanoseconds of one slot, rounded to the units of the
+    /// report.
     pub fn new(worker: WorkerId, slots: f64, work: f64, speed_code: u8) -> Self {
         PeerLoad {
             worker,
@@ -166,14 +170,14 @@
         }
     }
 
-    /// The code of a service-time factor.
+    /// Returns the speed code of a service-time factor, limited to 2 to 255.
     pub fn encode_speed(service_time_factor: f64) -> u8 {
         (PeerLoad::SPEED_CODE_OF_ONE
             + PeerLoad::SPEED_CODES_PER_OCTAVE * service_time_factor.log2())
         .clamp(2.0, 255.0) as u8
     }
 
-    /// The service-time factor, if it is known.
+    /// Returns the service-time factor; `None` if the speed is unknown or the worker unresponsive.
     pub fn service_time_factor(&self) -> Option<f64> {
         (self.speed_code > PeerLoad::SPEED_UNRESPONSIVE).then(|| {
             ((f64::from(self.speed_code) - PeerLoad::SPEED_CODE_OF_ONE)
@@ -182,159 +186,161 @@
         })
     }
 
-    /// The concurrency slots in use.
+    /// Returns the concurrency slots in use, as a multiple of 0.5.
     pub fn slots(&self) -> f64 {
         f64::from(self.half_slots) / 2.0
     }
 
-    /// The work left, in nanoseconds of one slot.
+    /// Returns the remaining work, in nanoseconds of one slot.
     pub fn work(&self) -> f64 {
         f64::from(self.work_units) * PeerLoad::WORK_UNIT
     }
 }
 
-/// The position of a dispatcher among those that run.
+/// Position of a dispatcher among the running dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetPosition {
-    /// From 0 up, without gaps.
+    /// Rank, from 0 without gaps.
     pub rank: u16,
-    /// How many dispatchers run.
+    /// Number of running dispatchers.
     pub dispatchers: u16,
 }
 
-/// The end of a health check.
+/// End of a health check.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthChecked {
-    /// The worker.
+    /// Worker that was checked.
     pub worker: WorkerId,
-    /// How the check ended.
+    /// Outcome of the check.
     pub outcome: Outcome,
-    /// The worker's load report; empty if there was none.
+    /// Load report of the worker; empty if it sent none.
     pub report: Report,
 }
 
-/// What happens outside the decisions.
+/// Input to the decisions.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list has changed, or could not be obtained.
     EndpointList {
-        /// What the event covers.
+        /// Scope of the event.
         scope: ListScope,
-        /// The endpoints.
+        /// Endpoints within the scope; empty if the list could not be obtained.
         endpoints: Vec<Endpoint>,
     },
     /// A request has arrived.
     RequestArrived(Request),
     /// A worker has started to run an attempt.
     AttemptStarted {
-        /// The request.
+        /// Request that the attempt belongs to.
         request_id: RequestId,
-        /// The number of the attempt, from 0.
+        /// Index of the attempt within the request, from 0.
         attempt_index: u8,
     },
-    /// The answer has begun to reach the client, so no other can be given.
+    /// The response has begun to reach the client. No other answer can be sent.
     StreamStarted {
-        /// The request.
+        /// Request that is being answered.
         request_id: RequestId,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnded),
-    /// A health check has ended. No decision uses it, as attempts themselves show a worker's health; the simulator's
-    /// protocol can deliver it.
+    /// A health check has ended. No decision uses it, as attempts already show a worker's health. The
+    /// simulator's protocol can deliver it.
     HealthChecked(HealthChecked),
-    /// Another dispatcher reports its load at a worker.
+    /// Another dispatcher has reported its load at a worker.
     PeerLoad {
-        /// The rank of the dispatcher.
+        /// Rank of the sender.
         from: u16,
-        /// Its load.
+        /// Load of the sender at the worker.
         load: PeerLoad,
     },
-    /// The position among the dispatchers that run; none where it is not known and the settings count.
+    /// The position among the running dispatchers has changed. `None` if it is unknown; the settings
+    /// then apply.
     FleetView(Option<FleetPosition>),
-    /// Work may be sent to a warming worker beside this dispatcher's regular part.
+    /// A grant allows work to be sent to a warming worker in addition to this dispatcher's regular
+    /// allowance.
     WarmUpGranted {
-        /// The worker.
+        /// Warming worker that the grant is for.
         worker: WorkerId,
-        /// How much work, in nanoseconds of one slot.
+        /// Granted work, in nanoseconds of one slot.
         work: Nanos,
-        /// When the grant expires.
+        /// Time at which the grant expires.
         until: Nanos,
     },
     /// The client has disconnected.
     ClientDisconnected {
-        /// The request.
+        /// Request of the client.
         request_id: RequestId,
     },
     /// A timer has fired.
     TimerFired {
-        /// The token that it was set with.
+        /// Token from [`Action::SetTimer`].
         token: u64,
     },
-    /// The dispatcher is to end.
+    /// The dispatcher is shutting down.
     ShuttingDown {
-        /// The moment to which later deadlines are brought forward.
+        /// Upper bound for the deadlines of all active requests.
         by: Nanos,
     },
 }
 
-/// What is to be done.
+/// Output of the decisions, to be executed by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to the worker.
+    /// Send an attempt of a request to a worker.
     SendAttempt {
-        /// The request.
+        /// Request to send.
         request_id: RequestId,
-        /// The worker.
+        /// Worker to send it to.
         worker: WorkerId,
     },
-    /// Check a worker's health. No decision asks for it, as attempts themselves show a worker's health; the simulator's
-    /// protocol can carry it.
+    /// Check a worker's health. No decision requests it, as attempts already show a worker's health.
+    /// The simulator's protocol can carry it.
     CheckHealth {
-        /// The worker.
+        /// Worker to check.
         worker: WorkerId,
     },
     /// Answer that the request did not run.
     Reject {
-        /// The request.
+        /// Request to answer.
         request_id: RequestId,
-        /// How long the client should wait before it tries again; 0 to leave it open.
+        /// Time that the client should wait before it retries; 0 to state none.
         retry_after: Nanos,
     },
     /// Answer that the request failed and may have run.
     Fail {
-        /// The request.
+        /// Request to answer.
         request_id: RequestId,
     },
     /// Obtain the endpoint list and watch its changes.
     WatchEndpoints,
-    /// Report the load at a worker to another dispatcher. Only where the settings allow it.
+    /// Report the load at a worker to another dispatcher. Only used if the settings allow it.
     SendPeerLoad {
-        /// The rank of the dispatcher.
+        /// Rank of the receiver.
         to: u16,
-        /// The load.
+        /// Load of this dispatcher at the worker.
         load: PeerLoad,
     },
-    /// Ask for a grant to send work to a warming worker.
+    /// Request a grant to send work to a warming worker.
     RequestWarmUpGrant {
-        /// The worker.
+        /// Warming worker to send the work to.
         worker: WorkerId,
-        /// How much work, in nanoseconds of one slot.
+        /// Requested work, in nanoseconds of one slot.
         work: Nanos,
     },
-    /// State how much work may be granted to all dispatchers together for a warming worker.
+    /// Set the work that may be granted to all dispatchers together for a warming worker.
     SetWarmUpBudget {
-        /// The worker.
+        /// Worker that the budget is for.
         worker: WorkerId,
-        /// How much in any window, in nanoseconds of one slot; 0 once the worker is warm.
+        /// Work in any window, in nanoseconds of one slot; 0 once the worker is warm.
         work: Nanos,
-        /// The length of the window.
+        /// Length of the window.
         window: Nanos,
     },
     /// Set a timer.
     SetTimer {
-        /// When it fires.
+        /// Time at which the timer fires.
         at: Nanos,
-        /// What [`Event::TimerFired`] returns.
+        /// Token that [`Event::TimerFired`] returns.
         token: u64,
     },
     /// Write a line to the log.
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -1,24 +1,25 @@
-//! The network delay to workers of the dispatcher's own zone and of other zones.
+//! Estimates of the network delay to workers of the dispatcher's own zone and of other zones.
 //!
-//! A request that has some tens of milliseconds to spare cannot be in time at a worker whose connection alone takes as
-//! long. No protocol states these delays. The least start delays that were observed stand for them, as a worker that was
-//! idle shows little else.
+//! A request with a slack of some tens of milliseconds cannot meet its objective at a worker whose
+//! connection alone takes as long. No protocol reports these delays. They are estimated by the minimum
+//! of the observed start delays, as the start delay at an idle worker is mostly network delay.
 use crate::time::SECOND;
 
 #[cfg(test)]
 mod tests;
 
-/// Longer delays are queues: connections that take as long are given up.
+/// Upper bound of a network delay, in nanoseconds. Longer delays are caused by queues, as connection
+/// attempts that take as long time out.
 const MAX_DELAY: f64 = 0.25 * SECOND;
 
-/// The factor by which each longer start delay raises the estimate, so that a network that became slower is noticed: it
-/// doubles within fifteen starts.
-const RISE: f64 = 1.05;
+/// Factor by which each longer start delay raises the estimate, to follow a network that has become
+/// slower. The estimate doubles within 15 starts.
+const RISE_PER_START: f64 = 1.05;
 
-/// The part of the time to spare that is within the error of a worker's estimated queue and counts as nothing.
-const NEGLIGIBLE: f64 = 0.05;
+/// Slack usage that is within the error of a worker's estimated queue and counts as 0.
+const NEGLIGIBLE_SLACK_USAGE: f64 = 0.05;
 
-/// The least recent start delays, in nanoseconds, within_zone the dispatcher's zone and cross_zone it.
+/// Minimum recent start delays, in nanoseconds, at workers of the dispatcher's zone and of other zones.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneDelays {
     own_zone: u16,
@@ -34,18 +35,19 @@
         }
     }
 
-    /// Learns from a start at a worker of `zone`, and how much later it was than this dispatcher's own work explains.
+    /// Updates the estimate for `zone` from a start delay there that this dispatcher's own work does
+    /// not explain.
     pub(crate) fn observe(&mut self, zone: u16, delay: f64) {
         let estimate = if zone == self.own_zone {
             &mut self.within_zone
         } else {
             &mut self.cross_zone
         };
-        let limit = estimate.map_or(MAX_DELAY, |known| known * RISE);
+        let limit = estimate.map_or(MAX_DELAY, |known| known * RISE_PER_START);
         *estimate = Some(delay.min(limit));
     }
 
-    /// How much longer the network takes to `zone` than to the own zone.
+    /// Returns the network delay to `zone` in excess of the delay within the own zone.
     pub(crate) fn extra_delay(&self, zone: u16) -> f64 {
         if zone == self.own_zone {
             return 0.0;
@@ -55,8 +57,9 @@
         (cross_zone - within_zone).max(0.0)
     }
 
-    /// The part of a request's time to spare that the network takes to `zone`, beyond what is negligible.
+    /// Returns the fraction of a request's slack that the extra network delay to `zone` uses, less the
+    /// negligible usage.
     pub(crate) fn slack_usage(&self, zone: u16, slack: f64) -> f64 {
-        (self.extra_delay(zone) / slack - NEGLIGIBLE).max(0.0)
+        (self.extra_delay(zone) / slack - NEGLIGIBLE_SLACK_USAGE).max(0.0)
     }
 }
