--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -8,7 +8,7 @@
 use test_case::test_case;
 
 /// A worker at which a request would wait for so long, and for such a part of its time to spare.
-fn waiting(wait: f64, slack_usage: f64) -> Selection {
+fn selection_with(wait: f64, slack_usage: f64) -> Selection {
     Selection {
         worker: 0,
         wait,
@@ -19,10 +19,10 @@
 #[test_case(0.5, 2 => true; "time to spare")]
 #[test_case(2.1, 2 => false; "would come late")]
 #[test_case(1.99, 0 => false; "those of low weight go first")]
-fn requests_are_rejected_by_strain_and_weight(slack_usage: f64, class: u8) -> bool {
+fn rejects_requests_by_slack_usage_and_weight(slack_usage: f64, class: u8) -> bool {
     let mut d = dispatcher(1);
     let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
-    d.admit(0, key, waiting(0.0, slack_usage))
+    d.admit(0, key, selection_with(0.0, slack_usage))
 }
 
 /// Between two rare starts the late ones must not be forgotten, or a jam would persist.
@@ -33,26 +33,26 @@
     d.low_traffic_factor = low_traffic_factor;
     start_recent_attempts(&mut d, 10_000 * MS, 0.0, 32);
     let key = d.requests.insert(overdue_request(request(1, 2, MS, 0)));
-    (0..20).all(|_| d.admit(13_000 * MS, key, waiting(0.0, 0.6)))
+    (0..20).all(|_| d.admit(13_000 * MS, key, selection_with(0.0, 0.6)))
 }
 
 /// Long queues that one class can bear must not keep classes of more weight from being in time.
 #[test_case(0, 0.0 => true; "the heaviest are admitted")]
 #[test_case(0, 0.9 => false; "the heaviest are rejected")]
 #[test_case(2, 0.9 => true; "itself the heaviest")]
-fn a_wait_counts_by_what_it_costs_heavier_classes(class: u8, rejected_fraction: f64) -> bool {
+fn a_wait_counts_by_its_cost_to_classes_of_more_weight(class: u8, rejected_fraction: f64) -> bool {
     let mut d = dispatcher(1);
     (0..5).for_each(|_| d.classes[2].record_request(100e6));
     d.rejected_fraction = rejected_fraction;
     let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
     // A wait of one second: half of its own time to spare, two and a half times theirs.
-    d.admit(0, key, waiting(SECOND, 0.5))
+    d.admit(0, key, selection_with(SECOND, 0.5))
 }
 
 /// A burst fills all queues before the first start shows them. None of these requests starts.
 #[test_case(250 => true; "four a second")]
 #[test_case(500 => true; "two a second")]
-fn a_burst_is_rejected_before_any_of_it_has_started(gap: Nanos) -> bool {
+fn rejects_part_of_a_burst_before_any_request_has_started(gap: Nanos) -> bool {
     let mut d = dispatcher_of(300, 0, warm_endpoints(200));
     let sent = |id: &RequestId| {
         let now = (10_000 + Nanos::from(*id) * gap) * MS;
@@ -64,9 +64,9 @@
 }
 
 /// A dispatcher that has seen one request of a class with an objective of 0.3 s and one of a class with 3 s.
-fn dispatcher_with_short_and_long_class(basis: &str, short_value: f64) -> Dispatcher {
+fn dispatcher_with_short_and_long_class(basis: &str, short_weight: f64) -> Dispatcher {
     let mut map = settings();
-    let value = short_value.to_string();
+    let value = short_weight.to_string();
     for (name, value) in [
         ("class.2.latency_objective", "3e9"),
         ("class.0.priority_weight", value.as_str()),
@@ -86,24 +86,27 @@
     let slack = if class == 2 { 4e9 } else { 4e8 };
     let active = overdue_request(request(1, class, MS, 0));
     let key = d.requests.insert(active);
-    let kept = |_: &usize| {
+    let is_admitted = |_: &usize| {
         d.rejected_fraction = 1.0;
-        d.admit(0, key, waiting(0.8e9, 0.8e9 / slack))
+        d.admit(0, key, selection_with(0.8e9, 0.8e9 / slack))
     };
-    (0..100).filter(kept).count()
+    (0..100).filter(is_admitted).count()
 }
 
 /// The class with the most time to spare must not be the only one served during a burst.
 #[test_case(8.0 => true; "of like weight")]
 #[test_case(0.1 => false; "of little weight")]
-fn a_patient_class_yields_to_an_impatient_one_of_like_weight(short_value: f64) -> bool {
-    admitted_of_100(dispatcher_with_short_and_long_class("work", short_value), 2) < 60
+fn rejects_a_class_with_more_slack_in_favour_of_one_of_similar_weight(short_weight: f64) -> bool {
+    admitted_of_100(
+        dispatcher_with_short_and_long_class("work", short_weight),
+        2,
+    ) < 60
 }
 
 #[test_case("work", 1.0 => 9.0; "each unit of work counts the same")]
 #[test_case("request", 1.0 => 0.9; "ten times the work for one request")]
-fn weights_follow_the_basis_of_the_settings(basis: &str, short_value: f64) -> f64 {
-    let d = dispatcher_with_short_and_long_class(basis, short_value);
+fn weights_follow_the_basis_of_the_settings(basis: &str, short_weight: f64) -> f64 {
+    let d = dispatcher_with_short_and_long_class(basis, short_weight);
     let ratio = d.classes[2].weight_per_work(d.settings.weight_basis)
         / d.classes[0].weight_per_work(d.settings.weight_basis);
     (ratio * 1e6).round() / 1e6
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn lateness_caused_by_a_slow_worker_is_no_overload() {
+fn starts_delayed_by_a_slow_worker_do_not_count_as_overload() {
     let mut d = dispatcher(1);
     d.workers[0].service_time_factor = 4.0;
     for id in 1..=20 {
@@ -155,7 +158,7 @@
 /// Small requests must not be rejected for waits that only large ones have.
 #[test_case(10_000, 5_000 => true; "half of a large time to spare")]
 #[test_case(100, 5_000 => false; "many times a small time to spare")]
-fn delays_count_relative_to_the_time_to_spare(hint: Nanos, wait: Nanos) -> bool {
+fn delays_count_relative_to_the_slack(hint: Nanos, wait: Nanos) -> bool {
     let mut d = dispatcher(1);
     send_request(
         &mut d,
--- a/src/policy/dispatcher/tests.rs
+++ b/src/policy/dispatcher/tests.rs
@@ -8,7 +8,7 @@
 mod rules;
 
 #[test]
-fn without_workers_a_request_is_rejected_once_it_cannot_be_in_time() {
+fn rejects_a_request_without_workers_once_it_cannot_meet_its_objective() {
     let mut d = dispatcher(0);
     assert!(send_request(&mut d, 0, request(1, 2, 100 * MS, 0)).is_empty());
     let actions = handle(
@@ -31,7 +31,7 @@
 #[test_case(1_000, 1; "a thousand workers of one dispatcher")]
 #[test_case(1_000, 1_000; "a thousand of each")]
 #[test_case(4_096, 4_096; "four thousand of each")]
-fn fleets_of_any_size_are_served(workers: u16, dispatchers: u32) {
+fn serves_fleets_of_any_size(workers: u16, dispatchers: u32) {
     let listed = |n: u16| Endpoint {
         worker: WorkerId {
             addr: [10; 4],
--- a/src/policy/dispatcher/tests/rules.rs
+++ b/src/policy/dispatcher/tests/rules.rs
@@ -308,7 +308,7 @@
 #[test_case(6, 60, 100; "most workers of the subset warm up")]
 #[test_case(7, 6, 2; "with reports of any kind")]
 #[test_case(8, 60, 100; "with reports, a large fleet")]
-fn random_events_break_no_rule(seed: u64, workers: u8, dispatchers: u32) {
+fn random_events_violate_no_rule(seed: u64, workers: u8, dispatchers: u32) {
     let mut model = Model::new(seed, workers, dispatchers);
     for step in 1..STEPS {
         model.step(step);
--- a/src/policy/endpoint_list/tests.rs
+++ b/src/policy/endpoint_list/tests.rs
@@ -8,7 +8,7 @@
 
 #[test_case(EndpointState::Draining; "draining")]
 #[test_case(EndpointState::Removed; "gone")]
-fn workers_that_leave_get_nothing_new(state: EndpointState) {
+fn draining_and_removed_workers_get_no_new_requests(state: EndpointState) {
     let mut d = dispatcher(2);
     list_endpoints(&mut d, MS, ListScope::Delta, vec![endpoint(0, state, 0)]);
     for n in 0..20 {
@@ -28,7 +28,7 @@
 }
 
 /// Handles an event and returns all actions, those for timers too.
-fn all_actions(d: &mut Dispatcher, now: Nanos, scope: ListScope) -> Vec<Action> {
+fn actions_for_list(d: &mut Dispatcher, now: Nanos, scope: ListScope) -> Vec<Action> {
     let mut actions = Vec::new();
     let event = Event::EndpointList {
         scope,
@@ -41,8 +41,8 @@
 /// When a dispatcher polls again after a failed poll.
 fn second_poll_at(seed: u64) -> Nanos {
     let mut d = Dispatcher::start(0, seed, &settings()).unwrap();
-    assert!(all_actions(&mut d, 0, ListScope::Cached).contains(&Action::WatchEndpoints));
-    let actions = all_actions(&mut d, MS, ListScope::Failed);
+    assert!(actions_for_list(&mut d, 0, ListScope::Cached).contains(&Action::WatchEndpoints));
+    let actions = actions_for_list(&mut d, MS, ListScope::Failed);
     let [
         Action::SetTimer {
             at,
--- a/src/policy/load_report/tests.rs
+++ b/src/policy/load_report/tests.rs
@@ -25,7 +25,7 @@
 #[test_case(5, 9, 60 => 2.0; "those of an earlier one are lost")]
 #[test_case(0, 55, 60 => 2.0; "the last starts as the first ends")]
 #[test_case(0, 9, 240 => 2.0; "the others should have ended long ago")]
-fn slots_are_learned_from_requests_that_surely_ran_together(
+fn slots_are_raised_by_requests_known_to_have_run_together(
     restarted: Nanos,
     third: Nanos,
     completed: Nanos,
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -88,7 +88,7 @@
 
 #[test_case(0, 0 => true; "not heard of: others' requests may be ahead")]
 #[test_case(1_000, 1_000 => false; "heard of just before: a start is due soon")]
-fn a_start_at_a_worker_not_heard_of_may_take_one_service_time_longer(
+fn tolerates_one_more_service_time_at_a_worker_without_recent_responses(
     last_response_at: Nanos,
     now: Nanos,
 ) -> bool {
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -45,7 +45,7 @@
 #[test_case(PeerLoad::SPEED_UNKNOWN => (100, 0); "nothing known")]
 #[test_case(PeerLoad::encode_speed(4.0) => (200, 0); "a factor counts as one request")]
 #[test_case(PeerLoad::SPEED_UNRESPONSIVE => (100, 80); "unresponsive counts as an own failure")]
-fn a_peers_experience_with_a_worker_counts(speed_code: u8) -> (i64, i64) {
+fn applies_speed_codes_reported_by_peers(speed_code: u8) -> (i64, i64) {
     let mut d = exchanging_dispatcher(3, 2);
     let load = PeerLoad {
         worker: worker_id(0),
@@ -91,7 +91,10 @@
 #[test_case(3, 20 => vec![(1, 2), (2, 2), (1, 0), (2, 0)]; "an end earlier than expected")]
 #[test_case(3, 100 => vec![(1, 2), (2, 2)]; "an end at its time")]
 #[test_case(1, 20 => Vec::<(u16, u8)>::new(); "no peers")]
-fn loads_are_reported_where_peers_would_be_wrong(dispatchers: u32, end: Nanos) -> Vec<(u16, u8)> {
+fn reports_loads_that_deviate_from_the_peers_estimate(
+    dispatchers: u32,
+    end: Nanos,
+) -> Vec<(u16, u8)> {
     let mut d = exchanging_dispatcher(dispatchers, 2);
     let mut actions = send_request(&mut d, MS, request(1, 2, 100 * MS, 0));
     actions.extend(handle(&mut d, end * MS, succeeded(1)));
@@ -100,15 +103,15 @@
 
 /// Messages to all would grow as the square of the dispatchers.
 #[test]
-fn loads_are_reported_to_dispatchers_that_use_the_worker() {
+fn reports_loads_to_the_dispatchers_that_use_the_worker() {
     let mut d = exchanging_dispatcher_of_rank(7, 40, 30);
     let actions = send_request(&mut d, MS, request(1, 2, 100 * MS, 0));
-    let at = d.requests[0].attempts()[0].worker;
+    let worker = d.requests[0].attempts()[0].worker;
     let users = (0..40).filter(|rank| {
         *rank != 7
             && exchanging_dispatcher_of_rank(*rank, 40, 30).classes[0]
                 .subset
-                .contains(&at)
+                .contains(&worker)
     });
     assert_eq!(
         sent_loads(&actions),
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -31,12 +31,12 @@
     d.classes[0].settings.latency_objective = 90.0 * SECOND;
     let endpoints = vec![endpoint(0, EndpointState::Ready, started * MS)];
     list_endpoints(&mut d, started * MS, ListScope::Delta, endpoints);
-    let one = |n| Request {
+    let new_request = |n| Request {
         deadline: 99_000 * MS,
         ..request(n, 0, 300 * MS, at * MS)
     };
-    let posts = (0..20).map(|n| send_request(&mut d, at * MS, one(n)));
-    posts
+    let actions = (0..20).map(|n| send_request(&mut d, at * MS, new_request(n)));
+    actions
         .flatten()
         .filter(|action| matches!(action, Action::SendAttempt { .. }))
         .count()
@@ -106,7 +106,7 @@
 /// Most of a large fleet is replaced at once.
 #[test_case(100, 60, 36, 0.25; "most of the workers")]
 #[test_case(4, 10, 2, 0.05; "a few of each")]
-fn warming_workers_get_their_work_from_all_dispatchers_together(
+fn all_dispatchers_together_use_but_do_not_overload_warming_workers(
     dispatchers: u32,
     workers: u8,
     replaced: u8,
@@ -142,7 +142,7 @@
         "warming workers got {total} s of {capacity} s of work"
     );
     for worker in 0..replaced {
-        for from in (0..30).map(|part| started + part * 100 * MS) {
+        for from in (0..30).map(|step| started + step * 100 * MS) {
             let slow_start_factor = 0.2 + 0.8 * (from - started) as f64 / 10e9;
             assert!(
                 work_in_second(worker, from) < 3.0 * 2.0 * slow_start_factor,
@@ -153,28 +153,28 @@
 }
 
 #[test]
-fn the_turns_of_all_dispatchers_together_keep_the_budget() {
-    for at in (0..60_u64).map(|part| part * 500 * MS) {
+fn the_scheduled_allowances_of_all_dispatchers_keep_the_budget() {
+    for now in (0..60_u64).map(|step| step * 500 * MS) {
         let mut users: Vec<Dispatcher> = (0..130)
             .map(|rank| exchanging_dispatcher_of_rank(rank, 130, 34))
             .collect();
         users.retain(|d| d.classes[0].subset.contains(&9));
-        let budget = |d: &mut Dispatcher| {
+        let allowance = |d: &mut Dispatcher| {
             d.workers[9].started_at = 1;
-            d.update_fleet_estimates(at);
-            d.remaining_warm_up_allowance(&d.workers[9], at).max(0.0)
+            d.update_fleet_estimates(now);
+            d.remaining_warm_up_allowance(&d.workers[9], now).max(0.0)
         };
-        let sum = users.iter_mut().map(budget).sum::<f64>();
-        let slow_start_factor = 0.2 + 0.8 * at as f64 / 10e9;
+        let sum = users.iter_mut().map(allowance).sum::<f64>();
+        let slow_start_factor = 0.2 + 0.8 * now as f64 / 10e9;
         assert!(
             slow_start_factor >= 1.0 || sum <= 3.0 * 2.0 * slow_start_factor * SECOND,
-            "{sum} at {at}"
+            "{sum} at {now}"
         );
     }
 }
 
 #[test]
-fn a_warming_worker_teaches_little_of_its_speed_and_nothing_of_its_types() {
+fn a_warming_worker_affects_its_own_factor_little_and_that_of_its_type_not_at_all() {
     let mut d = dispatcher(1);
     d.workers[0].started_at = 1;
     let attempt = Attempt {
@@ -238,12 +238,12 @@
         .iter_mut()
         .for_each(|worker| worker.service_time_factor = 3.0);
     d.update_fleet_estimates(MS);
-    let unobserved_fraction = d.capacity_per_size;
+    let without_own_samples = d.capacity_per_size;
     d.workers
         .iter_mut()
         .for_each(|worker| worker.factor_samples = 1.0);
     d.update_fleet_estimates(MS);
-    assert_eq!((unobserved_fraction, d.capacity_per_size * 3.0), (1.0, 1.0));
+    assert_eq!((without_own_samples, d.capacity_per_size * 3.0), (1.0, 1.0));
 }
 
 #[test_case(Some(100 * MS) => 3; "of a known size")]
@@ -257,13 +257,13 @@
     };
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
     list_endpoints(&mut d, 100 * MS, ListScope::Delta, endpoints);
-    let one = |n| Request {
+    let new_request = |n| Request {
         hint,
         deadline: 99_000 * MS,
         ..request(n, 0, 0, 2_000 * MS)
     };
-    let posts = (0..20).map(|n| send_request(&mut d, 2_000 * MS, one(n)));
-    posts
+    let actions = (0..20).map(|n| send_request(&mut d, 2_000 * MS, new_request(n)));
+    actions
         .flatten()
         .filter(|action| matches!(action, Action::SendAttempt { .. }))
         .count()
--- a/src/policy/slow_start/tests/grants.rs
+++ b/src/policy/slow_start/tests/grants.rs
@@ -9,8 +9,8 @@
 #[test_case(&[true; 12], 0.65; "all have a fleet view")]
 #[test_case(&[false; 12], 0.95; "none has had a fleet view")]
 #[test_case(&[true, false, true, false, true, false, true, false, true, false, true, false], 0.95; "every other")]
-fn reserved_and_granted_shares_together_keep_the_budget(has_view: &[bool], limit: f64) {
-    for at in 0..10 {
+fn reserved_and_granted_fractions_together_keep_the_budget(has_view: &[bool], limit: f64) {
+    for index in 0..10 {
         let now = 3_000 * MS;
         let mut sum = 0.0;
         for (rank, has_view) in has_view.iter().enumerate() {
@@ -20,7 +20,7 @@
                 if *has_view {
                     set_fleet_view(&mut d, Some((0, 1 + rank)));
                 }
-                let worker = &d.workers[at];
+                let worker = &d.workers[index];
                 let allowance = d.reserved_allowance(worker, now);
                 let reserved = if allowance.represented_dispatchers > 0.0 {
                     allowance.work
@@ -36,15 +36,18 @@
 
 #[test]
 fn nothing_is_reserved_in_the_first_window_of_a_process() {
-    let holds = |at: Nanos| {
+    let is_reserved = |now: Nanos| {
         (0..4).any(|rank| {
             granting_dispatcher(4, rank, 1, 1)
-                .reserved_allowance(&granting_dispatcher(4, rank, 1, 1).workers[0], at)
+                .reserved_allowance(&granting_dispatcher(4, rank, 1, 1).workers[0], now)
                 .represented_dispatchers
                 > 0.0
         })
     };
-    assert_eq!((holds(999 * MS), holds(1_000 * MS)), (false, true));
+    assert_eq!(
+        (is_reserved(999 * MS), is_reserved(1_000 * MS)),
+        (false, true)
+    );
 }
 
 /// A grant for worker 1, in milliseconds.
@@ -82,7 +85,7 @@
     assert_eq!(d.workers[1].unused_grants(100 * MS), 0.0);
 }
 
-fn request_arrives(d: &mut Dispatcher, now: Nanos) -> Vec<Action> {
+fn send_hinted_request(d: &mut Dispatcher, now: Nanos) -> Vec<Action> {
     let request = Request {
         id: 1,
         class: 0,
@@ -110,20 +113,20 @@
         .unwrap();
     set_fleet_view(&mut d, Some((1, 4)));
     let now = 2_000 * MS;
-    let actions = request_arrives(&mut d, now);
+    let actions = send_hinted_request(&mut d, now);
     let [
-        Action::RequestWarmUpGrant { worker: of, work },
+        Action::RequestWarmUpGrant { worker, work },
         Action::SetTimer { at, token },
     ] = actions[..]
     else {
         panic!("{actions:?}")
     };
-    assert_eq!((of, work, at), (worker_id(0), 60 * MS, now + 5 * MS));
+    assert_eq!((worker, work, at), (worker_id(0), 60 * MS, now + 5 * MS));
     if is_granted {
         d.handle(
             now + MS,
             Event::WarmUpGranted {
-                worker: of,
+                worker,
                 work,
                 until: now + 90 * MS,
             },
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn the_grantable_budget_follows_the_warmth_and_ends_with_the_warm_up() {
+fn the_grantable_budget_follows_the_slow_start_factor_and_ends_with_the_warm_up() {
     let d = granting_dispatcher(12, 0, 2, 1);
     let budget_ms = |now: Nanos| {
         let mut actions = Vec::new();
--- a/src/policy/subset/tests.rs
+++ b/src/policy/subset/tests.rs
@@ -5,7 +5,7 @@
 
 /// Most of a large fleet's list may be out of date.
 #[test]
-fn an_unreachable_worker_is_replaced_for_a_while() {
+fn an_unreachable_worker_is_replaced_until_its_retry_delay_has_passed() {
     let mut d = dispatcher_of(100, 3, warm_endpoints(60));
     let first = d.classes[0].subset[2];
     (0..2).for_each(|_| d.workers[first].record_connect_failure(0));
@@ -26,7 +26,7 @@
     d.workers
         .iter_mut()
         .enumerate()
-        .filter(|(at, _)| *at != first)
+        .filter(|(index, _)| *index != first)
         .for_each(|(_, w)| w.started_at = 1);
     d.select_subsets(2_000 * MS);
     assert_eq!(d.classes[0].subset[2], first);
@@ -37,7 +37,7 @@
 #[test_case(40, 50 => (8, 5, 7); "eight workers each")]
 #[test_case(200, 100 => (6, 11, 13); "of many, about twelve share each")]
 #[test_case(500, 100 => (3, 14, 16); "or a few more")]
-fn workers_are_used_by_like_numbers_of_dispatchers(
+fn workers_are_used_by_similar_numbers_of_dispatchers(
     dispatchers: u32,
     workers: u8,
 ) -> (usize, usize, usize) {
@@ -46,7 +46,10 @@
     for rank in 0..dispatchers {
         let d = dispatcher_of(dispatchers, rank, warm_endpoints(workers));
         size = d.classes[0].subset.len();
-        d.classes[0].subset.iter().for_each(|at| users[*at] += 1);
+        d.classes[0]
+            .subset
+            .iter()
+            .for_each(|index| users[*index] += 1);
     }
     (
         size,
@@ -85,7 +88,7 @@
         let mut distinct = subset.clone();
         distinct.dedup();
         assert_eq!(distinct.len(), subset.len(), "a worker twice in one subset");
-        subset.iter().for_each(|at| count[*at] += 1);
+        subset.iter().for_each(|index| count[*index] += 1);
     }
     let fewest = count.iter().min().unwrap();
     let most = count.iter().max().unwrap();
@@ -94,7 +97,7 @@
 
 /// Within a power of two of dispatchers.
 #[test]
-fn one_dispatcher_more_or_less_moves_no_other_subset() {
+fn adding_or_removing_a_dispatcher_changes_no_other_subset() {
     for (less, more) in [(9, 10), (10, 16), (17, 18)] {
         assert_eq!(
             subsets(less, 20)[..],
@@ -118,7 +121,7 @@
 }
 
 #[test]
-fn without_a_fleet_view_the_settings_count_again() {
+fn without_a_fleet_view_the_settings_apply_again() {
     let mut d = granting_dispatcher(12, 5, 20, 0);
     set_fleet_view(&mut d, Some((0, 3)));
     set_fleet_view(&mut d, None);
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -238,8 +238,8 @@
     d
 }
 
-pub(crate) fn set_fleet_view(d: &mut Dispatcher, place: Option<(u16, u16)>) {
-    let position = place.map(|(rank, dispatchers)| FleetPosition { rank, dispatchers });
+pub(crate) fn set_fleet_view(d: &mut Dispatcher, rank_and_count: Option<(u16, u16)>) {
+    let position = rank_and_count.map(|(rank, dispatchers)| FleetPosition { rank, dispatchers });
     d.handle(2 * MS, Event::FleetView(position), &mut Vec::new());
 }
 
--- a/src/policy/worker_selection/tests.rs
+++ b/src/policy/worker_selection/tests.rs
@@ -9,7 +9,7 @@
 use test_case::test_case;
 
 #[test]
-fn unobserved_queues_drift_to_the_fleets_mean() {
+fn unobserved_queues_converge_to_the_fleets_mean() {
     let mut worker = Worker {
         slots: 2.0,
         start_delay: 0.0,
@@ -34,7 +34,7 @@
 /// It answers at once and would look idle.
 #[test_case(Outcome::AtCapacity; "at capacity")]
 #[test_case(Outcome::ConnectFailed; "unreachable")]
-fn a_worker_that_accepts_nothing_is_passed_over(outcome: Outcome) {
+fn a_worker_that_rejects_or_is_unreachable_is_avoided(outcome: Outcome) {
     let mut d = dispatcher(3);
     let first = only_attempt(&send_request(&mut d, MS, request(1, 0, 100 * MS, MS)));
 
@@ -78,31 +78,33 @@
     d.classes[0]
         .subset
         .iter()
-        .position(|at| d.workers[*at].id == worker)
+        .position(|index| d.workers[*index].id == worker)
         .unwrap()
 }
 
 /// Short requests must not queue behind long ones because a worker seems a little less busy.
 #[test_case(0.5 => 0; "half of the fleet's wait is not worth seven positions")]
 #[test_case(0.0 => 7; "an idle one is")]
-fn a_short_request_stays_near_its_interval_where_all_have_queues(part: f64) -> usize {
+fn a_short_request_stays_near_its_interval_if_all_workers_have_queues(part: f64) -> usize {
     selected_position(dispatcher_of_large_fleet(), part)
 }
 
 /// All dispatchers use the same eight workers.
 #[test_case(4 => 7; "four share each")]
 #[test_case(12 => 0; "twelve share each")]
-fn requests_keep_to_intervals_the_more_the_less_is_known_of_workers(dispatchers: u32) -> usize {
+fn requests_stay_in_their_interval_if_many_dispatchers_use_a_worker(dispatchers: u32) -> usize {
     selected_position(dispatcher_of(dispatchers, 0, warm_endpoints(8)), 0.5)
 }
 
 #[test_case(0, 10 => true; "a short request stays in its zone")]
 #[test_case(2, 1_000 => false; "a long one goes by its interval")]
-fn requests_go_to_another_zone_if_they_can_bear_its_delay(class: u8, hint: Nanos) -> bool {
+fn only_requests_with_enough_slack_go_to_another_zone(class: u8, hint: Nanos) -> bool {
     let mut d = dispatcher_of_large_fleet();
     let now = 100_000 * MS;
     let subset = d.classes[0].subset.clone();
-    subset[..7].iter().for_each(|at| d.workers[*at].zone = 2);
+    subset[..7]
+        .iter()
+        .for_each(|index| d.workers[*index].zone = 2);
     d.zone_delays.observe(1, 2e6);
     d.zone_delays.observe(2, 80e6);
     let actions = send_request(&mut d, now, request(1, class, hint * MS, now));
@@ -111,11 +113,11 @@
 }
 
 #[test]
-fn a_start_teaches_the_delay_to_its_zone() {
+fn a_start_updates_the_delay_of_its_zone() {
     let mut d = dispatcher_of_large_fleet();
-    let at = d.classes[0].subset[0];
+    let index = d.classes[0].subset[0];
     d.classes[0].subset.truncate(1);
-    d.workers[at].zone = 2;
+    d.workers[index].zone = 2;
     send_request(&mut d, 0, request(1, 0, 10 * MS, 0));
     start_attempt(&mut d, 80 * MS, 1);
     assert_eq!(
@@ -187,7 +189,7 @@
     hint: Option<Nanos>,
 ) -> (u64, u64) {
     let mut d = dispatcher(4);
-    let mut complete = |id: RequestId, class: u8, hint: Option<Nanos>, took: Nanos| {
+    let mut complete = |id: RequestId, class: u8, hint: Option<Nanos>, duration: Nanos| {
         let now = Nanos::from(id) * 2_000 * MS;
         let request = Request {
             hint: hint.map(|hint| hint * MS),
@@ -196,12 +198,12 @@
         send_request(&mut d, now, request);
         let expected = d.requests[d.request_keys[&id]].demand.service_time / MS as f64;
         start_attempt(&mut d, now, id);
-        handle(&mut d, now + took * MS, succeeded(id));
+        handle(&mut d, now + duration * MS, succeeded(id));
         expected.round() as u64
     };
-    for (at, took) in [(1, 400), (2, 600)] {
-        complete(at, 0, before, took);
-        complete(10 + at, 2, before, 300);
+    for (id, duration) in [(1, 400), (2, 600)] {
+        complete(id, 0, before, duration);
+        complete(10 + id, 2, before, 300);
     }
     (complete(20, 0, hint, 1), complete(21, 2, None, 1))
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -12,14 +12,14 @@
 #[test_case("retry_after.max", "1e18" => "setting retry_after.max is out of range: 1000000000000000000"; "a time beyond all clocks")]
 #[test_case("start_notes", "perhaps" => "setting start_notes cannot be read: \"perhaps\""; "no flag")]
 #[test_case("priority_weight.basis", "mood" => "setting priority_weight.basis cannot be read: \"mood\""; "no basis")]
-fn unusable_settings_are_named(name: &str, value: &str) -> String {
+fn names_the_invalid_setting(name: &str, value: &str) -> String {
     Settings::read(&settings_with(name, value))
         .unwrap_err()
         .to_string()
 }
 
 #[test]
-fn a_rank_beyond_the_dispatchers_is_refused_where_they_exchange_load() {
+fn rejects_a_rank_not_below_the_dispatchers_that_exchange_load() {
     let mut map = settings_with("me", "2");
     assert!(Settings::read(&map).is_ok());
     map.insert("peer_load.allowed".into(), "true".into());
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_missing_setting_is_named() {
+fn names_the_missing_setting() {
     assert_eq!(
         read_setting::<usize>(&SettingsMap::new(), "class.count"),
         Err(SettingsError::Missing {
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -70,7 +70,7 @@
 
 /// Some workers at capacity are no jam of the whole fleet.
 #[test]
-fn attempts_that_end_before_they_start_are_forgotten() {
+fn attempts_that_end_before_they_start_are_removed() {
     let mut delays = StartDelays::default();
     let id = send(&mut delays, 1, 0);
     assert!(delays.congestion(200 * MS, LOW_TRAFFIC_FACTOR).delay > 0.0);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn starts_that_an_idle_worker_makes_late_count_as_in_time() {
+fn starts_that_are_late_even_at_an_idle_worker_do_not_count_as_late() {
     let mut delays = StartDelays::default();
     let id = AttemptId::new(1, 0);
     delays.record_sent(SentAttempt {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn only_the_latest_attempts_are_kept_and_each_counts_once() {
+fn only_the_latest_attempts_are_retained_and_each_counts_once() {
     let mut delays = StartDelays::default();
     send_all(&mut delays, 0..1_000, 0);
     assert_eq!(delays.attempts.len(), MAX_RETAINED_ATTEMPTS);
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_network_that_has_become_slower_is_noticed() {
+fn the_estimate_follows_a_network_that_becomes_slower() {
     let mut delays = ZoneDelays::new(0);
     delays.observe(3, 10.0 * MS);
     (0..30).for_each(|_| delays.observe(3, 40.0 * MS));
@@ -28,7 +28,7 @@
 
 #[test_case(2_000.0 => 0; "a long request can bear the delay")]
 #[test_case(100.0 => 750; "a short one cannot")]
-fn part_of_the_time_to_spare(slack: f64) -> i64 {
+fn slack_usage_of_the_extra_delay(slack: f64) -> i64 {
     let mut delays = ZoneDelays::new(0);
     delays.observe(1, 80.0 * MS);
     (delays.slack_usage(1, slack * MS) * 1000.0).round() as i64
