--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of admission: rejection by slack usage, priority weight and late starts.
 use super::{Dispatcher, Selection};
 use crate::policy::test_support::{
     MS, attempt_ended, dispatcher, dispatcher_of, handle, overdue_request, request, send_request,
@@ -7,7 +8,7 @@
 use crate::types::{Action, Nanos, Outcome, Request, RequestId};
 use test_case::test_case;
 
-/// A worker at which a request would wait for so long, and for such a part of its time to spare.
+/// Returns a selection with the given wait and slack usage.
 fn selection_with(wait: f64, slack_usage: f64) -> Selection {
     Selection {
         worker: 0,
@@ -16,18 +17,19 @@
     }
 }
 
-#[test_case(0.5, 2 => true; "time to spare")]
-#[test_case(2.1, 2 => false; "would come late")]
-#[test_case(1.99, 0 => false; "those of low weight go first")]
+#[test_case(0.5, 2 => true; "enough slack")]
+#[test_case(2.1, 2 => false; "would be late")]
+#[test_case(1.99, 0 => false; "low weight is rejected first")]
 fn rejects_requests_by_slack_usage_and_weight(slack_usage: f64, class: u8) -> bool {
     let mut d = dispatcher(1);
     let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
     d.admit(0, key, selection_with(0.0, slack_usage))
 }
 
-/// Between two rare starts the late ones must not be forgotten, or a jam would persist.
-#[test_case(1.0 => true; "where many are seen")]
-#[test_case(5.0 => false; "where few are")]
+/// At low request rates, late starts must keep their weight until the next start, or congestion would
+/// persist.
+#[test_case(1.0 => true; "high request rate")]
+#[test_case(5.0 => false; "low request rate")]
 fn late_starts_lose_their_weight_in_two_seconds(low_traffic_factor: f64) -> bool {
     let mut d = dispatcher(1);
     d.low_traffic_factor = low_traffic_factor;
@@ -36,20 +38,21 @@
     (0..20).all(|_| d.admit(13_000 * MS, key, selection_with(0.0, 0.6)))
 }
 
-/// Long queues that one class can bear must not keep classes of more weight from being in time.
-#[test_case(0, 0.0 => true; "the heaviest are admitted")]
-#[test_case(0, 0.9 => false; "the heaviest are rejected")]
-#[test_case(2, 0.9 => true; "itself the heaviest")]
+/// Queues that are acceptable to one class must not prevent classes of more weight from meeting their
+/// objectives.
+#[test_case(0, 0.0 => true; "the highest weight is admitted")]
+#[test_case(0, 0.9 => false; "the highest weight is rejected")]
+#[test_case(2, 0.9 => true; "itself of the highest weight")]
 fn a_wait_counts_by_its_cost_to_classes_of_more_weight(class: u8, rejected_fraction: f64) -> bool {
     let mut d = dispatcher(1);
     (0..5).for_each(|_| d.classes[2].record_request(100e6));
     d.rejected_fraction = rejected_fraction;
     let key = d.requests.insert(overdue_request(request(1, class, MS, 0)));
-    // A wait of one second: half of its own time to spare, two and a half times theirs.
+    // A wait of 1 s: 0.5 of the request's own slack, 2.5 times the slack of the other class.
     d.admit(0, key, selection_with(SECOND, 0.5))
 }
 
-/// A burst fills all queues before the first start shows them. None of these requests starts.
+/// A burst fills all queues before the first start shows it. None of these requests starts.
 #[test_case(250 => true; "four a second")]
 #[test_case(500 => true; "two a second")]
 fn rejects_part_of_a_burst_before_any_request_has_started(gap: Nanos) -> bool {
@@ -63,7 +66,8 @@
     (2..=5).contains(&sent)
 }
 
-/// A dispatcher that has seen one request of a class with an objective of 0.3 s and one of a class with 3 s.
+/// Returns a dispatcher that has received one request of a class with an objective of 0.3 s and one
+/// of a class with an objective of 3 s.
 fn dispatcher_with_short_and_long_class(basis: &str, short_weight: f64) -> Dispatcher {
     let mut map = settings();
     let value = short_weight.to_string();
@@ -80,8 +84,8 @@
     d
 }
 
-/// How many of 100 requests of a class are admitted that would wait for 0.8 s, while all requests of the highest weight are
-/// rejected.
+/// Returns the number of admitted requests out of 100 of a class with an expected wait of 0.8 s, while
+/// all requests of the highest weight are rejected.
 fn admitted_of_100(mut d: Dispatcher, class: u8) -> usize {
     let slack = if class == 2 { 4e9 } else { 4e8 };
     let active = overdue_request(request(1, class, MS, 0));
@@ -93,9 +97,9 @@
     (0..100).filter(is_admitted).count()
 }
 
-/// The class with the most time to spare must not be the only one served during a burst.
-#[test_case(8.0 => true; "of like weight")]
-#[test_case(0.1 => false; "of little weight")]
+/// The class with the most slack must not be the only one served during a burst.
+#[test_case(8.0 => true; "of similar weight")]
+#[test_case(0.1 => false; "of low weight")]
 fn rejects_a_class_with_more_slack_in_favour_of_one_of_similar_weight(short_weight: f64) -> bool {
     admitted_of_100(
         dispatcher_with_short_and_long_class("work", short_weight),
@@ -118,7 +122,7 @@
     let now = 10_000 * MS;
     let mut d = dispatcher(1);
     let worker = &mut d.workers[0];
-    // Its service-time factor leaves 100 of 600 ms to spare; the wait is 200 ms.
+    // The service-time factor reduces the slack from 600 ms to 100 ms; the wait is 200 ms.
     (
         worker.service_time_factor,
         worker.factor_samples,
@@ -155,9 +159,9 @@
     );
 }
 
-/// Small requests must not be rejected for waits that only large ones have.
-#[test_case(10_000, 5_000 => true; "half of a large time to spare")]
-#[test_case(100, 5_000 => false; "many times a small time to spare")]
+/// Requests with little slack must not be rejected for waits that only requests with much slack have.
+#[test_case(10_000, 5_000 => true; "half of a large slack")]
+#[test_case(100, 5_000 => false; "many times a small slack")]
 fn delays_count_relative_to_the_slack(hint: Nanos, wait: Nanos) -> bool {
     let mut d = dispatcher(1);
     send_request(
--- a/src/policy/diffeqal/tests.rs
+++ b/src/policy/diffeqal/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of DIFFEQAL: semi-geometric shifts, shift ratios and interval bounds.
 use super::{ShiftRatios, compute_interval_bounds, semi_geometric_shifts};
 use crate::policy::test_support::{MS, dispatcher, only_attempt, request, send_request};
 use crate::state::{BINS, bin_index};
@@ -68,7 +69,8 @@
     assert_eq!(rounded, [48.0, 70.0]);
 }
 
-/// Otherwise such requests of many dispatchers that have seen few each would all go to the last worker.
+/// Guards against many dispatchers with few requests each that send all such requests to the last
+/// worker.
 #[test]
 fn a_request_larger_than_all_before_falls_into_any_interval_that_its_work_fills() {
     let worker_for = |hint: Nanos| {
--- a/src/policy/dispatcher/tests.rs
+++ b/src/policy/dispatcher/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of dispatching without workers and for fleets of extreme sizes.
 use crate::policy::test_support::{
     MS, dispatcher, dispatcher_of, endpoint, handle, request, send_request,
 };
@@ -24,7 +25,7 @@
     ));
 }
 
-/// Sizes at which a division by zero or an index out of bounds would show.
+/// Covers sizes at which a division by zero or an index out of bounds is likely.
 #[test_case(0, 1; "no worker")]
 #[test_case(1, 1; "one of each")]
 #[test_case(1, 1_000; "one worker of a thousand dispatchers")]
--- a/src/policy/dispatcher/tests/rules.rs
+++ b/src/policy/dispatcher/tests/rules.rs
@@ -1,5 +1,6 @@
-//! Legal events in random order. Every action is checked against the rules: one attempt at a time, none after the
-//! answer, no repetition that is not allowed, nothing to workers that leave, no warming worker overloaded.
+//! Randomized test: valid events in random order, with every action checked against the rules. At most
+//! one attempt of a request is in flight and none follows the answer, only permitted retries are sent,
+//! draining and removed workers get no requests, and no warming worker is overloaded.
 use crate::pcg::Pcg;
 use crate::policy::Dispatcher;
 use crate::policy::lifecycle::classify_outcome;
@@ -25,7 +26,7 @@
     sent_at: Nanos,
 }
 
-/// What the test knows of one request.
+/// State of one request in the model.
 #[derive(Default)]
 struct Record {
     class: u8,
@@ -54,7 +55,7 @@
     timers: Vec<(Nanos, u64)>,
     requests: BTreeMap<RequestId, Record>,
     work_sent: Vec<WorkSent>,
-    /// The largest capacity that the dispatcher ever believed in: beliefs change within a window.
+    /// Largest capacity that the dispatcher has estimated. Estimates change within a window.
     max_capacity_per_size: f64,
 }
 
@@ -125,7 +126,8 @@
         });
     }
 
-    /// Untrue reports, of workers that do not exist, out of order: no rule rests on them.
+    /// Adds random load reports: false ones, out of order, and for workers that do not exist. No rule
+    /// depends on them.
     fn report_peer_loads(&mut self, events: &mut Vec<Event>) {
         while self.dispatcher.exchanges_load && self.rng.unit() < 0.6 {
             let from = self.below(f64::from(self.dispatchers)) as u16;
@@ -141,18 +143,18 @@
 
     fn advance_requests(&mut self, now: Nanos, events: &mut Vec<Event>) {
         for (request_id, record) in &mut self.requests {
-            let draw = self.rng.unit();
+            let random = self.rng.unit();
             assert!(
                 record.answers > 0 || now <= record.deadline + STEP,
-                "a request without its answer"
+                "a request without an answer at its deadline"
             );
-            if draw < 0.01 && record.answers == 0 && now < record.deadline {
+            if random < 0.01 && record.answers == 0 && now < record.deadline {
                 record.answers += 1;
                 events.push(Event::ClientDisconnected {
                     request_id: *request_id,
                 });
             } else if !record.in_flight.is_empty() {
-                events.extend(record.advance_attempt(*request_id, now, draw));
+                events.extend(record.advance_attempt(*request_id, now, random));
             }
         }
     }
@@ -199,7 +201,7 @@
         let worker = usize::from(worker.addr[3]);
         assert!(
             self.states[worker] == EndpointState::Ready,
-            "sent to a worker that leaves"
+            "sent to a draining or removed worker"
         );
         self.requests
             .get_mut(&request_id)
@@ -208,7 +210,7 @@
         self.check_warm_up(now, request_id, worker);
     }
 
-    /// A warming worker gets half of what overloads it at most in any window.
+    /// Checks that a warming worker gets at most half of its overload limit in any window.
     fn check_warm_up(&mut self, now: Nanos, request_id: RequestId, worker: usize) {
         let d = &self.dispatcher;
         let work = d.requests[d.request_keys[&request_id]].demand.work;
@@ -237,10 +239,10 @@
 }
 
 impl Record {
-    /// What happens to the attempt in flight, if anything.
-    fn advance_attempt(&mut self, request_id: RequestId, now: Nanos, draw: f64) -> Option<Event> {
+    /// Returns the next event of the attempt in flight, if any.
+    fn advance_attempt(&mut self, request_id: RequestId, now: Nanos, random: f64) -> Option<Event> {
         let attempt_index = self.in_flight[0].attempt_index;
-        let outcome = match draw {
+        let outcome = match random {
             _ if self.answers == 0 && now >= self.deadline => Outcome::TimedOut,
             0.01..0.03 => Outcome::Succeeded,
             0.03..0.04 => Outcome::AtCapacity,
@@ -306,8 +308,8 @@
 #[test_case(4, 1, 2; "one worker")]
 #[test_case(5, 200, 600; "a large fleet")]
 #[test_case(6, 60, 100; "most workers of the subset warm up")]
-#[test_case(7, 6, 2; "with reports of any kind")]
-#[test_case(8, 60, 100; "with reports, a large fleet")]
+#[test_case(7, 6, 2; "with random load reports")]
+#[test_case(8, 60, 100; "with random load reports, a large fleet")]
 fn random_events_violate_no_rule(seed: u64, workers: u8, dispatchers: u32) {
     let mut model = Model::new(seed, workers, dispatchers);
     for step in 1..STEPS {
@@ -316,10 +318,14 @@
     let mut records = model.requests.values();
     assert!(
         records.all(|record| record.answers == 1),
-        "a request without its one answer"
+        "a request without exactly one answer"
     );
     let remaining = &model.dispatcher.requests;
-    assert!(remaining.is_empty(), "kept {:?}", remaining.iter().next());
+    assert!(
+        remaining.is_empty(),
+        "not removed: {:?}",
+        remaining.iter().next()
+    );
     let mut records = model.requests.values();
     assert!(records.any(|record| record.sent > u8::from(workers > 1)));
 }
--- a/src/policy/endpoint_list/tests.rs
+++ b/src/policy/endpoint_list/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of the endpoint list: removal of workers, and repetition of failed polls.
 use super::Dispatcher;
 use crate::policy::test_support::{
     MS, dispatcher, endpoint, handle, list_endpoints, request, send_request, settings, worker_id,
@@ -7,7 +8,7 @@
 use test_case::test_case;
 
 #[test_case(EndpointState::Draining; "draining")]
-#[test_case(EndpointState::Removed; "gone")]
+#[test_case(EndpointState::Removed; "removed")]
 fn draining_and_removed_workers_get_no_new_requests(state: EndpointState) {
     let mut d = dispatcher(2);
     list_endpoints(&mut d, MS, ListScope::Delta, vec![endpoint(0, state, 0)]);
@@ -27,7 +28,7 @@
     assert_eq!(d.workers[0].state, EndpointState::Removed);
 }
 
-/// Handles an event and returns all actions, those for timers too.
+/// Handles an empty endpoint list and returns all actions, including timers.
 fn actions_for_list(d: &mut Dispatcher, now: Nanos, scope: ListScope) -> Vec<Action> {
     let mut actions = Vec::new();
     let event = Event::EndpointList {
@@ -38,7 +39,7 @@
     actions
 }
 
-/// When a dispatcher polls again after a failed poll.
+/// Returns the time of the next poll after a failed one.
 fn second_poll_at(seed: u64) -> Nanos {
     let mut d = Dispatcher::start(0, seed, &settings()).unwrap();
     assert!(actions_for_list(&mut d, 0, ListScope::Cached).contains(&Action::WatchEndpoints));
@@ -60,7 +61,7 @@
     at
 }
 
-/// Dispatchers that started together must not poll together ever after.
+/// Dispatchers that started together must not keep polling together.
 #[test]
 fn failed_polls_are_repeated_after_a_random_backoff() {
     let polls: Vec<Nanos> = (0..50).map(second_poll_at).collect();
--- a/src/policy/lifecycle/tests.rs
+++ b/src/policy/lifecycle/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of the request lifecycle: the state table and shutdown.
 use super::next;
 use crate::policy::test_support::{MS, attempt_ended, dispatcher, handle, request, send_request};
 use crate::settings::Idempotency::{self, Idempotent, IdempotentWithKey, NonIdempotent};
@@ -12,12 +13,12 @@
 #[test_case(InFlight, RequestInput::MayHaveRun, Idempotent => (Pending, RequestStep::Redispatch); "idempotent runs again")]
 #[test_case(InFlight, RequestInput::MayHaveRun, IdempotentWithKey => (PendingMayHaveRun, RequestStep::Redispatch); "with a key in its scope")]
 #[test_case(RetryInFlight, RequestInput::NotRun, IdempotentWithKey => (PendingMayHaveRun, RequestStep::Redispatch); "an earlier attempt may still have run")]
-#[test_case(Pending, RequestInput::GivenUp, NonIdempotent => (Completed, RequestStep::Reject); "nothing sent may be rejected")]
-#[test_case(PendingMayHaveRun, RequestInput::GivenUp, IdempotentWithKey => (Completed, RequestStep::Fail); "what may have run fails")]
+#[test_case(Pending, RequestInput::GivenUp, NonIdempotent => (Completed, RequestStep::Reject); "rejected if nothing was sent")]
+#[test_case(PendingMayHaveRun, RequestInput::GivenUp, IdempotentWithKey => (Completed, RequestStep::Fail); "failed if it may have run")]
 #[test_case(InFlight, RequestInput::GivenUp, Idempotent => (Completed, RequestStep::Fail); "deadline with an attempt in flight")]
 #[test_case(Completed, RequestInput::Succeeded, Idempotent => (Completed, RequestStep::Nothing); "second outcome")]
 #[test_case(Completed, RequestInput::MayHaveRun, NonIdempotent => (Completed, RequestStep::Nothing); "late outcome")]
-#[test_case(Completed, RequestInput::ClientDisconnected, IdempotentWithKey => (Completed, RequestStep::Nothing); "client gone after the end")]
+#[test_case(Completed, RequestInput::ClientDisconnected, IdempotentWithKey => (Completed, RequestStep::Nothing); "client disconnected after the end")]
 fn the_state_table_allows_only_safe_retries(
     state: RequestState,
     input: RequestInput,
@@ -26,7 +27,8 @@
     next(state, input, idempotency)
 }
 
-/// Requests with later deadlines must not be retried, or wait, until the process is killed.
+/// Guards against requests with later deadlines that are retried or stay pending until the process
+/// is killed.
 #[test_case(0, true => vec!["reject"]; "idempotent and in flight: no retry")]
 #[test_case(1, true => vec!["fail"]; "with a key and in flight")]
 #[test_case(2, true => vec!["fail"]; "non-idempotent and in flight")]
--- a/src/policy/load_report/tests.rs
+++ b/src/policy/load_report/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of load reports: known slots, invalid values and service-time factors of unused workers.
 use crate::policy::test_support::{
     MS, dispatcher, handle, request, send_request, start_attempt, succeeded,
 };
@@ -19,10 +20,11 @@
     assert_eq!(d.workers[0].slots, 2.0);
 }
 
-/// Otherwise a warming worker would be overloaded. `third` is when the last of three requests of 100 ms starts, the others
-/// start at 1 ms; the first completes at `completed`. Found by the simulation with seeds 9890, 1005010, 1006095 and 1015281.
-#[test_case(0, 9, 60 => 3.0; "all of one process, for a while")]
-#[test_case(5, 9, 60 => 2.0; "those of an earlier one are lost")]
+/// Guards against too many known slots, which overload warming workers. Three requests of 100 ms run:
+/// two start at 1 ms and the third at `third`; the first completes at `completed`. Found by the
+/// simulation with seeds 9890, 1005010, 1006095 and 1015281.
+#[test_case(0, 9, 60 => 3.0; "all run in one process at the same time")]
+#[test_case(5, 9, 60 => 2.0; "requests of an earlier process are lost")]
 #[test_case(0, 55, 60 => 2.0; "the last starts as the first ends")]
 #[test_case(0, 9, 240 => 2.0; "the others should have ended long ago")]
 fn slots_are_raised_by_requests_known_to_have_run_together(
@@ -43,7 +45,7 @@
     d.workers[0].slots
 }
 
-/// One invalid value must not give all workers of a type endless slots.
+/// One invalid value must not give all workers of a type an unlimited number of slots.
 #[test_case([f32::INFINITY, f32::INFINITY])]
 #[test_case([f32::NAN, f32::NAN])]
 #[test_case([-3.0, -1.0])]
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of outlier detection: which outcomes and overdue attempts raise the failure scores.
 use super::{CLASS_FAILURE_HALF_LIFE, Dispatcher, FAILURE_HALF_LIFE};
 use crate::policy::test_support::{
     MS, attempt_ended, dispatcher, handle, only_attempt, request, send_request, start_attempt,
@@ -10,7 +11,7 @@
 use test_case::test_case;
 
 #[test_case(Outcome::InvalidRequest => (true, 0.0); "the request is at fault")]
-#[test_case(Outcome::WorkerError => (false, 0.5); "the worker may be")]
+#[test_case(Outcome::WorkerError => (false, 0.5); "the worker may be at fault")]
 fn only_failures_of_the_worker_raise_its_score(outcome: Outcome) -> (bool, f64) {
     let mut d = dispatcher(1);
     send_request(&mut d, 0, request(1, 0, 100 * MS, 0));
@@ -42,7 +43,7 @@
     )
 }
 
-/// A worker that starts everything and fails most must not recover by its starts.
+/// A worker that starts all requests and fails most of them must not recover by its starts.
 #[test_case(&[0] => [true, false, false]; "one class")]
 #[test_case(&[0, 1] => [true, true, false]; "two classes")]
 #[test_case(&[] => [false; 3]; "none")]
@@ -86,8 +87,8 @@
     assert!(score(&d, 1) > 0.1 && score(&d, 0) == 0.0);
 }
 
-#[test_case(0, 0 => true; "not heard of: others' requests may be ahead")]
-#[test_case(1_000, 1_000 => false; "heard of just before: a start is due soon")]
+#[test_case(0, 0 => true; "no recent response: requests of others may be ahead")]
+#[test_case(1_000, 1_000 => false; "a recent response: a start is due soon")]
 fn tolerates_one_more_service_time_at_a_worker_without_recent_responses(
     last_response_at: Nanos,
     now: Nanos,
--- a/src/policy/peer_load/tests.rs
+++ b/src/policy/peer_load/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of load exchange: effect of received reports, and conditions and receivers of sent ones.
 use super::Dispatcher;
 use crate::policy::test_support::{
     MS, dispatcher, exchanging_dispatcher, exchanging_dispatcher_of_rank, handle, request,
@@ -8,8 +9,8 @@
 
 #[test_case(None, 1000 => true; "nothing reported")]
 #[test_case(Some((8, 500)), 1000 => false; "its slots are in use by a peer")]
-#[test_case(Some((8, 0)), 1000 => true; "they are over by now")]
-#[test_case(Some((0, 0)), 1000 => true; "they have ended")]
+#[test_case(Some((8, 0)), 1000 => true; "the reported work is completed by now")]
+#[test_case(Some((0, 0)), 1000 => true; "the peer reports no load")]
 #[test_case(Some((8, 500)), 4000 => false; "still in use without a new report")]
 #[test_case(Some((8, 9000)), 11000 => true; "the report has expired")]
 fn slots_in_use_by_peers_are_not_free(reported: Option<(u8, u16)>, at: Nanos) -> bool {
@@ -42,9 +43,9 @@
     send_attempt(&mut d, 2, at * MS) == Some(first)
 }
 
-#[test_case(PeerLoad::SPEED_UNKNOWN => (100, 0); "nothing known")]
+#[test_case(PeerLoad::SPEED_UNKNOWN => (100, 0); "unknown speed")]
 #[test_case(PeerLoad::encode_speed(4.0) => (200, 0); "a factor counts as one request")]
-#[test_case(PeerLoad::SPEED_UNRESPONSIVE => (100, 80); "unresponsive counts as an own failure")]
+#[test_case(PeerLoad::SPEED_UNRESPONSIVE => (100, 80); "unresponsive raises the failure score")]
 fn applies_speed_codes_reported_by_peers(speed_code: u8) -> (i64, i64) {
     let mut d = exchanging_dispatcher(3, 2);
     let load = PeerLoad {
@@ -60,10 +61,10 @@
     )
 }
 
-/// A single request is no more than a rough hint.
-#[test_case(true, 100 => 100; "within the usual")]
+/// Hints are rough, so a single overrunning request raises the factor only in part.
+#[test_case(true, 100 => 100; "within the expected service time")]
 #[test_case(true, 400 => 200; "overrunning")]
-#[test_case(false, 400 => 100; "where no load is exchanged")]
+#[test_case(false, 400 => 100; "without load exchange")]
 fn overrunning_requests_raise_the_service_time_factor(exchanges_load: bool, age: Nanos) -> i64 {
     let mut d = if exchanges_load {
         exchanging_dispatcher(3, 1)
@@ -76,7 +77,7 @@
     (d.workers[0].observed_service_time_factor().factor * 100.0).round() as i64
 }
 
-/// The receiving ranks and the half slots of all loads sent.
+/// Returns the receiving rank and the half slots of each load report sent.
 fn sent_loads(actions: &[Action]) -> Vec<(u16, u8)> {
     let reported = |action: &Action| {
         if let Action::SendPeerLoad { to, load } = action {
@@ -89,7 +90,7 @@
 }
 
 #[test_case(3, 20 => vec![(1, 2), (2, 2), (1, 0), (2, 0)]; "an end earlier than expected")]
-#[test_case(3, 100 => vec![(1, 2), (2, 2)]; "an end at its time")]
+#[test_case(3, 100 => vec![(1, 2), (2, 2)]; "an end as expected")]
 #[test_case(1, 20 => Vec::<(u16, u8)>::new(); "no peers")]
 fn reports_loads_that_deviate_from_the_peers_estimate(
     dispatchers: u32,
@@ -101,7 +102,7 @@
     sent_loads(&actions)
 }
 
-/// Messages to all would grow as the square of the dispatchers.
+/// Reports to all dispatchers would grow with the square of their number.
 #[test]
 fn reports_loads_to_the_dispatchers_that_use_the_worker() {
     let mut d = exchanging_dispatcher_of_rank(7, 40, 30);
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of slow start: scheduled allowances of warming workers, and work that counts against them.
 use super::Dispatcher;
 use crate::pcg::Pcg;
 use crate::policy::test_support::{
@@ -21,11 +22,11 @@
     }
 }
 
-#[test_case(0, 0, 2_000 => 20; "a warm worker takes all")]
-#[test_case(100, 0, 2_000 => 1; "a warming one what fits into this dispatcher's part")]
-#[test_case(100, 3, 2_000 => 0; "nothing in the turn of others")]
-#[test_case(100, 0, 1_000 => 0; "nor in the pause before each turn")]
-#[test_case(100, 3, 7_000 => 1; "more take turns at once as it warms")]
+#[test_case(0, 0, 2_000 => 20; "a warm worker gets all")]
+#[test_case(100, 0, 2_000 => 1; "a warming worker gets this dispatcher's allowance")]
+#[test_case(100, 3, 2_000 => 0; "none while others are scheduled")]
+#[test_case(100, 0, 1_000 => 0; "none in the pause at the start of a step")]
+#[test_case(100, 3, 7_000 => 1; "more dispatchers are scheduled as it warms up")]
 fn attempts_sent_to_a_warming_worker(started: Nanos, rank: u32, at: Nanos) -> usize {
     let mut d = dispatcher_of(12, rank, Vec::new());
     d.classes[0].settings.latency_objective = 90.0 * SECOND;
@@ -42,9 +43,10 @@
         .count()
 }
 
-/// The process before may have used the first window. The worker is not as busy as the rest of the fleet.
-#[test_case(2_000, 0.0 => false; "this window may have been used before")]
-#[test_case(3_100, 0.0 => true; "the next one is its own")]
+/// The previous process of the dispatcher may have used the first window. A warming worker is less busy
+/// than the rest of the fleet.
+#[test_case(2_000, 0.0 => false; "the first window may have been used already")]
+#[test_case(3_100, 0.0 => true; "the next window is unused")]
 #[test_case(3_100, 1.5 => true; "also while the fleet is congested")]
 fn a_warming_worker_is_used_after_the_first_window_of_a_process(
     at: Nanos,
@@ -67,7 +69,8 @@
     work: f64,
 }
 
-/// What one dispatcher sends in the 4 s after `started`, when it learns of the endpoints. All attempts succeed at once.
+/// Returns the work that one dispatcher sends in the 4 s after `started`, when it receives the endpoint
+/// list. All attempts succeed at once.
 fn work_sent_by(
     mut dispatcher: Dispatcher,
     rank: u32,
@@ -103,9 +106,9 @@
     sent
 }
 
-/// Most of a large fleet is replaced at once.
-#[test_case(100, 60, 36, 0.25; "most of the workers")]
-#[test_case(4, 10, 2, 0.05; "a few of each")]
+/// Guards against idle or overloaded workers when much of a fleet is replaced at once.
+#[test_case(100, 60, 36, 0.25; "most of many workers")]
+#[test_case(4, 10, 2, 0.05; "few workers and dispatchers")]
 fn all_dispatchers_together_use_but_do_not_overload_warming_workers(
     dispatchers: u32,
     workers: u8,
@@ -135,7 +138,7 @@
         .flat_map(|worker| (0..4).map(move |second| (worker, second)))
         .map(|(worker, second)| work_in_second(worker, started + second * 1_000 * MS))
         .sum();
-    // What they can do at their coldest: two slots at a fifth of their speed.
+    // Lower bound of their capacity: two slots at a fifth of full speed.
     let capacity = 2.0 * 0.2 * 4.0 * f64::from(replaced);
     assert!(
         total > min_fraction * capacity,
@@ -201,9 +204,9 @@
 }
 
 #[test_case(500, None => 1; "sent after the start")]
-#[test_case(500, Some(600) => 1; "and completed since")]
-#[test_case(50, None => 0; "to the process before")]
-#[test_case(50, Some(60) => 0; "to the process before, and completed since")]
+#[test_case(500, Some(600) => 1; "sent after the start, and completed since")]
+#[test_case(50, None => 0; "sent to the previous process")]
+#[test_case(50, Some(60) => 0; "sent to the previous process, and completed since")]
 fn work_sent_before_a_start_was_known_counts(sent_at: Nanos, completed: Option<Nanos>) -> usize {
     let mut d = dispatcher(1);
     send_request(&mut d, sent_at * MS, request(1, 2, 100 * MS, sent_at * MS));
@@ -219,7 +222,7 @@
         .count()
 }
 
-/// What was sent while the first process was known may have gone to the second.
+/// Work sent before the second process was known may have reached it.
 #[test]
 fn work_sent_since_a_second_restart_counts() {
     let mut d = dispatcher(1);
@@ -230,7 +233,7 @@
     assert_eq!(d.workers[0].recent_work, [sent_work(500, 2e8)]);
 }
 
-/// A type's factor for unused workers must not leave warming workers idle.
+/// The factor of the type, which unused workers have, must not leave warming workers idle.
 #[test]
 fn capacity_follows_the_service_time_factor_of_own_requests_only() {
     let mut d = dispatcher(2);
--- a/src/policy/slow_start/tests/grants.rs
+++ b/src/policy/slow_start/tests/grants.rs
@@ -1,11 +1,11 @@
-//! Warm-up grants and the shares that are reserved beside them.
+//! Tests of warm-up grants and of the allowances that are reserved in addition to them.
 use crate::policy::Dispatcher;
 use crate::policy::slow_start::GRANTED_FRACTION;
 use crate::policy::test_support::{MS, granting_dispatcher, set_fleet_view, worker_id};
 use crate::types::{Action, Event, Nanos, Request};
 use test_case::test_case;
 
-/// Whatever each dispatcher believes of the fleet, and with more dispatchers than configured.
+/// Holds for any fleet view of each dispatcher, and with more dispatchers than configured.
 #[test_case(&[true; 12], 0.65; "all have a fleet view")]
 #[test_case(&[false; 12], 0.95; "none has had a fleet view")]
 #[test_case(&[true, false, true, false, true, false, true, false, true, false, true, false], 0.95; "every other")]
@@ -14,7 +14,7 @@
         let now = 3_000 * MS;
         let mut sum = 0.0;
         for (rank, has_view) in has_view.iter().enumerate() {
-            // Views differ, and more run than the settings know of.
+            // Fleet views differ, and more dispatchers run than configured.
             for rank in [rank as u16, rank as u16 + 12] {
                 let mut d = granting_dispatcher(12, rank, 10, 10);
                 if *has_view {
@@ -50,7 +50,7 @@
     );
 }
 
-/// A grant for worker 1, in milliseconds.
+/// Delivers a grant for worker 1. Times are in milliseconds.
 fn grant(d: &mut Dispatcher, now_ms: Nanos, work_ms: Nanos, until_ms: Nanos) {
     let event = Event::WarmUpGranted {
         worker: worker_id(1),
@@ -77,7 +77,7 @@
     assert_eq!(ms(worker.unused_grants(50 * MS)), 40);
     assert_eq!(ms(worker.unused_grants(150 * MS)), 40);
 
-    // What grants do not cover is returned.
+    // Work that the grants do not cover is returned.
     assert_eq!(ms(worker.consume_grants(50 * MS, 60e6)), 20);
     assert_eq!(ms(worker.unused_grants(50 * MS)), 0);
 
@@ -159,7 +159,7 @@
             _ => None,
         })
     };
-    // Half of 1.5 times two slots for a second, of which a fifth at first.
+    // Half of 1.5 times two slots for a second, at a slow-start factor of one fifth.
     assert_eq!(budget_ms(500 * MS), Some(300));
     assert_eq!(budget_ms(4_001 * MS), Some(900));
     assert_eq!(budget_ms(6_500 * MS), Some(0));
--- a/src/policy/subset/tests.rs
+++ b/src/policy/subset/tests.rs
@@ -1,9 +1,10 @@
+//! Tests of subset selection: sizes, replacement of unreachable workers, balance and peers.
 use crate::policy::test_support::{
     MS, dispatcher_of, exchanging_dispatcher, granting_dispatcher, set_fleet_view, warm_endpoints,
 };
 use test_case::test_case;
 
-/// Most of a large fleet's list may be out of date.
+/// Most entries in the endpoint list of a large fleet may be out of date.
 #[test]
 fn an_unreachable_worker_is_replaced_until_its_retry_delay_has_passed() {
     let mut d = dispatcher_of(100, 3, warm_endpoints(60));
@@ -14,14 +15,14 @@
     assert!(first != other && d.classes[0].subset.len() == 8);
     d.select_subsets(1_000 * MS);
     assert_eq!(d.classes[0].subset[2], first);
-    // Twice as long each time in a row, until it gives a sign of life.
+    // The delay doubles with each consecutive failure, until the worker responds.
     d.workers[first].record_connect_failure(1_000 * MS);
     assert!(
         d.workers[first].is_unreachable(2_999 * MS) && !d.workers[first].is_unreachable(3_000 * MS)
     );
     d.workers[first].record_response(1_500 * MS, 0.0);
     assert!(!d.workers[first].is_unreachable(1_500 * MS));
-    // No warming worker replaces it, as its budget is divided by who regularly uses it.
+    // A warming worker does not replace it, as its budget is divided between its regular dispatchers.
     d.workers[first].record_connect_failure(2_000 * MS);
     d.workers
         .iter_mut()
@@ -33,10 +34,10 @@
 }
 
 #[test_case(4, 40 => (40, 4, 4); "few dispatchers use all workers")]
-#[test_case(9, 40 => (18, 3, 5); "some more, four share each")]
-#[test_case(40, 50 => (8, 5, 7); "eight workers each")]
-#[test_case(200, 100 => (6, 11, 13); "of many, about twelve share each")]
-#[test_case(500, 100 => (3, 14, 16); "or a few more")]
+#[test_case(9, 40 => (18, 3, 5); "about four dispatchers use each worker")]
+#[test_case(40, 50 => (8, 5, 7); "eight workers for each dispatcher")]
+#[test_case(200, 100 => (6, 11, 13); "about twelve dispatchers use each worker")]
+#[test_case(500, 100 => (3, 14, 16); "slightly more than twelve, as sizes are rounded up")]
 fn workers_are_used_by_similar_numbers_of_dispatchers(
     dispatchers: u32,
     workers: u8,
@@ -58,16 +59,16 @@
     )
 }
 
-#[test_case(6 => 27; "four to a worker")]
-#[test_case(13 => 13; "four to a worker of more")]
-#[test_case(100 => 8; "eight workers at least, however many dispatchers use them")]
+#[test_case(6 => 27; "four dispatchers for each worker")]
+#[test_case(13 => 13; "four for each worker, with more dispatchers")]
+#[test_case(100 => 8; "at least eight workers, for any number of dispatchers")]
 fn subset_size_where_load_is_exchanged(dispatchers: u32) -> usize {
     exchanging_dispatcher(dispatchers, 40).classes[0]
         .subset
         .len()
 }
 
-/// The subset of each of `dispatchers` dispatchers.
+/// Returns the subsets of all `dispatchers` dispatchers, by rank.
 fn subsets(dispatchers: u16, workers: u8) -> Vec<Vec<usize>> {
     let active = |rank: u16| {
         let mut d = granting_dispatcher(dispatchers, rank, workers, 0);
@@ -95,7 +96,7 @@
     assert!(most - fewest <= 1, "{count:?}");
 }
 
-/// Within a power of two of dispatchers.
+/// Holds while the number of dispatchers, rounded up to a power of two, stays the same.
 #[test]
 fn adding_or_removing_a_dispatcher_changes_no_other_subset() {
     for (less, more) in [(9, 10), (10, 16), (17, 18)] {
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the tests of the decisions.
+//! Fixtures for the tests of the decisions.
 use super::Dispatcher;
 use crate::settings::{Idempotency, SettingsMap};
 use crate::start_delays::{AttemptId, SentAttempt};
@@ -46,7 +46,7 @@
     }
 }
 
-/// One of `dispatchers`, with a cached endpoint list.
+/// Returns one of `dispatchers` dispatchers, with a cached endpoint list.
 pub(crate) fn dispatcher_of(dispatchers: u32, rank: u32, endpoints: Vec<Endpoint>) -> Dispatcher {
     let mut map = settings();
     map.insert("dispatchers".into(), dispatchers.to_string());
@@ -56,14 +56,14 @@
     d
 }
 
-/// Endpoints of workers that are all warm.
+/// Returns the endpoints of warm workers.
 pub(crate) fn warm_endpoints(workers: u8) -> Vec<Endpoint> {
     (0..workers)
         .map(|n| endpoint(n, EndpointState::Ready, 0))
         .collect()
 }
 
-/// One of two dispatchers, with warm workers.
+/// Returns one of two dispatchers, with warm workers.
 pub(crate) fn dispatcher(workers: u8) -> Dispatcher {
     dispatcher_of(2, 0, warm_endpoints(workers))
 }
@@ -87,12 +87,12 @@
     actions
 }
 
-/// A request arrives.
+/// Delivers a request and returns the actions except timers.
 pub(crate) fn send_request(d: &mut Dispatcher, now: Nanos, request: Request) -> Vec<Action> {
     handle(d, now, Event::RequestArrived(request))
 }
 
-/// An endpoint list arrives.
+/// Delivers an endpoint list and returns the actions except timers.
 pub(crate) fn list_endpoints(
     d: &mut Dispatcher,
     now: Nanos,
@@ -102,7 +102,7 @@
     handle(d, now, Event::EndpointList { scope, endpoints })
 }
 
-/// The first attempt of a request starts.
+/// Reports the start of the first attempt of a request and returns the actions except timers.
 pub(crate) fn start_attempt(d: &mut Dispatcher, now: Nanos, request_id: RequestId) -> Vec<Action> {
     let attempt_index = 0;
     let event = Event::AttemptStarted {
@@ -112,7 +112,7 @@
     handle(d, now, event)
 }
 
-/// The worker of an attempt that must be the only action.
+/// Returns the worker of an attempt that must be the only action.
 pub(crate) fn only_attempt(actions: &[Action]) -> WorkerId {
     let [Action::SendAttempt { worker, .. }] = actions else {
         panic!("{actions:?}")
@@ -120,7 +120,8 @@
     *worker
 }
 
-/// All of the latest attempts started at `now` with such a delay, and `late` of them too late.
+/// Records 32 attempts that all started at `now`, with a delay as a fraction of their slack. The last
+/// `late` of them started late.
 pub(crate) fn start_recent_attempts(d: &mut Dispatcher, now: Nanos, delay: f64, late: u32) {
     let wait = 2.0 * SECOND;
     for request in 0..32 {
@@ -142,12 +143,12 @@
     }
 }
 
-/// The success of the first attempt.
+/// Returns the event that the first attempt of a request succeeded.
 pub(crate) fn succeeded(request_id: RequestId) -> Event {
     attempt_ended(request_id, 0, Outcome::Succeeded)
 }
 
-/// One of `dispatchers` that exchange their load.
+/// Returns one of `dispatchers` dispatchers that exchange load, with warm workers.
 pub(crate) fn exchanging_dispatcher(dispatchers: u32, workers: u8) -> Dispatcher {
     let mut map = settings();
     map.insert("dispatchers".into(), dispatchers.to_string());
@@ -157,7 +158,7 @@
     d
 }
 
-/// The end of an attempt, without a load report.
+/// Returns the event that an attempt ended, without a load report.
 pub(crate) fn attempt_ended(request_id: RequestId, attempt_index: u8, outcome: Outcome) -> Event {
     Event::AttemptEnded(AttemptEnded {
         request_id,
@@ -168,7 +169,8 @@
     })
 }
 
-/// One of 300 dispatchers with 200 workers. The latency objective of class 0 is 60 ms, that of class 2 is 3 s.
+/// Returns one of 300 dispatchers with 200 workers. The latency objective is 60 ms for class 0 and 3 s
+/// for class 2.
 pub(crate) fn dispatcher_of_large_fleet() -> Dispatcher {
     let mut map = settings();
     for (name, value) in [
@@ -188,7 +190,7 @@
     d
 }
 
-/// The same with a rank of the settings.
+/// Returns the dispatcher of a rank among `dispatchers` dispatchers that exchange load.
 pub(crate) fn exchanging_dispatcher_of_rank(
     rank: u32,
     dispatchers: u32,
@@ -205,7 +207,7 @@
     slow_start.duration=6e9 overload.multiple=1.5 overload.window=1e9 report.fields=none endpoints.mode=pushed class.count=1 warm_up_grants=true \
     class.0.idempotency=idempotent class.0.retry_scope=all class.0.retry_window=0 class.0.latency_objective=3e8 class.0.priority_weight=1";
 
-/// A dispatcher that uses warm-up grants. The last `warming` workers have just started.
+/// Returns a dispatcher that uses warm-up grants. The last `warming` workers have just started.
 pub(crate) fn granting_dispatcher(
     dispatchers: u16,
     rank: u16,
@@ -243,7 +245,7 @@
     d.handle(2 * MS, Event::FleetView(position), &mut Vec::new());
 }
 
-/// A tiny request that can no longer meet its latency objective.
+/// Returns a request of 1 ns that can no longer meet its latency objective.
 pub(crate) fn overdue_request(request: Request) -> ActiveRequest {
     let demand = RequestDemand {
         work: 1.0,
--- a/src/policy/worker_selection/tests.rs
+++ b/src/policy/worker_selection/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of worker selection: interval, queues, zones, retries and expected service times.
 use super::Dispatcher;
 use crate::policy::test_support::{
     MS, attempt_ended, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle, only_attempt,
@@ -31,7 +32,7 @@
     assert!(worker.expected_wait(10_000 * MS, 1.0, busy_slots) > SECOND);
 }
 
-/// It answers at once and would look idle.
+/// Such a worker answers at once and would appear idle.
 #[test_case(Outcome::AtCapacity; "at capacity")]
 #[test_case(Outcome::ConnectFailed; "unreachable")]
 fn a_worker_that_rejects_or_is_unreachable_is_avoided(outcome: Outcome) {
@@ -58,9 +59,9 @@
     assert_ne!(only_attempt(&actions), first);
 }
 
-/// The position in the subset of the worker selected for a request of 10 ms, where the whole fleet waits for three tenths of
-/// its time to spare and the last worker for `part` of that.
-fn selected_position(mut d: Dispatcher, part: f64) -> usize {
+/// Returns the position in the subset of the worker selected for a request of 10 ms. The mean wait of
+/// the fleet is 0.3 of the slack, and the wait at the last worker is `wait_fraction` of that.
+fn selected_position(mut d: Dispatcher, wait_fraction: f64) -> usize {
     let now = 100_000 * MS;
     start_recent_attempts(&mut d, now, 0.3, 0);
     d.classes[0].histogram[bin_index(1e7)] = 1e7;
@@ -68,9 +69,9 @@
     d.classes[0].request_count = 1.0;
     d.classes[2].request_count = 10.0;
     let last = *d.classes[0].subset.last().unwrap();
-    // Its latency objective and twice its service time.
+    // Latency objective plus twice the service time, less the service time.
     let slack = d.classes[0].settings.latency_objective + 10e6;
-    let delay = part * 0.3 * d.unobserved_fraction * slack;
+    let delay = wait_fraction * 0.3 * d.unobserved_fraction * slack;
     d.workers[last].set_start_delay(now, delay);
 
     let worker = only_attempt(&send_request(&mut d, now, request(1, 0, 10 * MS, now)));
@@ -82,22 +83,22 @@
         .unwrap()
 }
 
-/// Short requests must not queue behind long ones because a worker seems a little less busy.
-#[test_case(0.5 => 0; "half of the fleet's wait is not worth seven positions")]
-#[test_case(0.0 => 7; "an idle one is")]
-fn a_short_request_stays_near_its_interval_if_all_workers_have_queues(part: f64) -> usize {
-    selected_position(dispatcher_of_large_fleet(), part)
+/// Short requests must not queue behind long ones because a worker appears slightly less busy.
+#[test_case(0.5 => 0; "half of the fleet's wait does not justify seven positions")]
+#[test_case(0.0 => 7; "an idle worker does")]
+fn a_short_request_stays_near_its_interval_if_all_workers_have_queues(wait_fraction: f64) -> usize {
+    selected_position(dispatcher_of_large_fleet(), wait_fraction)
 }
 
 /// All dispatchers use the same eight workers.
-#[test_case(4 => 7; "four share each")]
-#[test_case(12 => 0; "twelve share each")]
+#[test_case(4 => 7; "four dispatchers for each worker")]
+#[test_case(12 => 0; "twelve dispatchers for each worker")]
 fn requests_stay_in_their_interval_if_many_dispatchers_use_a_worker(dispatchers: u32) -> usize {
     selected_position(dispatcher_of(dispatchers, 0, warm_endpoints(8)), 0.5)
 }
 
 #[test_case(0, 10 => true; "a short request stays in its zone")]
-#[test_case(2, 1_000 => false; "a long one goes by its interval")]
+#[test_case(2, 1_000 => false; "a long request goes to the worker of its interval")]
 fn only_requests_with_enough_slack_go_to_another_zone(class: u8, hint: Nanos) -> bool {
     let mut d = dispatcher_of_large_fleet();
     let now = 100_000 * MS;
@@ -133,7 +134,7 @@
     }
 }
 
-/// Otherwise short requests queue behind long ones until one of each class has completed.
+/// Guards against short requests that queue behind long ones until one of each class has completed.
 #[test]
 fn classes_without_completed_requests_differ_by_their_latency_objectives() {
     let mut d = dispatcher_of_large_fleet();
@@ -159,7 +160,8 @@
     assert!(mean(&workers[0]) + 60.0 < mean(&workers[1]), "{workers:?}");
 }
 
-/// A latency objective close to the deadline must not lead to rejections until one request has run.
+/// Guards against rejection of all requests of a class whose latency objective is close to the
+/// deadline, until the first one has completed.
 #[test]
 fn a_class_without_completed_requests_leaves_time_for_a_queue() {
     let mut d = dispatcher_of_large_fleet();
@@ -181,9 +183,9 @@
     );
 }
 
-#[test_case(None, None => (500, 300); "none gives a hint")]
-#[test_case(Some(40), None => (40, 40); "those before gave one")]
-#[test_case(None, Some(40) => (40, 300); "it gives one itself")]
+#[test_case(None, None => (500, 300); "no request has a hint")]
+#[test_case(Some(40), None => (40, 40); "earlier requests had a hint")]
+#[test_case(None, Some(40) => (40, 300); "the request has a hint")]
 fn a_request_without_a_hint_is_expected_to_run_as_others_of_its_class(
     before: Option<Nanos>,
     hint: Option<Nanos>,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of the errors for missing and invalid settings.
 use super::{Settings, SettingsError, SettingsMap, read_setting};
 use crate::policy::test_support::settings;
 use test_case::test_case;
@@ -9,9 +10,9 @@
 }
 
 #[test_case("overload.multiple", "-1" => "setting overload.multiple is out of range: -1"; "a negative number")]
-#[test_case("retry_after.max", "1e18" => "setting retry_after.max is out of range: 1000000000000000000"; "a time beyond all clocks")]
-#[test_case("start_notes", "perhaps" => "setting start_notes cannot be read: \"perhaps\""; "no flag")]
-#[test_case("priority_weight.basis", "mood" => "setting priority_weight.basis cannot be read: \"mood\""; "no basis")]
+#[test_case("retry_after.max", "1e18" => "setting retry_after.max is out of range: 1000000000000000000"; "a time above the limit")]
+#[test_case("start_notes", "perhaps" => "setting start_notes cannot be read: \"perhaps\""; "not a flag")]
+#[test_case("priority_weight.basis", "mood" => "setting priority_weight.basis cannot be read: \"mood\""; "not a weight basis")]
 fn names_the_invalid_setting(name: &str, value: &str) -> String {
     Settings::read(&settings_with(name, value))
         .unwrap_err()
--- a/src/start_delays/tests.rs
+++ b/src/start_delays/tests.rs
@@ -1,10 +1,11 @@
+//! Tests of the start-delay estimate: waiting, late, hung and ended attempts.
 use super::*;
 use test_case::test_case;
 
 const MS: Nanos = 1_000_000;
 const LOW_TRAFFIC_FACTOR: f64 = 1.0;
 
-/// Sends attempt `request` at `at` ms: it has 100 ms to spare, of which nothing is expected to be spent.
+/// Sends an attempt of `request` at `at` ms, with a slack of 100 ms and no expected wait.
 fn send(delays: &mut StartDelays, request: RequestId, at: Nanos) -> AttemptId {
     let id = AttemptId::new(request, 0);
     delays.record_sent(SentAttempt {
@@ -52,7 +53,7 @@
     assert_eq!(delays.congestion(200 * MS, LOW_TRAFFIC_FACTOR), before);
 }
 
-/// A hung worker is no jam of the whole fleet.
+/// A hung worker does not indicate congestion of the whole fleet.
 #[test]
 fn a_hung_attempt_counts_little_once_later_ones_have_started() {
     let mut delays = StartDelays::default();
@@ -68,7 +69,7 @@
     );
 }
 
-/// Some workers at capacity are no jam of the whole fleet.
+/// Some workers at capacity do not indicate congestion of the whole fleet.
 #[test]
 fn attempts_that_end_before_they_start_are_removed() {
     let mut delays = StartDelays::default();
@@ -81,8 +82,8 @@
     );
 }
 
-#[test_case(1.0 => true; "where many are seen")]
-#[test_case(3.0 => false; "where few are")]
+#[test_case(1.0 => true; "high request rate")]
+#[test_case(3.0 => false; "low request rate")]
 fn starts_lose_their_weight_in_two_seconds(low_traffic_factor: f64) -> bool {
     let mut delays = StartDelays::default();
     for request in 0..40 {
