--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -37,11 +37,11 @@
 }
 
 /// what the model of the environment does next.
-enum Next {
+enum Step {
     Arrival,
     ListChange,
-    PeerReport,
-    PeerView,
+    PeerLoad,
+    FleetView,
     Timer(u64),
     Start {
         request: RequestId,
@@ -53,7 +53,7 @@
         worker: WorkerId,
     },
     Disconnect(RequestId),
-    ListAnswer,
+    PollAnswer,
     Grant {
         worker: WorkerId,
         work: Nanos,
@@ -66,9 +66,9 @@
 struct Model {
     settings: SettingsMap,
     dispatcher: Dispatcher,
-    chance: Pcg,
+    rng: Pcg,
     now: Nanos,
-    queue: BTreeMap<(Nanos, u64), Next>,
+    queue: BTreeMap<(Nanos, u64), Step>,
     serial: u64,
     workers: Vec<Endpoint>,
     attempts: BTreeMap<RequestId, u8>,
@@ -83,7 +83,7 @@
         let mut model = Model {
             settings,
             dispatcher,
-            chance: Pcg::new(seed),
+            rng: Pcg::new(seed),
             now: SECOND,
             queue: BTreeMap::new(),
             serial: 0,
@@ -97,27 +97,27 @@
         model.workers = (0..count)
             .map(|number| model.worker(number as u8, 0))
             .collect();
-        for (delay, next) in [
-            (10, Next::Arrival),
-            (700, Next::ListChange),
-            (30, Next::PeerReport),
-            (2_000, Next::PeerView),
-            (11_000, Next::Restart),
-            (27_000, Next::Stop),
+        for (delay, step) in [
+            (10, Step::Arrival),
+            (700, Step::ListChange),
+            (30, Step::PeerLoad),
+            (2_000, Step::FleetView),
+            (11_000, Step::Restart),
+            (27_000, Step::Stop),
         ] {
-            model.push(delay * MILLISECOND, next);
+            model.push(delay * MILLISECOND, step);
         }
         model.send_list(ListScope::Cached);
         model
     }
 
     fn below(&mut self, limit: u64) -> u64 {
-        (self.chance.unit() * limit as f64) as u64
+        (self.rng.unit() * limit as f64) as u64
     }
 
-    fn push(&mut self, delay: Nanos, next: Next) {
+    fn push(&mut self, delay: Nanos, step: Step) {
         self.serial += 1;
-        self.queue.insert((self.now + delay, self.serial), next);
+        self.queue.insert((self.now + delay, self.serial), step);
     }
 
     fn worker(&mut self, number: u8, started: Nanos) -> Endpoint {
@@ -141,19 +141,19 @@
         } else {
             self.workers.clone()
         };
-        self.feed(Event::EndpointList { scope, endpoints });
+        self.handle_event(Event::EndpointList { scope, endpoints });
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.dispatcher.handle(self.now, event, &mut actions);
         for action in actions {
             self.record(&action);
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn numbers(&mut self, numbers: &[u64]) {
+    fn hash_numbers(&mut self, numbers: &[u64]) {
         numbers
             .iter()
             .for_each(|number| self.digest.update(number.to_le_bytes()));
@@ -163,12 +163,12 @@
         self.actions += 1;
         let worker =
             |id: &WorkerId| u64::from(u32::from_be_bytes(id.addr)) << 16 | u64::from(id.port);
-        let load = |s: &PeerLoad| {
+        let load_numbers = |load: &PeerLoad| {
             [
-                worker(&s.worker),
-                u64::from(s.half_slots),
-                u64::from(s.work_units),
-                u64::from(s.speed_code),
+                worker(&load.worker),
+                u64::from(load.half_slots),
+                u64::from(load.work_units),
+                u64::from(load.speed_code),
             ]
         };
         let now = self.now;
@@ -176,43 +176,43 @@
             Action::SendAttempt {
                 request_id,
                 worker: id,
-            } => self.numbers(&[now, 1, u64::from(*request_id), worker(id)]),
-            Action::CheckHealth { worker: id } => self.numbers(&[now, 2, worker(id)]),
+            } => self.hash_numbers(&[now, 1, u64::from(*request_id), worker(id)]),
+            Action::CheckHealth { worker: id } => self.hash_numbers(&[now, 2, worker(id)]),
             Action::Reject {
                 request_id,
                 retry_after,
-            } => self.numbers(&[now, 3, u64::from(*request_id), *retry_after]),
-            Action::Fail { request_id } => self.numbers(&[now, 4, u64::from(*request_id)]),
-            Action::WatchEndpoints => self.numbers(&[now, 5]),
-            Action::SendPeerLoad { to, load: s } => {
-                self.numbers(&[now, 6, u64::from(*to)]);
-                self.numbers(&load(s));
+            } => self.hash_numbers(&[now, 3, u64::from(*request_id), *retry_after]),
+            Action::Fail { request_id } => self.hash_numbers(&[now, 4, u64::from(*request_id)]),
+            Action::WatchEndpoints => self.hash_numbers(&[now, 5]),
+            Action::SendPeerLoad { to, load } => {
+                self.hash_numbers(&[now, 6, u64::from(*to)]);
+                self.hash_numbers(&load_numbers(load));
             }
             Action::RequestWarmUpGrant { worker: id, work } => {
-                self.numbers(&[now, 7, worker(id), *work])
+                self.hash_numbers(&[now, 7, worker(id), *work])
             }
             Action::SetWarmUpBudget {
                 worker: id,
                 work,
                 window,
             } => {
-                self.numbers(&[now, 8, worker(id), *work, *window]);
+                self.hash_numbers(&[now, 8, worker(id), *work, *window]);
             }
-            Action::SetTimer { at, token } => self.numbers(&[now, 9, *at, *token]),
-            Action::Log(_) => self.numbers(&[now, 10]),
+            Action::SetTimer { at, token } => self.hash_numbers(&[now, 9, *at, *token]),
+            Action::Log(_) => self.hash_numbers(&[now, 10]),
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::SendAttempt { request_id, worker } => self.send_attempt(request_id, worker),
             Action::SetTimer { at, token } => {
-                self.push(at.saturating_sub(self.now), Next::Timer(token))
+                self.push(at.saturating_sub(self.now), Step::Timer(token))
             }
-            Action::WatchEndpoints => self.push(80 * MILLISECOND, Next::ListAnswer),
+            Action::WatchEndpoints => self.push(80 * MILLISECOND, Step::PollAnswer),
             Action::RequestWarmUpGrant { worker, work } => {
                 let delay = 1 + self.below(8);
-                self.push(delay * MILLISECOND, Next::Grant { worker, work });
+                self.push(delay * MILLISECOND, Step::Grant { worker, work });
             }
             _ => {}
         }
@@ -228,7 +228,7 @@
         if !hung && self.below(12) != 0 {
             self.push(
                 start,
-                Next::Start {
+                Step::Start {
                     request,
                     attempt: number,
                 },
@@ -237,7 +237,7 @@
         let end = if hung { 2 * SECOND } else { start + run };
         self.push(
             end,
-            Next::End {
+            Step::End {
                 request,
                 attempt: number,
                 worker,
@@ -245,11 +245,11 @@
         );
     }
 
-    fn arrive(&mut self) {
+    fn add_request(&mut self) {
         let burst = self.now / (5 * SECOND) % 3 == 1;
         let gap = if burst { 4 } else { 40 };
-        let delay = (self.chance.unit() * gap as f64 * MILLISECOND as f64) as Nanos;
-        self.push(delay, Next::Arrival);
+        let delay = (self.rng.unit() * gap as f64 * MILLISECOND as f64) as Nanos;
+        self.push(delay, Step::Arrival);
         self.next_request += 1;
         let id = self.next_request;
         let class = self.below(4) as u8 + u8::from(self.below(200) == 0);
@@ -260,9 +260,9 @@
         let deadline = self.now + (100 + self.below(2_500)) * MILLISECOND;
         if self.below(25) == 0 {
             let delay = (1 + self.below(400)) * MILLISECOND;
-            self.push(delay, Next::Disconnect(id));
+            self.push(delay, Step::Disconnect(id));
         }
-        self.feed(Event::RequestArrived(Request {
+        self.handle_event(Event::RequestArrived(Request {
             id,
             class,
             tenant: 0,
@@ -275,21 +275,21 @@
 
     fn change_list(&mut self) {
         let delay = (200 + self.below(900)) * MILLISECOND;
-        self.push(delay, Next::ListChange);
-        let at = self.below(self.workers.len() as u64) as usize;
+        self.push(delay, Step::ListChange);
+        let index = self.below(self.workers.len() as u64) as usize;
         match self.below(6) {
-            0 => self.workers[at].state = EndpointState::Draining,
-            1 => self.workers[at].state = EndpointState::Removed,
+            0 => self.workers[index].state = EndpointState::Draining,
+            1 => self.workers[index].state = EndpointState::Removed,
             2 | 3 => {
                 let started = self.now - self.below(SECOND);
-                self.workers[at].started = started;
-                self.workers[at].state = EndpointState::Ready;
+                self.workers[index].started = started;
+                self.workers[index].state = EndpointState::Ready;
             }
             4 if self.workers.len() < 60 => {
                 let added = self.worker(100 + self.workers.len() as u8, self.now);
                 self.workers.push(added);
             }
-            _ => self.workers[at].state = EndpointState::Ready,
+            _ => self.workers[index].state = EndpointState::Ready,
         }
         let scope = match self.below(5) {
             0 => ListScope::Snapshot,
@@ -299,12 +299,12 @@
         self.send_list(scope);
     }
 
-    fn peer_report(&mut self) {
+    fn add_peer_load(&mut self) {
         let delay = (5 + self.below(60)) * MILLISECOND;
-        self.push(delay, Next::PeerReport);
-        let at = self.below(self.workers.len() as u64) as usize;
+        self.push(delay, Step::PeerLoad);
+        let index = self.below(self.workers.len() as u64) as usize;
         let load = PeerLoad {
-            worker: self.workers[at].worker,
+            worker: self.workers[index].worker,
             half_slots: self.below(12) as u8,
             work_units: self.below(200) as u16,
             speed_code: if self.below(10) == 0 {
@@ -314,19 +314,19 @@
             },
         };
         let from = self.below(12) as u16;
-        self.feed(Event::PeerLoad { from, load });
+        self.handle_event(Event::PeerLoad { from, load });
     }
 
-    fn peer_view(&mut self) {
+    fn change_fleet_view(&mut self) {
         let delay = (1 + self.below(4)) * SECOND;
-        self.push(delay, Next::PeerView);
+        self.push(delay, Step::FleetView);
         let count = 4 + self.below(30) as u16;
         let rank = self.below(u64::from(count)) as u16;
         let view = (self.below(6) != 0).then_some(FleetPosition {
             rank,
             dispatchers: count,
         });
-        self.feed(Event::FleetView(view));
+        self.handle_event(Event::FleetView(view));
     }
 
     fn report(&mut self) -> Report {
@@ -363,11 +363,11 @@
         }
     }
 
-    fn end(&mut self, request: RequestId, attempt: u8, worker: WorkerId) {
+    fn end_attempt(&mut self, request: RequestId, attempt: u8, worker: WorkerId) {
         let outcome = self.outcome(worker);
         let complete = outcome == Outcome::Succeeded;
         let report = self.report();
-        self.feed(Event::AttemptEnded(AttemptEnded {
+        self.handle_event(Event::AttemptEnded(AttemptEnded {
             request_id: request,
             attempt_index: attempt,
             outcome,
@@ -381,41 +381,41 @@
         let seed = self.below(1 << 40);
         self.dispatcher =
             Dispatcher::start(self.now, seed, &self.settings).expect("valid settings");
-        self.queue.retain(|_, next| {
+        self.queue.retain(|_, step| {
             !matches!(
-                next,
-                Next::Timer(_) | Next::Start { .. } | Next::End { .. } | Next::Disconnect(_)
+                step,
+                Step::Timer(_) | Step::Start { .. } | Step::End { .. } | Step::Disconnect(_)
             )
         });
         self.attempts.clear();
         self.send_list(ListScope::Cached);
     }
 
-    fn step(&mut self, next: Next) {
-        match next {
-            Next::Arrival => self.arrive(),
-            Next::ListChange => self.change_list(),
-            Next::PeerReport => self.peer_report(),
-            Next::PeerView => self.peer_view(),
-            Next::Timer(token) => self.feed(Event::TimerFired { token }),
-            Next::Start { request, attempt } => self.feed(Event::AttemptStarted {
+    fn step(&mut self, step: Step) {
+        match step {
+            Step::Arrival => self.add_request(),
+            Step::ListChange => self.change_list(),
+            Step::PeerLoad => self.add_peer_load(),
+            Step::FleetView => self.change_fleet_view(),
+            Step::Timer(token) => self.handle_event(Event::TimerFired { token }),
+            Step::Start { request, attempt } => self.handle_event(Event::AttemptStarted {
                 request_id: request,
                 attempt_index: attempt,
             }),
-            Next::End {
+            Step::End {
                 request,
                 attempt,
                 worker,
-            } => self.end(request, attempt, worker),
-            Next::Disconnect(request) if request % 2 == 0 => {
-                self.feed(Event::ClientDisconnected {
+            } => self.end_attempt(request, attempt, worker),
+            Step::Disconnect(request) if request % 2 == 0 => {
+                self.handle_event(Event::ClientDisconnected {
                     request_id: request,
                 });
             }
-            Next::Disconnect(request) => self.feed(Event::StreamStarted {
+            Step::Disconnect(request) => self.handle_event(Event::StreamStarted {
                 request_id: request,
             }),
-            Next::ListAnswer => {
+            Step::PollAnswer => {
                 let scope = if self.below(3) == 0 {
                     ListScope::Failed
                 } else {
@@ -423,30 +423,30 @@
                 };
                 self.send_list(scope);
             }
-            Next::Grant { worker, work } => {
+            Step::Grant { worker, work } => {
                 let until = self.now + 500 * MILLISECOND;
-                self.feed(Event::WarmUpGranted {
+                self.handle_event(Event::WarmUpGranted {
                     worker,
                     work,
                     until,
                 });
             }
-            Next::Restart => self.restart(),
-            Next::Stop => {
+            Step::Restart => self.restart(),
+            Step::Stop => {
                 let by = self.now + 2 * SECOND;
-                self.feed(Event::ShuttingDown { by });
+                self.handle_event(Event::ShuttingDown { by });
             }
         }
     }
 
     /// Plays until the moment, and returns how many actions were taken and their digest.
-    fn play(mut self, until: Nanos) -> (u64, String) {
-        while let Some(((at, _), next)) = self.queue.pop_first() {
+    fn run(mut self, until: Nanos) -> (u64, String) {
+        while let Some(((at, _), step)) = self.queue.pop_first() {
             if at > until {
                 break;
             }
             self.now = at;
-            self.step(next);
+            self.step(step);
         }
         let digest = self.digest.finalize();
         (
@@ -473,9 +473,9 @@
     "109047 actions, b37f219357b621b6 b373a766af3a2c3b a684475a7e3637bc 26386a813677746d 0cf3c6671aa5d204 f583a72442db1b3d"; "weights by request")]
 #[test_case("dispatchers=8 queue.order=random retry_after.allowed=false attempts.max=2 report.fields=" =>
     "101267 actions, 421752e89803b65b b103fe18c2f8ea44 0037e72126dcaece 10ba72ba35cfbd4a 525d84f28f8dc057 3bd8106dba16fbbb"; "no reports")]
-fn decisions_are_the_same(overrides: &str) -> String {
-    let plays = (0..6).map(|seed| Model::new(settings(overrides), seed).play(31 * SECOND));
-    let (actions, digests): (Vec<u64>, Vec<String>) = plays.unzip();
+fn decisions_match_the_recorded_digests(overrides: &str) -> String {
+    let runs = (0..6).map(|seed| Model::new(settings(overrides), seed).run(31 * SECOND));
+    let (actions, digests): (Vec<u64>, Vec<String>) = runs.unzip();
     format!(
         "{} actions, {}",
         actions.iter().sum::<u64>(),
