--- a/tests/behaviour_lock.rs
+++ b/tests/behaviour_lock.rs
@@ -1,7 +1,8 @@
-//! Locks the decisions: seeded event streams must lead to exactly the actions that they led to when the digests were taken.
+//! Regression test of the decisions: seeded event streams must produce exactly the actions that
+//! produced the recorded digests.
 //!
-//! Actions enter the digest as numbers, so renaming a type or rewording a log line cannot change it. A digest may only
-//! change together with an intended change of behaviour, which the commit then states.
+//! Actions enter a digest as numbers, so renaming a type or rewording a log line cannot change it. A
+//! digest may only change together with an intended change of behaviour, which the commit states.
 use rosewall::SettingsMap;
 use rosewall::pcg::Pcg;
 use rosewall::policy::Dispatcher;
@@ -25,7 +26,7 @@
     class.3.idempotency=idempotent-with-key class.3.retry_scope=cell class.3.retry_window=900000000 class.3.latency_objective=1e9 class.3.priority_weight=2 \
     class.0.objective_stretch=2 class.1.objective_stretch=2";
 
-/// The base settings with some of them replaced.
+/// Returns the base settings with some of them overridden.
 fn settings(overrides: &str) -> SettingsMap {
     let text = format!("{BASE_SETTINGS} {overrides}");
     let pairs = text
@@ -36,7 +37,7 @@
         .collect()
 }
 
-/// what the model of the environment does next.
+/// Step of the environment model.
 enum Step {
     Arrival,
     ListChange,
@@ -62,7 +63,7 @@
     Stop,
 }
 
-/// A model of clients, workers, discovery and peers, driven by one seed.
+/// Model of clients, workers, discovery and peers, driven by one seed.
 struct Model {
     settings: SettingsMap,
     dispatcher: Dispatcher,
@@ -376,7 +377,7 @@
         }));
     }
 
-    /// A new process of the same dispatcher, which knows the list that the one before had.
+    /// Starts a new process of the same dispatcher, with the endpoint list of the previous process.
     fn restart(&mut self) {
         let seed = self.below(1 << 40);
         self.dispatcher =
@@ -439,7 +440,7 @@
         }
     }
 
-    /// Plays until the moment, and returns how many actions were taken and their digest.
+    /// Runs the model until the given time. Returns the number of actions and their digest.
     fn run(mut self, until: Nanos) -> (u64, String) {
         while let Some(((at, _), step)) = self.queue.pop_first() {
             if at > until {
--- a/tests/deploy_file.rs
+++ b/tests/deploy_file.rs
@@ -1,4 +1,5 @@
-//! The operators' bench measures the files that `policy` in `deploy/balancer.toml` names.
+//! Checks that `policy` in `deploy/balancer.toml` names all source files of the decisions, as the
+//! operators' bench measures exactly the named files.
 use std::fs;
 use std::path::Path;
 
