--- a/src/policy/endpoint_list/tests.rs
+++ b/src/policy/endpoint_list/tests.rs
@@ -1,18 +1,19 @@
+//! Tests of the endpoint list: removal of workers, and repetition of failed polls.
 use super::Dispatcher;
 use crate::policy::test_support::{
-    MS, arrive, dispatcher, endpoint, handle, list_endpoints, request, settings, worker_id,
+    MS, dispatcher, endpoint, handle, list_endpoints, request, send_request, settings, worker_id,
 };
 use crate::timers::{POLL_TIMER, TICK_TIMER};
 use crate::types::{Action, EndpointState, Event, ListScope, Nanos};
 use test_case::test_case;
 
 #[test_case(EndpointState::Draining; "draining")]
-#[test_case(EndpointState::Removed; "gone")]
-fn workers_that_leave_get_nothing_new(state: EndpointState) {
+#[test_case(EndpointState::Removed; "removed")]
+fn draining_and_removed_workers_get_no_new_requests(state: EndpointState) {
     let mut d = dispatcher(2);
     list_endpoints(&mut d, MS, ListScope::Delta, vec![endpoint(0, state, 0)]);
     for n in 0..20 {
-        let actions = arrive(&mut d, 2 * MS, request(n, 0, 10 * MS, 0));
+        let actions = send_request(&mut d, 2 * MS, request(n, 0, 10 * MS, 0));
         assert!(actions.iter().all(
             |action| !matches!(action, Action::SendAttempt { worker, .. } if *worker == worker_id(0))
         ));
@@ -27,8 +28,8 @@
     assert_eq!(d.workers[0].state, EndpointState::Removed);
 }
 
-/// Handles an event and returns all actions, those for timers too.
-fn all_actions(d: &mut Dispatcher, now: Nanos, scope: ListScope) -> Vec<Action> {
+/// Handles an empty endpoint list and returns all actions, including timers.
+fn actions_for_list(d: &mut Dispatcher, now: Nanos, scope: ListScope) -> Vec<Action> {
     let mut actions = Vec::new();
     let event = Event::EndpointList {
         scope,
@@ -38,11 +39,11 @@
     actions
 }
 
-/// When a dispatcher polls again after a failed poll.
+/// Returns the time of the next poll after a failed one.
 fn second_poll_at(seed: u64) -> Nanos {
     let mut d = Dispatcher::start(0, seed, &settings()).unwrap();
-    assert!(all_actions(&mut d, 0, ListScope::Cached).contains(&Action::WatchEndpoints));
-    let actions = all_actions(&mut d, MS, ListScope::Failed);
+    assert!(actions_for_list(&mut d, 0, ListScope::Cached).contains(&Action::WatchEndpoints));
+    let actions = actions_for_list(&mut d, MS, ListScope::Failed);
     let [
         Action::SetTimer {
             at,
@@ -60,7 +61,7 @@
     at
 }
 
-/// Dispatchers that started together must not poll together ever after.
+/// Dispatchers that started together must not keep polling together.
 #[test]
 fn failed_polls_are_repeated_after_a_random_backoff() {
     let polls: Vec<Nanos> = (0..50).map(second_poll_at).collect();
--- a/src/policy/load_report/tests.rs
+++ b/src/policy/load_report/tests.rs
@@ -1,5 +1,6 @@
+//! Tests of load reports: known slots, invalid values and service-time factors of unused workers.
 use crate::policy::test_support::{
-    MS, arrive, dispatcher, handle, request, start_attempt, succeeded,
+    MS, dispatcher, handle, request, send_request, start_attempt, succeeded,
 };
 use crate::timers::TICK_TIMER;
 use crate::types::{Action, Event, Nanos, Report};
@@ -9,7 +10,7 @@
 fn late_reports_do_not_raise_slots() {
     let mut d = dispatcher(1);
     for id in 0..4 {
-        arrive(&mut d, 0, request(id, 0, 100 * MS, 0));
+        send_request(&mut d, 0, request(id, 0, 100 * MS, 0));
     }
     let report = Report {
         count: 2,
@@ -19,20 +20,21 @@
     assert_eq!(d.workers[0].slots, 2.0);
 }
 
-/// Otherwise a warming worker would be overloaded. `third` is when the last of three requests of 100 ms starts, the others
-/// start at 1 ms; the first completes at `completed`. Found by the simulation with seeds 9890, 1005010, 1006095 and 1015281.
-#[test_case(0, 9, 60 => 3.0; "all of one process, for a while")]
-#[test_case(5, 9, 60 => 2.0; "those of an earlier one are lost")]
+/// Guards against too many known slots, which overload warming workers. Three requests of 100 ms run:
+/// two start at 1 ms and the third at `third`; the first completes at `completed`. Found by the
+/// simulation with seeds 9890, 1005010, 1006095 and 1015281.
+#[test_case(0, 9, 60 => 3.0; "all run in one process at the same time")]
+#[test_case(5, 9, 60 => 2.0; "requests of an earlier process are lost")]
 #[test_case(0, 55, 60 => 2.0; "the last starts as the first ends")]
 #[test_case(0, 9, 240 => 2.0; "the others should have ended long ago")]
-fn slots_are_learned_from_requests_that_surely_ran_together(
+fn slots_are_raised_by_requests_known_to_have_run_together(
     restarted: Nanos,
     third: Nanos,
     completed: Nanos,
 ) -> f64 {
     let mut d = dispatcher(1);
     for id in 0..3 {
-        arrive(&mut d, 0, request(id, 0, 100 * MS, 0));
+        send_request(&mut d, 0, request(id, 0, 100 * MS, 0));
     }
     for id in 0..2 {
         start_attempt(&mut d, MS, id);
@@ -43,7 +45,7 @@
     d.workers[0].slots
 }
 
-/// One invalid value must not give all workers of a type endless slots.
+/// One invalid value must not give all workers of a type an unlimited number of slots.
 #[test_case([f32::INFINITY, f32::INFINITY])]
 #[test_case([f32::NAN, f32::NAN])]
 #[test_case([-3.0, -1.0])]
@@ -71,7 +73,7 @@
     let mut d = dispatcher(2);
     for id in 1..=4 {
         let now = u64::from(id) * 500 * MS;
-        arrive(&mut d, now, request(id, 0, 100 * MS, now));
+        send_request(&mut d, now, request(id, 0, 100 * MS, now));
         start_attempt(&mut d, now, id);
         handle(&mut d, now + 200 * MS, succeeded(id));
     }
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -1,8 +1,10 @@
+//! Tests of slow start: scheduled allowances of warming workers, and work that counts against them.
 use super::Dispatcher;
 use crate::pcg::Pcg;
 use crate::policy::test_support::{
-    MS, arrive, attempt_ended, dispatcher, dispatcher_of, endpoint, exchanging_dispatcher_of_rank,
-    handle, list_endpoints, request, settings, start_recent_attempts, succeeded, warm_endpoints,
+    MS, attempt_ended, dispatcher, dispatcher_of, endpoint, exchanging_dispatcher_of_rank, handle,
+    list_endpoints, request, send_request, settings, start_recent_attempts, succeeded,
+    warm_endpoints,
 };
 use crate::settings::Idempotency::Idempotent;
 use crate::state::RequestState::InFlight;
@@ -20,30 +22,31 @@
     }
 }
 
-#[test_case(0, 0, 2_000 => 20; "a warm worker takes all")]
-#[test_case(100, 0, 2_000 => 1; "a warming one what fits into this dispatcher's part")]
-#[test_case(100, 3, 2_000 => 0; "nothing in the turn of others")]
-#[test_case(100, 0, 1_000 => 0; "nor in the pause before each turn")]
-#[test_case(100, 3, 7_000 => 1; "more take turns at once as it warms")]
+#[test_case(0, 0, 2_000 => 20; "a warm worker gets all")]
+#[test_case(100, 0, 2_000 => 1; "a warming worker gets this dispatcher's allowance")]
+#[test_case(100, 3, 2_000 => 0; "none while others are scheduled")]
+#[test_case(100, 0, 1_000 => 0; "none in the pause at the start of a step")]
+#[test_case(100, 3, 7_000 => 1; "more dispatchers are scheduled as it warms up")]
 fn attempts_sent_to_a_warming_worker(started: Nanos, rank: u32, at: Nanos) -> usize {
     let mut d = dispatcher_of(12, rank, Vec::new());
     d.classes[0].settings.latency_objective = 90.0 * SECOND;
     let endpoints = vec![endpoint(0, EndpointState::Ready, started * MS)];
     list_endpoints(&mut d, started * MS, ListScope::Delta, endpoints);
-    let one = |n| Request {
+    let new_request = |n| Request {
         deadline: 99_000 * MS,
         ..request(n, 0, 300 * MS, at * MS)
     };
-    let posts = (0..20).map(|n| arrive(&mut d, at * MS, one(n)));
-    posts
+    let actions = (0..20).map(|n| send_request(&mut d, at * MS, new_request(n)));
+    actions
         .flatten()
         .filter(|action| matches!(action, Action::SendAttempt { .. }))
         .count()
 }
 
-/// The process before may have used the first window. The worker is not as busy as the rest of the fleet.
-#[test_case(2_000, 0.0 => false; "this window may have been used before")]
-#[test_case(3_100, 0.0 => true; "the next one is its own")]
+/// The previous process of the dispatcher may have used the first window. A warming worker is less busy
+/// than the rest of the fleet.
+#[test_case(2_000, 0.0 => false; "the first window may have been used already")]
+#[test_case(3_100, 0.0 => true; "the next window is unused")]
 #[test_case(3_100, 1.5 => true; "also while the fleet is congested")]
 fn a_warming_worker_is_used_after_the_first_window_of_a_process(
     at: Nanos,
@@ -53,7 +56,7 @@
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
     list_endpoints(&mut d, 2_000 * MS, ListScope::Cached, endpoints);
     start_recent_attempts(&mut d, at * MS, start_delay, 32);
-    !arrive(&mut d, at * MS, request(1, 0, 20 * MS, at * MS)).is_empty()
+    !send_request(&mut d, at * MS, request(1, 0, 20 * MS, at * MS)).is_empty()
         && d.requests
             .iter()
             .any(|(_, active)| active.attempts_sent == 1)
@@ -66,7 +69,8 @@
     work: f64,
 }
 
-/// What one dispatcher sends in the 4 s after `started`, when it learns of the endpoints. All attempts succeed at once.
+/// Returns the work that one dispatcher sends in the 4 s after `started`, when it receives the endpoint
+/// list. All attempts succeed at once.
 fn work_sent_by(
     mut dispatcher: Dispatcher,
     rank: u32,
@@ -102,14 +106,14 @@
     sent
 }
 
-/// Most of a large fleet is replaced at once.
-#[test_case(100, 60, 36, 0.25; "most of the workers")]
-#[test_case(4, 10, 2, 0.05; "a few of each")]
-fn warming_workers_get_their_work_from_all_dispatchers_together(
+/// Guards against idle or overloaded workers when much of a fleet is replaced at once.
+#[test_case(100, 60, 36, 0.25; "most of many workers")]
+#[test_case(4, 10, 2, 0.05; "few workers and dispatchers")]
+fn all_dispatchers_together_use_but_do_not_overload_warming_workers(
     dispatchers: u32,
     workers: u8,
     replaced: u8,
-    min_share: f64,
+    min_fraction: f64,
 ) {
     let started = 50_000 * MS;
     let endpoints: Vec<Endpoint> = (0..workers)
@@ -134,17 +138,17 @@
         .flat_map(|worker| (0..4).map(move |second| (worker, second)))
         .map(|(worker, second)| work_in_second(worker, started + second * 1_000 * MS))
         .sum();
-    // What they can do at their coldest: two slots at a fifth of their speed.
+    // Lower bound of their capacity: two slots at a fifth of full speed.
     let capacity = 2.0 * 0.2 * 4.0 * f64::from(replaced);
     assert!(
-        total > min_share * capacity,
+        total > min_fraction * capacity,
         "warming workers got {total} s of {capacity} s of work"
     );
     for worker in 0..replaced {
-        for from in (0..30).map(|part| started + part * 100 * MS) {
-            let warmth = 0.2 + 0.8 * (from - started) as f64 / 10e9;
+        for from in (0..30).map(|step| started + step * 100 * MS) {
+            let slow_start_factor = 0.2 + 0.8 * (from - started) as f64 / 10e9;
             assert!(
-                work_in_second(worker, from) < 3.0 * 2.0 * warmth,
+                work_in_second(worker, from) < 3.0 * 2.0 * slow_start_factor,
                 "warming worker {worker} overloaded"
             );
         }
@@ -152,28 +156,28 @@
 }
 
 #[test]
-fn the_turns_of_all_dispatchers_together_keep_the_budget() {
-    for at in (0..60_u64).map(|part| part * 500 * MS) {
+fn the_scheduled_allowances_of_all_dispatchers_keep_the_budget() {
+    for now in (0..60_u64).map(|step| step * 500 * MS) {
         let mut users: Vec<Dispatcher> = (0..130)
             .map(|rank| exchanging_dispatcher_of_rank(rank, 130, 34))
             .collect();
         users.retain(|d| d.classes[0].subset.contains(&9));
-        let budget = |d: &mut Dispatcher| {
+        let allowance = |d: &mut Dispatcher| {
             d.workers[9].started_at = 1;
-            d.update_fleet_estimates(at);
-            d.warm_up_allowance(&d.workers[9], at).max(0.0)
+            d.update_fleet_estimates(now);
+            d.remaining_warm_up_allowance(&d.workers[9], now).max(0.0)
         };
-        let sum = users.iter_mut().map(budget).sum::<f64>();
-        let warmth = 0.2 + 0.8 * at as f64 / 10e9;
+        let sum = users.iter_mut().map(allowance).sum::<f64>();
+        let slow_start_factor = 0.2 + 0.8 * now as f64 / 10e9;
         assert!(
-            warmth >= 1.0 || sum <= 3.0 * 2.0 * warmth * SECOND,
-            "{sum} at {at}"
+            slow_start_factor >= 1.0 || sum <= 3.0 * 2.0 * slow_start_factor * SECOND,
+            "{sum} at {now}"
         );
     }
 }
 
 #[test]
-fn a_warming_worker_teaches_little_of_its_speed_and_nothing_of_its_types() {
+fn a_warming_worker_affects_its_own_factor_little_and_that_of_its_type_not_at_all() {
     let mut d = dispatcher(1);
     d.workers[0].started_at = 1;
     let attempt = Attempt {
@@ -200,12 +204,12 @@
 }
 
 #[test_case(500, None => 1; "sent after the start")]
-#[test_case(500, Some(600) => 1; "and completed since")]
-#[test_case(50, None => 0; "to the process before")]
-#[test_case(50, Some(60) => 0; "to the process before, and completed since")]
+#[test_case(500, Some(600) => 1; "sent after the start, and completed since")]
+#[test_case(50, None => 0; "sent to the previous process")]
+#[test_case(50, Some(60) => 0; "sent to the previous process, and completed since")]
 fn work_sent_before_a_start_was_known_counts(sent_at: Nanos, completed: Option<Nanos>) -> usize {
     let mut d = dispatcher(1);
-    arrive(&mut d, sent_at * MS, request(1, 2, 100 * MS, sent_at * MS));
+    send_request(&mut d, sent_at * MS, request(1, 2, 100 * MS, sent_at * MS));
     if let Some(at) = completed {
         handle(&mut d, at * MS, succeeded(1));
     }
@@ -218,7 +222,7 @@
         .count()
 }
 
-/// What was sent while the first process was known may have gone to the second.
+/// Work sent before the second process was known may have reached it.
 #[test]
 fn work_sent_since_a_second_restart_counts() {
     let mut d = dispatcher(1);
@@ -229,7 +233,7 @@
     assert_eq!(d.workers[0].recent_work, [sent_work(500, 2e8)]);
 }
 
-/// A type's factor for unused workers must not leave warming workers idle.
+/// The factor of the type, which unused workers have, must not leave warming workers idle.
 #[test]
 fn capacity_follows_the_service_time_factor_of_own_requests_only() {
     let mut d = dispatcher(2);
@@ -237,12 +241,12 @@
         .iter_mut()
         .for_each(|worker| worker.service_time_factor = 3.0);
     d.update_fleet_estimates(MS);
-    let unobserved_share = d.capacity_per_size;
+    let without_own_samples = d.capacity_per_size;
     d.workers
         .iter_mut()
         .for_each(|worker| worker.factor_samples = 1.0);
     d.update_fleet_estimates(MS);
-    assert_eq!((unobserved_share, d.capacity_per_size * 3.0), (1.0, 1.0));
+    assert_eq!((without_own_samples, d.capacity_per_size * 3.0), (1.0, 1.0));
 }
 
 #[test_case(Some(100 * MS) => 3; "of a known size")]
@@ -256,13 +260,13 @@
     };
     let endpoints = vec![endpoint(0, EndpointState::Ready, 100 * MS)];
     list_endpoints(&mut d, 100 * MS, ListScope::Delta, endpoints);
-    let one = |n| Request {
+    let new_request = |n| Request {
         hint,
         deadline: 99_000 * MS,
         ..request(n, 0, 0, 2_000 * MS)
     };
-    let posts = (0..20).map(|n| arrive(&mut d, 2_000 * MS, one(n)));
-    posts
+    let actions = (0..20).map(|n| send_request(&mut d, 2_000 * MS, new_request(n)));
+    actions
         .flatten()
         .filter(|action| matches!(action, Action::SendAttempt { .. }))
         .count()
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,24 +1,29 @@
-//! Subset selection: which workers this dispatcher uses, and which other dispatchers use a worker.
+//! Subset selection: determines the workers that this dispatcher uses, and the other dispatchers
+//! that use a worker.
 //!
-//! The eligible workers of a class are divided by id into as many parts as the subset has places, and a dispatcher uses
-//! one worker of each part. So a worker serves about the same interval of sizes whoever sends to it.
+//! The eligible workers of a class are divided by id into as many parts as the subset has positions.
+//! A dispatcher uses one worker of each part, so a worker serves about the same interval of sizes
+//! for all dispatchers.
 use super::Dispatcher;
 use crate::types::{FleetPosition, Nanos};
 
 #[cfg(test)]
 mod tests;
 
-/// The most dispatchers that use one worker, where they do not exchange their load: each still sees enough of it.
+/// Maximum number of dispatchers that use one worker, without load exchange. Each still sends enough
+/// requests to estimate the worker's load.
 pub(super) const MAX_DISPATCHERS_PER_WORKER: f64 = 12.0;
 
-/// The fewest dispatchers that use one worker, where there are as many. Each sees enough of it to know its queue.
+/// Minimum number of dispatchers that use one worker, if there are as many. Each sends enough
+/// requests to estimate the worker's queue.
 pub(super) const MIN_DISPATCHERS_PER_WORKER: f64 = 4.0;
 
-/// The size of a subset between these bounds: enough workers that uneven traffic evens out.
+/// Size of a subset between these bounds. Enough workers to even out uneven traffic.
 const SUBSET_SIZE: f64 = 8.0;
 
 impl Dispatcher {
-    /// Sets the number and the rank of the dispatchers that run; without a position those of the settings count.
+    /// Sets the rank of this dispatcher and the number of running dispatchers. Without a position,
+    /// the values of the settings apply.
     pub(super) fn set_fleet_position(&mut self, now: Nanos, position: Option<FleetPosition>) {
         let configured = FleetPosition {
             rank: self.settings.rank as u16,
@@ -27,13 +32,13 @@
         let FleetPosition { rank, dispatchers } = position.unwrap_or(configured);
         self.rank = usize::from(rank);
         self.dispatchers = f64::from(dispatchers).max(1.0);
-        self.unobserved_share = 1.0 - 1.0 / self.dispatchers;
+        self.unobserved_fraction = 1.0 - 1.0 / self.dispatchers;
         self.has_fleet_view |= position.is_some();
         self.select_subsets(now);
     }
 
-    /// The number of dispatchers that subset sizes follow. Where dispatchers come and go it is rounded up to a power of
-    /// two, so that most changes move no subset.
+    /// Returns the number of dispatchers that determines subset sizes. With a fleet view it is rounded
+    /// up to a power of two, so that most changes of the fleet leave all subsets unchanged.
     fn nominal_dispatchers(&self) -> f64 {
         if self.has_fleet_view {
             self.dispatchers.log2().ceil().exp2()
@@ -42,7 +47,7 @@
         }
     }
 
-    /// How many of its eligible workers a class uses here.
+    /// Returns the number of workers that this dispatcher uses out of `eligible` ones.
     pub(super) fn subset_size(&self, eligible: usize) -> usize {
         let workers_per_dispatcher = eligible as f64 / self.nominal_dispatchers();
         let max_size = if self.exchanges_load {
@@ -73,7 +78,7 @@
         }
     }
 
-    /// The subset by the settings' rank, which no member of the fleet coordinates.
+    /// Returns the subset by the configured rank, for dispatchers without a fleet view.
     fn configured_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
         let count = eligible.len();
         (0..size)
@@ -84,9 +89,9 @@
             .collect()
     }
 
-    /// The worker of one part. Instead of an unreachable one it is a reachable other one of the part, a different one
-    /// for each block of dispatchers. None that is warming up replaces another, as its allowance is divided by who
-    /// regularly uses it.
+    /// Returns the worker of one part. An unreachable worker is replaced by another one of the part
+    /// that is reachable, a different one for each block of dispatchers. A warming worker never
+    /// replaces another, as its allowance is divided between its regular dispatchers.
     fn configured_worker(&self, now: Nanos, workers: &[usize], part: usize) -> usize {
         let count = workers.len();
         let block = self.rank / count;
@@ -101,64 +106,70 @@
             .unwrap_or(workers[regular])
     }
 
-    /// The subset by rank, where dispatchers come and go. The worker of a part moves on from one rank to the next, so
-    /// that the numbers of dispatchers that use two workers differ by one at most, and a subset depends on the own rank
-    /// alone. An unreachable worker is replaced by the next reachable one that is warm.
+    /// Returns the subset by rank, for dispatchers with a fleet view. The worker of a part advances
+    /// from one rank to the next, so that the numbers of dispatchers of any two workers differ by at
+    /// most 1, and the subset depends on no rank but the own. An unreachable worker is replaced by
+    /// the next reachable one that is warm.
     fn ranked_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
         let count = eligible.len();
-        let is_reachable = |place: usize| !self.workers[eligible[place]].is_unreachable(now);
-        let mut places: Vec<usize> = (0..size)
+        let is_reachable = |position: usize| !self.workers[eligible[position]].is_unreachable(now);
+        let mut positions: Vec<usize> = (0..size)
             .map(|part| (part * count + self.rank * size % count) / size)
             .collect();
         for part in 0..size {
-            if is_reachable(places[part]) {
+            if is_reachable(positions[part]) {
                 continue;
             }
             let replacement = (1..count)
-                .map(|step| (places[part] + step) % count)
-                .find(|place| {
-                    is_reachable(*place)
-                        && self.is_warm(now, eligible[*place])
-                        && !places.contains(place)
+                .map(|step| (positions[part] + step) % count)
+                .find(|position| {
+                    is_reachable(*position)
+                        && self.is_warm(now, eligible[*position])
+                        && !positions.contains(position)
                 });
-            places[part] = replacement.unwrap_or(places[part]);
+            positions[part] = replacement.unwrap_or(positions[part]);
         }
-        places.sort_unstable();
-        places.into_iter().map(|place| eligible[place]).collect()
+        positions.sort_unstable();
+        positions
+            .into_iter()
+            .map(|position| eligible[position])
+            .collect()
     }
 
-    /// The ranks of the other dispatchers that use the eligible worker at a place, where dispatchers come and go.
+    /// Returns the ranks of the other dispatchers that use the eligible worker at a position, by
+    /// [`Self::ranked_subset`].
     pub(super) fn ranked_peers(
         &self,
-        place: usize,
+        position: usize,
         eligible: usize,
         size: usize,
     ) -> impl Iterator<Item = u16> {
         let own_rank = self.rank;
         let uses = move |rank: usize| {
-            (rank * size % eligible + eligible - place * size % eligible) % eligible < size
+            (rank * size % eligible + eligible - position * size % eligible) % eligible < size
         };
         (0..self.dispatchers as usize)
             .filter(move |rank| *rank != own_rank && uses(*rank))
             .map(|rank| rank as u16)
     }
 
-    /// The same by the ranks of the settings: one of each block of dispatchers, as [`Self::configured_worker`] selects.
+    /// Returns the ranks of the other dispatchers that use the eligible worker at a position, by
+    /// [`Self::configured_worker`]: one of each block of dispatchers.
     pub(super) fn configured_peers(
         &self,
-        place: usize,
+        position: usize,
         eligible: usize,
         size: usize,
     ) -> impl Iterator<Item = u16> {
         let own_rank = self.rank;
         let dispatchers = self.dispatchers as usize;
         let part = (0..size)
-            .rfind(|part| part * eligible / size <= place)
+            .rfind(|part| part * eligible / size <= position)
             .unwrap_or(0);
         let start = part * eligible / size;
         let count = (part + 1) * eligible / size - start;
         let in_block = move |block: usize| {
-            block * count + (place - start + count - part * block % count) % count
+            block * count + (position - start + count - part * block % count) % count
         };
         (0..=dispatchers / count)
             .map(in_block)
@@ -167,6 +178,6 @@
     }
 
     fn is_warm(&self, now: Nanos, worker: usize) -> bool {
-        self.warmth(&self.workers[worker], now) >= 1.0
+        self.slow_start_factor(&self.workers[worker], now) >= 1.0
     }
 }
--- a/src/policy/subset/tests.rs
+++ b/src/policy/subset/tests.rs
@@ -1,11 +1,12 @@
+//! Tests of subset selection: sizes, replacement of unreachable workers, balance and peers.
 use crate::policy::test_support::{
     MS, dispatcher_of, exchanging_dispatcher, granting_dispatcher, set_fleet_view, warm_endpoints,
 };
 use test_case::test_case;
 
-/// Most of a large fleet's list may be out of date.
+/// Most entries in the endpoint list of a large fleet may be out of date.
 #[test]
-fn an_unreachable_worker_is_replaced_for_a_while() {
+fn an_unreachable_worker_is_replaced_until_its_retry_delay_has_passed() {
     let mut d = dispatcher_of(100, 3, warm_endpoints(60));
     let first = d.classes[0].subset[2];
     (0..2).for_each(|_| d.workers[first].record_connect_failure(0));
@@ -14,30 +15,30 @@
     assert!(first != other && d.classes[0].subset.len() == 8);
     d.select_subsets(1_000 * MS);
     assert_eq!(d.classes[0].subset[2], first);
-    // Twice as long each time in a row, until it gives a sign of life.
+    // The delay doubles with each consecutive failure, until the worker responds.
     d.workers[first].record_connect_failure(1_000 * MS);
     assert!(
         d.workers[first].is_unreachable(2_999 * MS) && !d.workers[first].is_unreachable(3_000 * MS)
     );
     d.workers[first].record_response(1_500 * MS, 0.0);
     assert!(!d.workers[first].is_unreachable(1_500 * MS));
-    // No warming worker replaces it, as its budget is divided by who regularly uses it.
+    // A warming worker does not replace it, as its budget is divided between its regular dispatchers.
     d.workers[first].record_connect_failure(2_000 * MS);
     d.workers
         .iter_mut()
         .enumerate()
-        .filter(|(at, _)| *at != first)
+        .filter(|(index, _)| *index != first)
         .for_each(|(_, w)| w.started_at = 1);
     d.select_subsets(2_000 * MS);
     assert_eq!(d.classes[0].subset[2], first);
 }
 
 #[test_case(4, 40 => (40, 4, 4); "few dispatchers use all workers")]
-#[test_case(9, 40 => (18, 3, 5); "some more, four share each")]
-#[test_case(40, 50 => (8, 5, 7); "eight workers each")]
-#[test_case(200, 100 => (6, 11, 13); "of many, about twelve share each")]
-#[test_case(500, 100 => (3, 14, 16); "or a few more")]
-fn workers_are_used_by_like_numbers_of_dispatchers(
+#[test_case(9, 40 => (18, 3, 5); "about four dispatchers use each worker")]
+#[test_case(40, 50 => (8, 5, 7); "eight workers for each dispatcher")]
+#[test_case(200, 100 => (6, 11, 13); "about twelve dispatchers use each worker")]
+#[test_case(500, 100 => (3, 14, 16); "slightly more than twelve, as sizes are rounded up")]
+fn workers_are_used_by_similar_numbers_of_dispatchers(
     dispatchers: u32,
     workers: u8,
 ) -> (usize, usize, usize) {
@@ -46,7 +47,10 @@
     for rank in 0..dispatchers {
         let d = dispatcher_of(dispatchers, rank, warm_endpoints(workers));
         size = d.classes[0].subset.len();
-        d.classes[0].subset.iter().for_each(|at| users[*at] += 1);
+        d.classes[0]
+            .subset
+            .iter()
+            .for_each(|index| users[*index] += 1);
     }
     (
         size,
@@ -55,16 +59,16 @@
     )
 }
 
-#[test_case(6 => 27; "four to a worker")]
-#[test_case(13 => 13; "four to a worker of more")]
-#[test_case(100 => 8; "eight workers at least, however many dispatchers use them")]
+#[test_case(6 => 27; "four dispatchers for each worker")]
+#[test_case(13 => 13; "four for each worker, with more dispatchers")]
+#[test_case(100 => 8; "at least eight workers, for any number of dispatchers")]
 fn subset_size_where_load_is_exchanged(dispatchers: u32) -> usize {
     exchanging_dispatcher(dispatchers, 40).classes[0]
         .subset
         .len()
 }
 
-/// The subset of each of `dispatchers` dispatchers.
+/// Returns the subsets of all `dispatchers` dispatchers, by rank.
 fn subsets(dispatchers: u16, workers: u8) -> Vec<Vec<usize>> {
     let active = |rank: u16| {
         let mut d = granting_dispatcher(dispatchers, rank, workers, 0);
@@ -85,16 +89,16 @@
         let mut distinct = subset.clone();
         distinct.dedup();
         assert_eq!(distinct.len(), subset.len(), "a worker twice in one subset");
-        subset.iter().for_each(|at| count[*at] += 1);
+        subset.iter().for_each(|index| count[*index] += 1);
     }
     let fewest = count.iter().min().unwrap();
     let most = count.iter().max().unwrap();
     assert!(most - fewest <= 1, "{count:?}");
 }
 
-/// Within a power of two of dispatchers.
+/// Holds while the number of dispatchers, rounded up to a power of two, stays the same.
 #[test]
-fn one_dispatcher_more_or_less_moves_no_other_subset() {
+fn adding_or_removing_a_dispatcher_changes_no_other_subset() {
     for (less, more) in [(9, 10), (10, 16), (17, 18)] {
         assert_eq!(
             subsets(less, 20)[..],
@@ -109,15 +113,16 @@
     let mut d = granting_dispatcher(13, 4, 10, 0);
     set_fleet_view(&mut d, Some((4, 13)));
     let size = subsets[0].len();
-    for place in 0..10 {
-        let peers: Vec<u16> = d.ranked_peers(place, 10, size).collect();
-        let users = (0..13_u16).filter(|to| *to != 4 && subsets[usize::from(*to)].contains(&place));
+    for position in 0..10 {
+        let peers: Vec<u16> = d.ranked_peers(position, 10, size).collect();
+        let users =
+            (0..13_u16).filter(|to| *to != 4 && subsets[usize::from(*to)].contains(&position));
         assert_eq!(peers, users.collect::<Vec<_>>());
     }
 }
 
 #[test]
-fn without_a_fleet_view_the_settings_count_again() {
+fn without_a_fleet_view_the_settings_apply_again() {
     let mut d = granting_dispatcher(12, 5, 20, 0);
     set_fleet_view(&mut d, Some((0, 3)));
     set_fleet_view(&mut d, None);
--- a/src/policy/worker_selection/tests.rs
+++ b/src/policy/worker_selection/tests.rs
@@ -1,7 +1,8 @@
+//! Tests of worker selection: interval, queues, zones, retries and expected service times.
 use super::Dispatcher;
 use crate::policy::test_support::{
-    MS, arrive, attempt_ended, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle,
-    only_attempt, request, start_attempt, start_recent_attempts, succeeded, warm_endpoints,
+    MS, attempt_ended, dispatcher, dispatcher_of, dispatcher_of_large_fleet, handle, only_attempt,
+    request, send_request, start_attempt, start_recent_attempts, succeeded, warm_endpoints,
 };
 use crate::state::{FleetMeans, Worker, bin_index};
 use crate::time::SECOND;
@@ -9,7 +10,7 @@
 use test_case::test_case;
 
 #[test]
-fn unobserved_queues_drift_to_the_fleets_mean() {
+fn unobserved_queues_converge_to_the_fleets_mean() {
     let mut worker = Worker {
         slots: 2.0,
         start_delay: 0.0,
@@ -31,12 +32,12 @@
     assert!(worker.expected_wait(10_000 * MS, 1.0, busy_slots) > SECOND);
 }
 
-/// It answers at once and would look idle.
+/// Such a worker answers at once and would appear idle.
 #[test_case(Outcome::AtCapacity; "at capacity")]
 #[test_case(Outcome::ConnectFailed; "unreachable")]
-fn a_worker_that_accepts_nothing_is_passed_over(outcome: Outcome) {
+fn a_worker_that_rejects_or_is_unreachable_is_avoided(outcome: Outcome) {
     let mut d = dispatcher(3);
-    let first = only_attempt(&arrive(&mut d, MS, request(1, 0, 100 * MS, MS)));
+    let first = only_attempt(&send_request(&mut d, MS, request(1, 0, 100 * MS, MS)));
 
     let actions = handle(&mut d, 2 * MS, attempt_ended(1, 0, outcome));
 
@@ -47,7 +48,7 @@
 #[test]
 fn a_retry_goes_to_another_worker() {
     let mut d = dispatcher(2);
-    let first = only_attempt(&arrive(&mut d, 0, request(1, 0, 100 * MS, 0)));
+    let first = only_attempt(&send_request(&mut d, 0, request(1, 0, 100 * MS, 0)));
     for worker in &mut d.workers {
         worker.set_start_delay(0, 0.1 * SECOND);
     }
@@ -58,9 +59,9 @@
     assert_ne!(only_attempt(&actions), first);
 }
 
-/// The place in the subset of the worker selected for a request of 10 ms, where the whole fleet waits for three tenths of
-/// its time to spare and the last worker for `part` of that.
-fn place_selected_where_all_have_queues(mut d: Dispatcher, part: f64) -> usize {
+/// Returns the position in the subset of the worker selected for a request of 10 ms. The mean wait of
+/// the fleet is 0.3 of the slack, and the wait at the last worker is `wait_fraction` of that.
+fn selected_position(mut d: Dispatcher, wait_fraction: f64) -> usize {
     let now = 100_000 * MS;
     start_recent_attempts(&mut d, now, 0.3, 0);
     d.classes[0].histogram[bin_index(1e7)] = 1e7;
@@ -68,58 +69,60 @@
     d.classes[0].request_count = 1.0;
     d.classes[2].request_count = 10.0;
     let last = *d.classes[0].subset.last().unwrap();
-    // Its latency objective and twice its service time.
-    let time_to_spare = d.classes[0].settings.latency_objective + 10e6;
-    let delay = part * 0.3 * d.unobserved_share * time_to_spare;
+    // Latency objective plus twice the service time, less the service time.
+    let slack = d.classes[0].settings.latency_objective + 10e6;
+    let delay = wait_fraction * 0.3 * d.unobserved_fraction * slack;
     d.workers[last].set_start_delay(now, delay);
 
-    let worker = only_attempt(&arrive(&mut d, now, request(1, 0, 10 * MS, now)));
+    let worker = only_attempt(&send_request(&mut d, now, request(1, 0, 10 * MS, now)));
 
     d.classes[0]
         .subset
         .iter()
-        .position(|at| d.workers[*at].id == worker)
+        .position(|index| d.workers[*index].id == worker)
         .unwrap()
 }
 
-/// Short requests must not queue behind long ones because a worker seems a little less busy.
-#[test_case(0.5 => 0; "half of the fleet's wait is not worth seven places")]
-#[test_case(0.0 => 7; "an idle one is")]
-fn a_short_request_stays_near_its_interval_where_all_have_queues(part: f64) -> usize {
-    place_selected_where_all_have_queues(dispatcher_of_large_fleet(), part)
+/// Short requests must not queue behind long ones because a worker appears slightly less busy.
+#[test_case(0.5 => 0; "half of the fleet's wait does not justify seven positions")]
+#[test_case(0.0 => 7; "an idle worker does")]
+fn a_short_request_stays_near_its_interval_if_all_workers_have_queues(wait_fraction: f64) -> usize {
+    selected_position(dispatcher_of_large_fleet(), wait_fraction)
 }
 
 /// All dispatchers use the same eight workers.
-#[test_case(4 => 7; "four share each")]
-#[test_case(12 => 0; "twelve share each")]
-fn requests_keep_to_intervals_the_more_the_less_is_known_of_workers(dispatchers: u32) -> usize {
-    place_selected_where_all_have_queues(dispatcher_of(dispatchers, 0, warm_endpoints(8)), 0.5)
+#[test_case(4 => 7; "four dispatchers for each worker")]
+#[test_case(12 => 0; "twelve dispatchers for each worker")]
+fn requests_stay_in_their_interval_if_many_dispatchers_use_a_worker(dispatchers: u32) -> usize {
+    selected_position(dispatcher_of(dispatchers, 0, warm_endpoints(8)), 0.5)
 }
 
 #[test_case(0, 10 => true; "a short request stays in its zone")]
-#[test_case(2, 1_000 => false; "a long one goes by its interval")]
-fn requests_go_to_another_zone_if_they_can_bear_its_delay(class: u8, hint: Nanos) -> bool {
+#[test_case(2, 1_000 => false; "a long request goes to the worker of its interval")]
+fn only_requests_with_enough_slack_go_to_another_zone(class: u8, hint: Nanos) -> bool {
     let mut d = dispatcher_of_large_fleet();
     let now = 100_000 * MS;
     let subset = d.classes[0].subset.clone();
-    subset[..7].iter().for_each(|at| d.workers[*at].zone = 2);
+    subset[..7]
+        .iter()
+        .for_each(|index| d.workers[*index].zone = 2);
     d.zone_delays.observe(1, 2e6);
     d.zone_delays.observe(2, 80e6);
-    let actions = arrive(&mut d, now, request(1, class, hint * MS, now));
+    let actions = send_request(&mut d, now, request(1, class, hint * MS, now));
     let worker = only_attempt(&actions);
     d.workers[d.worker_indices[&worker]].zone == 1
 }
 
 #[test]
-fn a_start_teaches_the_delay_to_its_zone() {
+fn a_start_updates_the_delay_of_its_zone() {
     let mut d = dispatcher_of_large_fleet();
-    let at = d.classes[0].subset[0];
+    let index = d.classes[0].subset[0];
     d.classes[0].subset.truncate(1);
-    d.workers[at].zone = 2;
-    arrive(&mut d, 0, request(1, 0, 10 * MS, 0));
+    d.workers[index].zone = 2;
+    send_request(&mut d, 0, request(1, 0, 10 * MS, 0));
     start_attempt(&mut d, 80 * MS, 1);
     assert_eq!(
-        (d.zone_delays.extra(2), d.zone_delays.extra(1)),
+        (d.zone_delays.extra_delay(2), d.zone_delays.extra_delay(1)),
         (80e6, 0.0)
     );
 }
@@ -131,7 +134,7 @@
     }
 }
 
-/// Otherwise short requests queue behind long ones until one of each class has completed.
+/// Guards against short requests that queue behind long ones until one of each class has completed.
 #[test]
 fn classes_without_completed_requests_differ_by_their_latency_objectives() {
     let mut d = dispatcher_of_large_fleet();
@@ -139,7 +142,7 @@
     for id in 0..60 {
         let class = if id % 3 == 0 { 2 } else { 0 };
         let now = Nanos::from(id) * 10_000 * MS;
-        let actions = arrive(&mut d, now, request_without_hint(id, class, now));
+        let actions = send_request(&mut d, now, request_without_hint(id, class, now));
         let worker = only_attempt(&actions);
         workers[usize::from(class == 2)].push(worker.addr[3]);
         let end = AttemptEnded {
@@ -157,7 +160,8 @@
     assert!(mean(&workers[0]) + 60.0 < mean(&workers[1]), "{workers:?}");
 }
 
-/// A latency objective close to the deadline must not lead to rejections until one request has run.
+/// Guards against rejection of all requests of a class whose latency objective is close to the
+/// deadline, until the first one has completed.
 #[test]
 fn a_class_without_completed_requests_leaves_time_for_a_queue() {
     let mut d = dispatcher_of_large_fleet();
@@ -167,41 +171,41 @@
         deadline: now + 3_000 * MS,
         ..request_without_hint(1, 2, now)
     };
-    let actions = arrive(&mut d, now, request);
+    let actions = send_request(&mut d, now, request);
     assert!(
         matches!(actions[..], [Action::SendAttempt { .. }]),
         "{actions:?}"
     );
     let active = &d.requests[d.request_keys[&1]];
     assert_eq!(
-        (active.demand.service_time, active.time_to_spare(now, 1.0)),
+        (active.demand.service_time, active.slack(now, 1.0)),
         (750e6, 2_250e6)
     );
 }
 
-#[test_case(None, None => (500, 300); "none gives a hint")]
-#[test_case(Some(40), None => (40, 40); "those before gave one")]
-#[test_case(None, Some(40) => (40, 300); "it gives one itself")]
+#[test_case(None, None => (500, 300); "no request has a hint")]
+#[test_case(Some(40), None => (40, 40); "earlier requests had a hint")]
+#[test_case(None, Some(40) => (40, 300); "the request has a hint")]
 fn a_request_without_a_hint_is_expected_to_run_as_others_of_its_class(
     before: Option<Nanos>,
     hint: Option<Nanos>,
 ) -> (u64, u64) {
     let mut d = dispatcher(4);
-    let mut complete = |id: RequestId, class: u8, hint: Option<Nanos>, took: Nanos| {
+    let mut complete = |id: RequestId, class: u8, hint: Option<Nanos>, duration: Nanos| {
         let now = Nanos::from(id) * 2_000 * MS;
         let request = Request {
             hint: hint.map(|hint| hint * MS),
             ..request(id, class, 0, now)
         };
-        arrive(&mut d, now, request);
+        send_request(&mut d, now, request);
         let expected = d.requests[d.request_keys[&id]].demand.service_time / MS as f64;
         start_attempt(&mut d, now, id);
-        handle(&mut d, now + took * MS, succeeded(id));
+        handle(&mut d, now + duration * MS, succeeded(id));
         expected.round() as u64
     };
-    for (at, took) in [(1, 400), (2, 600)] {
-        complete(at, 0, before, took);
-        complete(10 + at, 2, before, 300);
+    for (id, duration) in [(1, 400), (2, 600)] {
+        complete(id, 0, before, duration);
+        complete(10 + id, 2, before, 300);
     }
     (complete(20, 0, hint, 1), complete(21, 2, None, 1))
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of the errors for missing and invalid settings.
 use super::{Settings, SettingsError, SettingsMap, read_setting};
 use crate::policy::test_support::settings;
 use test_case::test_case;
@@ -9,17 +10,17 @@
 }
 
 #[test_case("overload.multiple", "-1" => "setting overload.multiple is out of range: -1"; "a negative number")]
-#[test_case("retry_after.max", "1e18" => "setting retry_after.max is out of range: 1000000000000000000"; "a time beyond all clocks")]
-#[test_case("start_notes", "perhaps" => "setting start_notes cannot be read: \"perhaps\""; "no flag")]
-#[test_case("priority_weight.basis", "mood" => "setting priority_weight.basis cannot be read: \"mood\""; "no basis")]
-fn unusable_settings_are_named(name: &str, value: &str) -> String {
+#[test_case("retry_after.max", "1e18" => "setting retry_after.max is out of range: 1000000000000000000"; "a time above the limit")]
+#[test_case("start_notes", "perhaps" => "setting start_notes cannot be read: \"perhaps\""; "not a flag")]
+#[test_case("priority_weight.basis", "mood" => "setting priority_weight.basis cannot be read: \"mood\""; "not a weight basis")]
+fn names_the_invalid_setting(name: &str, value: &str) -> String {
     Settings::read(&settings_with(name, value))
         .unwrap_err()
         .to_string()
 }
 
 #[test]
-fn a_rank_beyond_the_dispatchers_is_refused_where_they_exchange_load() {
+fn rejects_a_rank_not_below_the_dispatchers_that_exchange_load() {
     let mut map = settings_with("me", "2");
     assert!(Settings::read(&map).is_ok());
     map.insert("peer_load.allowed".into(), "true".into());
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn a_missing_setting_is_named() {
+fn names_the_missing_setting() {
     assert_eq!(
         read_setting::<usize>(&SettingsMap::new(), "class.count"),
         Err(SettingsError::Missing {
