--- a/crates/protocol/src/tests/client.rs
+++ b/crates/protocol/src/tests/client.rs
@@ -53,8 +53,8 @@
 }
 
 #[test_case("", true; "by default")]
-#[test_case("Connection: close\r\n", false; "asked to close")]
-#[test_case("Connection: x, Close\r\n", false; "among other words")]
+#[test_case("Connection: close\r\n", false; "close")]
+#[test_case("Connection: x, Close\r\n", false; "close among other options")]
 fn keep_alive_follows_the_connection_header(line: &str, keep_alive: bool) {
     let text = format!("GET /healthz HTTP/1.1\r\n{line}\r\n");
     assert_eq!(
@@ -71,10 +71,10 @@
     assert_eq!(buffer.head_length(), expected);
 }
 
-#[test_case("Request-Timeout", "inf"; "an endless time")]
-#[test_case("Request-Timeout", "1e3"; "a time with an exponent")]
-#[test_case("Request-Timeout", "-1"; "a negative time")]
-#[test_case("Request-Timeout", "99999999"; "a time of years")]
+#[test_case("Request-Timeout", "inf"; "an infinite timeout")]
+#[test_case("Request-Timeout", "1e3"; "a timeout with an exponent")]
+#[test_case("Request-Timeout", "-1"; "a negative timeout")]
+#[test_case("Request-Timeout", "99999999"; "a timeout of years")]
 #[test_case("Request-Info", "slots=NaN"; "no number")]
 #[test_case("Request-Info", "slots"; "no value")]
 #[test_case("Work-Hint", ""; "an empty hint")]
--- a/crates/protocol/src/tests/discovery.rs
+++ b/crates/protocol/src/tests/discovery.rs
@@ -50,7 +50,7 @@
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", Some(true); "by length")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n", Some(true); "chunked")]
 #[test_case("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}", Some(false); "to be closed")]
-#[test_case("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\n{}", None; "a failure")]
+#[test_case("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\n{}", None; "status 500")]
 fn a_response_is_read_however_its_bytes_are_split(text: &str, reusable: Option<bool>) {
     for size in [1, 5, 10_000] {
         let results = feed_in_pieces(
@@ -72,7 +72,7 @@
 
 /// Holds the size limit of a list: 1,024 workers with long names, indented, fit into it.
 #[test]
-fn a_list_of_a_thousand_workers_is_read_whole() {
+fn an_indented_list_of_1024_workers_is_within_the_size_limit() {
     let entries: Vec<String> = (0..1_024)
         .map(|at| {
             ENTRY
--- a/crates/protocol/src/tests/peer_load.rs
+++ b/crates/protocol/src/tests/peer_load.rs
@@ -14,8 +14,8 @@
 #[test_case(|bytes| bytes.clear(), 7000 => false; "empty")]
 #[test_case(|bytes| bytes[0] = 0, 7000 => false; "of another program")]
 #[test_case(|bytes| bytes[2] = 2, 7000 => false; "of another version")]
-#[test_case(|bytes| bytes[3] = 1, 7000 => false; "of an unknown number")]
-#[test_case(|bytes| bytes[4] = 1, 7000 => false; "of a number with another address")]
+#[test_case(|bytes| bytes[3] = 1, 7000 => false; "of an unknown rank")]
+#[test_case(|bytes| bytes[4] = 1, 7000 => false; "of a rank with another address")]
 #[test_case(|_| (), 7009 => false; "of an unknown address")]
 fn only_datagrams_of_peers_are_decoded(corrupt: fn(&mut Vec<u8>), port: u16) -> bool {
     let worker = WorkerId {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_datagram_names_the_last_of_a_thousand_dispatchers() {
+fn a_datagram_of_the_last_of_1024_dispatchers_is_decoded() {
     let peers: Vec<SocketAddr> = (0..1_024).map(|at| loopback(10_000 + at)).collect();
     let worker = WorkerId {
         addr: [10, 0, 0, 1],
--- a/crates/protocol/src/tests/robustness.rs
+++ b/crates/protocol/src/tests/robustness.rs
@@ -8,9 +8,9 @@
 use rosewall::pcg::Pcg;
 use test_case::test_case;
 
-#[test_case(1; "one seed")]
-#[test_case(2; "another")]
-#[test_case(3; "a third")]
+#[test_case(1; "seed 1")]
+#[test_case(2; "seed 2")]
+#[test_case(3; "seed 3")]
 fn mutated_messages_end_an_attempt_at_most_once(seed: u64) {
     let mut rng = Pcg::new(seed);
     let valid = [
--- a/crates/protocol/src/tests/worker.rs
+++ b/crates/protocol/src/tests/worker.rs
@@ -29,7 +29,7 @@
 
 #[test_case(&[STARTED_LINE, DONE_LINE] => vec![AttemptProgress::Started, done()]; "started and done")]
 #[test_case(&[DONE_LINE, FAILED_LINE, STARTED_LINE] => vec![done()]; "only the first end counts")]
-#[test_case(&["\n", "{\"id\":\"id\",\"state\":\"new\"}\n", DONE_LINE] => vec![done()]; "unknown states are ignored")]
+#[test_case(&["\n", "{\"id\":\"id\",\"state\":\"new\"}\n", DONE_LINE] => vec![done()]; "empty lines and unknown states are ignored")]
 #[test_case(&[STARTED_LINE, FAILED_LINE] => vec![AttemptProgress::Started, AttemptProgress::Ended(Outcome::WorkerError)]; "failed")]
 #[test_case(&[DONE_LINE.trim_ascii_end()] => vec![done()]; "a last line without its end")]
 #[test_case(&[STARTED_LINE] => vec![AttemptProgress::Started, AttemptProgress::Ended(Outcome::ConnectionLost)]; "no last line")]
@@ -54,7 +54,7 @@
             false; "after an interim answer, to be closed")]
 #[test_case("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\nmore", Outcome::WorkerError, false; "with more after it")]
 #[test_case("nothing of the kind\r\n\r\n", Outcome::ConnectionLost, false; "no head")]
-fn a_status_is_an_outcome(text: &str, outcome: Outcome, reusable: bool) {
+fn the_status_of_an_answer_determines_the_outcome(text: &str, outcome: Outcome, reusable: bool) {
     let (progress, reader) = attempt_progress(text.as_bytes(), 10_000);
     assert_eq!(
         (progress, reader.is_finished(), reader.is_reusable()),
--- a/crates/runtime/src/client/connection.rs
+++ b/crates/runtime/src/client/connection.rs
@@ -172,8 +172,8 @@
     ) -> io::Result<AfterAnswer> {
         // A first request that is there at once may have been sent when the client began to wait in the backlog, and the
         // client's deadline counts from then.
-        let was_sent_before = is_first && self.now() <= self.acceptance.at + nanos(RETRY_PAUSE);
-        let backlog_wait = if was_sent_before {
+        let may_predate_accept = is_first && self.now() <= self.acceptance.at + nanos(RETRY_PAUSE);
+        let backlog_wait = if may_predate_accept {
             self.acceptance.longest_wait
         } else {
             0
--- a/crates/runtime/src/discovery/watch.rs
+++ b/crates/runtime/src/discovery/watch.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
     #[error("no answer: {0}")]
-    NoAnswer(#[source] io::Error),
+    RequestFailed(#[source] io::Error),
     #[error("malformed list: {0}")]
     Malformed(#[source] EndpointListError),
 }
@@ -21,7 +21,7 @@
 impl WatchError {
     /// Whether the service only fell silent.
     pub(super) fn is_timeout(&self) -> bool {
-        matches!(self, WatchError::NoAnswer(error) if error.kind() == io::ErrorKind::TimedOut)
+        matches!(self, WatchError::RequestFailed(error) if error.kind() == io::ErrorKind::TimedOut)
     }
 }
 
@@ -33,7 +33,7 @@
         loop {
             let answer = match self.request_list(connection.take()).await {
                 Ok(answer) => answer,
-                Err(error) => return WatchError::NoAnswer(error),
+                Err(error) => return WatchError::RequestFailed(error),
             };
             let list = match decode_endpoint_list(&answer.body, &self.context.names) {
                 Ok(list) => list,
