--- a/crates/runtime/src/client/accept.rs
+++ b/crates/runtime/src/client/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections within the limits on descriptors.
+//! Accepts client connections within the limits on descriptors.
 use super::RETRY_PAUSE;
 use super::connection::{Acceptance, Admission, ClientConnection, Service};
 use crate::context::Context;
@@ -11,14 +11,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that the system accepts ahead of this program: more than a crowd opens within one turn of the executor.
+/// Maximum number of connections that wait to be accepted: more than a burst of clients opens
+/// within one turn of the executor.
 const BACKLOG: i32 = 1024;
-/// How long clients wait for a free slot before they are rejected: a few short requests' time, and short beside deadlines.
+/// Time that clients wait for a free slot before they are rejected: enough for a few short requests
+/// to finish, and short compared with deadlines.
 const REJECT_AFTER: Duration = Duration::from_millis(50);
-/// How long the backlog is accepted after the signal to stop accepting.
+/// Maximum time for accepting the rest of the backlog after the signal to stop accepting.
 const BACKLOG_DRAIN_LIMIT: Duration = Duration::from_millis(500);
 
-/// Accepts connections until shutdown, and then those that the system has accepted already.
+/// Accepts connections until shutdown, and then those that wait in the backlog.
 pub async fn accept_connections<R: Runtime>(
     context: Rc<Context<R>>,
     listener: R::Listener,
@@ -37,10 +39,10 @@
 }
 
 async fn accept_until_cancelled<R: Runtime>(context: &Rc<Context<R>>, listener: &R::Listener) {
-    // Since when clients have waited in the backlog without a free slot.
+    // Time since which clients have waited in the backlog without a free slot.
     let mut full_since = None;
     loop {
-        // A slot is freed only for a client that is there.
+        // Slots are freed only if a client waits to be accepted.
         if let Err(error) = listener.wait_ready().await {
             log::warn!("cannot wait for connections: {error}");
             sleep(&context.runtime, RETRY_PAUSE).await;
@@ -53,7 +55,7 @@
     }
 }
 
-/// A slot for a client; none where the caller is to look again.
+/// Finds a slot for a client. Returns `None` if the caller must try again.
 async fn find_slot<R: Runtime>(
     context: &Context<R>,
     full_since: &mut Option<Nanos>,
@@ -65,7 +67,7 @@
         });
     }
     if context.free_client_slot() {
-        // The task of the client that is closed needs a turn to give its slot back.
+        // The task of the closed client must run once to release its slot.
         yield_now().await;
         return None;
     }
@@ -93,26 +95,28 @@
     match listener.accept() {
         Ok(stream) => {
             spawn_connection(context, stream, admission, *full_since);
-            // Only an empty backlog ends a time without free slots: where slots become free now and then, those who
-            // wait in the backlog still grow older.
+            // The waiting time restarts only once the backlog is empty: single slots that become
+            // free do not shorten the wait of the clients that remain in the backlog.
             if poll_once(listener.wait_ready()).await.is_none() {
                 *full_since = None;
             }
         }
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => *full_since = None,
         Err(error) => {
-            // Where the system is out of descriptors, one is freed, and the pause prevents a busy loop.
+            // The system may be out of descriptors, so one is freed. The pause prevents a busy
+            // loop.
             context.counters.accept_failed.add();
-            log::warn!("cannot accept: {error}");
+            log::warn!("cannot accept a connection: {error}");
             context.free_descriptor();
             sleep(&context.runtime, RETRY_PAUSE).await;
         }
     }
-    // The accepted client must read before the next slot is freed, or it would count as silent and be closed.
+    // The accepted client's task must read before the next slot is freed; otherwise the client
+    // would count as one without a request and be closed.
     yield_now().await;
 }
 
-/// Accepts the connections of the backlog; those without a free slot are rejected.
+/// Accepts the rest of the backlog. Connections without a free slot are rejected.
 async fn drain_backlog<R: Runtime>(context: &Rc<Context<R>>, listener: &R::Listener) {
     let deadline = context.runtime.now() + nanos(BACKLOG_DRAIN_LIMIT);
     while context.runtime.now() < deadline {
@@ -125,7 +129,7 @@
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
             Err(error) => {
                 context.counters.accept_failed.add();
-                log::warn!("cannot accept: {error}");
+                log::warn!("cannot accept a connection: {error}");
                 sleep(&context.runtime, RETRY_PAUSE).await;
             }
         }
@@ -146,7 +150,8 @@
     })
 }
 
-/// Serves a connection in its own task. It may have waited in the backlog since `waiting_since`.
+/// Serves a connection in a task of its own. The connection may have waited in the backlog since
+/// `waiting_since`.
 fn spawn_connection<R: Runtime>(
     context: &Rc<Context<R>>,
     stream: R::Stream,
@@ -162,7 +167,7 @@
     let task_context = context.clone();
     let serve = async move {
         let mut connection = ClientConnection::new(task_context, stream, admission, acceptance);
-        // An error is the client's doing or was counted.
+        // Errors are caused by the client or have been counted.
         let _ = connection.serve().await;
     };
     context.runtime.spawn(serve).detach();
--- a/crates/runtime/src/client/connection.rs
+++ b/crates/runtime/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! Serving one client connection: reading requests, waiting for their answers, writing them.
+//! Serves one client connection: reads requests, waits for the answers and writes them.
 use super::RETRY_PAUSE;
 use crate::context::Context;
 use crate::event::EngineEvent;
@@ -17,55 +17,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A first request must be complete within this time of its connection, a later one of its first byte: two lost packets,
-/// and short beside deadlines.
+/// Time limit for a complete request, counted from the start of the connection for its first
+/// request and from the first byte for later ones. Long enough for two lost packets, and short
+/// compared with deadlines.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection without a request is closed after this time.
+/// Time after which a connection that is idle between requests is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The client must accept an answer within this time.
+/// Time limit for writing an answer to the client.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that is to be rejected must send its request within this time.
+/// Time limit for the request of a client that is to be rejected.
 const REJECTED_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long a complete request waits for the slot of a client that has sent none.
+/// Maximum time that a complete request waits for the slot of a client that has sent no request.
 const SLOT_WAIT_LIMIT: Duration = Duration::from_millis(100);
-/// How long a connection is read after an answer that ends it, so that no reset overtakes the answer.
+/// Maximum time that a connection is read after its last answer, so that no reset overtakes the
+/// answer.
 const LINGER_LIMIT: Duration = Duration::from_millis(500);
-/// The same for a rejected client, whose slot others wait for.
+/// The same limit for a rejected client, whose slot other clients wait for.
 const REJECTED_LINGER_LIMIT: Duration = Duration::from_millis(50);
-/// How much is read after an answer that ends a connection: twice what a request may hold.
+/// Maximum number of bytes that are read after the last answer: twice the size of a request.
 const LINGER_MAX_BYTES: usize = 160 * 1024;
-/// What a client sends beyond the buffers is discarded at this many bytes for each pause: fast enough to find within
-/// 0.3 s that a client with some MB in transit has disconnected, slow enough that one that never ends costs little CPU.
+/// Number of bytes beyond the buffers that are discarded before each pause: enough to detect within
+/// 0.3 s that a client with several MB in transit has disconnected, and so few that a client that
+/// never stops costs little CPU.
 const DISCARD_BURST_BYTES: usize = 64 * 1024;
-/// The pause between two bursts.
+/// Pause between two bursts of discarded bytes.
 const DISCARD_PAUSE: Duration = Duration::from_millis(1);
-/// One read: more than most requests with their heads.
+/// Size of one read: larger than most requests with their heads.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// How far a connection is served.
+/// Service level of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Service {
-    /// Its requests are forwarded.
+    /// Requests are forwarded to workers.
     Full,
-    /// Its request is rejected, unless a slot becomes free by then.
+    /// The first request is rejected, unless a slot becomes free in time.
     RejectOnly,
 }
 
-/// What a connection is admitted with.
+/// Slot and service level that a connection is admitted with.
 pub(super) struct Admission {
     pub slot: DescriptorPermit,
     pub service: Service,
 }
 
-/// When a connection was accepted.
+/// Time at which a connection was accepted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Acceptance {
     pub at: Nanos,
-    /// How long it may have waited in the backlog before.
+    /// Longest time that the connection may have waited in the backlog before.
     pub longest_wait: Nanos,
 }
 
-/// Whether a connection goes on after an answer.
+/// Whether a connection stays open after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AfterAnswer {
     KeepAlive,
@@ -82,23 +85,23 @@
     }
 }
 
-/// What a client that waits for an answer comes to first.
+/// First event for a client that waits for an answer.
 enum WaitEvent {
     Answered(Answer),
-    /// The number of bytes that the client sent; 0 where it disconnected.
+    /// Number of bytes that the client sent; 0 if it disconnected.
     Received(usize),
 }
 
-/// One client connection.
+/// State of one client connection.
 pub(super) struct ClientConnection<R: Runtime> {
     context: Rc<Context<R>>,
     stream: R::Stream,
     reader: RequestReader,
     buffer: Vec<u8>,
-    /// Whether it has sent a request or a readiness check before.
+    /// Whether the client has sent a request or a readiness check before.
     has_sent_request: bool,
     service: Service,
-    /// Whether bytes that the client sent ahead of their turn were discarded.
+    /// Whether pipelined bytes of the client exceeded the buffers.
     has_overflowed: bool,
     acceptance: Acceptance,
     slot: DescriptorPermit,
@@ -170,8 +173,8 @@
         request: ClientRequest,
         is_first: bool,
     ) -> io::Result<AfterAnswer> {
-        // A first request that is there at once may have been sent when the client began to wait in the backlog, and the
-        // client's deadline counts from then.
+        // A first request that arrives immediately may have been sent when the client entered the
+        // backlog, and the client's deadline counts from that time.
         let may_predate_accept = is_first && self.now() <= self.acceptance.at + nanos(RETRY_PAUSE);
         let backlog_wait = if may_predate_accept {
             self.acceptance.longest_wait
@@ -224,7 +227,8 @@
         written.map(|()| AfterAnswer::from_keep_alive(keep_alive))
     }
 
-    /// Reads until there is an event. The time limits end connections that are silent, or slow within a request.
+    /// Reads until there is an event. Time limits end connections that are idle, or slow within a
+    /// request.
     async fn next_event(&mut self) -> io::Result<ClientEvent> {
         let mut deadline = self.now() + nanos(self.first_byte_timeout());
         let waiter = self.waiter(self.has_sent_request);
@@ -237,7 +241,8 @@
             if self.has_overflowed {
                 return Ok(ClientEvent::PIPELINE_TOO_LONG);
             }
-            // From the first byte of a request on, the connection is not closed to free its slot.
+            // Once the first byte of a request has arrived, the connection is not closed to free
+            // its slot.
             if self.has_sent_request && !self.reader.is_idle() && waiting.take().is_some() {
                 deadline = self.now() + nanos(REQUEST_TIMEOUT);
             }
@@ -245,7 +250,7 @@
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(count) => {
                     self.reader.feed(&self.buffer[..count]);
-                    // One client that sends faster than is read must not keep the executor from the others.
+                    // A client that sends faster than this task reads must not block other tasks.
                     yield_now().await;
                 }
                 Err(error) => {
@@ -267,17 +272,18 @@
         }
     }
 
-    /// Reads once; fails with `TimedOut` at the deadline, with `ConnectionAborted` where `close` asks for that.
+    /// Reads once. Fails with `TimedOut` at the deadline, and with `ConnectionAborted` on a message
+    /// from `close`.
     async fn read_until(&mut self, deadline: Nanos, close: &Receiver<()>) -> io::Result<usize> {
         let close_requested = async {
             match close.recv().await {
                 Ok(()) => Err(io::ErrorKind::ConnectionAborted.into()),
-                // The connection is no longer among those that may be closed.
+                // The connection may no longer be closed to free its slot.
                 Err(_) => std::future::pending().await,
             }
         };
         let left = Duration::from_nanos(deadline.saturating_sub(self.now()));
-        // The read goes first: bytes that are there are never lost to a close.
+        // The read is polled first, so that received bytes are never lost to a close.
         let read = self.stream.read(&mut self.buffer).or(close_requested);
         with_timeout(&self.context.runtime, left, read).await
     }
@@ -293,8 +299,8 @@
         Ok(())
     }
 
-    /// A slot for a client that has sent a request, in place of one that has sent none; false where none becomes free in
-    /// time.
+    /// Acquires a slot for a client that has sent a request, if necessary from a client that has
+    /// sent none. Returns false if no slot becomes free in time.
     async fn acquire_slot(&mut self) -> bool {
         let deadline = self.now() + nanos(SLOT_WAIT_LIMIT);
         loop {
@@ -314,11 +320,12 @@
         }
     }
 
-    /// Waits for the answer to a request with `body_bytes`; none if the client disconnects first. A client that closes only
-    /// its sending side cannot be told from one that closes, and counts as disconnected.
+    /// Waits for the answer to a request with a body of `body_bytes`. Returns `None` if the client
+    /// disconnects first. A client that closes only its sending side cannot be distinguished from
+    /// one that disconnects, and counts as such.
     ///
-    /// What the client sends meanwhile is stored as far as the buffers allow and discarded beyond, so that its
-    /// disconnection is noticed behind any number of bytes.
+    /// Bytes that the client sends meanwhile are buffered up to the limits and discarded beyond
+    /// them, so that a disconnect is detected behind any number of bytes.
     async fn wait_for_answer(
         &mut self,
         answer: &Receiver<Answer>,
@@ -357,8 +364,9 @@
         with_timeout(&self.context.runtime, WRITE_TIMEOUT, write).await
     }
 
-    /// Ends the connection after an answer. What the client still sends is read for a moment, unless its descriptor is
-    /// needed: closing with unread bytes would send a reset, which may overtake the answer.
+    /// Closes the connection after an answer. Bytes of the client are read for a moment longer,
+    /// unless the descriptor is needed: closing with unread bytes would send a reset, which may
+    /// overtake the answer.
     async fn close_gracefully(&mut self) -> io::Result<()> {
         self.stream.shutdown_write()?;
         let (_waiting, close) = self
--- a/crates/runtime/src/client/mod.rs
+++ b/crates/runtime/src/client/mod.rs
@@ -6,5 +6,5 @@
 
 use std::time::Duration;
 
-/// How long to wait before the next look for a descriptor, and after an accept that failed.
+/// Pause before the next attempt to find a slot, and after a failed accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -1,4 +1,5 @@
-//! The task of the cluster's state machine: it sends and receives its datagrams and wakes it at its time-outs.
+//! The task of the cluster's state machine. It sends and receives the datagrams of the state
+//! machine and calls it at its time-outs.
 use crate::traits::{DatagramSocket, Runtime};
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
@@ -11,47 +12,47 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Datagrams received a second; what is beyond is dropped and counted. Several times what a thousand members send to one
-/// that issues warm-up grants.
+/// Maximum rate of received datagrams; excess datagrams are dropped and counted. Several times the
+/// rate at which a thousand members send to a member that issues warm-up grants.
 const MAX_DATAGRAMS_PER_SECOND: u64 = 20_000;
 
-/// What the cluster reports to the engine.
+/// Event that the cluster reports to the engine.
 pub enum ClusterEvent {
-    /// This dispatcher's position among those that run, if it is known.
+    /// Position of this dispatcher among the running ones; `None` if unknown.
     FleetView(Option<FleetPosition>),
-    /// Work may be sent to a worker that is warming up.
+    /// A warm-up grant was received: work may be sent to a worker that is warming up.
     WarmUpGranted {
-        /// The worker.
+        /// Worker that is warming up.
         worker: WorkerId,
-        /// How much work.
+        /// Granted work, in nanoseconds of one slot.
         work: Nanos,
-        /// Until when.
+        /// Time at which the grant expires.
         until: Nanos,
     },
     /// Another dispatcher reports its load on a worker.
     PeerLoad {
-        /// The rank of the dispatcher.
+        /// Rank of the reporting dispatcher.
         from: u16,
-        /// The report.
+        /// Reported load.
         load: PeerLoad,
     },
 }
 
-/// The state machine, its socket, and where its events go.
+/// Owner of the state machine, its socket and the callback for its events.
 pub struct ClusterDriver<S> {
     socket: S,
     cluster: RefCell<Cluster>,
     counters: Rc<Counters>,
     on_event: Box<dyn Fn(ClusterEvent)>,
-    /// Wakes the task where a time-out is sooner than the one it sleeps to.
+    /// Wakes the task if a time-out is earlier than the one that the task sleeps until.
     wake: Sender<()>,
     woken: Receiver<()>,
-    /// The time-out that the task sleeps to.
+    /// Time-out that the task sleeps until.
     sleeps_until: Cell<Nanos>,
 }
 
 impl<S: DatagramSocket> ClusterDriver<S> {
-    /// A driver of a state machine over a socket.
+    /// Creates a driver that sends and receives over `socket` and passes events to `on_event`.
     pub fn new(
         socket: S,
         cluster: Cluster,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Sends a load report to the dispatcher with a rank.
+    /// Sends a load report to the dispatcher with rank `to`.
     pub fn send_load(&self, now: Nanos, to: u16, load: PeerLoad) {
         self.counters.peer_loads_sent.add();
         self.with_cluster(|cluster, _| cluster.send_load(now, to, load));
@@ -82,7 +83,8 @@
         self.with_cluster(|cluster, effects| cluster.request_grant(now, worker, work, effects));
     }
 
-    /// Sets how much work all dispatchers together may send to a warming worker in a window.
+    /// Sets the work that all dispatchers together may send to a worker that is warming up, per
+    /// window. Both are in nanoseconds, the work of one slot.
     pub fn set_warm_up_budget(&self, worker: WorkerId, work: Nanos, window: Nanos) {
         log::debug!("warm-up budget: worker={worker} work={work} window={window}");
         self.with_cluster(|cluster, _| cluster.set_warm_up_budget(worker, work, window));
@@ -93,7 +95,7 @@
         self.with_cluster(|cluster, effects| cluster.leave(effects));
     }
 
-    /// Receives datagrams and handles time-outs, for ever.
+    /// Receives datagrams and handles time-outs until the task is dropped.
     pub async fn run<R: Runtime>(&self, runtime: &R) {
         let mut receive_limit = RateLimiter::new(MAX_DATAGRAMS_PER_SECOND);
         // One byte more than a datagram may have, so that a longer one is recognised.
@@ -125,12 +127,12 @@
             if self.cluster.borrow().next_timeout() <= now {
                 self.with_cluster(|cluster, effects| cluster.handle_timeout(now, effects));
             }
-            // A flood of datagrams must not keep the executor from the other tasks.
+            // A flood of datagrams must not block other tasks.
             yield_now().await;
         }
     }
 
-    /// Calls the state machine and carries out its effects.
+    /// Calls the state machine and executes its effects.
     fn with_cluster(&self, call: impl FnOnce(&mut Cluster, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
         call(&mut self.cluster.borrow_mut(), &mut effects);
@@ -171,7 +173,7 @@
     }
 }
 
-/// One line for the log; `docs/cluster.md` explains its fields.
+/// Formats the fields of the membership's log line; `docs/cluster.md` explains them.
 impl<S> std::fmt::Display for ClusterDriver<S> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let cluster = self.cluster.borrow();
--- a/crates/runtime/src/context.rs
+++ b/crates/runtime/src/context.rs
@@ -1,5 +1,5 @@
-//! What all tasks of a dispatcher share: the runtime, names, counters, resource limits, idle connections and the channel to
-//! the engine's task.
+//! State shared by all tasks of a dispatcher: the runtime, names, counters, resource limits, idle
+//! connections and the channel to the engine's task.
 use crate::cluster::ClusterDriver;
 use crate::event::EngineEvent;
 use crate::peer_load::PeerLoadExchange;
@@ -15,16 +15,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// At most one refused request in this time is logged, so that a flood of them does not fill the log.
+/// Minimum time between two log lines for refused requests, so that a flood of them does not fill
+/// the log.
 const REFUSAL_LOG_INTERVAL: Nanos = 1_000_000_000;
 
 /// A connection to a worker.
 pub struct WorkerConnection<S> {
-    /// The connection.
+    /// Byte stream to and from the worker.
     pub stream: S,
-    /// Where it leads.
+    /// Address that the connection was opened to.
     pub address: SocketAddr,
-    /// Its descriptor, counted for as long as it is open.
+    /// Permit for the connection's descriptor, released when the connection is dropped.
     pub _slot: DescriptorPermit,
 }
 
@@ -34,39 +35,40 @@
     }
 }
 
-/// What all tasks share.
+/// State shared by all tasks.
 pub struct Context<R: Runtime> {
-    /// Time, tasks and the network.
+    /// Clock, task spawning and network access.
     pub runtime: R,
-    /// The names that the settings list.
+    /// Names listed in the settings.
     pub names: Names,
-    /// The names of a load report's values, as workers send them.
+    /// Names of the values in a load report, as workers send them. Empty if load reports are not
+    /// requested.
     pub report_fields: Vec<String>,
-    /// Counters for the log.
+    /// Counters that are written to the log.
     pub counters: Rc<Counters>,
-    /// Descriptors and memory.
+    /// Limits on descriptors and memory.
     pub limits: Rc<ResourceLimits>,
     /// Idle connections to workers.
     pub pool: RefCell<Pool<WorkerConnection<R::Stream>>>,
     /// Whether an endpoint list is known.
     pub ready: Cell<bool>,
-    /// Whether the program shuts down.
+    /// Whether the dispatcher is shutting down.
     pub stopping: Cell<bool>,
-    /// How many requests are active.
+    /// Number of active requests.
     pub active_requests: Cell<usize>,
-    /// The number of the latest request.
+    /// Number that was assigned to the latest request.
     pub last_request_id: Cell<RequestId>,
-    /// When a refused request was last logged.
+    /// Time of the last log line for a refused request.
     pub last_refusal_logged: Cell<Nanos>,
-    /// The channel to the engine's task.
+    /// Channel to the engine's task.
     pub events: Sender<EngineEvent<R>>,
-    /// The exchange of load reports with other dispatchers, where addresses of theirs are configured.
+    /// Exchange of load reports with other dispatchers; present if their addresses are configured.
     pub peer_loads: Option<PeerLoadExchange<R::DatagramSocket>>,
-    /// The membership among the dispatchers, where it is configured.
+    /// Membership in the cluster of dispatchers; present if a cluster is configured.
     pub cluster: Option<ClusterDriver<R::DatagramSocket>>,
 }
 
-/// What [`Context::new`] is given beside the configuration.
+/// Arguments of [`Context::new`] besides the configuration.
 pub struct ContextParts<R: Runtime> {
     /// See [`Context::runtime`].
     pub runtime: R,
@@ -81,7 +83,7 @@
 }
 
 impl<R: Runtime> Context<R> {
-    /// The context of a dispatcher that starts.
+    /// Creates the context of a dispatcher that starts.
     pub fn new(parts: ContextParts<R>, config: &Config) -> Self {
         let limits = ResourceLimits::new(config.max_descriptors, config.memory_mb);
         Context {
@@ -102,13 +104,14 @@
         }
     }
 
-    /// Reports to the engine's task.
+    /// Sends an event to the engine's task.
     pub fn report(&self, event: EngineEvent<R>) {
-        // The engine's task outlives all others but for the end of the program, where no one needs the report.
+        // The engine's task outlives all others except at process exit, when events are no longer
+        // needed.
         let _ = self.events.try_send(event);
     }
 
-    /// A reusable connection to a worker, if there is one.
+    /// Takes a reusable connection to a worker from the pool, if there is one.
     pub fn take_idle_connection(
         &self,
         worker: WorkerId,
@@ -118,7 +121,7 @@
         taken.connection
     }
 
-    /// Records that a connection, idle since a moment, broke when it was used again.
+    /// Records that a connection, idle since `idle_since`, failed when it was reused.
     pub fn record_broken_connection(&self, idle_since: Nanos) {
         self.pool
             .borrow_mut()
@@ -126,7 +129,8 @@
         self.counters.pool_broken.add();
     }
 
-    /// Frees a descriptor: that of an idle connection to a worker, else of an idle client. False where there is none.
+    /// Frees a descriptor by closing an idle connection to a worker or, if there is none, an idle
+    /// client. Returns false if there is neither.
     pub fn free_descriptor(&self) -> bool {
         if self.pool.borrow_mut().evict_oldest() {
             self.counters.pool_evicted.add();
@@ -135,8 +139,9 @@
         self.limits.evict_idle_client(self.runtime.now())
     }
 
-    /// Makes it possible to accept one more client. Connections to workers are kept where the number of clients is at its
-    /// own limit, since closing them would not help.
+    /// Frees capacity for one more client. Returns false if nothing could be closed. If the number
+    /// of clients is at its own limit, connections to workers stay open, since closing them would
+    /// free no client slot.
     pub fn free_client_slot(&self) -> bool {
         if self.limits.has_client_capacity() {
             self.free_descriptor()
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Counts a request that is refused, and logs it unless another one was logged just before.
+    /// Counts a refused request, and logs it unless another one was logged within the last second.
     pub fn record_refusal(&self, status: u16, reason: &str) {
         self.counters.requests_malformed.add();
         let now = self.runtime.now();
@@ -158,7 +163,7 @@
         }
     }
 
-    /// A number for a new request; numbers repeat only after all others were used.
+    /// Returns a number for a new request. Numbers repeat only after all others have been used.
     pub fn next_request_id(&self) -> RequestId {
         let id = self.last_request_id.get().wrapping_add(1);
         self.last_request_id.set(id);
--- a/crates/runtime/src/discovery/exchange.rs
+++ b/crates/runtime/src/discovery/exchange.rs
@@ -10,23 +10,25 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// How long the rest of an answer may take once it has begun: hundreds of times what one data centre needs.
+/// Time limit for the rest of an answer that has begun: hundreds of times the time needed within
+/// one data centre.
 const ANSWER_REST_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a connection may take to come up.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// One read.
+/// Size of one read.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The answer to a request.
+/// Complete answer to a list request.
 pub(super) struct ListAnswer<S> {
     pub stream: S,
-    /// The text of the list.
+    /// Encoded endpoint list.
     pub body: Vec<u8>,
-    /// Whether the connection may be used for the next request.
+    /// Whether the next request may use the same connection.
     pub reusable: bool,
 }
 
-/// One request over an open connection, or a new one, and its answer, which must begin within a time.
+/// Sends one request over `connection`, or over a new one, and reads the answer, which must begin
+/// within `begin_timeout`.
 pub(super) async fn exchange<R: Runtime>(
     runtime: &R,
     address: SocketAddr,
@@ -70,8 +72,8 @@
     with_timeout(runtime, ANSWER_REST_TIMEOUT, rest).await
 }
 
-/// The first answer to several calls: while none has ended, another one starts after each `retry`. Failures count only once
-/// no call is left.
+/// Returns the first answer of several concurrent calls. A further call starts after each `retry`
+/// without an answer. A failure is returned only once no other call is in progress.
 pub(super) async fn first_answer<R: Runtime, T, F: Future<Output = io::Result<T>>>(
     runtime: &R,
     retry: Duration,
--- a/crates/runtime/src/discovery/follow.rs
+++ b/crates/runtime/src/discovery/follow.rs
@@ -1,4 +1,4 @@
-//! Following the list: from one watch to the next, and from one service to another.
+//! Follows the endpoint list from one watch to the next, and from one service address to another.
 use super::{POLLED_LIST, PUSHED_LIST, Timing};
 use crate::context::Context;
 use crate::event::EngineEvent;
@@ -11,24 +11,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The pause after a failure where the list is pushed: it prevents a busy loop, and is shorter than a drain's notice.
+/// Pause after a failure of a pushed list. It prevents a busy loop, and is shorter than the notice
+/// before a worker drains.
 const PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// How many failures in a row share one line of the log, as attempts follow each other closely.
+/// Number of consecutive failures that share one log line, as retries follow each other closely.
 const FAILURES_PER_LOG_LINE: u32 = 20;
 
-/// Where the list is and how it may be followed.
+/// Source of the endpoint list.
 pub struct FollowedList {
-    /// The address of the service.
+    /// Address of the discovery service.
     pub address: SocketAddr,
-    /// Further addresses, each of which replaces the one before.
+    /// Later addresses of the service, each of which replaces the previous one.
     pub new_addresses: Receiver<SocketAddr>,
-    /// For a polled list: permission for each watch, from the engine.
+    /// Permits from the engine, one for each watch on a polled list; `None` for a pushed list.
     pub permits: Option<Receiver<()>>,
-    /// The version that is known from the cached list.
+    /// Version of the cached list, from which the first watch continues; `None` to start with a
+    /// snapshot.
     pub known_version: Option<u64>,
 }
 
-/// Follows the list for ever.
+/// Follows the list until the task is dropped.
 pub async fn follow<R: Runtime>(context: Rc<Context<R>>, list: FollowedList) {
     let context = &*context;
     let permits = list.permits.as_ref();
@@ -46,7 +48,8 @@
         let Some(mut address) = ended.or(moved).await else {
             return;
         };
-        // The current follower goes on until the new one has a list, as the new address may not answer yet.
+        // The current follower continues until the new one has a list, as the new address may not
+        // answer yet.
         current = loop {
             let (first_list, has_list) = async_channel::bounded(1);
             if is_active(Mutation::DropWatchOnReload) {
@@ -78,7 +81,7 @@
     }
 }
 
-/// What comes first while the list is taken from a new address.
+/// First event while the list is requested from a new address.
 enum Switch {
     NextHasList,
     MovedAgain(SocketAddr),
@@ -91,18 +94,18 @@
     pub(super) timing: &'static Timing,
     pub(super) address: SocketAddr,
     permits: Option<&'a Receiver<()>>,
-    /// Whether the next watch needs a permit, where there are any.
+    /// Whether the next watch needs a permit. Without effect for a pushed list.
     needs_permit: bool,
-    /// Receives a message with each list.
+    /// Notified of each list that arrives.
     pub(super) on_list: Sender<()>,
-    /// The version that is known from this address.
+    /// Latest known version; `None` if the next request is for a snapshot.
     pub(super) version: Option<u64>,
-    /// Whether the latest watch brought a list.
+    /// Whether the latest watch delivered a list.
     pub(super) has_list: bool,
 }
 
 impl<'a, R: Runtime> Follower<'a, R> {
-    /// A follower that knows no version and whose first watch needs no permit.
+    /// Creates a follower without a known version, whose first watch needs no permit.
     fn new(
         context: &'a Context<R>,
         address: SocketAddr,
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Opens one watch after the other, for ever; ends only where no more permits can come.
+    /// Opens one watch after the other. Returns only if no more permits can arrive.
     async fn run(mut self) {
         let mut failures_in_a_row = 0;
         loop {
@@ -137,10 +140,11 @@
             }
             let error = self.watch().await;
             let is_polled = self.permits.is_some();
-            // What a silent watch missed counts soon, so it is opened again at once, from the version known. A second
-            // failure waits for a permit: the service may be late with all of its watches.
+            // A watch that timed out is reopened at once from the known version, since the
+            // dispatcher soon becomes accountable for the changes that it missed. A second failure
+            // waits for a permit: the service may be late with all of its watches.
             if is_polled && error.is_timeout() && self.has_list {
-                log::warn!("discovery: {error}; the watch is opened again");
+                log::warn!("discovery: {error}; reopening the watch");
                 self.needs_permit = false;
                 continue;
             }
@@ -149,8 +153,8 @@
             } else {
                 failures_in_a_row + 1
             };
-            // A polled service goes on from the known version: one request in place of two, and changes in place of a
-            // whole list.
+            // A polled list continues from the known version: one request instead of two, and a
+            // delta instead of a snapshot.
             self.version = self.version.filter(|_| is_polled);
             self.context.counters.watches_failed.add();
             if failures_in_a_row % FAILURES_PER_LOG_LINE <= 1 {
--- a/crates/runtime/src/discovery/watch.rs
+++ b/crates/runtime/src/discovery/watch.rs
@@ -1,4 +1,5 @@
-//! One watch on the list: a snapshot, or the changes since a version that is known, and then change after change.
+//! One watch on the endpoint list: a snapshot or the changes since a known version, followed by
+//! later changes.
 use super::exchange::{ListAnswer, exchange, first_answer};
 use super::follow::Follower;
 use crate::event::EngineEvent;
@@ -9,24 +10,24 @@
 use std::io;
 use std::time::Duration;
 
-/// Why a watch ended.
+/// Reason why a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
-    #[error("no answer: {0}")]
+    #[error("request for the endpoint list failed: {0}")]
     RequestFailed(#[source] io::Error),
-    #[error("malformed list: {0}")]
+    #[error("malformed endpoint list: {0}")]
     Malformed(#[source] EndpointListError),
 }
 
 impl WatchError {
-    /// Whether the service only fell silent.
+    /// Returns whether the service did not answer in time.
     pub(super) fn is_timeout(&self) -> bool {
         matches!(self, WatchError::RequestFailed(error) if error.kind() == io::ErrorKind::TimedOut)
     }
 }
 
 impl<R: Runtime> Follower<'_, R> {
-    /// Watches the list until that fails.
+    /// Watches the list until a request fails or a list is malformed.
     pub(super) async fn watch(&mut self) -> WatchError {
         self.has_list = false;
         let mut connection = None;
@@ -44,7 +45,8 @@
                     return WatchError::Malformed(error);
                 }
             };
-            // A service that has lost its count is asked for a snapshot.
+            // A delta with an older version means that the service has lost its state: the next
+            // request is for a snapshot.
             let version_decreased =
                 self.version.is_some_and(|known| list.version < known) && !list.is_snapshot;
             self.has_list = true;
--- a/crates/runtime/src/engine.rs
+++ b/crates/runtime/src/engine.rs
@@ -1,4 +1,5 @@
-//! The task that owns the engine: it passes events and timers to it and carries out its effects.
+//! The task that owns the engine. It passes events and timers to the engine and executes its
+//! effects.
 use crate::context::Context;
 use crate::event::EngineEvent;
 use crate::traits::Runtime;
@@ -21,29 +22,29 @@
     attempt_index: u8,
 }
 
-/// An attempt that is under way; dropping it closes its connection.
+/// An attempt in progress. Dropping it closes its connection.
 struct RunningAttempt {
     task: Task<()>,
-    /// Set where it is not to be sent any more.
+    /// Set when the attempt must not be sent any more.
     cancelled: Rc<Cell<bool>>,
 }
 
-/// The engine and what its effects act on.
+/// Owner of the engine and of the state that the engine's effects change.
 pub struct EngineDriver<R: Runtime> {
     context: Rc<Context<R>>,
     events: Receiver<EngineEvent<R>>,
     engine: Engine,
-    /// Permits each watch on a polled endpoint list.
+    /// Channel for one permit per watch; present if the endpoint list is polled.
     watch_permits: Option<Sender<()>>,
-    /// Where the answer goes, for each request without one.
+    /// Channel for the answer of each unanswered request.
     replies: FxHashMap<RequestId, Sender<Answer>>,
     attempts: FxHashMap<AttemptKey, RunningAttempt>,
-    /// Reused between calls.
+    /// Buffer that is reused between calls of the engine.
     effects: Vec<Effect>,
 }
 
 impl<R: Runtime> EngineDriver<R> {
-    /// A driver of an engine; `watch_permits` where the endpoint list is polled.
+    /// Creates a driver. `watch_permits` is required if the endpoint list is polled.
     pub fn new(
         context: Rc<Context<R>>,
         events: Receiver<EngineEvent<R>>,
@@ -61,14 +62,14 @@
         }
     }
 
-    /// Starts from a cached endpoint list.
+    /// Passes a cached endpoint list to the engine.
     pub fn load_cached(&mut self, list: EndpointList) {
         let now = self.context.runtime.now();
         self.engine.load_cached(now, list, &mut self.effects);
         self.execute_effects();
     }
 
-    /// Serves until the task is dropped.
+    /// Handles events and timers until the task is dropped.
     pub async fn run(mut self) {
         loop {
             while let Ok(event) = self.events.try_recv() {
@@ -110,7 +111,8 @@
         self.execute_effects();
     }
 
-    /// The engine's input for an event; none where the event does not concern the engine.
+    /// Converts an event to an input of the engine. Returns `None` if the event does not concern
+    /// the engine.
     fn input_from(&mut self, now: Nanos, event: EngineEvent<R>) -> Option<Input> {
         Some(match event {
             EngineEvent::RequestArrived {
@@ -140,7 +142,7 @@
                 progress,
             },
             EngineEvent::ConnectionIdle { worker, connection } => {
-                // The worker may have another address by now.
+                // The worker's address may have changed since the connection was opened.
                 if self.engine.address_of(worker) == Some(connection.address) {
                     let address = connection.address;
                     let mut pool = self.context.pool.borrow_mut();
@@ -265,7 +267,7 @@
             .insert(key, RunningAttempt { task, cancelled });
     }
 
-    /// An attempt that was not written to its last byte is not sent.
+    /// Prevents the sending of an attempt whose last byte has not been written yet.
     fn cancel_attempt(&self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.get(&key) {
             attempt.cancelled.set(true);
@@ -277,7 +279,8 @@
         drop(self.attempts.remove(&key));
     }
 
-    /// An attempt that has ended may still read the rest of its answer, which makes its connection reusable.
+    /// Lets the task of an ended attempt read the rest of the answer, which makes the connection
+    /// reusable.
     fn detach_attempt(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.remove(&key) {
             attempt.task.detach();
--- a/crates/runtime/src/event.rs
+++ b/crates/runtime/src/event.rs
@@ -1,4 +1,4 @@
-//! What the tasks report to the task of the engine.
+//! Events that the other tasks send to the engine's task.
 use crate::context::WorkerConnection;
 use crate::traits::Runtime;
 use async_channel::Sender;
@@ -7,61 +7,61 @@
 use rosewall_protocol::discovery::EndpointList;
 use rosewall_protocol::worker::AttemptProgress;
 
-/// One report.
+/// Event for the engine's task.
 pub enum EngineEvent<R: Runtime> {
     /// A client sent a request.
     RequestArrived {
-        /// Its number in this process.
+        /// Number of the request in this process.
         request_id: RequestId,
-        /// When it arrived.
+        /// Arrival time.
         at: Nanos,
-        /// The request.
+        /// The complete request.
         request: ClientRequest,
-        /// Where its answer goes.
+        /// Channel to the client's task for the answer.
         reply: Sender<Answer>,
     },
-    /// The client of a request closed its connection.
+    /// The client closed its connection before this request was answered.
     ClientDisconnected(RequestId),
-    /// A worker, or the connection to it, reports on an attempt.
+    /// An attempt started or ended, according to the worker or the state of its connection.
     AttemptProgress {
-        /// The request.
+        /// Number of the request in this process.
         request_id: RequestId,
-        /// Which attempt of it.
+        /// Index of the attempt within the request.
         attempt_index: u8,
-        /// The report.
+        /// Start of the attempt, or its end with the outcome.
         progress: AttemptProgress,
     },
-    /// A connection to a worker may be used again.
+    /// A connection to a worker can be reused.
     ConnectionIdle {
-        /// The worker.
+        /// Worker that the connection was opened to.
         worker: WorkerId,
-        /// The connection.
+        /// Open connection without an active request.
         connection: WorkerConnection<R::Stream>,
     },
     /// A health check ended.
     HealthChecked(HealthChecked),
-    /// This dispatcher's position among those that run, if it is known.
+    /// Position of this dispatcher among the running ones; `None` if unknown.
     FleetView(Option<FleetPosition>),
-    /// Work may be sent to a worker that is warming up.
+    /// A warm-up grant was received: work may be sent to a worker that is warming up.
     WarmUpGranted {
-        /// The worker.
+        /// Worker that is warming up.
         worker: WorkerId,
-        /// How much work.
+        /// Granted work, in nanoseconds of one slot.
         work: Nanos,
-        /// Until when.
+        /// Time at which the grant expires.
         until: Nanos,
     },
     /// Another dispatcher reports its load on a worker.
     PeerLoad {
-        /// The number of the dispatcher.
+        /// Rank of the reporting dispatcher.
         from: u16,
-        /// The report.
+        /// Reported load.
         load: PeerLoad,
     },
-    /// The discovery service sent a list.
+    /// The discovery service sent a snapshot or a delta of the endpoint list.
     EndpointList(EndpointList),
-    /// The watch on the list broke.
+    /// The watch on the endpoint list failed.
     WatchFailed,
-    /// The program ends: all requests are to be answered by this moment.
+    /// The dispatcher shuts down: all requests must be answered by this time.
     ShutDown(Nanos),
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,11 +1,12 @@
-//! The tasks of one dispatcher: they read, write and wait for the state machines of `rosewall-protocol` and
-//! `rosewall-engine`, and decide nothing. They run on the abstract runtime of [`traits`], and so in the same way over
-//! sockets and over a simulated network.
+//! Asynchronous tasks of one dispatcher. They do the I/O and the waiting for the state machines of
+//! `rosewall-protocol` and `rosewall-engine`, and contain no policy. They use only the abstract
+//! runtime of [`traits`], so the same code runs over sockets and over a simulated network.
 //!
-//! - [`node`]: one dispatcher, from start to shutdown.
-//! - [`context`]: what all tasks share.
+//! - [`node`]: startup, reload and shutdown of one dispatcher.
+//! - [`context`]: state shared by all tasks.
 //! - [`engine`]: the task that owns the engine.
-//! - [`client`], [`worker`], [`discovery`]: the tasks for each kind of connection.
+//! - [`event`]: events that the other tasks send to that task.
+//! - [`client`], [`worker`], [`discovery`]: tasks for each kind of connection.
 //! - [`cluster`], [`peer_load`]: datagrams between dispatchers.
 
 pub mod client;
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -1,4 +1,4 @@
-//! One dispatcher, put together from its parts: start, reload and shutdown.
+//! Startup, reload and shutdown of one dispatcher.
 use crate::client::accept_connections;
 use crate::cluster::{ClusterDriver, ClusterEvent};
 use crate::context::{Context, ContextParts};
@@ -26,28 +26,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long connections are accepted after the signal: up to 0.4 s by the protocol, and a tenth for their requests.
+/// Time for which connections are accepted after the shutdown signal: 0.4 s, during which clients
+/// may still connect according to the protocol, and 0.1 s for their requests.
 const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(500);
-/// How often to look whether the last clients have gone.
+/// Interval between checks whether all clients have disconnected.
 const LAST_CLIENTS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a dispatcher does not start.
+/// Reason why a dispatcher cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A setting is missing or cannot be used.
+    /// A setting is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Load reports are exchanged by rank, and the settings give none.
+    /// The exchange of load reports needs a rank, and the settings contain none.
     #[error(
-        "setting me is missing: it is this dispatcher's number among the addresses of talk.peers"
+        "setting me is missing: expected the index of this dispatcher in talk.peers, counted from 0"
     )]
     MissingRank,
     /// The socket for load reports cannot be opened.
     #[error("cannot listen on {listen} (talk.listen): {source}")]
     PeerLoadSocket {
-        /// Its address.
+        /// Configured address.
         listen: SocketAddr,
-        /// What is wrong with it.
+        /// Error of the runtime.
         source: io::Error,
     },
     /// The cluster cannot be joined.
@@ -55,25 +56,25 @@
     Cluster(#[source] ClusterError),
 }
 
-/// A dispatcher that runs. Dropping it ends all of its tasks.
+/// A running dispatcher. Dropping it cancels all of its tasks.
 pub struct Node<R: Runtime> {
-    /// What its tasks share.
+    /// State shared by the tasks.
     pub context: Rc<Context<R>>,
     config: Config,
     engine: Task<()>,
     follower: Task<()>,
     accepting: Task<()>,
     _receiving: Task<()>,
-    /// Dropping it ends the accepting of connections.
+    /// Dropping this sender stops the accepting of connections.
     stop_accepting: Sender<()>,
     discovery_addresses: Sender<SocketAddr>,
 }
 
 impl<R: Runtime> Node<R> {
-    /// Starts to serve.
+    /// Starts a dispatcher for the clients of `listener`.
     ///
     /// # Errors
-    /// Where a setting is missing or a socket cannot be opened.
+    /// Returns an error if a setting is missing or invalid, or if a socket cannot be opened.
     pub fn start(runtime: R, config: Config, listener: R::Listener) -> Result<Self, StartError> {
         let now = runtime.now();
         let cached_list = cached_list(&config);
@@ -125,17 +126,18 @@
         })
     }
 
-    /// Ends when the engine's task or the follower of the endpoint list does, which neither does by itself: a program
-    /// without one of them must not go on accepting.
+    /// Waits until the engine's task or the follower of the endpoint list ends. Neither ends in
+    /// normal operation, and connections must not be accepted without them.
     pub async fn wait_for_failure(&mut self) {
         (&mut self.engine).or(&mut self.follower).await;
     }
 
-    /// Applies a new configuration, as far as that is possible without a restart: the address of discovery, and the limits.
+    /// Applies the parts of a new configuration that need no restart: the address of the discovery
+    /// service and the resource limits.
     pub fn reload(&self, config: &Config) {
         if needs_restart(&self.config, config) {
             log::warn!(
-                "a new listen address, talk, cluster and settings act from the next start only"
+                "changes of listen, talk, cluster and settings take effect only after a restart"
             );
         }
         self.context
@@ -145,8 +147,8 @@
         log::info!("a new configuration: discovery at {}", config.discovery);
     }
 
-    /// Shuts down: all requests that were accepted are answered, and connections are accepted for as long as clients may
-    /// still send to this dispatcher.
+    /// Shuts down. All accepted requests are answered, and connections are accepted for as long as
+    /// clients may still send to this dispatcher.
     pub async fn stop(self) {
         let context = &self.context;
         let deadline = context.runtime.now() + self.config.runtime.shutdown_timeout;
@@ -165,16 +167,17 @@
             context.runtime.sleep_until(next_poll).await;
         }
         log::info!(
-            "{} clients were still connected at the end",
+            "{} clients still connected at the end of the shutdown",
             context.limits.client_count()
         );
     }
 }
 
-/// The endpoint list that the configuration carries, or an empty one.
+/// Returns the cached endpoint list of the configuration, or an empty list if there is no valid
+/// one.
 fn cached_list(config: &Config) -> EndpointList {
     decode_endpoint_list(&config.cached_endpoints, &config.names()).unwrap_or_else(|error| {
-        log::warn!("no cached list of workers: {error}");
+        log::warn!("no usable cached endpoint list: {error}");
         EndpointList {
             version: 0,
             is_snapshot: true,
@@ -216,7 +219,7 @@
     let cluster = Cluster::new(cluster_config, now, config.seed ^ now);
     let events = events.clone();
     let on_event = move |event| {
-        // The engine's task outlives the cluster's but for the end of the program.
+        // The engine's task outlives the cluster's except at process exit.
         let _ = events.try_send(match event {
             ClusterEvent::FleetView(position) => EngineEvent::FleetView(position),
             ClusterEvent::WarmUpGranted {
@@ -249,7 +252,7 @@
     }
 }
 
-/// Receives from other dispatchers, as far as that is configured.
+/// Receives datagrams from other dispatchers if a cluster or peer addresses are configured.
 async fn receive_datagrams<R: Runtime>(context: Rc<Context<R>>) {
     if let Some(cluster) = &context.cluster {
         cluster.run(&context.runtime).await;
@@ -261,7 +264,7 @@
     }
 }
 
-/// Whether a configuration differs in what acts from the next start only.
+/// Returns whether configurations differ in a part that is read only at startup.
 fn needs_restart(running: &Config, new: &Config) -> bool {
     new.listen != running.listen
         || new.peer_load != running.peer_load
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -1,4 +1,4 @@
-//! Exchange of load reports with other dispatchers, where the configuration gives their addresses.
+//! Exchange of load reports with other dispatchers whose addresses are configured.
 use crate::traits::{DatagramSocket, Runtime};
 use futures_lite::future::yield_now;
 use rosewall::types::{Nanos, PeerLoad};
@@ -8,21 +8,22 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// Datagrams a second in each direction; what is beyond is dropped and counted. Ten times the load of a busy fleet of a hundred.
+/// Maximum rate of datagrams in each direction; excess datagrams are dropped and counted. Ten times
+/// the load of a busy fleet of a hundred.
 const MAX_DATAGRAMS_PER_SECOND: u64 = 5_000;
 
-/// The exchange of one dispatcher.
+/// Socket, peers and rate limit of one dispatcher.
 pub struct PeerLoadExchange<S> {
     socket: S,
-    /// This dispatcher's number.
+    /// Rank of this dispatcher: its index in `peers`.
     own_rank: u16,
-    /// The addresses of all dispatchers, in the order of their numbers.
+    /// Addresses of all dispatchers, in the order of their ranks.
     peers: Vec<SocketAddr>,
     send_limit: RefCell<RateLimiter>,
 }
 
 impl<S: DatagramSocket> PeerLoadExchange<S> {
-    /// An exchange over a socket.
+    /// Creates an exchange over `socket`. `own_rank` is the index of this dispatcher in `peers`.
     pub fn new(socket: S, own_rank: u16, peers: Vec<SocketAddr>) -> Self {
         PeerLoadExchange {
             socket,
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Sends a report to the dispatcher with a number. What cannot be sent is dropped, as any datagram may be.
+    /// Sends a report to the dispatcher with rank `to`. A report that cannot be sent is dropped, as
+    /// any datagram may be lost.
     pub fn send(&self, now: Nanos, counters: &Counters, to: u16, load: &PeerLoad) {
         let Some(peer) = self.peers.get(usize::from(to)) else {
             return counters.peer_loads_not_sent.add();
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Receives for ever; each report goes to `on_load` with the number of its sender.
+    /// Receives until the task is dropped and calls `on_load` with the rank of the sender and the
+    /// load of each report.
     pub async fn receive<R: Runtime>(
         &self,
         runtime: &R,
@@ -70,7 +73,7 @@
                 }
                 None => counters.peer_loads_dropped.add(),
             }
-            // A flood of datagrams must not keep the executor from the other tasks.
+            // A flood of datagrams must not block other tasks.
             yield_now().await;
         }
     }
--- a/crates/runtime/src/traits.rs
+++ b/crates/runtime/src/traits.rs
@@ -1,5 +1,5 @@
-//! The runtime that the tasks run on: time, tasks, connections and datagrams. The daemon implements it over sockets, the
-//! simulation over a virtual clock and network.
+//! Abstract runtime that the tasks run on: time, tasks, connections and datagrams. The daemon
+//! implements it over sockets, the simulation over a virtual clock and network.
 use async_executor::Task;
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
 use rosewall::types::Nanos;
@@ -7,85 +7,88 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is to be read from a connection now.
+/// Read readiness of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It is open and nothing is there.
+    /// The connection is open and there are no bytes to read.
     Idle,
-    /// Bytes are there.
+    /// There are bytes to read.
     Readable,
-    /// It has ended or broken.
+    /// The connection was closed by the peer or has failed.
     Closed,
 }
 
-/// One connection. Dropping it closes it: with a reset where bytes arrived that were not read.
+/// One connection. Dropping it closes it, with a reset if received bytes were not read.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// Its readiness; reads nothing.
+    /// Returns the readiness without reading anything.
     fn readiness(&self) -> Readiness;
-    /// Waits until its readiness is not [`Readiness::Idle`]; an error where that cannot be waited for.
+    /// Waits until the readiness is not [`Readiness::Idle`]. Returns an error if waiting is not
+    /// possible.
     fn readable(&self) -> impl Future<Output = io::Result<()>>;
-    /// Ends the sending side; what the peer sends can still be read.
+    /// Closes the sending side. Bytes from the peer can still be read.
     fn shutdown_write(&self) -> io::Result<()>;
 }
 
-/// Where connections come in.
+/// Socket that accepts connections.
 pub trait Listener: 'static {
-    /// The connections.
+    /// Type of the accepted connections.
     type Stream: Stream;
-    /// Sets how many connections the system accepts ahead of this program.
+    /// Sets the maximum number of connections that wait to be accepted.
     fn set_backlog(&self, backlog: i32) -> io::Result<()>;
     /// Waits until a connection can be accepted.
     fn wait_ready(&self) -> impl Future<Output = io::Result<()>>;
-    /// The oldest connection that waits; `WouldBlock` where there is none.
+    /// Accepts the connection that has waited longest. Fails with `WouldBlock` if none waits.
     fn accept(&self) -> io::Result<Self::Stream>;
 }
 
-/// Where datagrams go out and come in.
+/// Socket that sends and receives datagrams.
 pub trait DatagramSocket: 'static {
-    /// Sends at once or not at all.
+    /// Sends a datagram without waiting, or fails.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
-    /// The length of the next datagram, cut to the buffer's, and its sender.
+    /// Waits for the next datagram. Returns its length, truncated to the length of `bytes`, and its
+    /// sender.
     fn receive(&self, bytes: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
 
-/// Time, tasks and the network.
+/// Clock, task spawning and network access.
 pub trait Runtime: 'static {
-    /// Connections.
+    /// Type of connections.
     type Stream: Stream;
-    /// Sockets for datagrams.
+    /// Type of sockets for datagrams.
     type DatagramSocket: DatagramSocket;
-    /// Listeners for connections.
+    /// Type of listeners for connections.
     type Listener: Listener<Stream = Self::Stream>;
-    /// Unix time at the start, and monotonic from there on.
+    /// Returns the current time: Unix time at startup, advanced by a monotonic clock from then on.
     fn now(&self) -> Nanos;
-    /// Ends once `now` is `at` or later.
+    /// Waits until `now` is `at` or later.
     fn sleep_until(&self, at: Nanos) -> impl Future<Output = ()>;
-    /// Runs a task concurrently; dropping the handle cancels it and drops all that it owns.
+    /// Spawns a concurrent task. Dropping the handle cancels the task and drops everything that it
+    /// owns.
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> Task<()>;
-    /// A socket that receives at `address`. Datagrams go through `relay`, where there is one, each with the other side's
-    /// address before it.
+    /// Opens a socket that receives at `address`. With a `relay`, all datagrams pass through it,
+    /// each prefixed with the address of the remote side.
     fn bind_datagram_socket(
         &self,
         address: SocketAddr,
         relay: Option<SocketAddr>,
     ) -> io::Result<Self::DatagramSocket>;
-    /// Opens a connection.
+    /// Opens a connection to `to`.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// A duration as whole nanoseconds.
+/// Converts a duration to whole nanoseconds; one that does not fit becomes `u64::MAX / 2`.
 pub fn nanos(duration: Duration) -> Nanos {
     u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX / 2)
 }
 
-/// Sleeps for a time.
+/// Sleeps for a duration.
 pub async fn sleep<R: Runtime>(runtime: &R, duration: Duration) {
     runtime
         .sleep_until(runtime.now().saturating_add(nanos(duration)))
         .await;
 }
 
-/// Fails with `TimedOut` where the work takes longer than the limit.
+/// Runs `work`. Fails with `TimedOut` if it takes longer than `limit`.
 pub async fn with_timeout<R: Runtime, T>(
     runtime: &R,
     limit: Duration,
--- a/crates/runtime/src/worker/attempt.rs
+++ b/crates/runtime/src/worker/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: sending its request and reading the worker's answer.
+//! One attempt: sends its request and reads the worker's answer.
 use super::connect::connect;
 use crate::context::{Context, WorkerConnection};
 use crate::event::EngineEvent;
@@ -15,37 +15,39 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long after its last line the end of an answer may come for the connection to be used again.
+/// Time limit for the end of an answer after its last line. The connection is reused only if the
+/// end arrives in time.
 const ANSWER_END_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long the last byte of a request waits for a reset: two round trips inside one data centre, and the turns of both
-/// sides.
+/// Time that the last byte of a request is delayed to wait for a reset: two round trips inside one
+/// data centre, and the scheduling delays of both sides.
 const RESET_WAIT: Duration = Duration::from_millis(2);
-/// One read.
+/// Size of one read.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What an attempt is sent over, and whether it is still wanted.
+/// Connection for an attempt, and the cancellation flag of the attempt.
 pub struct AttemptConnection<S> {
-    /// A connection from the pool, if there was one.
+    /// Connection from the pool; `None` if a new one must be opened.
     pub pooled: Option<IdleConnection<WorkerConnection<S>>>,
-    /// Set where the attempt is not to be sent any more, if its last byte was not.
+    /// Set when the attempt must not be sent any more. Without effect once the last byte was
+    /// written.
     pub cancelled: Rc<Cell<bool>>,
 }
 
-/// The connection that a request was written to.
+/// Connection that a request was completely written to.
 struct SentAttempt<S> {
     connection: WorkerConnection<S>,
-    /// For a reused connection, since when it was idle.
+    /// Time since which a reused connection was idle; `None` for a new one.
     idle_since: Option<Nanos>,
 }
 
-/// A request to be written.
+/// Encoded request that can be cancelled until its last byte is written.
 struct CancellableRequest<'a> {
     bytes: &'a [u8],
     cancelled: &'a Cell<bool>,
 }
 
 impl CancellableRequest<'_> {
-    /// The outcome where it was not written to its last byte.
+    /// Returns the outcome of a request whose last byte was not written.
     fn unsent_outcome(&self) -> Outcome {
         if self.cancelled.get() {
             Outcome::NotSent
@@ -55,7 +57,8 @@
     }
 }
 
-/// Carries out one attempt, unless it is cancelled before its last byte. Its end is reported once.
+/// Runs one attempt, unless it is cancelled before its last byte is written. The end is reported
+/// once.
 pub async fn send_attempt<R: Runtime>(
     context: Rc<Context<R>>,
     attempt: OutboundAttempt,
@@ -94,8 +97,9 @@
     }
 }
 
-/// Sends a request over the pooled connection, or over a new one where there is none or that one is dead. A request that
-/// was not written to its last byte did not run; after that byte nothing is sent again here.
+/// Sends a request over the pooled connection, or over a new one if there is none or the pooled one
+/// has failed. A request whose last byte was not written did not run. After that byte, nothing is
+/// sent again here.
 async fn send<R: Runtime>(
     context: &Context<R>,
     pooled: Option<IdleConnection<WorkerConnection<R::Stream>>>,
@@ -112,8 +116,8 @@
         let write = async {
             Ok(write_request(runtime, &mut connection.stream, request, Some(idle_since)).await)
         };
-        // A connection that accepts no bytes within the limit is given up, and so is the attempt: by the time that a
-        // vanished host is back, the endpoint list may forbid to send to it.
+        // If the connection accepts no bytes within the limit, the attempt ends as well: when an
+        // unreachable host returns, the endpoint list may no longer permit requests to it.
         match with_timeout(runtime, limit, write).await {
             Ok(true) => {
                 return Ok(SentAttempt {
@@ -127,7 +131,8 @@
         if request.cancelled.get() {
             return Err(Outcome::NotSent);
         }
-        // This says how long idle connections live, and nothing of the worker: nothing was sent yet.
+        // Counts against the lifetime of idle connections and not against the worker: the request
+        // was not sent yet.
         if connection.stream.readiness() == Readiness::Closed {
             context.record_broken_connection(idle_since);
         }
@@ -146,11 +151,11 @@
     Err(request.unsent_outcome())
 }
 
-/// Writes a request; false where the connection broke, or the attempt was cancelled, before its last byte, so that it never
-/// ran.
+/// Writes a request. Returns false if the connection failed or the attempt was cancelled before the
+/// last byte, so that the request did not run.
 ///
-/// The last byte waits until the worker could have became_readable the others with a reset, as it does on a connection that it
-/// dropped while it was idle.
+/// The last byte is delayed until the worker could have answered the other bytes with a reset, as
+/// it does on a connection that it closed while it was idle.
 async fn write_request<R: Runtime>(
     runtime: &R,
     stream: &mut R::Stream,
@@ -171,8 +176,9 @@
         sleep(runtime, RESET_WAIT.max(Duration::from_nanos(rest))).await;
         false
     };
-    // A worker answers after the last byte. What is there before it is the end of the connection, or, on a reused one, a
-    // late answer to an earlier request, which must not be taken for this one's.
+    // A worker answers only after the last byte. Anything readable earlier is the end of the
+    // connection or, on a reused one, a late answer to an earlier request, which must not be
+    // attributed to this one.
     let is_readable = became_readable.or(wait_elapsed).await;
     if is_readable && (idle_since.is_some() || stream.readiness() != Readiness::Readable) {
         return false;
@@ -180,7 +186,7 @@
     !request.cancelled.get() && stream.write_all(&[*last]).await.is_ok()
 }
 
-/// Reads the answer to its end. Returns the connection where it may be used again.
+/// Reads the answer to its end. Returns the connection if it can be reused.
 async fn read_answer<R: Runtime>(
     context: &Context<R>,
     sent: SentAttempt<R::Stream>,
@@ -192,7 +198,7 @@
         idle_since,
     } = sent;
     let mut buffer = vec![0; READ_BUFFER_BYTES];
-    // Once the attempt has ended: until when the rest of the answer is read.
+    // Time limit for reading the rest of the answer, set once the attempt has ended.
     let mut read_limit = None;
     let mut has_received = false;
     loop {
@@ -226,7 +232,7 @@
         if reader.is_finished() {
             break;
         }
-        // One worker that sends faster than is read must not keep the executor from the others.
+        // A worker that sends faster than this task reads must not block other tasks.
         yield_now().await;
     }
     reader.is_reusable().then_some(connection)
--- a/crates/runtime/src/worker/connect.rs
+++ b/crates/runtime/src/worker/connect.rs
@@ -1,4 +1,4 @@
-//! Opening connections to workers within the limit on descriptors.
+//! Opens connections to workers within the limit on descriptors.
 use crate::context::{Context, WorkerConnection};
 use crate::traits::{Runtime, sleep, with_timeout};
 use futures_lite::future::yield_now;
@@ -7,13 +7,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long to wait before the next look for a descriptor.
+/// Pause before the next attempt to acquire a descriptor.
 const DESCRIPTOR_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// Opens a connection. The limit holds for the descriptor and for the connection, one after the other.
+/// Opens a connection. The limit applies to acquiring the descriptor and then again to connecting.
 ///
 /// # Errors
-/// `NotSent` without a descriptor, which is not the worker's fault; `ConnectFailed` where the worker does not answer.
+/// `NotSent` if no descriptor becomes free in time, which is not a fault of the worker.
+/// `ConnectFailed` if the connection fails or is not established in time.
 pub(super) async fn connect<R: Runtime>(
     context: &Context<R>,
     address: SocketAddr,
@@ -37,7 +38,7 @@
         .await
         .map_err(|error| {
             context.counters.connects_failed.add();
-            log::debug!("no connection to {address}: {error}");
+            log::debug!("cannot connect to {address}: {error}");
             Outcome::ConnectFailed
         })
 }
--- a/crates/runtime/src/worker/health_check.rs
+++ b/crates/runtime/src/worker/health_check.rs
@@ -1,4 +1,4 @@
-//! One health check of a worker.
+//! Runs one health check of a worker.
 use super::connect::connect;
 use crate::context::Context;
 use crate::event::EngineEvent;
@@ -12,10 +12,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One read: more than most reports.
+/// Size of one read: larger than most load reports.
 const READ_BUFFER_BYTES: usize = 1024;
 
-/// Checks the health of a worker and reports what it came to, a time-out beyond the limit.
+/// Checks the health of a worker and reports the outcome, which is a time-out once `limit` has
+/// passed.
 pub async fn check_health<R: Runtime>(
     context: Rc<Context<R>>,
     worker: WorkerId,
