--- a/crates/protocol/src/client/answer.rs
+++ b/crates/protocol/src/client/answer.rs
@@ -1,24 +1,25 @@
-//! Encoding the answers to clients.
+//! Encodes the answers to clients.
 use crate::wire::{body, header, reason, value};
 use rosewall::types::Nanos;
 
-/// The final answer to a request.
+/// Final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The worker's result.
+    /// The request ran; holds the result from the worker.
     Succeeded(Vec<u8>),
-    /// Nothing ran.
+    /// The request did not run.
     Rejected {
-        /// After which time the client may send the request again; 0 for no statement.
+        /// Time after which the client may send the request again, in nanoseconds; 0 if not
+        /// specified.
         retry_after: Nanos,
     },
-    /// No result, and no promise that nothing ran.
+    /// There is no result, and the request may have run.
     Failed,
-    /// Not accepted: a request with this id is active or was forwarded before.
+    /// The request was not accepted: one with the same id is active or was forwarded before.
     DuplicateId,
 }
 
-/// Lets a client send its body.
+/// Interim response that lets a client send its body.
 pub const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 fn reason_phrase(status: u16) -> &'static str {
@@ -36,7 +37,7 @@
     }
 }
 
-/// A complete response; `header_lines` are further header fields, each with its line end.
+/// Encodes a complete response. `header_lines` are further header fields, each with its line end.
 pub fn encode_response(status: u16, header_lines: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
     let connection_line = if keep_alive {
         String::new()
@@ -54,7 +55,7 @@
     bytes
 }
 
-/// The response to a readiness check.
+/// Encodes the response to a readiness check.
 pub fn encode_readiness(ready: bool, keep_alive: bool) -> Vec<u8> {
     if ready {
         encode_response(200, "", body::READY, keep_alive)
@@ -63,17 +64,18 @@
     }
 }
 
-/// The response to an invalid request. The connection ends after it.
+/// Encodes the response to an invalid request. The connection is closed after it.
 pub fn encode_refusal(status: u16, reason: &str) -> Vec<u8> {
     encode_response(status, "", format!("{reason}\n").as_bytes(), false)
 }
 
-/// The response to a request that did not arrive whole in time. The connection ends after it.
+/// Encodes the response to a request that did not arrive completely in time. The connection is
+/// closed after it.
 pub fn encode_incomplete_request() -> Vec<u8> {
     encode_refusal(408, reason::REQUEST_INCOMPLETE)
 }
 
-/// The response that carries an answer.
+/// Encodes the response with the final answer to a request.
 pub fn encode_answer(answer: &Answer, keep_alive: bool) -> Vec<u8> {
     match answer {
         Answer::Succeeded(result) => encode_response(200, "", result, keep_alive),
--- a/crates/protocol/src/client/mod.rs
+++ b/crates/protocol/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The client side: requests in, answers out.
+//! The client side: parses requests and encodes answers.
 mod answer;
 mod request_head;
 mod request_reader;
@@ -12,34 +12,35 @@
 use crate::wire::reason;
 use rosewall::types::Nanos;
 
-/// A request as it came over HTTP.
+/// Request of a client, parsed from HTTP.
 #[derive(Debug, Default, PartialEq)]
 pub struct ClientRequest {
-    /// The request target, forwarded as it came.
+    /// Request target, forwarded unchanged.
     pub target: String,
-    /// The client's id of the request.
+    /// Id that the client assigned to the request.
     pub id: String,
-    /// The key by which repeats of it are known; empty where it has none.
+    /// Key by which repeats of the request are recognised; empty if there is none.
     pub idempotency_key: String,
-    /// Index of its class.
+    /// Index of the request class in [`Names::classes`](crate::names::Names::classes).
     pub class: u8,
-    /// Index of its tenant.
+    /// Index of the tenant in [`Names::tenants`](crate::names::Names::tenants); 0 if that list is
+    /// empty.
     pub tenant: u16,
-    /// How long the client waits, from the moment it sent the request.
+    /// Time that the client waits, counted from the sending of the request.
     pub timeout: Nanos,
-    /// The expected service time, where the client states one.
+    /// Expected service time; `None` if the client states none, or 0.
     pub hint: Option<Nanos>,
-    /// Concurrency slots that it needs.
+    /// Number of concurrency slots that the request needs; 1 if the client states none.
     pub slots: f32,
-    /// Memory that it needs.
+    /// Amount of memory that the request needs; 0 if the client states none.
     pub memory: f32,
-    /// The body.
+    /// Request body, empty until it was read.
     pub body: Vec<u8>,
     /// Whether the client keeps the connection open after the answer.
     pub keep_alive: bool,
 }
 
-/// What a client's bytes amount to.
+/// Event in the byte stream of a client.
 #[derive(Debug, PartialEq)]
 pub enum ClientEvent {
     /// The client waits for `100 Continue` before it sends its body.
@@ -51,22 +52,22 @@
         /// Whether the client keeps the connection open after the answer.
         keep_alive: bool,
     },
-    /// Not a request that can be accepted. The connection ends after the answer.
+    /// A request that cannot be accepted. The connection is closed after the answer.
     Invalid {
-        /// The status of the answer.
+        /// HTTP status of the answer.
         status: u16,
-        /// The body of the answer.
+        /// Body of the answer, without its line end.
         reason: &'static str,
     },
 }
 
 impl ClientEvent {
-    /// The client has sent more requests ahead of their turn than are stored.
+    /// The client has pipelined more bytes than are buffered.
     pub const PIPELINE_TOO_LONG: ClientEvent = ClientEvent::Invalid {
         status: 503,
         reason: reason::PIPELINE_TOO_LONG,
     };
-    /// The memory for requests of clients is used up.
+    /// The memory limit for requests of clients is reached.
     pub const OUT_OF_MEMORY: ClientEvent = ClientEvent::Invalid {
         status: 503,
         reason: reason::OUT_OF_MEMORY,
--- a/crates/protocol/src/client/request_head.rs
+++ b/crates/protocol/src/client/request_head.rs
@@ -1,4 +1,4 @@
-//! Parsing and checking the head of a request.
+//! Parses and validates the head of a request.
 use super::{ClientEvent, ClientRequest};
 use crate::http::{
     BodyReader, HttpError, MAX_BODY_BYTES, MAX_HEADERS, UnframedBody, single_value,
@@ -9,16 +9,16 @@
 use httparse::Header;
 use rosewall::types::Nanos;
 
-/// The longest timeout, exclusive: a day.
+/// Exclusive upper bound of the timeout: one day.
 const TIMEOUT_LIMIT_SECONDS: f64 = 86_400.0;
-/// A bound for all figures of a request: a day in microseconds.
+/// Exclusive upper bound of every number in the header fields: one day in microseconds.
 const NUMBER_LIMIT: f64 = 86_400e6;
 
-/// What a complete head amounts to.
+/// Content of a complete head.
 pub(super) enum RequestHead {
-    /// Something that is answered without a body.
+    /// An event that is answered without reading a body.
     Event(ClientEvent),
-    /// A request, whose body follows.
+    /// A request. Its body follows.
     Request {
         request: ClientRequest,
         body: BodyReader,
@@ -27,12 +27,13 @@
     },
 }
 
-/// Parses and checks a complete head.
+/// Parses and validates a complete head.
 pub(super) fn parse_request_head(bytes: &[u8], names: &Names) -> Result<RequestHead, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     match parsed.parse(bytes) {
-        // A head that ends earlier by another reading, as by bare line feeds, could smuggle in a second request.
+        // If the parser sees an earlier end than the buffer, for example after bare line feeds, the
+        // rest could be used to smuggle in a second request.
         Ok(httparse::Status::Complete(end)) if end == bytes.len() => {}
         Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
         _ => return Err(HttpError::Malformed(reason::HEAD_UNREADABLE)),
@@ -74,8 +75,8 @@
     RequestHead::Event(ClientEvent::Invalid { status, reason })
 }
 
-/// The request that the header fields describe, without its body. Where several are wrong, the first of them in the order
-/// of the fields read here is reported.
+/// Parses the header fields to a request without its body. If several fields are invalid, the first
+/// one in the order in which they are read here is reported.
 fn parse_fields(
     headers: &[Header],
     names: &Names,
@@ -175,7 +176,8 @@
     Ok(resources)
 }
 
-/// A plain decimal: digits, and perhaps a point.
+/// Parses a decimal number of digits and at most one point. Returns `None` for other forms and
+/// beyond the limit.
 fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = text
         .bytes()
--- a/crates/protocol/src/client/request_reader.rs
+++ b/crates/protocol/src/client/request_reader.rs
@@ -1,48 +1,48 @@
-//! Reads the requests of one connection, however their bytes are split.
+//! Reads the requests of one connection, regardless of how their bytes are split.
 use super::request_head::{RequestHead, parse_request_head};
 use super::{ClientEvent, ClientRequest};
 use crate::http::{BodyReader, HttpError, MAX_BODY_BYTES, MAX_HEAD_BYTES, ReadBuffer};
 use crate::names::Names;
 use crate::wire::reason;
 
-/// A request whose body is still to come.
+/// Request whose body is incomplete.
 struct OpenRequest {
     request: ClientRequest,
     body: BodyReader,
 }
 
-/// Reads the requests of one connection.
+/// Reader for the requests of one connection.
 #[derive(Default)]
 pub struct RequestReader {
     buffer: ReadBuffer,
     open: Option<OpenRequest>,
-    /// Whether an invalid request was reported: nothing is read after it.
+    /// Whether an invalid request was reported. Nothing is read after it.
     failed: bool,
 }
 
 impl RequestReader {
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether nothing of a request has arrived yet.
+    /// Returns whether no byte of a request has arrived yet.
     pub fn is_idle(&self) -> bool {
         self.open.is_none() && self.buffer.bytes.is_empty()
     }
 
-    /// How many bytes of requests are stored here.
+    /// Returns the number of buffered bytes of requests.
     pub fn buffered_bytes(&self) -> usize {
         let body_bytes = self.open.as_ref().map_or(0, |open| open.request.body.len());
         self.buffer.bytes.len() + body_bytes
     }
 
-    /// Whether more may be fed: the bytes of requests sent ahead of their turn are bounded.
+    /// Returns whether more bytes may be fed: the bytes of pipelined requests are limited.
     pub fn has_capacity(&self) -> bool {
         self.buffer.bytes.len() < MAX_HEAD_BYTES + MAX_BODY_BYTES
     }
 
-    /// The next event in the bytes fed so far. Nothing follows [`ClientEvent::Invalid`].
+    /// Returns the next event in the bytes fed so far. Nothing follows [`ClientEvent::Invalid`].
     pub fn next_event(&mut self, names: &Names) -> Option<ClientEvent> {
         if self.failed {
             return None;
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery side: requests for the endpoint list out, lists in.
+//! The discovery side: encodes requests for the endpoint list and decodes lists.
 use crate::http::{CompleteResponse, HttpError, ResponseReader};
 use crate::names::{Names, index_of_name};
 use crate::wire::{endpoint_state, target};
@@ -6,80 +6,80 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The largest list in bytes: some thousand workers.
+/// Maximum size of a list in bytes: enough for a thousand workers.
 const MAX_LIST_BYTES: usize = 1024 * 1024;
 
 /// One entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// The name that identifies the worker.
+    /// Name that identifies the worker.
     pub host: String,
-    /// Where to connect; always known unless the worker is removed.
+    /// Address to connect to; `None` only if the worker is removed.
     pub address: Option<SocketAddr>,
-    /// Whether it takes requests.
+    /// Whether the worker is ready, draining or removed.
     pub state: EndpointState,
-    /// Index of its zone, or `u16::MAX` for one that the settings do not name.
+    /// Index of the worker's zone; `u16::MAX` if the settings do not list the zone.
     pub zone: u16,
-    /// Index of its worker type, or `u8::MAX` for one that the settings do not name.
+    /// Index of the worker type; `u8::MAX` if the settings do not list the type.
     pub worker_type: u8,
-    /// The group of workers it belongs to.
+    /// Group of workers that the worker belongs to; 0 by default.
     pub group: u16,
-    /// Its relative size.
+    /// Size of the worker relative to the others; 1 by default.
     pub size: f32,
-    /// When its process started, as Unix time.
+    /// Start time of the worker's process, as Unix time in nanoseconds; 0 by default.
     pub started_at: Nanos,
 }
 
 /// A list of endpoints, or the changes since an earlier version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Grows with each change.
+    /// Version of the list, which increases with each change.
     pub version: u64,
-    /// Whether it names all workers, not only those that changed.
+    /// Whether the list names all workers, not only those that have changed.
     pub is_snapshot: bool,
-    /// The entries.
+    /// Entries in the order in which they were sent.
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// Why a list is malformed.
+/// Reason why a list is malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// It does not have the form of a list.
+    /// The text is not JSON or not a list.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// An entry has a state that the protocol does not know.
-    #[error("unknown health {health:?} of {host:?}")]
+    /// An entry has a state that the protocol does not define.
+    #[error("unknown health {health:?} of host {host:?}: expected ready, draining or gone")]
     UnknownState {
-        /// The entry.
+        /// Name of the worker.
         host: String,
-        /// Its state.
+        /// State of the worker as sent.
         health: String,
     },
-    /// An entry names a worker that is not removed, but no address of it.
-    #[error("no address to dial for {host:?}")]
+    /// An entry has no valid address, although its worker is not removed.
+    #[error("host {host:?} has no valid address in dial: expected IP:PORT")]
     NoAddress {
-        /// The entry.
+        /// Name of the worker.
         host: String,
     },
     /// An entry has no name, or a size that is not a finite number.
     #[error(
-        "an entry without a host or with a share that is no number: host {host:?}, share {size}"
+        "invalid entry: expected a non-empty host and a finite share, got host {host:?}, share {size}"
     )]
     InvalidEntry {
-        /// The entry.
+        /// Name of the worker.
         host: String,
-        /// Its size.
+        /// Size of the worker.
         size: f32,
     },
 }
 
-/// Why a response of the discovery service cannot be used.
+/// Reason why a response of the discovery service cannot be used.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ListResponseError {
-    /// It has another status than 200.
-    #[error("status {0}")]
+    /// The status is not 200.
+    #[error("unexpected status {0}: expected 200")]
     Status(u16),
-    /// It is malformed or too large.
+    /// The response is malformed or too large.
     #[error(transparent)]
     Http(#[from] HttpError),
 }
@@ -116,16 +116,16 @@
     1.0
 }
 
-/// A request for changes after a version that is known.
+/// Request for the changes after a known version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watch {
-    /// The version that is known.
+    /// Known version.
     pub version: u64,
-    /// How long the service may wait for a change, in milliseconds.
+    /// Maximum time that the service may wait for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// The request for the whole list, or for changes where there is a watch.
+/// Encodes a request for changes if there is a watch, and otherwise for a snapshot.
 pub fn encode_list_request(address: &str, watch: Option<Watch>) -> Vec<u8> {
     let query = watch
         .map(|Watch { version, wait_ms }| format!("?index={version}&wait={wait_ms}"))
@@ -134,10 +134,10 @@
     format!("GET {target}{query} HTTP/1.1\r\nHost: {address}\r\n\r\n").into_bytes()
 }
 
-/// Decodes a list. One invalid entry makes the list malformed.
+/// Decodes a list. One invalid entry makes the whole list malformed.
 ///
 /// # Errors
-/// Where the text is not a list or an entry is invalid.
+/// Returns an error if the text is not a list or if an entry is invalid.
 pub fn decode_endpoint_list(
     bytes: &[u8],
     names: &Names,
@@ -180,7 +180,7 @@
             size: raw.size,
         });
     }
-    // A zone or worker type that the settings do not name matches none of them.
+    // A zone or worker type that the settings do not list gets an index that matches none of them.
     let zone = index_of_name(&names.zones, &raw.zone)
         .and_then(|index| u16::try_from(index).ok())
         .unwrap_or(u16::MAX);
@@ -199,17 +199,17 @@
     })
 }
 
-/// Reads one response of the discovery service, however its bytes are split.
+/// Reader for one response of the discovery service, regardless of how its bytes are split.
 #[derive(Default)]
 pub struct EndpointListReader {
     response: ResponseReader,
 }
 
 impl EndpointListReader {
-    /// Takes in bytes; returns the response with the list's text, once it is complete.
+    /// Appends received bytes. Returns the response with the encoded list once it is complete.
     ///
     /// # Errors
-    /// Where the response is malformed or has another status than 200.
+    /// Returns an error if the response is malformed or its status is not 200.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<CompleteResponse>, ListResponseError> {
         let complete = self.response.feed(bytes, MAX_LIST_BYTES);
         match self.response.status() {
@@ -218,7 +218,7 @@
         }
     }
 
-    /// At the end of the connection: the text, if that is how its body ends.
+    /// Returns the encoded list at the end of the connection, if the body ends with it.
     pub fn connection_closed(&mut self) -> Option<Vec<u8>> {
         self.response.connection_closed()
     }
--- a/crates/protocol/src/http/body.rs
+++ b/crates/protocol/src/http/body.rs
@@ -1,55 +1,55 @@
-//! Reading one body, by length, in chunks, or up to the end of the connection.
+//! Reads one body: by length, in chunks, or up to the end of the connection.
 use super::{HttpError, ReadBuffer, single_value};
 use crate::wire::{header, reason, value};
 use httparse::{Header, Status};
 
-/// The longest line with the size of a chunk, in bytes.
+/// Maximum length of the line with the size of a chunk, in bytes.
 const MAX_SIZE_LINE_BYTES: usize = 256;
-/// The largest size of the trailers in bytes.
+/// Maximum size of the trailers in bytes.
 const MAX_TRAILER_BYTES: usize = 4 * 1024;
 
-/// What is to be read next.
+/// Part of the body that is read next.
 #[derive(Debug, PartialEq)]
 enum State {
-    /// The rest of a body of known length, in bytes.
+    /// Rest of a body of known length, in bytes.
     Length(usize),
-    /// Everything up to the end of the connection.
+    /// All bytes up to the end of the connection.
     UntilClose,
     ChunkSize,
-    /// The rest of a chunk, in bytes.
+    /// Rest of a chunk, in bytes.
     ChunkData(usize),
     ChunkEnd,
-    /// Trailers, with the number of their bytes that were read.
+    /// Trailers, with the number of their bytes that have been read.
     Trailers(usize),
     Complete,
 }
 
-/// What one step through the bytes came to.
+/// Result of one parsing step.
 enum Step {
     Continue,
     NeedMore,
     Complete,
 }
 
-/// How a body without a length or a transfer coding ends.
+/// Meaning of a missing length and transfer coding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnframedBody {
-    /// It is empty, as in a request.
+    /// The body is empty, as in a request.
     Empty,
-    /// It ends with its connection, as in a response.
+    /// The body ends with the connection, as in a response.
     UntilClose,
 }
 
-/// Reads one body, however its bytes are split.
+/// Reader for one body, regardless of how its bytes are split.
 pub struct BodyReader {
     state: State,
 }
 
 impl BodyReader {
-    /// A reader for the body of a message with these headers.
+    /// Creates a reader for the body of a message with these headers.
     ///
     /// # Errors
-    /// Where they do not say where the body ends.
+    /// Returns an error if the headers do not define the end of the body.
     pub fn new(headers: &[Header], unframed: UnframedBody) -> Result<BodyReader, HttpError> {
         let coding = single_value(headers, header::TRANSFER_ENCODING)?;
         let length = single_value(headers, header::CONTENT_LENGTH)?;
@@ -66,25 +66,26 @@
         Ok(BodyReader { state })
     }
 
-    /// Whether its length is known to be over a limit.
+    /// Returns whether the length of the body is known and exceeds a limit.
     pub fn exceeds(&self, limit: usize) -> bool {
         matches!(self.state, State::Length(length) if length > limit)
     }
 
-    /// Whether all of it was read.
+    /// Returns whether the whole body has been read.
     pub fn is_complete(&self) -> bool {
         matches!(self.state, State::Complete | State::Length(0))
     }
 
-    /// Whether it ends with its connection.
+    /// Returns whether the body ends with the connection.
     pub fn ends_with_connection(&self) -> bool {
         self.state == State::UntilClose
     }
 
-    /// Moves what can be read from the buffer to `out`, which may hold `limit` bytes; true at the body's end.
+    /// Moves available bytes of the body from `buffer` to `out`, which may hold up to `limit`
+    /// bytes. Returns true at the end of the body.
     ///
     /// # Errors
-    /// Where the framing is malformed or the body exceeds the limit.
+    /// Returns an error if the framing is malformed or the body exceeds the limit.
     pub fn advance(
         &mut self,
         buffer: &mut ReadBuffer,
@@ -212,7 +213,7 @@
 /// Moves bytes from a buffer to a body.
 struct Transfer<'a> {
     bytes: &'a [u8],
-    /// How many of them were used.
+    /// Number of bytes that have been used.
     used: usize,
     out: &'a mut Vec<u8>,
     limit: usize,
@@ -223,7 +224,7 @@
         &self.bytes[self.used..]
     }
 
-    /// Copies up to `count` bytes and returns how many of them are still to come.
+    /// Copies up to `count` bytes. Returns how many of them are still missing.
     fn copy(&mut self, count: usize) -> Result<usize, HttpError> {
         let rest = self.rest();
         let part = &rest[..count.min(rest.len())];
--- a/crates/protocol/src/http/buffer.rs
+++ b/crates/protocol/src/http/buffer.rs
@@ -1,22 +1,22 @@
-//! Received bytes that no reader has used yet.
+//! Buffer for received bytes that no reader has consumed yet.
 use super::{HttpError, MAX_HEAD_BYTES};
 
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-/// Bytes received and not yet consumed.
+/// Received bytes that have not been consumed yet.
 #[derive(Default)]
 pub struct ReadBuffer {
     /// The bytes, oldest first.
     pub bytes: Vec<u8>,
-    /// How many of them were searched for the end of a head.
+    /// Number of bytes that have been searched for the end of a head.
     scanned: usize,
 }
 
 impl ReadBuffer {
-    /// The length of the head at the front, once it is complete.
+    /// Returns the length of the head at the front once it is complete.
     ///
     /// # Errors
-    /// [`HttpError::HeadTooLarge`] beyond [`MAX_HEAD_BYTES`].
+    /// [`HttpError::HeadTooLarge`] if the head is longer than [`MAX_HEAD_BYTES`].
     pub fn head_length(&mut self) -> Result<Option<usize>, HttpError> {
         // Only new bytes are searched, so that a head that arrives byte by byte costs linear time.
         let start = self.scanned.saturating_sub(END_OF_HEAD.len() - 1);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Removes bytes at the front.
+    /// Removes `count` bytes at the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count);
         self.scanned = 0;
--- a/crates/protocol/src/http/headers.rs
+++ b/crates/protocol/src/http/headers.rs
@@ -1,12 +1,12 @@
-//! Questions to the header fields of a message.
+//! Lookups in the header fields of a message.
 use super::HttpError;
 use crate::wire::{header, reason, value};
 use httparse::Header;
 
-/// The value of a header field that may occur once.
+/// Returns the value of a header field that must have only one value.
 ///
 /// # Errors
-/// [`HttpError::Malformed`] where it occurs with different values or is not UTF-8.
+/// [`HttpError::Malformed`] if the field occurs with different values or is not UTF-8.
 pub fn single_value<'a>(headers: &[Header<'a>], name: &str) -> Result<Option<&'a str>, HttpError> {
     let mut found = None;
     for header in headers
@@ -23,7 +23,8 @@
     Ok(found)
 }
 
-/// Whether the sender wants the connection to stay open after this message; `minor_version` is that of HTTP/1.x.
+/// Returns whether the sender wants to keep the connection open after this message. `minor_version`
+/// is the x in HTTP/1.x.
 pub fn wants_keep_alive(headers: &[Header], minor_version: u8) -> bool {
     if minor_version == 0 {
         connection_options_contain(headers, value::KEEP_ALIVE)
--- a/crates/protocol/src/http/mod.rs
+++ b/crates/protocol/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 framing: where a head ends, how long a body is, what it holds.
+//! HTTP/1.1 framing: finds the ends of heads and bodies, and extracts the bodies.
 mod body;
 mod buffer;
 mod headers;
@@ -9,23 +9,23 @@
 pub use headers::{single_value, wants_keep_alive};
 pub use response::{CompleteResponse, ResponseHead, ResponseReader, parse_response_head};
 
-/// The largest head in bytes. Heads are a few hundred bytes; proxies add more.
+/// Maximum size of a head in bytes. Heads are a few hundred bytes long; proxies add more.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The largest body of a request or result in bytes.
+/// Maximum size of the body of a request or result, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The largest number of header lines in one head.
+/// Maximum number of header lines in one head.
 pub const MAX_HEADERS: usize = 64;
 
-/// Why a message is refused.
+/// Reason why a message is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// It does not follow the grammar.
+    /// The message does not follow the grammar of HTTP or of this protocol.
     #[error("malformed HTTP message: {0}")]
     Malformed(&'static str),
-    /// Its head has more than [`MAX_HEAD_BYTES`] or [`MAX_HEADERS`].
+    /// The head exceeds [`MAX_HEAD_BYTES`] or [`MAX_HEADERS`].
     #[error("the head of the HTTP message is too large")]
     HeadTooLarge,
-    /// Its body is over the caller's limit.
+    /// The body exceeds the caller's limit.
     #[error("the body of the HTTP message is too large")]
     BodyTooLarge,
 }
--- a/crates/protocol/src/http/response.rs
+++ b/crates/protocol/src/http/response.rs
@@ -1,22 +1,23 @@
-//! Reading responses: a head alone, or a whole response.
+//! Reads responses: only the head, or a whole response.
 use super::{BodyReader, HttpError, MAX_HEADERS, ReadBuffer, UnframedBody, wants_keep_alive};
 use crate::wire::reason;
 use httparse::{Header, Status};
 
-/// What every reader needs of the head of a response.
+/// Parts of the head of a response that readers need.
 pub struct ResponseHead<'a> {
-    /// The status code.
+    /// HTTP status code.
     pub status: u16,
     /// Whether the connection stays open after the response.
     pub keep_alive: bool,
-    /// The header fields.
+    /// Header fields in the order in which they were sent.
     pub headers: &'a [Header<'a>],
 }
 
-/// Consumes the head of a response, once it is complete; `read` takes from it what the caller needs.
+/// Consumes the head of a response once it is complete. `read` extracts the parts that the caller
+/// needs.
 ///
 /// # Errors
-/// Where the head is malformed or `read` refuses it.
+/// Returns an error if the head is malformed or `read` fails.
 pub fn parse_response_head<T>(
     buffer: &mut ReadBuffer,
     read: impl FnOnce(ResponseHead) -> Result<T, HttpError>,
@@ -39,23 +40,23 @@
     Ok(Some(value))
 }
 
-/// The body of a response that was read to its end.
+/// Response that was read to its end.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CompleteResponse {
-    /// The body.
+    /// Body without its framing.
     pub body: Vec<u8>,
-    /// Whether the connection may be used again.
+    /// Whether the connection can be reused.
     pub reusable: bool,
 }
 
-/// A response whose head was read.
+/// Response whose head has been read.
 struct OpenResponse {
     status: u16,
     keep_alive: bool,
     body: BodyReader,
 }
 
-/// Reads one response whose body is needed as a whole, however its bytes are split.
+/// Reader for one response whose body is needed as a whole, regardless of how its bytes are split.
 #[derive(Default)]
 pub struct ResponseReader {
     buffer: ReadBuffer,
@@ -64,15 +65,15 @@
 }
 
 impl ResponseReader {
-    /// The status, once the head was read.
+    /// Returns the status once the head has been read.
     pub fn status(&self) -> Option<u16> {
         self.open.as_ref().map(|response| response.status)
     }
 
-    /// Takes in bytes; returns the response, once it is complete.
+    /// Appends received bytes. Returns the response once it is complete.
     ///
     /// # Errors
-    /// Where the response is malformed, or its body is longer than `limit`.
+    /// Returns an error if the response is malformed or its body is longer than `limit`.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -103,7 +104,7 @@
         }))
     }
 
-    /// At the end of the connection: the body, if that is how it ends.
+    /// Returns the body at the end of the connection, if the body ends with it.
     pub fn connection_closed(&mut self) -> Option<Vec<u8>> {
         let is_end_of_body = self
             .open
--- a/crates/protocol/src/names.rs
+++ b/crates/protocol/src/names.rs
@@ -1,11 +1,11 @@
-//! Names that the settings list. The decisions know each by its index in its list.
+//! Names listed in the settings. The dispatch policy refers to each name by its index in its list.
 
-/// The lists of names.
+/// Lists of names from the settings.
 #[derive(Debug, Default)]
 pub struct Names {
     /// Request classes.
     pub classes: Vec<String>,
-    /// Tenants; empty where the settings know only one.
+    /// Tenants; empty if the settings name only one.
     pub tenants: Vec<String>,
     /// Zones of workers.
     pub zones: Vec<String>,
@@ -13,7 +13,8 @@
     pub worker_types: Vec<String>,
 }
 
-/// The index of a name as it is sent. The settings write spaces and commas of a name as underscores.
+/// Returns the index of a name as it is sent. In `names`, spaces and commas are written as
+/// underscores.
 pub fn index_of_name(names: &[String], name: &str) -> Option<usize> {
     let same_byte =
         |(listed, sent)| listed == sent || (listed == b'_' && matches!(sent, b' ' | b','));
--- a/crates/protocol/src/peer_load.rs
+++ b/crates/protocol/src/peer_load.rs
@@ -1,40 +1,41 @@
-//! Datagrams between dispatchers: one load report of fixed length each. Loss, repetition and delay are harmless, since
-//! only the newest report of each sender counts and no rule depends on one.
+//! Datagrams between dispatchers, with one load report of fixed length each. Loss, repetition and
+//! delay are harmless, since only the newest report of each sender counts and no rule depends on a
+//! single report.
 use rosewall::types::{PeerLoad, WorkerId};
 use std::net::SocketAddr;
 
-/// The length of a datagram in bytes: magic, version, sender, worker address and port, the load.
+/// Length of a datagram in bytes: magic, version, sender, worker address and port, load.
 pub const DATAGRAM_LENGTH: usize = 15;
 const MAGIC: [u8; 2] = *b"rw";
 const VERSION: u8 = 1;
 
-/// Why a datagram is dropped.
+/// Reason why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// It has another length.
-    #[error("a datagram of another length than {DATAGRAM_LENGTH} bytes")]
+    /// The length is wrong.
+    #[error("wrong datagram length: expected {DATAGRAM_LENGTH} bytes")]
     Length,
-    /// It does not start with this protocol's magic.
-    #[error("a datagram of another protocol")]
+    /// The magic bytes at the start are not those of this protocol.
+    #[error("unknown protocol: the magic bytes of the datagram are wrong")]
     Magic,
-    /// It is of another version of this protocol.
-    #[error("a datagram of another version than {VERSION}")]
+    /// The datagram has another version of this protocol.
+    #[error("unsupported datagram version: expected {VERSION}")]
     Version,
-    /// No peer has this number, or it has another address than the sender's.
-    #[error("a datagram of an unknown peer")]
+    /// No peer has the sender's rank, or the peer with that rank has another address.
+    #[error("unknown sender: the rank and address of the datagram match no peer")]
     Sender,
 }
 
-/// A load report and the number of the dispatcher that sent it.
+/// A load report and its sender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedLoad {
-    /// The number of the sender among the dispatchers.
+    /// Rank of the dispatcher that sent the report.
     pub sender: u16,
-    /// What it reports.
+    /// Load that the sender reports.
     pub load: PeerLoad,
 }
 
-/// The datagram with the load that dispatcher `sender` reports.
+/// Encodes the load report of the dispatcher with rank `sender`.
 pub fn encode(sender: u16, load: &PeerLoad) -> [u8; DATAGRAM_LENGTH] {
     let mut bytes = [0; DATAGRAM_LENGTH];
     bytes[0..2].copy_from_slice(&MAGIC);
@@ -48,10 +49,12 @@
     bytes
 }
 
-/// Decodes a datagram from `address`. `peers` are the addresses of all dispatchers, in the order of their numbers.
+/// Decodes a datagram from `address`. `peers` are the addresses of all dispatchers, in the order of
+/// their ranks.
 ///
 /// # Errors
-/// Where it is not a datagram of this protocol and version, sent by one of `peers`.
+/// Returns an error if the datagram has another protocol or version, or was not sent by one of
+/// `peers`.
 pub fn decode(
     bytes: &[u8],
     address: SocketAddr,
--- a/crates/protocol/src/tests/client.rs
+++ b/crates/protocol/src/tests/client.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and the answers to them.
+//! Tests of reading the requests of clients and encoding the answers.
 use super::{REQUEST_HEAD, client_events};
 use crate::client::{Answer, ClientEvent, ClientRequest, encode_answer};
 use crate::http::{HttpError, MAX_HEAD_BYTES, ReadBuffer};
--- a/crates/protocol/src/tests/discovery.rs
+++ b/crates/protocol/src/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists of the discovery service.
+//! Tests of reading responses of the discovery service and decoding endpoint lists.
 use super::{feed_in_pieces, names};
 use crate::discovery::{EndpointListReader, decode_endpoint_list};
 use crate::http::CompleteResponse;
@@ -70,7 +70,7 @@
     }
 }
 
-/// Holds the size limit of a list: 1,024 workers with long names, indented, fit into it.
+/// Checks that the size limit of a list admits 1,024 workers with long names, indented.
 #[test]
 fn an_indented_list_of_1024_workers_is_within_the_size_limit() {
     let entries: Vec<String> = (0..1_024)
--- a/crates/protocol/src/tests/mod.rs
+++ b/crates/protocol/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the state machines, fed complete messages, single bytes and garbage.
+//! Tests of the state machines with complete messages, single bytes and arbitrary bytes.
 mod client;
 mod discovery;
 mod peer_load;
@@ -63,7 +63,7 @@
     (progress, reader)
 }
 
-/// A 200 with one chunk for each line.
+/// Encodes a response with status 200 and one chunk for each line.
 fn streamed_response(lines: &[&str]) -> Vec<u8> {
     let chunks: String = lines
         .iter()
--- a/crates/protocol/src/tests/peer_load.rs
+++ b/crates/protocol/src/tests/peer_load.rs
@@ -1,4 +1,4 @@
-//! Datagrams between dispatchers.
+//! Tests of the datagrams with load reports between dispatchers.
 use crate::peer_load::{ReceivedLoad, decode, encode};
 use rosewall::types::{PeerLoad, WorkerId};
 use std::net::SocketAddr;
--- a/crates/protocol/src/tests/properties.rs
+++ b/crates/protocol/src/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties of every reader: it returns the same however its bytes are split, and garbage neither makes it panic nor
-//! accumulates in it.
+//! Properties of all readers: the results do not depend on how the bytes are split, and arbitrary
+//! bytes cause no panic and are not accumulated.
 use super::list_of;
 use crate::client::{ClientEvent, RequestReader};
 use crate::discovery::{EndpointListReader, decode_endpoint_list};
@@ -18,7 +18,7 @@
     }
 }
 
-/// The bytes in pieces that end at these indices, each taken modulo the length.
+/// Splits the bytes at these indices, each taken modulo the length plus one.
 fn split_at<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
     ends.push(bytes.len());
@@ -36,7 +36,8 @@
     for piece in pieces {
         reader.feed(piece);
         while let Some(event) = reader.next_event(&names) {
-            // Whether a client waits for leave depends on whether its body came along, and so on the split.
+            // Whether a client waits for `100 Continue` depends on whether its body arrived with
+            // the head, and so on the split.
             events.extend((event != ClientEvent::ContinueExpected).then_some(event));
         }
     }
@@ -153,7 +154,7 @@
         })
 }
 
-/// Bytes that look like a protocol's for a while.
+/// Arbitrary bytes mixed with fragments of the protocols.
 fn garbage() -> impl Strategy<Value = Vec<u8>> {
     let words = vec![
         "HTTP/1.1 200 OK\r\n",
@@ -202,7 +203,8 @@
         let mut buffer = ReadBuffer::default();
         let mut response = ResponseReader::default();
         for piece in split_at(&bytes, &cuts) {
-            // The runtime reads on only while there is capacity, and ends a connection with the first error.
+            // The runtime reads only while there is capacity, and closes a connection at the first
+            // error.
             if reader.has_capacity() {
                 reader.feed(piece);
             }
--- a/crates/protocol/src/tests/robustness.rs
+++ b/crates/protocol/src/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Mutated messages cause no panic, no endless loop and no second end of an attempt.
+//! Checks that mutated messages cause no panic, no endless loop and no second end of an attempt.
 use super::{
     DONE_LINE, REQUEST_HEAD, STARTED_LINE, attempt_progress, client_events, names,
     streamed_response,
--- a/crates/protocol/src/tests/worker.rs
+++ b/crates/protocol/src/tests/worker.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks, and the answers of workers to them.
+//! Tests of encoding attempts and of reading the answers to attempts and health checks.
 use super::{DONE_LINE, FAILED_LINE, STARTED_LINE, attempt_progress, list_of, streamed_response};
 use crate::client::ClientRequest;
 use crate::http::MAX_BODY_BYTES;
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -1,4 +1,5 @@
-//! The words of the protocol exactly as they stand on the wire. Header names are matched without regard to case.
+//! The words of the protocols exactly as they are sent. Header names are matched without regard to
+//! case.
 
 /// Names of header fields.
 pub(crate) mod header {
@@ -6,19 +7,19 @@
     pub const CONTENT_LENGTH: &str = "Content-Length";
     pub const EXPECT: &str = "Expect";
     pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-    /// With the value `1`, a worker promises that the request did not run.
+    /// With the value `1`, the worker guarantees that the request did not run.
     pub const NOT_STARTED: &str = "Not-Started";
     pub const REQUEST_CLASS: &str = "Request-Class";
     pub const REQUEST_ID: &str = "Request-Id";
     /// Resources that the request needs, as `name=value` pairs.
     pub const REQUEST_INFO: &str = "Request-Info";
-    /// Seconds for which the client waits.
+    /// Time that the client waits, in seconds.
     pub const REQUEST_TIMEOUT: &str = "Request-Timeout";
-    /// Seconds after which a rejected client may send again.
+    /// Time after which a rejected client may send the request again, in seconds.
     pub const RETRY_AFTER: &str = "Retry-After";
     pub const TENANT: &str = "Tenant";
     pub const TRANSFER_ENCODING: &str = "Transfer-Encoding";
-    /// The expected service time in microseconds.
+    /// Expected service time, in microseconds.
     pub const WORK_HINT: &str = "Work-Hint";
 }
 
@@ -57,7 +58,7 @@
     pub const STARTED: &str = "started";
     pub const DONE: &str = "done";
     pub const FAILED: &str = "failed";
-    /// The worker took nothing on.
+    /// The worker did not accept the request.
     pub const RETURNED: &str = "returned";
     pub const LOST: &str = "lost";
 }
@@ -69,7 +70,8 @@
     pub const REMOVED: &str = "gone";
 }
 
-/// Why a request is refused or a message malformed; the client side sends them as bodies.
+/// Reasons why a request is refused or a message is malformed. Clients receive them as response
+/// bodies.
 pub(crate) mod reason {
     pub const BODY_TOO_LARGE: &str = "the body is too large";
     pub const CHUNK_SIZE: &str = "a chunk without a size";
--- a/crates/protocol/src/worker/attempt.rs
+++ b/crates/protocol/src/worker/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: its request, and the answer that a worker streams line by line.
+//! One attempt: encodes its request and reads the answer, which the worker streams line by line.
 use crate::client::ClientRequest;
 use crate::http::{
     BodyReader, HttpError, MAX_BODY_BYTES, ReadBuffer, ResponseHead, UnframedBody,
@@ -8,21 +8,22 @@
 use rosewall::types::{Nanos, Outcome};
 use serde::Deserialize;
 
-/// The largest answer in bytes, all of its lines together.
+/// Maximum size of an answer in bytes, all of its lines together.
 const MAX_ANSWER_BYTES: usize = 16 * MAX_BODY_BYTES;
 
-/// What a worker reports of an attempt.
+/// Progress of an attempt, as reported by the worker.
 #[derive(Debug, PartialEq)]
 pub enum AttemptProgress {
-    /// It runs.
+    /// The worker has started to run the request.
     Started,
-    /// It ended with this result.
+    /// The attempt ended with this result.
     Succeeded(Vec<u8>),
-    /// It ended without a result.
+    /// The attempt ended without a result.
     Ended(Outcome),
 }
 
-/// The bytes of an attempt. The idempotency key is forwarded as it came, as workers recognise repeats by it.
+/// Encodes the request of an attempt. The idempotency key is forwarded unchanged, as workers
+/// recognise repeats by it.
 pub fn encode_request(host: &str, request: &ClientRequest, timeout: Nanos) -> Vec<u8> {
     let seconds = timeout as f64 / 1e9;
     let idempotency_line = if request.idempotency_key.is_empty() {
@@ -57,7 +58,7 @@
     result: Option<String>,
 }
 
-/// What one step through the bytes came to.
+/// Result of one parsing step.
 enum Step {
     NeedMore,
     Continue,
@@ -70,7 +71,7 @@
     }
 }
 
-/// The answer cannot be read any further.
+/// Error for an answer that is malformed or too large.
 struct MalformedAnswer;
 
 impl From<HttpError> for MalformedAnswer {
@@ -79,27 +80,27 @@
     }
 }
 
-/// Reads the answer to one attempt, however its bytes are split.
+/// Reader for the answer to one attempt, regardless of how its bytes are split.
 pub struct AttemptResponseReader {
-    /// The id of the request, which each line repeats.
+    /// Id of the request, which each line repeats.
     id: String,
     buffer: ReadBuffer,
     /// Set once the final head was read.
     body: Option<BodyReader>,
     keep_alive: bool,
-    /// The part of the body that is not interpreted yet.
+    /// Part of the body that has not been interpreted yet.
     text: Vec<u8>,
     /// Whether the body is a stream of lines.
     has_lines: bool,
     /// Whether the end of the attempt was reported.
     ended: bool,
-    /// Whether the answer cannot be read any further.
+    /// Whether the answer is malformed or its connection was closed.
     broken: bool,
     fed_bytes: usize,
 }
 
 impl AttemptResponseReader {
-    /// A reader for the answer to the attempt of the request with this id.
+    /// Creates a reader for the answer to an attempt of the request with this id.
     pub fn new(id: String) -> Self {
         AttemptResponseReader {
             id,
@@ -114,26 +115,28 @@
         }
     }
 
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.bytes.extend_from_slice(bytes);
         self.fed_bytes += bytes.len();
     }
 
-    /// Whether no more is to be read: the answer is complete or cannot be read any further.
+    /// Returns whether reading must stop: the answer is complete or malformed, or its connection
+    /// was closed.
     pub fn is_finished(&self) -> bool {
         self.broken || self.body.as_ref().is_some_and(BodyReader::is_complete)
     }
 
-    /// Whether the next attempt may use the same connection.
+    /// Returns whether the next attempt may use the same connection.
     pub fn is_reusable(&self) -> bool {
         !self.broken && self.is_finished() && self.keep_alive && self.buffer.bytes.is_empty()
     }
 
-    /// The next report in the bytes fed so far. Nothing follows the first one that ends the attempt.
+    /// Returns the next progress in the bytes fed so far. Nothing follows the end of the attempt.
     pub fn next_progress(&mut self) -> Option<AttemptProgress> {
         while !self.broken {
-            // The worker has the whole request by the time it answers, so the attempt may have run.
+            // A worker answers only after it has received the whole request, so the attempt may
+            // have run.
             let step = self.step().unwrap_or_else(|MalformedAnswer| {
                 self.broken = true;
                 Step::ended(Outcome::ConnectionLost)
@@ -153,7 +156,8 @@
         None
     }
 
-    /// What the end of the connection means for the attempt, unless its end was reported before.
+    /// Records the end of the connection. Returns the end of the attempt, unless it was reported
+    /// before.
     pub fn connection_closed(&mut self) -> Option<AttemptProgress> {
         let had_ended = std::mem::replace(&mut self.ended, true);
         self.broken = true;
@@ -184,7 +188,7 @@
     }
 
     fn read_head(&mut self) -> Result<Step, MalformedAnswer> {
-        /// What the reader needs of a head.
+        /// Parts of a head that the reader needs.
         struct Head {
             status: u16,
             keep_alive: bool,
@@ -214,7 +218,7 @@
         self.body = head.body;
         self.has_lines = head.status == 200;
         Ok(match head.status {
-            // The final head follows an interim one, the first line a 200.
+            // An interim head is followed by the final one, a 200 by the first line.
             100..=200 => Step::Continue,
             400..=499 => Step::ended(Outcome::InvalidRequest),
             503 | 504 if head.did_not_run => Step::ended(Outcome::AtCapacity),
@@ -222,7 +226,7 @@
         })
     }
 
-    /// The next complete line; the last one may lack its line end.
+    /// Removes and returns the next complete line. The last line may lack its line end.
     fn take_line(&mut self, is_complete: bool) -> Option<Vec<u8>> {
         let length = match self.text.iter().position(|byte| *byte == b'\n') {
             Some(line_end) => line_end + 1,
--- a/crates/protocol/src/worker/health_check.rs
+++ b/crates/protocol/src/worker/health_check.rs
@@ -1,18 +1,18 @@
-//! One health check: its request, and the answer with the worker's load report.
+//! One health check: encodes its request and reads the answer with the worker's load report.
 use crate::http::{CompleteResponse, MAX_BODY_BYTES, ResponseReader};
 use crate::wire::target;
 use rosewall::types::{Outcome, Report};
 
-/// What a health check asks for.
+/// Information that a health check requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckTarget {
-    /// Health alone.
+    /// Health without a load report.
     Health,
     /// Health and the load report.
     Load,
 }
 
-/// The bytes of a health check.
+/// Encodes the request of a health check.
 pub fn encode_health_check(host: &str, check: HealthCheckTarget) -> Vec<u8> {
     let target = match check {
         HealthCheckTarget::Health => target::HEALTH,
@@ -21,25 +21,26 @@
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
-/// What a health check came to.
+/// Result of a health check.
 #[derive(Debug)]
 pub struct HealthCheckResult {
-    /// How it ended.
+    /// Outcome according to the status of the answer.
     pub outcome: Outcome,
-    /// The load report; empty where the worker sent none.
+    /// Load report; empty if the worker sent none or an incomplete one.
     pub report: Report,
-    /// Whether the connection may be used again.
+    /// Whether the connection can be reused.
     pub reusable: bool,
 }
 
-/// Reads the answer to a health check, however its bytes are split.
+/// Reader for the answer to a health check, regardless of how its bytes are split.
 pub struct HealthCheckReader<'a> {
     report_fields: &'a [String],
     response: ResponseReader,
 }
 
 impl<'a> HealthCheckReader<'a> {
-    /// A reader for one answer. `report_fields` are the names of a report's values, in the order of [`Report::values`].
+    /// Creates a reader for one answer. `report_fields` are the names of the values in a report, in
+    /// the order of [`Report::values`].
     pub fn new(report_fields: &'a [String]) -> Self {
         HealthCheckReader {
             report_fields,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes in bytes; returns the result, once the answer is complete or cannot be read.
+    /// Appends received bytes. Returns the result once the answer is complete or malformed.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<HealthCheckResult> {
         let Ok(complete) = self.response.feed(bytes, MAX_BODY_BYTES) else {
             return Some(HealthCheckResult {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Parses `name=value` pairs. A report that lacks a field counts as none.
+/// Parses `name=value` pairs. A report without one of the fields counts as empty.
 fn parse_report(text: &[u8], fields: &[String]) -> Report {
     let text = String::from_utf8_lossy(text);
     let mut report = Report::default();
--- a/crates/protocol/src/worker/mod.rs
+++ b/crates/protocol/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! The worker side: attempts and health checks out, their answers in.
+//! The worker side: encodes attempts and health checks and reads their answers.
 mod attempt;
 mod health_check;
 
