--- a/crates/runtime/src/client/connection.rs
+++ b/crates/runtime/src/client/connection.rs
@@ -231,9 +231,9 @@
     /// request.
     async fn next_event(&mut self) -> io::Result<ClientEvent> {
         let mut deadline = self.now() + nanos(self.first_byte_timeout());
-        let waiter = self.waiter(self.has_sent_request);
-        let (waiting, close) = self.context.limits.register_idle(self.now(), waiter);
-        let mut waiting = Some(waiting);
+        let idle_client = self.idle_client(self.has_sent_request);
+        let (registration, close) = self.context.limits.register_idle(self.now(), idle_client);
+        let mut registration = Some(registration);
         loop {
             if let Some(event) = self.reader.next_event(&self.context.names) {
                 return Ok(event);
@@ -243,7 +243,7 @@
             }
             // Once the first byte of a request has arrived, the connection is not closed to free
             // its slot.
-            if self.has_sent_request && !self.reader.is_idle() && waiting.take().is_some() {
+            if self.has_sent_request && !self.reader.is_idle() && registration.take().is_some() {
                 deadline = self.now() + nanos(REQUEST_TIMEOUT);
             }
             match self.read_until(deadline, &close).await {
@@ -369,10 +369,10 @@
     /// overtake the answer.
     async fn close_gracefully(&mut self) -> io::Result<()> {
         self.stream.shutdown_write()?;
-        let (_waiting, close) = self
+        let (_registration, close) = self
             .context
             .limits
-            .register_idle(self.now(), self.waiter(true));
+            .register_idle(self.now(), self.idle_client(true));
         let close_requested = async {
             let _ = close.recv().await;
             Ok(())
@@ -398,7 +398,7 @@
         self.context.runtime.now()
     }
 
-    fn waiter(&self, has_sent_request: bool) -> IdleClient {
+    fn idle_client(&self, has_sent_request: bool) -> IdleClient {
         match (self.service, has_sent_request) {
             (Service::RejectOnly, _) => IdleClient::Overflow,
             (Service::Full, true) => IdleClient::BetweenRequests,
