--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -16,7 +16,7 @@
     /// Maximum time that the service may wait for a change before it answers a watch, in
     /// milliseconds.
     wait_ms: u64,
-    /// Additional time after which the answer must have begun.
+    /// Additional time within which the answer must begin.
     answer_delay: Duration,
     /// Time limit for the start of the answer to a snapshot request, including the time to connect.
     snapshot_timeout: Duration,
@@ -25,10 +25,10 @@
     snapshot_retry: Duration,
 }
 
-/// Limits for lists that an agent on this machine pushes. It answers at once, so short requests
-/// cost nothing, and a watch that fails silently is detected within 2.2 s. A restarted agent does
-/// not know earlier requests, hence the early retry; a single slow answer is still read. An agent
-/// that always takes more than 1 s to answer cannot be used.
+/// Limits for lists that an agent on this machine pushes. The agent answers at once, so short
+/// requests cost nothing, and a watch that fails silently is detected within 2.2 s. A restarted
+/// agent does not know earlier requests, hence the early retry; a single slow answer is still read.
+/// An agent that always takes more than 1 s to answer cannot be used.
 const PUSHED_LIST: Timing = Timing {
     wait_ms: 2_000,
     answer_delay: Duration::from_millis(200),
