--- a/crates/protocol/src/tests/robustness.rs
+++ b/crates/protocol/src/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Mutated messages cause no panic, no endless loop and no second end of an attempt.
+//! Checks that mutated messages cause no panic, no endless loop and no second end of an attempt.
 use super::{
     DONE_LINE, REQUEST_HEAD, STARTED_LINE, attempt_progress, client_events, names,
     streamed_response,
@@ -8,9 +8,9 @@
 use rosewall::pcg::Pcg;
 use test_case::test_case;
 
-#[test_case(1; "one seed")]
-#[test_case(2; "another")]
-#[test_case(3; "a third")]
+#[test_case(1; "seed 1")]
+#[test_case(2; "seed 2")]
+#[test_case(3; "seed 3")]
 fn mutated_messages_end_an_attempt_at_most_once(seed: u64) {
     let mut rng = Pcg::new(seed);
     let valid = [
