--- a/crates/rosewalld/src/config_file.rs
+++ b/crates/rosewalld/src/config_file.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration file and the cluster file that it names.
+//! Loading of the configuration file and the cluster file that it names.
 use rosewall_cluster::config::parse as parse_cluster;
 use rosewall_cluster::error::ClusterError;
 use rosewall_engine::config::{Config, ConfigError};
@@ -6,35 +6,35 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a configuration file cannot be used.
+/// Error that makes a configuration unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The file cannot be read.
     #[error("cannot read the configuration {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause reported by the operating system.
         source: io::Error,
     },
-    /// The file's text, or a value in it, cannot be used.
+    /// The file cannot be parsed, or one of its values is invalid.
     #[error("cannot use the configuration {}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Parse or validation error.
         source: ConfigError,
     },
-    /// The cluster file cannot be used.
+    /// The cluster file cannot be read, or is invalid.
     #[error("{}", .0.line())]
     Cluster(#[from] ClusterError),
 }
 
-/// Reads the configuration file and the cluster file that it names, and checks both. The limit on descriptors is the
-/// system's, where that is lower than the configured one.
+/// Loads and validates the configuration file and the cluster file that it names. The limit on descriptors is the
+/// configured one or that of the system, whichever is lower.
 ///
 /// # Errors
-/// Where a file cannot be read, or a dispatcher could not start with it.
+/// Returns an error if a file cannot be read, or if a dispatcher could not start with its values.
 pub fn load(path: &Path) -> Result<Config, ConfigFileError> {
     let text = std::fs::read(path).map_err(|source| ConfigFileError::Unreadable {
         path: path.to_path_buf(),
--- a/crates/rosewalld/src/daemon.rs
+++ b/crates/rosewalld/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Start, signals and end of the program. All but the log runs on one thread.
+//! Program start, signal handling and shutdown. Everything except log output runs on one thread.
 use crate::config_file::{self, ConfigFileError};
 use crate::logger;
 use crate::sockets::{SocketListener, Sockets};
@@ -14,35 +14,35 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// The environment variable that names the configuration file.
+/// Environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
 
-/// Why the program ends with a failure.
+/// Fault that ends the program with a failure status.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// The environment does not name the configuration file.
-    #[error("PROXY_CONFIG names no configuration: set it to the path of the configuration file")]
+    /// `PROXY_CONFIG` is unset, or its value is not UTF-8.
+    #[error("PROXY_CONFIG is unset or not UTF-8, expected the path of the configuration file")]
     NoConfigFile,
-    /// The configuration cannot be used.
+    /// The configuration file or the cluster file cannot be loaded.
     #[error(transparent)]
     Config(#[from] ConfigFileError),
-    /// Signals cannot be received.
-    #[error("cannot listen to signals: {0}")]
+    /// Signal handlers cannot be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// Clients cannot connect.
+    /// The listen address cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The configured address.
+        /// Configured listen address.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// Cause reported by the operating system.
         source: io::Error,
     },
-    /// The dispatcher does not start.
+    /// The dispatcher cannot be started.
     #[error(transparent)]
     Start(#[from] StartError),
 }
 
-/// Runs the program until it is told to end. A failure is printed as one line.
+/// Runs the daemon until it is signalled to stop. Prints a failure as one line on standard error.
 pub fn run() -> ExitCode {
     logger::start();
     let result = run_configured();
@@ -57,7 +57,7 @@
 }
 
 fn run_configured() -> Result<(), DaemonError> {
-    // A path that is not UTF-8 counts as none.
+    // A path that is not UTF-8 is treated as unset.
     let path = std::env::var(CONFIG_VARIABLE).map_err(|_| DaemonError::NoConfigFile)?;
     let path = PathBuf::from(path);
     let config = config_file::load(&path)?;
@@ -65,7 +65,7 @@
     async_io::block_on(executor.run(serve(&path, config, executor.clone())))
 }
 
-/// Serves until a signal to end, or a fault.
+/// Serves until SIGTERM, SIGINT or a fault of the node.
 async fn serve(
     path: &Path,
     config: Config,
@@ -105,10 +105,12 @@
     }
 }
 
-/// Applies the configuration file as it is now; one that cannot be used changes nothing.
+/// Reloads the configuration file. An invalid file leaves the running configuration unchanged.
 fn reload(node: &Node<Sockets>, path: &Path) {
     match config_file::load(path) {
         Ok(config) => node.reload(&config),
-        Err(error) => log::error!("the configuration stays as it was: {error}"),
+        Err(error) => {
+            log::error!("configuration reload failed, keeping the running configuration: {error}")
+        }
     }
 }
--- a/crates/rosewalld/src/lib.rs
+++ b/crates/rosewalld/src/lib.rs
@@ -1,9 +1,10 @@
-//! The dispatcher on sockets. It is a library, so that the testbed can run many dispatchers in one process.
+//! Dispatcher daemon over TCP and UDP sockets. A library as well as a program, so that the testbed can run
+//! many dispatchers in one process.
 //!
-//! - [`daemon`]: start, signals and end of the program.
-//! - [`config_file`]: reading the configuration.
-//! - [`sockets`]: the runtime of `rosewall-runtime` over sockets and the system's clock.
-//! - [`logger`]: the log on standard error.
+//! - [`daemon`]: program start, signal handling and shutdown.
+//! - [`config_file`]: loading of the configuration file.
+//! - [`sockets`]: the traits of `rosewall-runtime` over sockets and the system clock.
+//! - [`logger`]: logging to standard error.
 
 pub mod config_file;
 pub mod daemon;
--- a/crates/rosewalld/src/logger.rs
+++ b/crates/rosewalld/src/logger.rs
@@ -1,31 +1,31 @@
-//! The log on standard error, one line a message: seconds since the start, level, text. A thread of its own writes it, so
-//! that a log that no one reads holds up no request.
+//! Logging to standard error. Each message is one line: seconds since program start, level and text. A separate
+//! thread writes the lines, so that a blocked standard error delays no request.
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
 
-/// The environment variable with the level of the log.
+/// Environment variable that sets the log level.
 const LEVEL_VARIABLE: &str = "ROSEWALL_LOG";
-/// Lines that may wait to be written: more than a busy second has, and under 100 KB.
+/// Maximum number of lines queued for the writer thread: more than a busy second produces, and under 100 KB.
 const MAX_QUEUED_LINES: usize = 512;
-/// How long the end of the program waits for the last lines to be written.
+/// Maximum wait at program end for the queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long to wait where the queue is full at the end of the program.
+/// Pause between attempts to queue a flush while the queue is full.
 const FLUSH_RETRY_PAUSE: Duration = Duration::from_millis(5);
 const WRITER_STACK_BYTES: usize = 64 * 1024;
 
 enum Message {
     Line(String),
-    /// All lines before it are to be written; then this is answered.
+    /// Requests a confirmation once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
 struct Logger {
     started: Instant,
     messages: SyncSender<Message>,
-    /// Lines that found no place in the queue since the last line that did.
+    /// Number of lines dropped since the last queued line because the queue was full.
     dropped: AtomicU64,
 }
 
@@ -34,7 +34,8 @@
         metadata.level() <= log::max_level()
     }
 
-    /// Never waits. Lines that find no place in the queue are counted, and reported with the next one that does.
+    /// Queues a line without blocking. When the queue is full, the line is dropped and counted; the count is logged
+    /// ahead of the next line that can be queued.
     fn log(&self, record: &Record) {
         if !self.enabled(record.metadata()) {
             return;
@@ -43,7 +44,7 @@
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             let line =
-                format!("{seconds:.3} WARN {dropped} lines of the log were lost: no one read it\n");
+                format!("{seconds:.3} WARN {dropped} log lines dropped: the log queue was full\n");
             if self.messages.try_send(Message::Line(line)).is_err() {
                 self.dropped.fetch_add(dropped, Ordering::Relaxed);
             }
@@ -54,16 +55,16 @@
         }
     }
 
-    /// Waits until the lines are written, but not for long.
+    /// Waits until the queued lines are written, for at most [`FLUSH_TIMEOUT`].
     fn flush(&self) {
         let (done, flushed) = sync_channel(1);
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         let mut message = Message::Flush(done);
-        while let Err(TrySendError::Full(refused)) = self.messages.try_send(message) {
+        while let Err(TrySendError::Full(unsent)) = self.messages.try_send(message) {
             if Instant::now() >= deadline {
                 return;
             }
-            message = refused;
+            message = unsent;
             std::thread::sleep(FLUSH_RETRY_PAUSE);
         }
         let _ = flushed.recv_timeout(deadline.saturating_duration_since(Instant::now()));
@@ -73,14 +74,15 @@
 fn write_messages(messages: &Receiver<Message>) {
     while let Ok(message) = messages.recv() {
         match message {
-            // A log that cannot be written is no reason to stop serving.
+            // A write error must not stop the daemon.
             Message::Line(line) => drop(std::io::stderr().write_all(line.as_bytes())),
             Message::Flush(done) => drop(done.try_send(())),
         }
     }
 }
 
-/// Starts the log, at the level that `ROSEWALL_LOG` names, or at `info`. Without a thread for it there is none.
+/// Installs the logger at the level named by `ROSEWALL_LOG`, or at `info` if that is unset or invalid. Nothing is
+/// logged if the writer thread cannot be started.
 pub fn start() {
     let (messages, queue) = sync_channel(MAX_QUEUED_LINES);
     let writer = std::thread::Builder::new()
--- a/crates/rosewalld/src/main.rs
+++ b/crates/rosewalld/src/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher on sockets.
+//! Entry point of the dispatcher daemon.
 fn main() -> std::process::ExitCode {
     rosewalld::daemon::run()
 }
--- a/crates/rosewalld/src/sockets.rs
+++ b/crates/rosewalld/src/sockets.rs
@@ -1,5 +1,5 @@
-//! The runtime over sockets: async-io's reactor under the executor of this thread, and the system's monotonic clock,
-//! anchored once to Unix time.
+//! Runtime over sockets: async-io's reactor, an executor of one thread, and the system's monotonic clock, anchored
+//! to Unix time at program start.
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -12,19 +12,19 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// For tests: the environment variable with the milliseconds by which the wall clock is off.
+/// Environment variable, for tests only: offset added to the wall clock, in milliseconds.
 const CLOCK_SKEW_VARIABLE: &str = "ROSEWALL_SKEW_MS";
 
-/// Sockets and the system's clock.
+/// Runtime over sockets and the system clock.
 pub struct Sockets {
     executor: Rc<LocalExecutor<'static>>,
     started: Instant,
-    /// Unix time at that instant.
+    /// Unix time at `started`, with the offset from [`CLOCK_SKEW_VARIABLE`].
     started_unix: Nanos,
 }
 
 impl Sockets {
-    /// A runtime that spawns its tasks on an executor.
+    /// Creates a runtime that spawns its tasks on `executor`.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
         let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -39,7 +39,7 @@
     }
 }
 
-/// By how many nanoseconds the wall clock is off.
+/// Returns the offset of the wall clock in nanoseconds; 0 if it is unset or unreadable.
 fn clock_skew() -> i64 {
     let skew_ms = std::env::var(CLOCK_SKEW_VARIABLE)
         .ok()
@@ -83,14 +83,15 @@
     }
 }
 
-/// A socket for datagrams.
+/// UDP socket that sends and receives datagrams, directly or through a relay.
 pub struct Datagrams {
     socket: Async<UdpSocket>,
-    /// Where all datagrams go through, if there is one: with the other side's address before each, in both directions.
+    /// Relay that forwards all datagrams; `None` for direct exchange. Each relayed datagram is prefixed with the
+    /// address of the remote side, in both directions.
     relay: Option<SocketAddr>,
 }
 
-/// The bytes of an IPv4 address and a port, as they stand before a relayed datagram.
+/// Length of the prefix of a relayed datagram: an IPv4 address and a port.
 const RELAY_PREFIX_BYTES: usize = 6;
 
 impl DatagramSocket for Datagrams {
@@ -126,7 +127,7 @@
     }
 }
 
-/// One connection.
+/// TCP connection with Nagle's algorithm disabled.
 pub struct Socket(Async<TcpStream>);
 
 impl Socket {
@@ -182,23 +183,23 @@
     }
 }
 
-/// A listener for connections.
+/// TCP listener for client connections.
 pub struct SocketListener(Async<TcpListener>);
 
 impl SocketListener {
-    /// Listens on an address.
+    /// Binds to an address and listens on it.
     ///
     /// # Errors
-    /// Where the system refuses it.
+    /// Returns the system's error if the address cannot be bound.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address).and_then(Async::new)?;
         Ok(SocketListener(listener))
     }
 
-    /// The address it listens on, with the port that the system chose for port 0.
+    /// Returns the bound address, with the port that the system chose for port 0.
     ///
     /// # Errors
-    /// Where the system does not say.
+    /// Returns the system's error if the address cannot be determined.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.get_ref().local_addr()
     }
--- a/crates/rosewalld/tests/daemon/configuration.rs
+++ b/crates/rosewalld/tests/daemon/configuration.rs
@@ -8,9 +8,10 @@
 fn a_reload_moves_to_another_discovery_and_an_invalid_one_changes_nothing() {
     let fleet = start_fleet(&[]);
     fleet.discovery.until_watched();
-    fleet
-        .daemon
-        .reload("{", "the configuration stays as it was");
+    fleet.daemon.reload(
+        "{",
+        "configuration reload failed, keeping the running configuration",
+    );
     let mut wrong = configuration(&fleet.discovery.address, 1024);
     wrong["settings"]["Contract"]["ColdFrom"] = (-1).into();
     fleet.daemon.reload(
@@ -36,7 +37,7 @@
     assert_eq!((fleet.attempts(), new.count()), (1, 1));
 }
 
-#[test_case(None, "PROXY_CONFIG names no configuration"; "not named")]
+#[test_case(None, "PROXY_CONFIG is unset or not UTF-8"; "not named")]
 #[test_case(Some("/nowhere/config.json"), "cannot read the configuration"; "missing")]
 #[test_case(Some("/dev/null"), "cannot use the configuration"; "unreadable")]
 fn the_daemon_ends_with_one_message_without_a_usable_configuration(
