--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,24 +1,24 @@
-//! From actions to the records of a reply.
+//! Encoding of actions as records of a reply.
 use crate::codec::Reply;
 use crate::codes::{PEER_LOAD_LENGTH, action};
 use rosewall::types::{Action, PeerLoad, RequestId, WorkerId};
 
-/// An attempt has no time-out of its own: it lasts until the client gives up.
+/// Time-out of an attempt in nanoseconds; 0 for none. An attempt lasts until its client gives up.
 const NO_TIMEOUT: u64 = 0;
 
-/// Subscribes to changes of the endpoint list.
+/// Field of [`action::WATCH_ENDPOINTS`] that subscribes to changes of the endpoint list.
 const WATCH: u8 = 1;
 
-/// The following records are those of this instance.
+/// Adds a record that names the instance of the following records.
 pub fn write_instance(instance: u32, reply: &mut Reply) {
     reply.record(action::INSTANCE, &[&instance.to_le_bytes()]);
 }
 
-/// Adds one action to the reply.
+/// Adds the record of one action to the reply.
 pub fn write(action: &Action, reply: &mut Reply) {
     match action {
         Action::SendAttempt { request_id, worker } => send_attempt(*request_id, *worker, reply),
-        // The decisions ask for no health checks; the protocol has them.
+        // Defined by the protocol, although the decisions request no health checks.
         Action::CheckHealth { worker } => reply.record(
             action::CHECK_HEALTH,
             &[&worker.addr, &worker.port.to_le_bytes()],
@@ -33,7 +33,7 @@
         Action::Fail { request_id } => reply.record(action::FAIL, &[&request_id.to_le_bytes()]),
         Action::WatchEndpoints => reply.record(action::WATCH_ENDPOINTS, &[&[WATCH]]),
         Action::SendPeerLoad { to, load } => send_peer_load(*to, load, reply),
-        // The simulator's dispatchers are not members of a cluster, so there is no one to ask or to tell.
+        // The simulator's dispatchers are not members of a cluster, so these actions have no recipient.
         Action::RequestWarmUpGrant { .. } | Action::SetWarmUpBudget { .. } => {}
         Action::SetTimer { at, token } => reply.record(
             action::SET_TIMER,
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -1,8 +1,8 @@
-//! Frames and records as bytes. Knows their layout and nothing of their meaning.
+//! Byte layout of frames and records, independent of their meaning.
 use crate::error::{AdapterError, FieldError};
 use std::io::{self, Read, Write};
 
-/// Reads fields one after another from the bytes of a batch or record.
+/// Cursor over the fields in the bytes of a batch or record.
 pub struct Fields<'a> {
     bytes: &'a [u8],
 }
@@ -12,12 +12,12 @@
         Self { bytes }
     }
 
-    /// Whether all fields have been read.
+    /// Returns whether all fields have been read.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Reads a field of a given length.
+    /// Reads a field of `length` bytes.
     pub fn take(&mut self, length: usize) -> Result<&'a [u8], FieldError> {
         let (field, rest) = self.bytes.split_at_checked(length).ok_or(FieldError {
             length,
@@ -58,7 +58,7 @@
         Ok((self.array()?, self.u16()?))
     }
 
-    /// Reads one record: its code and its fields.
+    /// Reads one record and returns its code and its fields.
     pub fn record(&mut self) -> Result<(u8, Fields<'a>), AdapterError> {
         let code = self.u8()?;
         let length = self.u32()?;
@@ -72,13 +72,13 @@
     }
 }
 
-/// Reads one batch into `buffer`. Returns `false` where the input ends between two batches.
+/// Reads one batch into `buffer`. Returns `false` if the input ends before the first byte of a batch.
 pub fn read_batch(input: &mut impl Read, buffer: &mut Vec<u8>) -> Result<bool, AdapterError> {
     let Some(length) = read_length(input)? else {
         return Ok(false);
     };
     buffer.clear();
-    // Reading up to the length, instead of reserving it, keeps a false length from taking memory that never fills.
+    // The length is untrusted, so the buffer grows with the bytes received and is not reserved in advance.
     let read = input
         .take(length.into())
         .read_to_end(buffer)
@@ -89,7 +89,7 @@
     Ok(true)
 }
 
-/// The length of the next frame; none at the end of the input.
+/// Reads the length of the next frame. Returns `None` at the end of the input.
 fn read_length(input: &mut impl Read) -> Result<Option<u32>, AdapterError> {
     let mut bytes = [0; 4];
     let mut read = 0;
@@ -105,10 +105,10 @@
     Ok(Some(u32::from_le_bytes(bytes)))
 }
 
-/// The length of a reply's header: the number of records and the length of what follows.
+/// Length in bytes of a reply's header: the number of records and the length of the remaining bytes.
 const HEADER_LENGTH: usize = 8;
 
-/// A reply under construction. Its buffer is reused for the next one.
+/// Reply under construction. Its buffer is reused for the next reply.
 pub struct Reply {
     bytes: Vec<u8>,
     records: u32,
@@ -127,7 +127,7 @@
         self.records = 0;
     }
 
-    /// Adds a record whose fields are the parts, one after another.
+    /// Adds a record whose fields are the concatenated `parts`.
     pub fn record(&mut self, code: u8, parts: &[&[u8]]) {
         let length: usize = parts.iter().map(|part| part.len()).sum();
         self.bytes.push(code);
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,7 +1,7 @@
-//! The record codes of the simulator's protocol. Events and actions have codes of their own; the comments give the
-//! protocol's names.
+//! Record codes of the simulator's protocol. Events and actions use separate codes; each comment gives the name of the
+//! record in the protocol.
 
-/// Records of a batch.
+/// Codes of the records of a batch.
 pub mod event {
     /// `create`
     pub const START: u8 = 1;
@@ -29,7 +29,7 @@
     pub const INSTANCE: u8 = 12;
 }
 
-/// Records of a reply.
+/// Codes of the records of a reply.
 pub mod action {
     /// `decline`
     pub const REJECT: u8 = 65;
@@ -51,5 +51,5 @@
     pub const INSTANCE: u8 = 77;
 }
 
-/// The length of a peer message with a load: worker, half slots, work units, speed code.
+/// Length in bytes of a peer message with a load: worker, half slots, work units, speed code.
 pub const PEER_LOAD_LENGTH: u16 = 10;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,16 +1,16 @@
-//! What can go wrong between the simulator and the decisions.
+//! Errors of the adapter: input, output, frames, records and settings.
 use rosewall::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// A fault that ends the adapter. The message says where in the input it stands.
+/// Fault that ends the adapter. The message names the record at fault where there is one.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
-    #[error("cannot read: {0}")]
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
     /// Standard output cannot be written.
-    #[error("cannot write: {0}")]
+    #[error("cannot write standard output: {0}")]
     Write(#[source] io::Error),
     /// The input ended inside the length of a frame.
     #[error("input ended inside a frame's length")]
@@ -18,70 +18,70 @@
     /// The input ended inside a frame.
     #[error("input ended inside a frame: {read} of {length} bytes")]
     TruncatedFrame {
-        /// The bytes that were there.
+        /// Number of bytes received.
         read: usize,
-        /// The bytes that the frame's length names.
+        /// Length of the frame in bytes, as given ahead of it.
         length: u32,
     },
-    /// A batch does not hold what its header says.
+    /// A batch is too short for its header and the number of records named there.
     #[error("{0}")]
     Batch(#[from] FieldError),
     /// A record cannot be read.
-    #[error("record of code {code}: {source}")]
+    #[error("record with code {code}: {source}")]
     Record {
-        /// The record's code.
+        /// Record code, one of [`crate::codes::event`].
         code: u8,
-        /// What is wrong with it.
+        /// Error in its fields.
         source: RecordError,
     },
-    /// A record needs an instance, but none was named before it.
+    /// A record addresses an instance, but no earlier record of the batch names one.
     #[error("{record} before any instance was named")]
     NoInstance {
-        /// What the record is.
+        /// Kind of the record, with its article.
         record: &'static str,
     },
-    /// An event is meant for an instance that has not been started, or was stopped.
-    #[error("an event for instance {instance}, which does not run")]
+    /// An event addresses an instance that has not been started or has been stopped.
+    #[error("an event for instance {instance}, which is not running")]
     UnknownInstance {
-        /// The number of the instance.
+        /// Instance number assigned by the simulator.
         instance: u32,
     },
-    /// A dispatcher cannot start with the settings of its record.
+    /// A dispatcher cannot start with the settings of its start record.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// A field that reaches beyond its record or frame.
+/// Field that extends past the end of its record or batch.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
-#[error("a field of {length} bytes overruns its end by {excess}")]
+#[error("a field of {length} bytes extends {excess} bytes past the end of the data")]
 pub struct FieldError {
-    /// The length of the field.
+    /// Length of the field in bytes.
     pub length: usize,
-    /// By how many bytes it reaches beyond the end.
+    /// Number of bytes of the field past the end.
     pub excess: usize,
 }
 
-/// A record whose fields cannot be understood.
+/// Error in the fields of a record.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum RecordError {
-    /// A field reaches beyond the record.
+    /// A field extends past the end of the record.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The settings are not text.
+    /// The settings are not UTF-8.
     #[error("settings are not UTF-8")]
     SettingsEncoding,
-    /// A line of the settings holds no `=`.
-    #[error("setting without a value: {line:?}")]
+    /// A line of the settings contains no `=`.
+    #[error("setting without a value: expected PATH=VALUE, got {line:?}")]
     SettingWithoutValue {
-        /// The line.
+        /// Text of the line.
         line: String,
     },
-    /// A code that the protocol does not define.
+    /// A code is not defined by the protocol.
     #[error("unknown {kind} {code}")]
     UnknownCode {
-        /// What the code stands for.
+        /// Kind of the code, such as `outcome`.
         kind: &'static str,
-        /// The code.
+        /// Value of the code.
         code: u16,
     },
 }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! From the records of a batch to events.
+//! Decoding of the records of a batch into events.
 use crate::codec::Fields;
 use crate::codes::{PEER_LOAD_LENGTH, event};
 use crate::error::{FieldError, RecordError};
@@ -8,32 +8,32 @@
 };
 use rosewall_settings::{SettingsMap, parse_settings};
 
-/// The bit of a request that marks its hint as valid.
+/// Flag of a request: its work hint is valid.
 const VALID_HINT: u16 = 1;
 
-/// The kind of progress that says that an attempt has started.
+/// Progress code of an attempt that has started.
 const PROGRESS_STARTED: u8 = 1;
 
-/// What a record of a batch asks for.
+/// Decoded record of a batch.
 pub enum Incoming {
-    /// The following records are for this instance.
+    /// Names the instance that the following records address.
     Instance(u32),
-    /// Start the instance.
+    /// Starts the instance.
     Start {
-        /// The seed of its random numbers.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, under their names in the decisions.
+        /// Settings of the instance, under the names that the decisions use.
         settings: SettingsMap,
     },
-    /// Stop the instance.
+    /// Stops the instance.
     Stop,
-    /// An event for the instance.
+    /// Event for the instance.
     Event(Event),
-    /// Nothing: a record of another version, or of no use here.
+    /// Record of another protocol version, or without relevance to the decisions.
     Ignored,
 }
 
-/// Reads one record.
+/// Decodes one record.
 pub fn read(code: u8, mut fields: Fields<'_>) -> Result<Incoming, RecordError> {
     let fields = &mut fields;
     let event = match code {
@@ -73,7 +73,7 @@
     Ok(Incoming::Start { seed, settings })
 }
 
-/// Reads settings of one `path=value` pair a line.
+/// Parses settings given as one `PATH=VALUE` pair per line.
 fn settings(text: &str) -> Result<SettingsMap, RecordError> {
     let pairs = text
         .lines()
@@ -100,10 +100,10 @@
         1 => ListScope::Snapshot,
         2 => ListScope::Cached,
         3 => ListScope::Failed,
-        other => return Err(unknown("scope of a list", other.into())),
+        other => return Err(unknown("list scope", other.into())),
     };
     let count = fields.u32()?;
-    // The count is not trusted with a reservation.
+    // No capacity is reserved, since the count is untrusted input.
     let mut endpoints = Vec::new();
     for _ in 0..count {
         endpoints.push(endpoint(fields)?);
@@ -116,7 +116,7 @@
         0 => EndpointState::Removed,
         1 => EndpointState::Ready,
         2 => EndpointState::Draining,
-        other => return Err(unknown("availability of a worker", other.into())),
+        other => return Err(unknown("endpoint state", other.into())),
     };
     let zone = fields.u16()?;
     let worker_type = fields.u8()?;
@@ -173,7 +173,7 @@
     })
 }
 
-/// Reads a load report. It may be absent altogether, which is the same as an empty one.
+/// Decodes a load report. An absent report is the same as an empty one.
 fn report(fields: &mut Fields<'_>) -> Result<Report, FieldError> {
     let mut report = Report::default();
     let count = if fields.is_empty() { 0 } else { fields.u8()? };
@@ -217,7 +217,7 @@
     }))
 }
 
-/// Reads a peer's message. One of another length comes from another version and is ignored.
+/// Decodes a message from a peer. Returns `None` for a message of another length, which comes from another version.
 fn peer_load(fields: &mut Fields<'_>) -> Result<Option<Event>, FieldError> {
     let from = fields.u16()?;
     if fields.u16()? != PEER_LOAD_LENGTH {
@@ -232,7 +232,7 @@
     Ok(Some(Event::PeerLoad { from, load }))
 }
 
-/// Reads the progress of an attempt. Only its start is of use.
+/// Decodes the progress of an attempt. Returns `None` unless the attempt has started.
 fn attempt_started(fields: &mut Fields<'_>) -> Result<Option<Event>, FieldError> {
     let request_id = fields.u32()?;
     let _worker = fields.address()?;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Many dispatchers in one process, each with a number that the simulator gives it.
+//! Dispatchers of this process, addressed by instance numbers that the simulator assigns.
 use crate::actions;
 use crate::codec::{Fields, Reply};
 use crate::error::AdapterError;
@@ -8,30 +8,32 @@
 use rosewall_settings::SettingsMap;
 use rustc_hash::FxHashMap;
 
-/// The dispatchers that run, by their instance numbers.
+/// Running dispatchers by instance number.
 #[derive(Default)]
 pub struct Host {
     dispatchers: FxHashMap<u32, Dispatcher>,
-    /// Kept to save allocations.
+    /// Buffer reused for each event to save allocations.
     actions: Vec<Action>,
 }
 
-/// The position in a batch: to which instance the records belong, in the batch and in the reply.
+/// Instances that the current records of a batch and of its reply belong to.
 #[derive(Default)]
 struct Context {
+    /// Instance that the following records of the batch address; `None` until the batch names one.
     instance: Option<u32>,
+    /// Instance last named in the reply; `None` until the reply names one.
     reply_instance: Option<u32>,
 }
 
 impl Context {
-    /// The instance that a record is for.
+    /// Returns the instance that a record addresses, or an error if the batch has named none.
     fn instance_for(&self, record: &'static str) -> Result<u32, AdapterError> {
         self.instance.ok_or(AdapterError::NoInstance { record })
     }
 }
 
 impl Host {
-    /// Handles the records of one batch and adds the actions to the reply.
+    /// Handles the records of one batch and appends the resulting actions to the reply.
     pub fn handle_batch(&mut self, bytes: &[u8], reply: &mut Reply) -> Result<(), AdapterError> {
         let mut fields = Fields::new(bytes);
         let now = fields.u64()?;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs many dispatchers behind the simulator's protocol: batches of events on standard input, replies with their actions
-//! on standard output. It decides nothing.
+//! Runs many dispatchers behind the simulator's binary protocol: reads batches of events from standard input and writes
+//! replies with the resulting actions to standard output. Makes no decisions of its own.
 mod actions;
 mod codec;
 mod codes;
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of batches, replies and frames, and of the errors for malformed ones.
 use crate::codec::{self, Fields, Reply};
 use crate::codes::{action, event};
 use crate::error::AdapterError;
@@ -66,11 +67,11 @@
 }
 
 #[test_case(vec![record(7, &[0; 8])] => "an event before any instance was named"; "no instance")]
-#[test_case(vec![on(3), record(7, &[0; 8])] => "an event for instance 3, which does not run"; "not started")]
+#[test_case(vec![on(3), record(7, &[0; 8])] => "an event for instance 3, which is not running"; "not started")]
 #[test_case(vec![on(3), record(7, &[0; 3])]
-    => "record of code 7: a field of 8 bytes overruns its end by 5"; "short field")]
+    => "record with code 7: a field of 8 bytes extends 5 bytes past the end of the data"; "short field")]
 #[test_case(vec![vec![7, 255, 0, 0, 0]]
-    => "record of code 7: a field of 255 bytes overruns its end by 255"; "record too long")]
+    => "record with code 7: a field of 255 bytes extends 255 bytes past the end of the data"; "record too long")]
 #[test_case(vec![on(3), create("")] => "setting class.count is missing"; "no settings")]
 #[test_case(vec![on(3), create(&SETTINGS.replace("=4.0", "=four"))]
     => "setting overload.multiple cannot be read: \"four\""; "unreadable setting")]
@@ -86,7 +87,7 @@
     codec::read_batch(&mut bytes, &mut Vec::new()).map_err(|error| error.to_string())
 }
 
-/// A message of another version must not end the adapter.
+/// A message of another version must not end the adapter with an error.
 #[test_case(&[3, 0, 10, 0, 10, 0, 0, 1, 9, 0, 4, 8, 0, 1] => true; "of this version")]
 #[test_case(&[3, 0, 4, 0, 1, 2, 3, 4] => false; "of another length")]
 fn peer_messages_of_another_version_are_ignored(bytes: &[u8]) -> bool {
