--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -18,7 +18,7 @@
     }
 
     /// Reads a field of `length` bytes.
-    pub fn take(&mut self, length: usize) -> Result<&'a [u8], FieldError> {
+    pub fn bytes(&mut self, length: usize) -> Result<&'a [u8], FieldError> {
         let (field, rest) = self.bytes.split_at_checked(length).ok_or(FieldError {
             length,
             excess: length.saturating_sub(self.bytes.len()),
@@ -29,7 +29,7 @@
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], FieldError> {
         let mut out = [0; N];
-        out.copy_from_slice(self.take(N)?);
+        out.copy_from_slice(self.bytes(N)?);
         Ok(out)
     }
 
@@ -63,7 +63,7 @@
         let code = self.u8()?;
         let length = self.u32()?;
         let fields = self
-            .take(length as usize)
+            .bytes(length as usize)
             .map_err(|source| AdapterError::Record {
                 code,
                 source: source.into(),
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -68,7 +68,7 @@
     let seed = fields.u64()?;
     let length = fields.u32()? as usize;
     let text =
-        std::str::from_utf8(fields.take(length)?).map_err(|_| RecordError::SettingsEncoding)?;
+        std::str::from_utf8(fields.bytes(length)?).map_err(|_| RecordError::SettingsEncoding)?;
     let settings = settings(text)?;
     Ok(Incoming::Start { seed, settings })
 }
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -18,7 +18,7 @@
     [&[code][..], &(fields.len() as u32).to_le_bytes(), fields].concat()
 }
 
-fn create(settings: &str) -> Vec<u8> {
+fn start_record(settings: &str) -> Vec<u8> {
     let length = (settings.len() as u32).to_le_bytes();
     record(
         1,
@@ -26,7 +26,7 @@
     )
 }
 
-fn answer(records: &[Vec<u8>]) -> Result<Vec<u8>, AdapterError> {
+fn reply_to(records: &[Vec<u8>]) -> Result<Vec<u8>, AdapterError> {
     let count = (records.len() as u32).to_le_bytes();
     let bytes = [&5_u64.to_le_bytes()[..], &count, &records.concat()].concat();
     let mut reply = Reply::new();
@@ -36,29 +36,33 @@
     Ok(out)
 }
 
-fn on(instance: u32) -> Vec<u8> {
+fn instance_record(instance: u32) -> Vec<u8> {
     record(12, &instance.to_le_bytes())
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    assert_eq!(answer(&[]).unwrap(), vec![0; 8]);
+    assert_eq!(reply_to(&[]).unwrap(), vec![0; 8]);
 }
 
 #[test]
 fn unknown_records_and_settings_are_skipped() {
-    let records = [record(99, &[1, 2, 3]), on(3), create(SETTINGS)];
-    assert_eq!(answer(&records).unwrap(), vec![0; 8]);
+    let records = [
+        record(99, &[1, 2, 3]),
+        instance_record(3),
+        start_record(SETTINGS),
+    ];
+    assert_eq!(reply_to(&records).unwrap(), vec![0; 8]);
 }
 
 #[test]
 fn an_instance_may_start_again_in_the_batch_of_its_stop() {
     let list = record(2, &[&[0; 8][..], &[2], &[0; 4]].concat());
-    let out = answer(&[
-        on(3),
-        create(SETTINGS),
+    let out = reply_to(&[
+        instance_record(3),
+        start_record(SETTINGS),
         record(10, &[]),
-        create(SETTINGS),
+        start_record(SETTINGS),
         list,
     ])
     .unwrap();
@@ -67,16 +71,16 @@
 }
 
 #[test_case(vec![record(7, &[0; 8])] => "an event before any instance was named"; "no instance")]
-#[test_case(vec![on(3), record(7, &[0; 8])] => "an event for instance 3, which is not running"; "not started")]
-#[test_case(vec![on(3), record(7, &[0; 3])]
+#[test_case(vec![instance_record(3), record(7, &[0; 8])] => "an event for instance 3, which is not running"; "not started")]
+#[test_case(vec![instance_record(3), record(7, &[0; 3])]
     => "record with code 7: a field of 8 bytes extends 5 bytes past the end of the data"; "short field")]
 #[test_case(vec![vec![7, 255, 0, 0, 0]]
     => "record with code 7: a field of 255 bytes extends 255 bytes past the end of the data"; "record too long")]
-#[test_case(vec![on(3), create("")] => "setting class.count is missing"; "no settings")]
-#[test_case(vec![on(3), create(&SETTINGS.replace("=4.0", "=four"))]
+#[test_case(vec![instance_record(3), start_record("")] => "setting class.count is missing"; "no settings")]
+#[test_case(vec![instance_record(3), start_record(&SETTINGS.replace("=4.0", "=four"))]
     => "setting overload.multiple cannot be read: \"four\""; "unreadable setting")]
 fn malformed_batches_are_refused(records: Vec<Vec<u8>>) -> String {
-    answer(&records).unwrap_err().to_string()
+    reply_to(&records).unwrap_err().to_string()
 }
 
 #[test_case(&[] => Ok(false); "end between frames")]
