--- a/crates/log-stats/src/line.rs
+++ b/crates/log-stats/src/line.rs
@@ -1,22 +1,22 @@
-//! The lines that the engine writes at debug level, as typed values. Lines of versions up to 0.1 have other words, which are
-//! known here only.
+//! Parsing of the lines that the engine logs at debug level. Lines of versions up to 0.1 use other words, which only
+//! this module handles.
 #[cfg(test)]
 mod tests;
 
 /// Unix time in nanoseconds.
 pub(crate) type UnixNanos = u64;
 
-/// One line: the moment, and what happened then.
+/// Parsed line: a time and the event logged then.
 #[derive(Debug, PartialEq)]
 pub(crate) struct LogLine<'a> {
     pub(crate) at: UnixNanos,
     pub(crate) event: LogEvent<'a>,
 }
 
-/// What a line says. A request's number is unique within one run of a process.
+/// Event of a log line. Request numbers are unique within one run of a process.
 #[derive(Debug, PartialEq)]
 pub(crate) enum LogEvent<'a> {
-    /// An endpoint list named a host; `started_at` is 0 where its process started long ago.
+    /// An endpoint list contained a host. `started_at` is 0 for a process that started long ago.
     EndpointListed {
         host: &'a str,
         started_at: UnixNanos,
@@ -24,7 +24,7 @@
     RequestArrived {
         request: &'a str,
     },
-    /// The decisions answered a request without a worker's result.
+    /// The dispatcher answered a request itself, without a worker's result.
     RequestAnswered {
         request: &'a str,
         answer: Answer,
@@ -52,12 +52,12 @@
     ConnectionLost,
     TimedOut,
     WorkerError,
-    /// Invalid requests, attempts cancelled or never sent: no fault of the worker.
+    /// Not a fault of the worker: an invalid request, or an attempt cancelled or never sent.
     Other,
 }
 
 impl<'a> LogLine<'a> {
-    /// Reads a line; none for lines of other kinds and for incomplete ones.
+    /// Parses a line. Returns `None` for lines of other kinds and for incomplete ones.
     pub(crate) fn parse(text: &'a str) -> Option<Self> {
         let (_, fields) = text.split_once(" at=")?;
         let mut words = fields.split_whitespace();
@@ -75,10 +75,10 @@
 
 fn endpoint_event<'a>(host: &'a str, words: &[&'a str]) -> Option<LogEvent<'a>> {
     match words {
-        ["listed", _state, born] => {
-            let started_at = born
+        ["listed", _state, start_field] => {
+            let started_at = start_field
                 .strip_prefix("born=")
-                .and_then(|born| born.parse().ok())
+                .and_then(|nanos| nanos.parse().ok())
                 .unwrap_or(0);
             Some(LogEvent::EndpointListed { host, started_at })
         }
--- a/crates/log-stats/src/line/tests.rs
+++ b/crates/log-stats/src/line/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of each form of a line, of today and of versions up to 0.1.
+//! Tests of each kind of line, in the current form and in that of versions up to 0.1.
 use super::{Answer, AttemptOutcome, LogEvent, LogLine};
 
 fn event(text: &str) -> Option<LogEvent<'_>> {
@@ -80,8 +80,8 @@
         ("Cancelled", "Withdrawn", AttemptOutcome::Other),
         ("NotSent", "Moot", AttemptOutcome::Other),
     ];
-    for (today, earlier, expected) in outcomes {
-        assert_eq!((outcome(today), outcome(earlier)), (expected, expected));
+    for (current, old, expected) in outcomes {
+        assert_eq!((outcome(current), outcome(old)), (expected, expected));
     }
 }
 
--- a/crates/log-stats/src/main.rs
+++ b/crates/log-stats/src/main.rs
@@ -1,4 +1,4 @@
-//! The command: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug`, and prints statistics over them.
+//! Command line: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug` and prints statistics over them.
 use clap::Parser;
 use rosewall_log_stats::Statistics;
 use std::path::PathBuf;
@@ -9,13 +9,13 @@
 #[command(
     name = "rosewall-log-stats",
     version,
-    about = "Sums the debug logs of many dispatchers by second"
+    about = "Prints statistics over the debug logs of many dispatchers, by second and by worker"
 )]
 struct Cli {
-    /// A log of each dispatcher, as written with ROSEWALL_LOG=debug
+    /// Log files, one per dispatcher, written with ROSEWALL_LOG=debug
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// How long a worker counts as cold after its start, in seconds
+    /// Seconds after its start for which a worker counts as warming up
     #[arg(long, value_name = "SECONDS", default_value = "20", value_parser = parse_seconds)]
     cold: Duration,
 }
--- a/crates/log-stats/src/second_counts.rs
+++ b/crates/log-stats/src/second_counts.rs
@@ -1,12 +1,12 @@
-//! What is counted in one second.
+//! Counts of the events within one second.
 use crate::line::{Answer, AttemptOutcome};
 
-/// What all dispatchers logged in one second.
+/// Number of events that all dispatchers logged within one second of Unix time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct SecondCounts {
     pub(crate) arrived: u64,
     pub(crate) rejected: u64,
-    /// Of those rejected, the ones without an attempt before.
+    /// Rejected requests without an earlier attempt.
     pub(crate) unattempted: u64,
     pub(crate) failed: u64,
     /// Attempts to workers that are not warming up.
@@ -43,7 +43,7 @@
         *counter += 1;
     }
 
-    /// The columns of the table, with their names.
+    /// Returns the names and values of the table's columns, in their order.
     pub(crate) fn columns(&self) -> [(&'static str, u64); 13] {
         [
             ("arrived", self.arrived),
--- a/crates/log-stats/src/statistics.rs
+++ b/crates/log-stats/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Sums over the logs of a fleet, and the tables they are printed as.
+//! Totals over the logs of a fleet, and their output as tables.
 #[cfg(test)]
 mod tests;
 
@@ -12,28 +12,28 @@
 
 const NANOS_PER_SECOND: UnixNanos = 1_000_000_000;
 
-/// What is known of one worker.
+/// Totals and start time of one worker.
 #[derive(Default)]
 struct Worker {
     attempts: u64,
-    /// The logs of the dispatchers that sent them, by their numbers.
+    /// Indices of the logs whose dispatchers sent these attempts.
     dispatchers: BTreeSet<usize>,
-    /// When its process started; 0 for long ago.
+    /// Start of the worker's process; 0 if it started long ago.
     started_at: UnixNanos,
 }
 
-/// Sums over the debug logs of many dispatchers. Displayed as a table by second and one by worker.
+/// Totals over the debug logs of many dispatchers. Displays as one table by second and one by worker.
 #[derive(Default)]
 pub struct Statistics {
     warm_up_nanos: UnixNanos,
     log_count: usize,
     workers: BTreeMap<String, Worker>,
-    /// By the second of Unix time.
+    /// Counts by second of Unix time.
     seconds: BTreeMap<u64, SecondCounts>,
 }
 
 impl Statistics {
-    /// Empty sums, where a worker counts as cold for `warm_up` after its start.
+    /// Creates empty totals. A worker counts as warming up for `warm_up` after its start.
     pub fn new(warm_up: Duration) -> Self {
         Statistics {
             warm_up_nanos: u64::try_from(warm_up.as_nanos()).unwrap_or(u64::MAX),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Adds the log of one dispatcher. Lines of other kinds are passed over, as is an incomplete one at its end.
+    /// Adds the log of one dispatcher. Ignores lines of other kinds and an incomplete last line.
     pub fn add_log(&mut self, log: &str) {
         let mut attempts_by_request: FxHashMap<&str, u32> = FxHashMap::default();
         for line in log.lines().filter_map(LogLine::parse) {
@@ -61,7 +61,7 @@
                 self.worker(host).started_at = started_at;
             }
             LogEvent::RequestArrived { request } => {
-                // After a restart the numbers of requests begin anew.
+                // Request numbers start over after a restart of the dispatcher.
                 attempts_by_request.insert(request, 0);
                 self.second(at).arrived += 1;
             }
@@ -87,9 +87,9 @@
         let worker = self.worker(host);
         worker.attempts += 1;
         worker.dispatchers.insert(dispatcher);
-        let is_cold = worker.started_at > 0 && at < worker.started_at.saturating_add(warm_up);
+        let is_warming_up = worker.started_at > 0 && at < worker.started_at.saturating_add(warm_up);
         let counts = self.second(at);
-        if is_cold {
+        if is_warming_up {
             counts.to_cold += 1;
         } else {
             counts.to_warm += 1;
--- a/crates/log-stats/src/statistics/tests.rs
+++ b/crates/log-stats/src/statistics/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the sums over logs.
+//! Tests of the totals over logs and of the printed tables.
 use super::Statistics;
 use crate::second_counts::SecondCounts;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     1.2 DEBUG at=6300000000 txn=2 answered Declined { come_back: 5 }\n\
     1.3 DEBUG at=64000";
 
-/// Two dispatchers with the same log are summed, not taken for one.
+/// Adds one log twice and checks that it is counted as the logs of two dispatchers.
 fn assert_sums_of_two_dispatchers(log: &str) {
     let mut statistics = Statistics::new(Duration::from_secs(3));
 
