--- a/crates/log-stats/src/line/tests.rs
+++ b/crates/log-stats/src/line/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_listed_host_has_its_start() {
+fn reads_the_start_time_of_a_listed_host() {
     let line = LogLine::parse("0.0 DEBUG at=5 host=b listed Ready born=4");
     let event = LogEvent::EndpointListed {
         host: "b",
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn lines_of_other_kinds_and_incomplete_ones_are_passed_over() {
+fn ignores_incomplete_lines_and_lines_of_other_kinds() {
     for text in [
         "0.0 INFO listening on 127.0.0.1:1",
         "1.3 DEBUG at=64000",
--- a/crates/log-stats/src/statistics/tests.rs
+++ b/crates/log-stats/src/statistics/tests.rs
@@ -28,7 +28,7 @@
     1.3 DEBUG at=64000";
 
 /// Adds one log twice and checks that it is counted as the logs of two dispatchers.
-fn assert_sums_of_two_dispatchers(log: &str) {
+fn assert_totals_of_two_dispatchers(log: &str) {
     let mut statistics = Statistics::new(Duration::from_secs(3));
 
     statistics.add_log(log);
@@ -57,16 +57,16 @@
 
 #[test]
 fn logs_of_several_dispatchers_are_summed_by_second_and_by_worker() {
-    assert_sums_of_two_dispatchers(LOG);
+    assert_totals_of_two_dispatchers(LOG);
 }
 
 #[test]
-fn logs_of_earlier_versions_are_read_like_those_of_today() {
-    assert_sums_of_two_dispatchers(LOG_OF_VERSION_0_1);
+fn logs_of_version_0_1_have_the_same_totals() {
+    assert_totals_of_two_dispatchers(LOG_OF_VERSION_0_1);
 }
 
 #[test]
-fn columns_stand_below_their_names() {
+fn columns_are_aligned_with_their_names() {
     let mut statistics = Statistics::new(Duration::from_secs(3));
     statistics.add_log(LOG);
 
