--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Several processes of the daemon, with faults between them. Rules are checked by what workers and clients recorded; only
+//! Clusters of daemon processes with injected faults. Rules are checked against the records of workers and clients; only
 //! membership is read from the logs.
 use rosewall_cluster_testbed::checker::Rule;
 use rosewall_cluster_testbed::relay::LinkConditions;
@@ -9,11 +9,11 @@
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// How many processes may run at once; tests with more wait until they run alone.
+/// Maximum number of daemon processes of all tests together. A test that needs more waits until it runs alone.
 const MAX_PROCESSES: usize = 26;
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// Processes that may run until it is dropped.
+/// Permit for a number of processes, returned when dropped.
 struct ProcessPermit(usize);
 
 fn acquire_processes(processes: usize) -> ProcessPermit {
@@ -37,7 +37,8 @@
     }
 }
 
-/// Workers with two concurrency slots; a warming one may get 1.5 times its capacity.
+/// Builds a scenario with eight workers of two concurrency slots each. A worker that is warming up may receive 1.5 times
+/// its capacity.
 fn scenario(dispatchers: usize, seconds: f64, faults: Vec<Fault>) -> Scenario {
     let fleet = Fleet {
         dispatchers,
@@ -71,13 +72,14 @@
     report
 }
 
-/// Runs a scenario in which no rule may be broken and service must go on.
+/// Runs a scenario and asserts that no rule is violated and that more than 95 % of more than 300 requests
+/// succeed.
 fn run_without_violations(scenario: &Scenario) -> Report {
     let report = run(scenario);
     assert!(report.violations.is_empty(), "{:#?}", report.violations);
     assert!(
         report.requests > 300 && report.unsuccessful_share < 0.05,
-        "{} asked, {:.3} missed",
+        "{} requests, of which a share of {:.3} did not succeed",
         report.requests,
         report.unsuccessful_share
     );
@@ -105,7 +107,7 @@
         .fold(f64::INFINITY, f64::min);
     assert!(
         smallest_share > 0.25,
-        "a warming worker got {smallest_share:.2} of its budget"
+        "a warming worker received {smallest_share:.2} of half its budget, expected more than 0.25"
     );
 }
 
@@ -130,7 +132,7 @@
     run_without_violations(&scenario(6, 9.0, faults));
 }
 
-/// The member is paused with the lease on warm-up grants, and with requests for warming workers.
+/// The member is paused while it has the lease on warm-up grants and requests for workers that are warming up.
 #[test]
 fn a_member_that_was_paused_for_ten_seconds_has_no_valid_lease_or_grant() {
     let faults = vec![
@@ -194,14 +196,17 @@
     );
 }
 
-/// Waits until these dispatchers know each other and no one else; returns how long that took.
-fn wait_for_agreement(testbed: &Testbed, who: &[usize], within: Duration) -> Duration {
+/// Waits until each of `dispatchers` lists exactly these as members, and returns the time taken.
+fn wait_for_agreement(testbed: &Testbed, dispatchers: &[usize], within: Duration) -> Duration {
     let begun = Instant::now();
-    while !testbed.members_agree(who) {
-        let views: Vec<_> = who.iter().map(|at| testbed.membership_view(*at)).collect();
+    while !testbed.members_agree(dispatchers) {
+        let views: Vec<_> = dispatchers
+            .iter()
+            .map(|at| testbed.membership_view(*at))
+            .collect();
         assert!(
             begun.elapsed() < within,
-            "not agreed after {within:?}: {views:?}"
+            "members do not agree after {within:?}: {views:?}"
         );
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -268,12 +273,16 @@
     let mut testbed =
         Testbed::start(&scenario(5, 8.0, Vec::new())).expect("the testbed could not start");
     wait_for_agreement(&testbed, &[0, 1, 2, 3, 4], Duration::from_secs(3));
-    testbed.start_dispatcher_as(4, "n3").expect("no start");
-    testbed.wait_until_ready(4).expect("not ready");
-    let process = testbed.process(3).expect("it runs");
+    testbed
+        .start_dispatcher_as(4, "n3")
+        .expect("the dispatcher did not start");
+    testbed
+        .wait_until_ready(4)
+        .expect("the dispatcher is not ready");
+    let process = testbed.process(3).expect("dispatcher 3 is not running");
     let line = process
         .line("RW-CLUSTER-TWICE", Duration::from_secs(5))
-        .expect("the older one did not report it");
+        .expect("the older process did not report the duplicate name");
     assert!(
         line.contains("n3") && line.contains("give one of the two another name"),
         "{line}"
--- a/crates/rosewalld/tests/daemon/attempts.rs
+++ b/crates/rosewalld/tests/daemon/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and which requests are retried.
+//! Outcomes of attempts, and retries by class.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stand::{
     Act, Daemon, Discovery, Worker, configuration, field, host, listen, message, request, script,
@@ -36,7 +36,7 @@
     assert_eq!(seen, [(first, "9b1f".to_string(), b"some {body}".to_vec())]);
 }
 
-/// Workers recognise a repeat by the key that its client sent.
+/// Workers detect repeated requests by the key of the client.
 #[test_case("Idempotency-Key: 4366 cf\r\n", Some("4366 cf"); "with a key")]
 #[test_case("", None; "without a key")]
 fn each_attempt_carries_the_idempotency_key_of_the_client(header: &str, expected: Option<&str>) {
@@ -56,7 +56,7 @@
     client.send(request("id", "invoice", 5.0, header, "a body").as_bytes());
     assert_eq!(client.answer().unwrap().status, 502);
     let heads = heads.lock().unwrap();
-    assert!(heads.len() > 1, "it was not retried");
+    assert!(heads.len() > 1, "the request was not retried");
     assert!(
         heads
             .iter()
@@ -76,7 +76,7 @@
     }
 }
 
-/// A non-idempotent request fails instead.
+/// A non-idempotent request fails after its first attempt.
 #[test_case(Act::State("failed"); "failed")]
 #[test_case(Act::State("lost"); "lost")]
 #[test_case(Act::Status(500, false); "500")]
@@ -100,7 +100,7 @@
     }
 }
 
-/// No other worker would accept it either.
+/// An invalid request is not retried, since no other worker would accept it.
 #[test_case("thumb"; "idempotent")]
 #[test_case("charge"; "non-idempotent")]
 fn an_invalid_request_fails_and_its_id_is_not_accepted_again(class: &str) {
@@ -140,14 +140,14 @@
     assert_eq!((answer.status, fleet.attempts()), (status, 1));
     assert_eq!(answer.head.contains("Retry-After: 0.500"), status == 503);
     assert_eq!(fleet.daemon.counter("attempts_timed_out"), 1);
-    // The connection to the silent worker is closed by then.
+    // The connection to the silent worker has been closed by now.
     assert_eq!(fleet.daemon.client().ask("next", class, 5.0).status, 200);
 }
 
-/// Only a request that did not run may be rejected where it is non-idempotent.
+/// A non-idempotent request may be rejected only if it did not run.
 #[test_case("thumb", false; "idempotent, connection refused")]
 #[test_case("charge", false; "non-idempotent, connection refused")]
-#[test_case("charge", true; "non-idempotent, connection never up")]
+#[test_case("charge", true; "non-idempotent, connection never established")]
 fn a_request_without_a_connection_did_not_run_and_is_rejected(class: &str, host_vanished: bool) {
     let (_listener, full) = vanished_machine();
     let dial = if host_vanished {
--- a/crates/rosewalld/tests/daemon/configuration.rs
+++ b/crates/rosewalld/tests/daemon/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file at the start and at SIGHUP.
+//! Loading of the configuration file at program start and at SIGHUP.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stand::{Discovery, Worker, configuration, host, script};
 use std::process::Command;
@@ -27,7 +27,7 @@
     discovery.until_watched();
     assert_eq!(fleet.daemon.client().ask("one", "thumb", 5.0).status, 200);
     assert_eq!((fleet.attempts(), new.count()), (0, 1));
-    // And back again, more than once.
+    // A further reload switches back to the first service.
     fleet.daemon.reload(
         &configuration(&fleet.discovery.address, 1024).to_string(),
         "a new configuration",
--- a/crates/rosewalld/tests/daemon/connections.rs
+++ b/crates/rosewalld/tests/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Which connections are reused.
+//! Reuse of connections to clients and workers.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stand::{
     Act, Daemon, Discovery, Worker, configuration, host, request, script,
@@ -38,7 +38,8 @@
     assert_eq!(daemon.counter("pool_stale"), 1);
 }
 
-/// Some workers drop idle connections in silence. Before the last byte is written nothing ran.
+/// Some workers drop idle connections without notice. A request whose last byte has not been written did not run, and is
+/// sent again.
 #[test]
 fn a_connection_that_breaks_before_the_last_byte_costs_no_request() {
     let worker = Worker::start(&script(&[Act::DoneStale; 6]));
--- a/crates/rosewalld/tests/daemon/discovery.rs
+++ b/crates/rosewalld/tests/daemon/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: watches, drains, failures of the service.
+//! Endpoint list: watches, draining workers and failures of the discovery service.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stand::{
     Daemon, Discovery, Worker, configuration, host, script, vanished_machine,
@@ -37,7 +37,7 @@
         fleet.daemon.client().ask("during", "thumb", 5.0).status,
         200
     );
-    // A slow machine calls less often, never more.
+    // A slow machine sends fewer requests, never more.
     std::thread::sleep(std::time::Duration::from_millis(300));
     assert!(
         fleet.discovery.calls() < 12,
@@ -51,7 +51,7 @@
     assert_eq!(new.count(), 1);
 }
 
-/// A service that all dispatchers ask at once is spared a request for the whole list.
+/// A watch from the cached version spares the service a snapshot for each dispatcher when all of them start at once.
 #[test]
 fn a_polled_list_is_watched_from_the_version_known() {
     let worker = Worker::start(&script(&[]));
@@ -74,7 +74,7 @@
     assert_eq!((worker.count(), new.count()), (0, 1));
 }
 
-/// A watch from a version that the service does not know would miss what came before.
+/// A watch from a version that the service has not reached would miss the changes before that version.
 #[test]
 fn a_service_whose_version_went_back_is_asked_for_a_snapshot() {
     let worker = Worker::start(&script(&[]));
@@ -88,7 +88,7 @@
     assert_eq!(daemon.client().ask("id", "thumb", 5.0).status, 200);
 }
 
-/// The old watch goes on until the new one has its first list.
+/// The old watch continues until the new one has received its first list.
 #[test]
 fn a_drain_is_noticed_while_the_new_discovery_address_does_not_answer() {
     let fleet = start_fleet(&[]);
@@ -136,7 +136,7 @@
     assert_eq!(daemon.client().ask("id", "thumb", 5.0).status, 200);
 }
 
-/// The limit on the size of a list leaves room for the largest fleets of the operators' trials.
+/// The size limit of a list admits the largest fleets of the operators' trials.
 #[test]
 fn a_list_of_a_thousand_workers_is_served() {
     let worker = Worker::start(&script(&[]));
--- a/crates/rosewalld/tests/daemon/invalid_requests.rs
+++ b/crates/rosewalld/tests/daemon/invalid_requests.rs
@@ -1,8 +1,8 @@
-//! Requests that are refused.
+//! Refusal of malformed and oversized requests.
 use crate::start_fleet;
 use test_case::test_case;
 
-/// Valid header fields; `FIELDS` stands for them in the requests below, `LARGE` for 65,537 bytes.
+/// Valid header fields. They replace `FIELDS` in the requests below; 65,537 bytes replace `LARGE`.
 const FIELDS: &str =
     "Request-Id: a\r\nRequest-Class: thumb\r\nTenant: acme\r\nRequest-Timeout: 1\r\n";
 
--- a/crates/rosewalld/tests/daemon/limits.rs
+++ b/crates/rosewalld/tests/daemon/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on descriptors, time and log lines, and the crowds that they hold off.
+//! Limits on descriptors, request time and log lines, under many connections, invalid requests and signals.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stand::{
     Act, Client, Daemon, Discovery, Worker, configuration, host, request, script,
@@ -14,10 +14,10 @@
     let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
     let daemon = Daemon::start_under(shell_command, &configuration(&discovery.address, sockets));
     daemon.until_ready();
-    let mut crowd: Vec<Client> = (0..40).map(|_| daemon.client()).collect();
-    // The system has accepted all of them. The last one is served once the oldest idle ones are closed.
+    let mut clients: Vec<Client> = (0..40).map(|_| daemon.client()).collect();
+    // The system has accepted all of them. The last one is served once the oldest idle ones have been closed.
     assert_eq!(
-        crowd.last_mut().unwrap().ask("id", "thumb", 15.0).status,
+        clients.last_mut().unwrap().ask("id", "thumb", 15.0).status,
         200
     );
     assert!(daemon.counter("clients_idle_closed") > 0);
@@ -53,14 +53,14 @@
 #[test_case("POST /api HTTP/1.1\r\n", Some(408); "half a request")]
 fn clients_without_a_request_are_closed_in_time(text: &str, status: Option<u16>) {
     let fleet = start_fleet(&[]);
-    let mut known = fleet.daemon.client();
-    assert_eq!(known.get("/healthz"), 200);
-    let mut never = fleet.daemon.client();
-    never.send(text.as_bytes());
+    let mut served = fleet.daemon.client();
+    assert_eq!(served.get("/healthz"), 200);
+    let mut idle = fleet.daemon.client();
+    idle.send(text.as_bytes());
     let begun = std::time::Instant::now();
-    assert_eq!(never.answer().map(|answer| answer.status), status);
-    assert!(begun.elapsed().as_secs() < 10 && never.is_closed());
-    assert_eq!(known.ask("id", "thumb", 5.0).status, 200);
+    assert_eq!(idle.answer().map(|answer| answer.status), status);
+    assert!(begun.elapsed().as_secs() < 10 && idle.is_closed());
+    assert_eq!(served.ask("id", "thumb", 5.0).status, 200);
 }
 
 #[test]
@@ -70,10 +70,12 @@
     let daemon = Daemon::start(&configuration(&discovery.address, 64));
     daemon.until_ready();
     assert_eq!(daemon.client().ask("before", "thumb", 20.0).status, 200);
-    let mut crowd: Vec<Client> = (0..300).map(|_| daemon.client()).collect();
-    crowd.iter_mut().for_each(|client| client.send(b"POST "));
+    let mut incomplete: Vec<Client> = (0..300).map(|_| daemon.client()).collect();
+    incomplete
+        .iter_mut()
+        .for_each(|client| client.send(b"POST "));
     assert_eq!(daemon.client().ask("after", "thumb", 20.0).status, 200);
-    // Descriptors were freed by the crowd, not by the connection to the worker.
+    // Descriptors were freed by closing clients, not the connection to the worker.
     assert_eq!(
         (daemon.counter("connects"), daemon.counter("pool_evicted")),
         (1, 0)
@@ -88,18 +90,18 @@
     daemon.until_ready();
     let ask = |at| {
         let mut client = daemon.client();
-        // Without a hint, a class that never ran is expected to run for its latency objective, 0.9 s here, and the seventh
-        // of such requests before two concurrency slots would have no time left.
+        // Without a hint, the expected service time of a class that never ran is its latency objective, 0.9 s here. The
+        // seventh of such requests at two concurrency slots would have no time left.
         let hint = "Work-Hint: 100000\r\n";
         client.send(request(&format!("id{at}"), "charge", 20.0, hint, "").as_bytes());
         client
     };
-    // The attempts of disconnected clients go on, so that there are more attempts than clients.
-    let leaving: Vec<Client> = (0..5).map(ask).collect();
+    // The attempts of disconnected clients continue, so that there are more attempts than clients.
+    let disconnecting: Vec<Client> = (0..5).map(ask).collect();
     while worker.count() < 5 {
         std::thread::yield_now();
     }
-    drop(leaving);
+    drop(disconnecting);
     daemon.until_counter("clients_disconnected", 5);
     let _silent = [ask(5), ask(6)];
     daemon.until_counter("connects", 7);
@@ -119,7 +121,7 @@
     let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
     let mut daemon = Daemon::start_unread(&configuration(&discovery.address, 1024));
     daemon.until_ready();
-    // Far more lines than a pipe holds.
+    // Many more lines than a pipe buffers.
     daemon.signals("USR1", 800);
     assert_eq!(daemon.client().ask("id", "thumb", 5.0).status, 200);
     daemon.signal("TERM");
--- a/crates/rosewalld/tests/daemon/main.rs
+++ b/crates/rosewalld/tests/daemon/main.rs
@@ -1,4 +1,4 @@
-//! The daemon as it is started, tested over sockets.
+//! Tests of the daemon process over sockets, with test stubs for clients, workers and discovery.
 mod attempts;
 mod configuration;
 mod connections;
@@ -37,7 +37,7 @@
 }
 
 impl Fleet {
-    /// How many attempts reached the workers.
+    /// Returns the number of attempts that reached the workers.
     fn attempts(&self) -> usize {
         self.workers.iter().map(Worker::count).sum()
     }
--- a/crates/rosewalld/tests/daemon/rolling_upgrade.rs
+++ b/crates/rosewalld/tests/daemon/rolling_upgrade.rs
@@ -1,4 +1,4 @@
-//! A rolling upgrade: dispatchers that exchange load reports and dispatchers that do not, before the same workers.
+//! Rolling upgrade: dispatchers with and without load reports share the same workers.
 use rosewall_cluster_testbed::stand::{
     Client, Daemon, Discovery, configuration, field, host, listen, message, request,
 };
@@ -12,23 +12,24 @@
 
 const SLOTS: usize = 2;
 const SERVICE_TIME: Duration = Duration::from_millis(60);
-/// How much of its capacity a warming worker may get: little, so that a budget that is exceeded shows at this load.
+/// Warm-up budget as a multiple of a worker's capacity, low enough for this load to reveal an exceeded budget.
 const WARM_UP_MULTIPLE: f64 = 1.5;
 const WARM_UP: Duration = Duration::from_secs(6);
 const DISPATCHERS: usize = 4;
 const CLIENTS: usize = 28;
 const CLIENT_RUN_TIME: Duration = Duration::from_secs(7);
-/// The workers by what happens to them.
+/// Indices of the workers that drain, hang and warm up.
 const DRAINING: usize = 0;
 const HANGING: usize = 1;
 const WARMING: usize = 5;
 
-/// What a worker has seen. It has two concurrency slots and a queue.
+/// State of a worker with [`SLOTS`] concurrency slots and a queue.
 #[derive(Default)]
 struct WorkerState {
     received_at: Vec<Instant>,
     started_ids: Vec<String>,
     ended: usize,
+    /// Whether new requests are received and never answered.
     hangs: bool,
 }
 
@@ -43,11 +44,11 @@
         let _ = stream.read(&mut [0]);
         return None;
     }
-    let turn = locked.started_ids.len();
+    let position = locked.started_ids.len();
     locked.started_ids.push(id.clone());
     drop(
         changed
-            .wait_while(locked, |state| turn >= state.ended + SLOTS)
+            .wait_while(locked, |state| position >= state.ended + SLOTS)
             .unwrap(),
     );
     let chunk = |state: &str| {
@@ -65,14 +66,14 @@
         .ok()
 }
 
-/// What a client saw of one request.
-struct Seen {
+/// Result of one request at its client.
+struct RequestResult {
     succeeded: bool,
     seconds: f64,
 }
 
-/// Sends one request after the other.
-fn run_client(daemon: &Daemon, name: usize) -> Vec<Seen> {
+/// Sends requests one after another for [`CLIENT_RUN_TIME`] and returns their results.
+fn run_client(daemon: &Daemon, name: usize) -> Vec<RequestResult> {
     let mut client = Client::connect(&daemon.address);
     let begun = Instant::now();
     let ask = |n: usize| {
@@ -81,8 +82,8 @@
         let sent_at = Instant::now();
         let hint = format!("Work-Hint: {}\r\n", SERVICE_TIME.as_micros());
         client.send(request(&format!("{name}-{class}-{n}"), class, 1.5, &hint, "").as_bytes());
-        let status = client.answer().expect("a request without an answer").status;
-        Seen {
+        let status = client.answer().expect("request not answered").status;
+        RequestResult {
             succeeded: status == 200,
             seconds: sent_at.elapsed().as_secs_f64(),
         }
@@ -101,10 +102,10 @@
         .to_string()
 }
 
-/// What the dispatchers with odd numbers do.
+/// Differences of the upgraded dispatchers, which have odd numbers.
 #[derive(Clone, Copy)]
 struct Upgraded {
-    /// Their load reports go to addresses where no one receives.
+    /// Load reports are sent to addresses without a receiver.
     loses_reports: bool,
     warm_up_multiple: f64,
 }
@@ -141,13 +142,13 @@
     Daemon::start(&config)
 }
 
-/// What happened in one run, as workers and clients saw it.
+/// Times of the changes and results of the requests of one run.
 struct Run {
     drained_at: Instant,
-    /// When the warming worker came into the list.
+    /// Time at which the worker that warms up joined the list.
     joined_at: Instant,
-    /// What clients of the dispatchers without and with load reports saw.
-    seen: [Vec<Seen>; 2],
+    /// Results at dispatchers without load reports, then at those with them.
+    results: [Vec<RequestResult>; 2],
 }
 
 /// Runs clients while one worker hangs, one drains and one joins.
@@ -173,21 +174,24 @@
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
         warming["born_ms"] = (unix_time.as_millis() as u64).into();
         discovery.tell(vec![warming]);
-        let mut seen = [Vec::new(), Vec::new()];
+        let mut results = [Vec::new(), Vec::new()];
         for (n, client) in clients.into_iter().enumerate() {
-            seen[n % 2].extend(client.join().unwrap());
+            results[n % 2].extend(client.join().unwrap());
         }
         Run {
             drained_at,
             joined_at,
-            seen,
+            results,
         }
     })
 }
 
 fn assert_answers_come_in_time(run: &Run) {
     assert!(
-        run.seen.iter().flatten().all(|seen| seen.seconds < 1.55),
+        run.results
+            .iter()
+            .flatten()
+            .all(|result| result.seconds < 1.55),
         "an answer after its deadline"
     );
 }
@@ -210,7 +214,7 @@
     let state = worker.0.lock().unwrap();
     assert!(
         state.received_at.iter().all(|at| *at < noticed_by),
-        "sent to a worker that drains"
+        "request sent to a draining worker"
     );
 }
 
@@ -225,29 +229,30 @@
         let budget = WARM_UP_MULTIPLE * SLOTS as f64 * (0.2 + 0.8 * age / WARM_UP.as_secs_f64());
         assert!(
             work <= budget,
-            "a warming worker got {work:.2} s of {budget:.2}"
+            "a warming worker received {work:.2} s of work, over its budget of {budget:.2} s"
         );
     }
 }
 
 fn assert_both_kinds_are_served_alike(run: &Run) {
-    let mean =
-        |seen: &[Seen], of: fn(&Seen) -> f64| seen.iter().map(of).sum::<f64>() / seen.len() as f64;
+    let mean = |results: &[RequestResult], of: fn(&RequestResult) -> f64| {
+        results.iter().map(of).sum::<f64>() / results.len() as f64
+    };
     let [old_served, new_served] = run
-        .seen
+        .results
         .each_ref()
-        .map(|seen| mean(seen, |seen| f64::from(seen.succeeded)));
+        .map(|results| mean(results, |result| f64::from(result.succeeded)));
     let [old_seconds, new_seconds] = run
-        .seen
+        .results
         .each_ref()
-        .map(|seen| mean(seen, |seen| seen.seconds));
+        .map(|results| mean(results, |result| result.seconds));
     assert!(
         (old_served - new_served).abs() < 0.1 && old_served.min(new_served) > 0.8,
-        "served {old_served} {new_served}"
+        "share served: {old_served} without load reports, {new_served} with them"
     );
     assert!(
         (old_seconds - new_seconds).abs() < 0.05,
-        "took {old_seconds} {new_seconds}"
+        "mean seconds: {old_seconds} without load reports, {new_seconds} with them"
     );
 }
 
@@ -257,7 +262,7 @@
     let new_received = daemons[1].counter("peer_loads_received");
     assert!(
         new_sent > 0 && (new_received == 0) == loses_reports && old_sent == 0,
-        "{new_sent} {new_received} {old_sent}"
+        "upgraded: {new_sent} sent, {new_received} received; not upgraded: {old_sent} sent"
     );
 }
 
--- a/crates/rosewalld/tests/daemon/shutdown.rs
+++ b/crates/rosewalld/tests/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! What SIGTERM does.
+//! Graceful shutdown at SIGTERM.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stand::{Act, counter_in, request};
 
@@ -60,7 +60,7 @@
     active.send(request("active", "charge", 60.0, "", "x").as_bytes());
     fleet.daemon.until_counter("attempts", 1);
     fleet.daemon.signal("TERM");
-    // The signal is handled a moment later; a client that came before it is served all the same.
+    // The signal is handled after a delay; a client that connects before then is served as usual.
     let status = (0..200)
         .map(|_| fleet.daemon.client().get("/healthz"))
         .find(|status| *status != 200);
--- a/crates/rosewalld/tests/teardown.rs
+++ b/crates/rosewalld/tests/teardown.rs
@@ -1,4 +1,5 @@
-//! Something ends while an answer or a rule still depends on it: the stand-ins force the race. See `docs/ends.md`.
+//! Races at teardown: a worker, client, connection or discovery agent ends while an answer or a rule still depends on it.
+//! Test stubs force each race. See `docs/ends.md`.
 use rosewall_cluster_testbed::stand::{
     Act, Daemon, Discovery, Worker, configuration, host, request, script, vanished_machine,
 };
@@ -6,10 +7,10 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// The operators' bound: how long after a client has disconnected its request may still be sent.
+/// Operators' bound on the time after a client's disconnection in which its request may still be sent.
 const DISCONNECT_NOTICE_LIMIT: Duration = Duration::from_millis(300);
 
-/// Sends six requests, none of which may go to the first worker.
+/// Sends six requests and asserts that none reaches the first worker.
 fn assert_first_worker_is_avoided(daemon: &Daemon, workers: &[Worker]) {
     let mut client = daemon.client();
     for at in 0..6 {
@@ -18,7 +19,7 @@
     assert_eq!((workers[0].count(), workers[1].count()), (0, 6));
 }
 
-/// A worker that follows a script, alone in the list, and the daemon.
+/// Starts the daemon with one worker, which follows a script.
 fn start_with_one_worker(acts: &[Act]) -> (Worker, Daemon) {
     let worker = Worker::start(&script(acts));
     let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
@@ -60,8 +61,8 @@
     }
 }
 
-/// The dispatcher is held to what a silent watch missed 6 s after it fell silent, or 2 s after the wait of its request, which
-/// may be 20 s for a polled list.
+/// A change that a silent watch missed must apply within 6 s of the start of the silence, or within 2 s of the end of the
+/// wait of its request, which may be 20 s for a polled list.
 #[test_case("pushed", 6; "a pushed list")]
 #[test_case("on_request", 22; "a polled list")]
 fn a_drain_missed_by_a_silent_watch_is_noticed_in_time(mode: &str, seconds: u64) {
@@ -72,14 +73,14 @@
     fleet.discovery.until_followed();
     assert!(
         begun.elapsed() < Duration::from_secs(seconds),
-        "noticed after {:?}",
+        "list applied after {:?}",
         begun.elapsed()
     );
     assert_first_worker_is_avoided(&fleet.daemon, &fleet.workers);
 }
 
-/// The dispatcher is held to what an agent has from the moment at which it answers again, and some drains give a notice of a
-/// few hundred ms only. The agent does not know requests from before its failure.
+/// A change must apply as soon as its agent answers again, since some drains are announced only a few hundred ms ahead.
+/// After its failure, the agent has no record of earlier requests.
 #[test_case(false; "the same agent")]
 #[test_case(true; "the agent of a new configuration")]
 fn a_drain_is_noticed_soon_after_a_discovery_agent_has_recovered(moves: bool) {
@@ -102,13 +103,13 @@
     discovery.until_followed();
     assert!(
         begun.elapsed() < Duration::from_millis(350),
-        "noticed after {:?}",
+        "list applied after {:?}",
         begun.elapsed()
     );
     assert_first_worker_is_avoided(&fleet.daemon, &fleet.workers);
 }
 
-/// The rest of an answer that has begun is not waited for as long as an answer may take to begin.
+/// The time limit for the rest of a started answer is shorter than that for the start of an answer.
 #[test]
 fn a_truncated_list_is_requested_again_at_once() {
     let fleet = Fleet::new("pushed");
@@ -118,7 +119,7 @@
     fleet.discovery.until_followed();
     assert!(
         begun.elapsed() < Duration::from_secs(1),
-        "noticed after {:?}",
+        "list applied after {:?}",
         begun.elapsed()
     );
     assert_first_worker_is_avoided(&fleet.daemon, &fleet.workers);
@@ -131,7 +132,7 @@
     let worker = Worker::start(&script(&[]));
     let discovery = Discovery::start(vec![host("a", &dial, "ready")]);
     let mut config = configuration(&discovery.address, 1024);
-    // Longer than the system takes to retry a connection, which is 1 s.
+    // Longer than the 1 s after which the system retries a connection.
     config["settings"]["Bounds"]["ConnectTimeoutNs"] = 8_000_000_000_u64.into();
     let daemon = Daemon::start(&config);
     daemon.until_ready();
@@ -161,7 +162,8 @@
     assert_eq!((client.answer().unwrap().status, worker.count()), (200, 1));
 }
 
-/// The request is pending, as no worker is ready. Its client sends more and disconnects, which shows only behind those bytes.
+/// The request is pending because no worker is ready. Its client sends more bytes and disconnects. The end of the stream
+/// can be read only after those bytes.
 #[test_case(192, 0; "nothing more")]
 #[test_case(192, 300_000; "more than is buffered")]
 #[test_case(192, 8_000_000; "more than the system buffers")]
@@ -191,7 +193,7 @@
     while daemon.counter("clients_disconnected") == 0 {
         assert!(
             disconnected_at.elapsed() < DISCONNECT_NOTICE_LIMIT,
-            "the disconnection is not noticed"
+            "the disconnection was not detected in time"
         );
     }
     discovery.tell(vec![host("a", &worker.dial, "ready")]);
@@ -202,7 +204,7 @@
     );
 }
 
-/// Requests that were read whole are answered; the rest is refused with one response.
+/// Requests that were read completely are answered; the remaining ones are refused with one response.
 #[test]
 fn a_client_that_sends_far_ahead_is_answered_and_then_refused() {
     let (_worker, daemon) = start_with_one_worker(&[Act::Later(300)]);
@@ -254,7 +256,8 @@
     }
 }
 
-/// Taken for the answer of the next request, it would say that a non-idempotent request did not run, which would be retried.
+/// If the second answer were matched to the next request, it would report that this non-idempotent request did not run,
+/// and the request would be retried.
 #[test]
 fn a_second_answer_is_not_taken_for_that_of_the_next_request() {
     let (worker, daemon) = start_with_one_worker(&[Act::DoneTwice; 8]);
