--- a/crates/log-stats/src/main.rs
+++ b/crates/log-stats/src/main.rs
@@ -16,8 +16,8 @@
     #[arg(required = true)]
     logs: Vec<PathBuf>,
     /// Seconds after its start for which a worker counts as warming up
-    #[arg(long, value_name = "SECONDS", default_value = "20", value_parser = parse_seconds)]
-    cold: Duration,
+    #[arg(long = "cold", value_name = "SECONDS", default_value = "20", value_parser = parse_seconds)]
+    warm_up: Duration,
 }
 
 fn parse_seconds(text: &str) -> Result<Duration, String> {
@@ -29,7 +29,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let mut statistics = Statistics::new(cli.cold);
+    let mut statistics = Statistics::new(cli.warm_up);
     for path in &cli.logs {
         match std::fs::read(path) {
             Ok(text) => statistics.add_log(&String::from_utf8_lossy(&text)),
--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -179,7 +179,7 @@
 
 /// The dispatchers are configured with a larger budget than the one that is checked.
 #[test]
-fn an_exceeded_warm_up_budget_is_found() {
+fn an_exceeded_warm_up_budget_is_reported_as_a_violation() {
     let mut scenario = scenario(5, 6.0, vec![Fault::add_workers(1_000, 3)]);
     scenario.slow_start.configured_multiple = Some(400.0);
     scenario.load.pause_ms = 5.0;
@@ -198,19 +198,19 @@
 
 /// Waits until each of `dispatchers` lists exactly these as members, and returns the time taken.
 fn wait_for_agreement(testbed: &Testbed, dispatchers: &[usize], within: Duration) -> Duration {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !testbed.members_agree(dispatchers) {
         let views: Vec<_> = dispatchers
             .iter()
             .map(|at| testbed.membership_view(*at))
             .collect();
         assert!(
-            begun.elapsed() < within,
+            started_at.elapsed() < within,
             "members do not agree after {within:?}: {views:?}"
         );
         std::thread::sleep(Duration::from_millis(20));
     }
-    begun.elapsed()
+    started_at.elapsed()
 }
 
 /// From 8 to 24 and back to 6 under load; one of 24 is killed in between. After each change the work is balanced over the
--- a/crates/rosewalld/tests/daemon/attempts.rs
+++ b/crates/rosewalld/tests/daemon/attempts.rs
@@ -85,7 +85,7 @@
 #[test_case(Act::CutStarted; "cut after the start")]
 #[test_case(Act::Body("{\"id\":\"other\",\"state\":\"done\",\"result\":\"x\"}\n"); "another id")]
 #[test_case(Act::Body("{\"id\":\"ID\",\"state\":\"done\"}\n"); "done without a result")]
-#[test_case(Act::Body("{\"id\":\"ID\",\n"); "bad json")]
+#[test_case(Act::Body("{\"id\":\"ID\",\n"); "malformed json")]
 #[test_case(Act::Body("{\"id\":\"ID\",\"state\":\"running\",\"share\":0.4}\n"); "an end without a last line")]
 #[test_case(Act::Oversized; "an oversized line")]
 fn a_request_that_may_have_run_is_retried_only_if_it_is_idempotent(act: Act) {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn the_attempt_of_a_disconnected_client_ends_by_itself() {
+fn an_attempt_continues_after_its_client_disconnects() {
     let fleet = start_fleet(&[Act::Later(400)]);
     let mut client = fleet.daemon.client();
     client.send(request("id", "charge", 5.0, "", "").as_bytes());
--- a/crates/rosewalld/tests/daemon/configuration.rs
+++ b/crates/rosewalld/tests/daemon/configuration.rs
@@ -5,7 +5,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_reload_moves_to_another_discovery_and_an_invalid_one_changes_nothing() {
+fn a_valid_reload_switches_discovery_and_an_invalid_one_changes_nothing() {
     let fleet = start_fleet(&[]);
     fleet.discovery.until_watched();
     fleet.daemon.reload(
--- a/crates/rosewalld/tests/daemon/connections.rs
+++ b/crates/rosewalld/tests/daemon/connections.rs
@@ -41,7 +41,7 @@
 /// Some workers drop idle connections without notice. A request whose last byte has not been written did not run, and is
 /// sent again.
 #[test]
-fn a_connection_that_breaks_before_the_last_byte_costs_no_request() {
+fn a_connection_that_breaks_before_the_last_byte_fails_no_request() {
     let worker = Worker::start(&script(&[Act::DoneStale; 6]));
     let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
--- a/crates/rosewalld/tests/daemon/discovery.rs
+++ b/crates/rosewalld/tests/daemon/discovery.rs
@@ -53,7 +53,7 @@
 
 /// A watch from the cached version spares the service a snapshot for each dispatcher when all of them start at once.
 #[test]
-fn a_polled_list_is_watched_from_the_version_known() {
+fn a_polled_list_is_watched_from_the_cached_version() {
     let worker = Worker::start(&script(&[]));
     let (known, new) = (
         host("a", &worker.dial, "ready"),
@@ -76,7 +76,7 @@
 
 /// A watch from a version that the service has not reached would miss the changes before that version.
 #[test]
-fn a_service_whose_version_went_back_is_asked_for_a_snapshot() {
+fn a_snapshot_is_requested_when_the_version_of_the_service_decreases() {
     let worker = Worker::start(&script(&[]));
     let discovery = Discovery::start(vec![host("b", &worker.dial, "ready")]);
     let mut configuration = configuration(&discovery.address, 1024);
@@ -90,7 +90,7 @@
 
 /// The old watch continues until the new one has received its first list.
 #[test]
-fn a_drain_is_noticed_while_the_new_discovery_address_does_not_answer() {
+fn a_drain_is_applied_while_the_new_discovery_address_does_not_answer() {
     let fleet = start_fleet(&[]);
     let (_listener, (silent_address, _queue)) = vanished_machine();
     fleet.daemon.reload(
--- a/crates/rosewalld/tests/daemon/invalid_requests.rs
+++ b/crates/rosewalld/tests/daemon/invalid_requests.rs
@@ -18,7 +18,7 @@
             "an unknown class")]
 #[test_case("POST /api HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: thumb\r\nTenant: no\r\nRequest-Timeout: 1\r\n\r\n", 400;
             "an unknown tenant")]
-#[test_case("POST /api HTTP/1.1\r\nFIELDSTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400; "a bad chunk")]
+#[test_case("POST /api HTTP/1.1\r\nFIELDSTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400; "a malformed chunk")]
 #[test_case("POST /api HTTP/1.1\nFIELDS\nContent-Length: 1\r\n\r\n", 400; "a head that ends at bare line feeds")]
 #[test_case("POST /api HTTP/1.0\r\nFIELDSTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400; "a coding in an old version")]
 #[test_case("POST /api HTTP/1.1\r\nFIELDSContent-Length: 3, 3\r\n\r\n", 400; "a list of lengths")]
--- a/crates/rosewalld/tests/daemon/limits.rs
+++ b/crates/rosewalld/tests/daemon/limits.rs
@@ -42,10 +42,10 @@
 #[test]
 fn a_flood_of_invalid_requests_does_not_fill_the_log() {
     let fleet = start_fleet(&[]);
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     (0..60).for_each(|_| assert_eq!(fleet.daemon.client().get("/other"), 405));
     assert_eq!(fleet.daemon.counter("requests_malformed"), 60);
-    let seconds = begun.elapsed().as_secs() as usize;
+    let seconds = started_at.elapsed().as_secs() as usize;
     assert!((1..=2 + seconds).contains(&fleet.daemon.lines("a request was refused")));
 }
 
@@ -57,14 +57,14 @@
     assert_eq!(served.get("/healthz"), 200);
     let mut idle = fleet.daemon.client();
     idle.send(text.as_bytes());
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     assert_eq!(idle.answer().map(|answer| answer.status), status);
-    assert!(begun.elapsed().as_secs() < 10 && idle.is_closed());
+    assert!(started_at.elapsed().as_secs() < 10 && idle.is_closed());
     assert_eq!(served.ask("id", "thumb", 5.0).status, 200);
 }
 
 #[test]
-fn a_crowd_without_requests_keeps_no_client_out() {
+fn incomplete_requests_block_no_new_client() {
     let worker = Worker::start(&script(&[]));
     let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 64));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_log_that_no_one_reads_delays_no_request() {
+fn an_unread_log_delays_no_request() {
     let worker = Worker::start(&script(&[]));
     let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
     let mut daemon = Daemon::start_unread(&configuration(&discovery.address, 1024));
--- a/crates/rosewalld/tests/daemon/rolling_upgrade.rs
+++ b/crates/rosewalld/tests/daemon/rolling_upgrade.rs
@@ -75,7 +75,7 @@
 /// Sends requests one after another for [`CLIENT_RUN_TIME`] and returns their results.
 fn run_client(daemon: &Daemon, name: usize) -> Vec<RequestResult> {
     let mut client = Client::connect(&daemon.address);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let ask = |n: usize| {
         sleep(Duration::from_millis(100 + 40 * (n as u64 % 4)));
         let class = ["thumb", "invoice", "charge"][n % 3];
@@ -90,7 +90,7 @@
     };
     (0..)
         .map(ask)
-        .take_while(|_| begun.elapsed() < CLIENT_RUN_TIME)
+        .take_while(|_| started_at.elapsed() < CLIENT_RUN_TIME)
         .collect()
 }
 
@@ -234,7 +234,7 @@
     }
 }
 
-fn assert_both_kinds_are_served_alike(run: &Run) {
+fn assert_dispatchers_serve_alike_with_and_without_load_reports(run: &Run) {
     let mean = |results: &[RequestResult], of: fn(&RequestResult) -> f64| {
         results.iter().map(of).sum::<f64>() / results.len() as f64
     };
@@ -300,6 +300,6 @@
     assert_non_idempotent_requests_run_once(&workers);
     assert_nothing_is_sent_after_the_drain(&workers[DRAINING], run.drained_at);
     assert_warm_up_budget_is_kept(&workers[WARMING], run.joined_at);
-    assert_both_kinds_are_served_alike(&run);
+    assert_dispatchers_serve_alike_with_and_without_load_reports(&run);
     assert_load_reports_are_exchanged(&daemons, loses_reports);
 }
--- a/crates/rosewalld/tests/teardown.rs
+++ b/crates/rosewalld/tests/teardown.rs
@@ -65,16 +65,16 @@
 /// wait of its request, which may be 20 s for a polled list.
 #[test_case("pushed", 6; "a pushed list")]
 #[test_case("on_request", 22; "a polled list")]
-fn a_drain_missed_by_a_silent_watch_is_noticed_in_time(mode: &str, seconds: u64) {
+fn a_drain_missed_by_a_silent_watch_is_applied_in_time(mode: &str, seconds: u64) {
     let fleet = Fleet::new(mode);
     fleet.discovery.fall_silent();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fleet.drain_first_worker(&fleet.discovery);
     fleet.discovery.until_followed();
     assert!(
-        begun.elapsed() < Duration::from_secs(seconds),
+        started_at.elapsed() < Duration::from_secs(seconds),
         "list applied after {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     assert_first_worker_is_avoided(&fleet.daemon, &fleet.workers);
 }
@@ -83,7 +83,7 @@
 /// After its failure, the agent has no record of earlier requests.
 #[test_case(false; "the same agent")]
 #[test_case(true; "the agent of a new configuration")]
-fn a_drain_is_noticed_soon_after_a_discovery_agent_has_recovered(moves: bool) {
+fn a_drain_is_applied_soon_after_a_discovery_agent_has_recovered(moves: bool) {
     let fleet = Fleet::new("pushed");
     let other = Discovery::start(vec![host("a", &fleet.workers[0].dial, "ready")]);
     let discovery = if moves { &other } else { &fleet.discovery };
@@ -99,12 +99,12 @@
     discovery.until_called(calls + 6);
     fleet.drain_first_worker(discovery);
     discovery.come_to();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     discovery.until_followed();
     assert!(
-        begun.elapsed() < Duration::from_millis(350),
+        started_at.elapsed() < Duration::from_millis(350),
         "list applied after {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     assert_first_worker_is_avoided(&fleet.daemon, &fleet.workers);
 }
@@ -115,12 +115,12 @@
     let fleet = Fleet::new("pushed");
     fleet.discovery.cut_next();
     fleet.drain_first_worker(&fleet.discovery);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fleet.discovery.until_followed();
     assert!(
-        begun.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "list applied after {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     assert_first_worker_is_avoided(&fleet.daemon, &fleet.workers);
 }
@@ -206,7 +206,7 @@
 
 /// Requests that were read completely are answered; the remaining ones are refused with one response.
 #[test]
-fn a_client_that_sends_far_ahead_is_answered_and_then_refused() {
+fn complete_pipelined_requests_are_answered_and_the_rest_is_refused() {
     let (_worker, daemon) = start_with_one_worker(&[Act::Later(300)]);
     let mut client = daemon.client();
     client.send(request("id0", "thumb", 5.0, "", "x").as_bytes());
@@ -228,7 +228,7 @@
 #[test]
 fn an_endless_answer_fails_its_request_and_delays_no_other() {
     let (worker, daemon) = start_with_one_worker(&[Act::Endless]);
-    let (mut client, begun) = (daemon.client(), Instant::now());
+    let (mut client, started_at) = (daemon.client(), Instant::now());
     client.send(request("endless", "charge", 2.0, "", "").as_bytes());
     while worker.count() == 0 {
         std::thread::yield_now();
@@ -236,14 +236,14 @@
     assert_eq!(daemon.client().ask("beside", "thumb", 1.0).status, 200);
     assert_eq!(client.answer().unwrap().status, 502);
     assert!(
-        begun.elapsed() < Duration::from_millis(2_050),
+        started_at.elapsed() < Duration::from_millis(2_050),
         "answered after {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
 #[test]
-fn a_connection_that_goes_on_after_the_last_line_is_closed() {
+fn a_connection_with_data_after_the_last_line_is_closed() {
     let (worker, daemon) = start_with_one_worker(&[Act::DoneEndless]);
     assert_eq!(daemon.client().ask("id", "charge", 5.0).status, 200);
     let answered = Instant::now();
@@ -259,7 +259,7 @@
 /// If the second answer were matched to the next request, it would report that this non-idempotent request did not run,
 /// and the request would be retried.
 #[test]
-fn a_second_answer_is_not_taken_for_that_of_the_next_request() {
+fn a_second_answer_is_not_matched_to_the_next_request() {
     let (worker, daemon) = start_with_one_worker(&[Act::DoneTwice; 8]);
     let mut client = daemon.client();
     let statuses = [0, 1, 2, 3].map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status);
