--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -14,7 +14,7 @@
     /// `attempt_end`
     pub const ATTEMPT_ENDED: u8 = 5;
     /// `lapsed`
-    pub const CLIENT_GONE: u8 = 6;
+    pub const CLIENT_DISCONNECTED: u8 = 6;
     /// `due`
     pub const TIMER_FIRED: u8 = 7;
     /// `health`
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -46,7 +46,7 @@
             request_id: fields.u32()?,
         },
         event::ATTEMPT_ENDED => attempt_ended(fields)?,
-        event::CLIENT_GONE => Event::ClientDisconnected {
+        event::CLIENT_DISCONNECTED => Event::ClientDisconnected {
             request_id: fields.u32()?,
         },
         event::TIMER_FIRED => Event::TimerFired {
