--- a/crates/log-stats/src/main.rs
+++ b/crates/log-stats/src/main.rs
@@ -1,4 +1,4 @@
-//! The command: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug`, and prints statistics over them.
+//! Command line: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug` and prints statistics over them.
 use clap::Parser;
 use rosewall_log_stats::Statistics;
 use std::path::PathBuf;
@@ -9,15 +9,15 @@
 #[command(
     name = "rosewall-log-stats",
     version,
-    about = "Sums the debug logs of many dispatchers by second"
+    about = "Prints statistics over the debug logs of many dispatchers, by second and by worker"
 )]
 struct Cli {
-    /// A log of each dispatcher, as written with ROSEWALL_LOG=debug
+    /// Log files, one per dispatcher, written with ROSEWALL_LOG=debug
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// How long a worker counts as cold after its start, in seconds
-    #[arg(long, value_name = "SECONDS", default_value = "20", value_parser = parse_seconds)]
-    cold: Duration,
+    /// Seconds after its start for which a worker counts as warming up
+    #[arg(long = "cold", value_name = "SECONDS", default_value = "20", value_parser = parse_seconds)]
+    warm_up: Duration,
 }
 
 fn parse_seconds(text: &str) -> Result<Duration, String> {
@@ -29,7 +29,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let mut statistics = Statistics::new(cli.cold);
+    let mut statistics = Statistics::new(cli.warm_up);
     for path in &cli.logs {
         match std::fs::read(path) {
             Ok(text) => statistics.add_log(&String::from_utf8_lossy(&text)),
--- a/crates/rosewalld/tests/daemon/configuration.rs
+++ b/crates/rosewalld/tests/daemon/configuration.rs
@@ -1,16 +1,17 @@
-//! The configuration file at the start and at SIGHUP.
+//! Loading of the configuration file at program start and at SIGHUP.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stand::{Discovery, Worker, configuration, host, script};
 use std::process::Command;
 use test_case::test_case;
 
 #[test]
-fn a_reload_moves_to_another_discovery_and_an_invalid_one_changes_nothing() {
+fn a_valid_reload_switches_discovery_and_an_invalid_one_changes_nothing() {
     let fleet = start_fleet(&[]);
     fleet.discovery.until_watched();
-    fleet
-        .daemon
-        .reload("{", "the configuration stays as it was");
+    fleet.daemon.reload(
+        "{",
+        "configuration reload failed, keeping the running configuration",
+    );
     let mut wrong = configuration(&fleet.discovery.address, 1024);
     wrong["settings"]["Contract"]["ColdFrom"] = (-1).into();
     fleet.daemon.reload(
@@ -26,7 +27,7 @@
     discovery.until_watched();
     assert_eq!(fleet.daemon.client().ask("one", "thumb", 5.0).status, 200);
     assert_eq!((fleet.attempts(), new.count()), (0, 1));
-    // And back again, more than once.
+    // A further reload switches back to the first service.
     fleet.daemon.reload(
         &configuration(&fleet.discovery.address, 1024).to_string(),
         "a new configuration",
@@ -36,7 +37,7 @@
     assert_eq!((fleet.attempts(), new.count()), (1, 1));
 }
 
-#[test_case(None, "PROXY_CONFIG names no configuration"; "not named")]
+#[test_case(None, "PROXY_CONFIG is unset or not UTF-8"; "not named")]
 #[test_case(Some("/nowhere/config.json"), "cannot read the configuration"; "missing")]
 #[test_case(Some("/dev/null"), "cannot use the configuration"; "unreadable")]
 fn the_daemon_ends_with_one_message_without_a_usable_configuration(
