--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,7 +1,7 @@
 //! Reduces a scenario that violates a rule to what is needed for the violation.
 use crate::checker::Rule;
 use crate::scenario::Scenario;
-use crate::simulation::{Trace, play};
+use crate::simulation::{Trace, run_scenario};
 
 /// How often one simplification is repeated in a round.
 const MAX_REPEATS: usize = 6;
@@ -56,7 +56,7 @@
 
 impl<F: FnMut(&Scenario)> Shrinker<F> {
     fn violates(&self, scenario: &Scenario) -> bool {
-        play(scenario, Trace::Off)
+        run_scenario(scenario, Trace::Off)
             .violations
             .iter()
             .any(|violation| violation.rule == self.rule)
--- a/crates/simulation/tests/drawn_simulations.rs
+++ b/crates/simulation/tests/drawn_simulations.rs
@@ -3,7 +3,7 @@
 use rosewall_simulation::explore::{
     explore, explore_with, scenario_for_seed, scenario_with_dispatchers,
 };
-use rosewall_simulation::simulation::{Trace, play};
+use rosewall_simulation::simulation::{Trace, run_scenario};
 use test_case::test_case;
 
 fn cores() -> usize {
@@ -45,8 +45,8 @@
 fn a_timeline_is_the_same_with_and_without_a_trace() {
     let scenario = scenario_for_seed(7, None);
 
-    let traced = play(&scenario, Trace::On);
-    let untraced = play(&scenario, Trace::Off);
+    let traced = run_scenario(&scenario, Trace::On);
+    let untraced = run_scenario(&scenario, Trace::Off);
 
     assert_eq!(
         (traced.digest, traced.trace.is_empty()),
@@ -60,7 +60,7 @@
 #[test_case(1_005_010; "starts reported before the ends that preceded them")]
 #[test_case(1_015_281; "likewise, and workers with different slots")]
 fn slots_that_do_not_exist_overload_no_warming_worker(seed: u64) {
-    let report = play(&scenario_for_seed(seed, None), Trace::Off);
+    let report = run_scenario(&scenario_for_seed(seed, None), Trace::Off);
 
     assert_eq!(report.violations, Vec::new());
 }
@@ -69,7 +69,7 @@
 /// most others of 2.8 to 4, while budgets go by the lowest quarter of the type.
 #[test]
 fn a_worker_smaller_than_its_type_is_not_overloaded() {
-    let report = play(&scenario_for_seed(1_006_095, None), Trace::Off);
+    let report = run_scenario(&scenario_for_seed(1_006_095, None), Trace::Off);
 
     assert_eq!(report.violations, Vec::new());
 }
