--- a/crates/simulation/src/client.rs
+++ b/crates/simulation/src/client.rs
@@ -148,7 +148,7 @@
             if kernel.now() >= until {
                 return;
             }
-            let spec = self.draw_request(&load, &mut rng);
+            let spec = self.generate_request(&load, &mut rng);
             let dispatcher = rng.index(self.listeners.len());
             let retry_rng = Rng::new(rng.range(0, u32::MAX.into()), RETRY_STREAM);
             kernel.spawn(self.clone().request_with_retries(
@@ -160,7 +160,7 @@
         }
     }
 
-    fn draw_request(&self, load: &Load, rng: &mut Rng) -> RequestSpec {
+    fn generate_request(&self, load: &Load, rng: &mut Rng) -> RequestSpec {
         let [low, high] = load.work_ms;
         // Log-uniform: sizes spread over their whole range.
         let work = from_ms(low * (high / low).powf(rng.unit()));
--- a/crates/simulation/src/client/exchange.rs
+++ b/crates/simulation/src/client/exchange.rs
@@ -9,7 +9,7 @@
 use rosewall::types::Nanos;
 
 /// How much longer than the rules allow a client waits, to see how late a response is.
-pub(super) const EXTRA_WAIT: Nanos = 20 * MS;
+pub(super) const LATE_RESPONSE_WAIT: Nanos = 20 * MS;
 
 const LARGE_BODY_SHARE: f64 = 0.02;
 const LARGE_BODY_BYTES: usize = 40_000;
@@ -110,7 +110,7 @@
         }
         let give_up_at = match spec.disconnect_after {
             Some(after) => now + after,
-            None => deadline + SLACK + EXTRA_WAIT,
+            None => deadline + SLACK + LATE_RESPONSE_WAIT,
         };
         let give_up = async {
             kernel.sleep_until(ENVIRONMENT, give_up_at).await;
@@ -118,7 +118,7 @@
         };
         let response = async { Some(connection.inbox.response(&mut connection.stream).await) };
         match response.or(give_up).await {
-            Some(Ok(Some(message))) => Some(self.response_came(exchange, connection, &message)),
+            Some(Ok(Some(message))) => Some(self.on_response(exchange, connection, &message)),
             Some(_) => {
                 let unread = sent.bytes_read() <= offset;
                 if unread && offset > 0 && source == ConnectionSource::IdleOrNew {
@@ -127,21 +127,21 @@
                     });
                     return None;
                 }
-                Some(self.connection_lost(request))
+                Some(self.on_connection_lost(request))
             }
             None if spec.disconnect_after.is_some() => Some(self.disconnect(request, connection)),
-            None => Some(self.timed_out(request)),
+            None => Some(self.on_timeout(request)),
         }
     }
 
-    fn response_came(
+    fn on_response(
         &self,
         exchange: &Exchange,
         connection: ClientConnection,
         message: &Message,
     ) -> ClientOutcome {
         self.record_response(exchange.request, message);
-        if !message.closes() {
+        if !message.closes_connection() {
             self.idle_connections.borrow_mut()[exchange.dispatcher].push(connection);
         }
         match message.status {
@@ -172,13 +172,13 @@
         );
     }
 
-    pub(super) fn response_lost(&self, request: RequestIndex, how: &str) {
+    pub(super) fn response_lost(&self, request: RequestIndex, reason: &str) {
         let now = self.context.kernel.now();
         let mut checker = self.context.checker.borrow_mut();
-        checker.response_lost(now, request, how);
+        checker.response_lost(now, request, reason);
     }
 
-    fn connection_lost(&self, request: RequestIndex) -> ClientOutcome {
+    fn on_connection_lost(&self, request: RequestIndex) -> ClientOutcome {
         let kernel = &self.context.kernel;
         kernel.record(TimelineEvent::ResponseLost, request as u64, 0, || {
             format!("request {request:08x}: its connection ended")
@@ -202,7 +202,7 @@
         ClientOutcome::Disconnected
     }
 
-    fn timed_out(&self, request: RequestIndex) -> ClientOutcome {
+    fn on_timeout(&self, request: RequestIndex) -> ClientOutcome {
         let kernel = &self.context.kernel;
         kernel.record(TimelineEvent::RequestTimedOut, request as u64, 0, || {
             format!("request {request:08x}")
--- a/crates/simulation/src/client/misbehaving.rs
+++ b/crates/simulation/src/client/misbehaving.rs
@@ -1,5 +1,5 @@
 //! Clients that break the protocol.
-use super::exchange::EXTRA_WAIT;
+use super::exchange::LATE_RESPONSE_WAIT;
 use super::{Clients, RequestSpec, render_request};
 use crate::checker::{RequestIndex, SLACK};
 use crate::http::Inbox;
@@ -261,7 +261,7 @@
         let text = malformed(self.kind, &self.render(request));
         self.write(text.as_bytes()).await?;
         self.request_sent(request, self.now() + self.spec.timeout);
-        let until = self.now() + self.spec.timeout + SLACK + EXTRA_WAIT;
+        let until = self.now() + self.spec.timeout + SLACK + LATE_RESPONSE_WAIT;
         let kernel = &self.clients.context.kernel;
         let mut inbox = Inbox::default();
         let response = inbox.response(&mut self.stream);
@@ -290,9 +290,9 @@
             .checker
             .borrow_mut()
             .request_id_reused(request);
-        let until = self.now() + self.spec.timeout + SLACK + EXTRA_WAIT;
+        let until = self.now() + self.spec.timeout + SLACK + LATE_RESPONSE_WAIT;
         let second = clients.send_reused_id(request, &text, other);
-        let first = clients.await_first_of_reused_id(request, until, &mut self.stream);
+        let first = clients.await_first_response(request, until, &mut self.stream);
         futures_lite::future::zip(first, kernel.timeout_at(until, second)).await;
         Some(())
     }
@@ -326,7 +326,7 @@
         Some(())
     }
 
-    async fn await_first_of_reused_id(
+    async fn await_first_response(
         &self,
         request: RequestIndex,
         until: Nanos,
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -50,7 +50,7 @@
 struct VisibleList {
     list: EndpointList,
     /// Whether it differs from the current one.
-    wrong: bool,
+    faulty: bool,
 }
 
 /// How much later changes reach the agent, and until when.
@@ -77,8 +77,8 @@
     silent_until: RefCell<[Nanos; 2]>,
     /// Open polls that wait for a change.
     waiting_polls: RefCell<Vec<Sender<()>>>,
-    /// How often it has forgotten its open polls.
-    forgotten: Cell<u32>,
+    /// Number of times that the open polls were dropped.
+    poll_drops: Cell<u32>,
 }
 
 impl DiscoveryAgent {
@@ -111,7 +111,7 @@
             delay: Cell::default(),
             silent_until: RefCell::default(),
             waiting_polls: RefCell::default(),
-            forgotten: Cell::new(0),
+            poll_drops: Cell::new(0),
         });
         for (index, address) in addresses.into_iter().enumerate() {
             let host = context.network.add_host();
@@ -185,18 +185,18 @@
         {
             return VisibleList {
                 list: stale.list.clone(),
-                wrong: true,
+                faulty: true,
             };
         }
         let mut list = self.current.borrow().clone();
         let omission = self.omission.borrow();
-        let wrong = now < omission.until;
-        if wrong {
+        let faulty = now < omission.until;
+        if faulty {
             for worker in &omission.workers {
                 list.endpoints[*worker] = None;
             }
         }
-        VisibleList { list, wrong }
+        VisibleList { list, faulty }
     }
 
     /// Has the checker know what a dispatcher was told.
@@ -262,12 +262,12 @@
         }
     }
 
-    /// Ends once a poll is to be answered; none where the agent has forgotten it.
+    /// Ends once a poll is to be answered; none where the agent has dropped it.
     async fn wait_for_change(&self, poll: &Poll, address: usize) -> Option<()> {
         let kernel = &self.context.kernel;
-        let forgotten = self.forgotten.get();
+        let poll_drops = self.poll_drops.get();
         loop {
-            if self.forgotten.get() != forgotten {
+            if self.poll_drops.get() != poll_drops {
                 return None;
             }
             let silent_until = self.silent_until.borrow()[address];
@@ -292,11 +292,11 @@
     /// Answers a poll; none where the connection broke.
     async fn answer(&self, poll: &Poll, stream: &mut VirtualStream) -> Option<()> {
         let kernel = &self.context.kernel;
-        let VisibleList { list, wrong } = self.visible_list();
+        let VisibleList { list, faulty } = self.visible_list();
         let host = stream.peer();
         let malformed = kernel.now() < self.malformed_until.get();
         // A delta is possible only on what the dispatcher has.
-        let needs_snapshot = wrong || poll.since.is_none_or(|since| since > list.version);
+        let needs_snapshot = faulty || poll.since.is_none_or(|since| since > list.version);
         let snapshot = needs_snapshot || kernel.random(|rng| rng.chance(SNAPSHOT_SHARE));
         let since = if snapshot { None } else { poll.since };
         let body = if malformed {
--- a/crates/simulation/src/discovery/faults.rs
+++ b/crates/simulation/src/discovery/faults.rs
@@ -12,8 +12,8 @@
     }
 
     /// Never answers the polls that are open now.
-    pub fn forget_open_polls(&self) {
-        self.forgotten.set(self.forgotten.get() + 1);
+    pub fn drop_open_polls(&self) {
+        self.poll_drops.set(self.poll_drops.get() + 1);
         self.notify_polls();
     }
 
@@ -29,7 +29,7 @@
     }
 
     /// Shows the list of some time ago, for as long.
-    pub fn show_stale_list(self: &Rc<Self>, age: Nanos) {
+    pub fn publish_stale_list(self: &Rc<Self>, age: Nanos) {
         let now = self.context.kernel.now();
         let then = now.saturating_sub(age);
         let history = self.history.borrow();
--- a/crates/simulation/src/http.rs
+++ b/crates/simulation/src/http.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether the connection ends with it.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.field("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
@@ -109,8 +109,8 @@
         .collect()
 }
 
-fn invalid_data(what: &str, error: impl std::fmt::Display) -> io::Error {
-    io::Error::new(ErrorKind::InvalidData, format!("{what}: {error}"))
+fn invalid_data(part: &str, error: impl std::fmt::Display) -> io::Error {
+    io::Error::new(ErrorKind::InvalidData, format!("{part}: {error}"))
 }
 
 impl Inbox {
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -174,14 +174,14 @@
         self.send(link, 0, Segment::Connect);
         let established = std::future::poll_fn(|cx| {
             let mut state = self.state.borrow_mut();
-            let Some(known) = state.links.get_mut(link) else {
+            let Some(entry) = state.links.get_mut(link) else {
                 return Poll::Ready(false);
             };
-            match known.established {
-                _ if known.broken[0] => Poll::Ready(false),
+            match entry.established {
+                _ if entry.broken[0] => Poll::Ready(false),
                 Some(established) => Poll::Ready(established),
                 None => {
-                    known.connecting = Some(cx.waker().clone());
+                    entry.connecting = Some(cx.waker().clone());
                     Poll::Pending
                 }
             }
@@ -195,7 +195,7 @@
 
     /// The next segment in transit in one direction of a link arrives.
     pub fn deliver(&self, link: usize, direction: usize) {
-        let arrival = self.state.borrow_mut().arrive(link, direction);
+        let arrival = self.state.borrow_mut().receive_next(link, direction);
         let Some(Arrival { wakers, reply }) = arrival else {
             return;
         };
@@ -215,7 +215,8 @@
             .listeners
             .retain(|_, listener| listener.host != host);
         for LinkSide { link, side } in self.links_of(host) {
-            let Some((was_open, wakers)) = self.state.borrow_mut().abandon(link, side, host) else {
+            let Some((was_open, wakers)) = self.state.borrow_mut().detach_side(link, side, host)
+            else {
                 continue;
             };
             if was_open {
@@ -242,8 +243,8 @@
 
     fn links_of(&self, host: HostId) -> Vec<LinkSide> {
         let state = self.state.borrow();
-        let side_at_host = |(link, known): (usize, &Link)| {
-            known
+        let side_at_host = |(link, entry): (usize, &Link)| {
+            entry
                 .hosts
                 .iter()
                 .position(|one| *one == host)
@@ -263,11 +264,11 @@
             .random(|rng| rng.range(min_latency, max_latency + 1))
             .max(1);
         let mut state = self.state.borrow_mut();
-        let Some(known) = state.links.get_mut(link) else {
+        let Some(entry) = state.links.get_mut(link) else {
             return;
         };
-        let at = known.directions[direction].push(self.kernel.now() + latency, segment);
-        let receiver = known.hosts[1 - direction];
+        let at = entry.directions[direction].push(self.kernel.now() + latency, segment);
+        let receiver = entry.hosts[1 - direction];
         let owner = state.hosts[receiver].owner;
         drop(state);
         self.kernel
@@ -287,17 +288,17 @@
         let segment = {
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
-            let Some(known) = state.links.get_mut(link) else {
+            let Some(entry) = state.links.get_mut(link) else {
                 return;
             };
-            if !std::mem::take(&mut known.open[side]) {
+            if !std::mem::take(&mut entry.open[side]) {
                 return;
             }
-            let host = known.hosts[side];
-            if !known.take_in_backlog(side) {
+            let host = entry.hosts[side];
+            if !entry.remove_from_backlog(side) {
                 state.hosts[host].open -= 1;
             }
-            known.closing_segment(side)
+            entry.closing_segment(side)
         };
         if let Some(segment) = segment {
             self.send(link, side, segment);
@@ -308,28 +309,28 @@
 
 impl State {
     /// Takes the next segment out of transit and lets it arrive; none where there is none.
-    fn arrive(&mut self, link: usize, direction: usize) -> Option<Arrival> {
-        let known = self.links.get_mut(link)?;
-        let segment = known.directions[direction].pop()?;
+    fn receive_next(&mut self, link: usize, direction: usize) -> Option<Arrival> {
+        let entry = self.links.get_mut(link)?;
+        let segment = entry.directions[direction].pop()?;
         // Who answers a connect is whoever listens as it arrives.
-        if let (Segment::Connect, Some(listener)) = (&segment, self.listeners.get(&known.listener))
+        if let (Segment::Connect, Some(listener)) = (&segment, self.listeners.get(&entry.listener))
         {
-            known.hosts[1] = listener.host;
+            entry.hosts[1] = listener.host;
         }
-        let owners = known.hosts.map(|host| self.hosts[host].owner);
-        let lost = known.hosts.iter().any(|host| self.hosts[*host].unreachable);
+        let owners = entry.hosts.map(|host| self.hosts[host].owner);
+        let lost = entry.hosts.iter().any(|host| self.hosts[*host].unreachable);
         if lost {
             return Some(Arrival::default());
         }
         Some(match segment {
-            Segment::Bytes(bytes) => known.bytes_arrived(direction, bytes, owners),
-            Segment::End => known.end_arrived(direction, owners),
+            Segment::Bytes(bytes) => entry.on_bytes(direction, bytes, owners),
+            Segment::End => entry.on_end(direction, owners),
             Segment::Reset => {
-                known.reset_arrived(direction, owners, self.conditions.reset_discards_unread)
+                entry.on_reset(direction, owners, self.conditions.reset_discards_unread)
             }
-            Segment::Connect => match self.listeners.get_mut(&known.listener) {
+            Segment::Connect => match self.listeners.get_mut(&entry.listener) {
                 Some(listener) if listener.has_capacity() => {
-                    known.enter_backlog();
+                    entry.enter_backlog();
                     Arrival {
                         wakers: listener.push(link, owners[1]),
                         reply: Some(Segment::ConnectResult(true)),
@@ -342,24 +343,24 @@
                     reply: Some(Segment::ConnectResult(false)),
                 },
             },
-            Segment::ConnectResult(established) => known.connect_answered(established, owners[0]),
+            Segment::ConnectResult(established) => entry.on_connect_result(established, owners[0]),
         })
     }
 
     /// One side of a link is gone with its process; whether it was open, and who is to be woken.
-    fn abandon(
+    fn detach_side(
         &mut self,
         link: usize,
         side: usize,
         host: HostId,
     ) -> Option<(bool, Vec<link::OwnedWaker>)> {
         let owner = self.hosts[host].owner;
-        let known = self.links.get_mut(link)?;
-        let was_open = std::mem::take(&mut known.open[side]);
-        known.broken[side] = true;
-        let reader = known.directions[1 - side].reader.take();
-        let writer = known.directions[side].writer.take();
-        if was_open && !known.take_in_backlog(side) {
+        let entry = self.links.get_mut(link)?;
+        let was_open = std::mem::take(&mut entry.open[side]);
+        entry.broken[side] = true;
+        let reader = entry.directions[1 - side].reader.take();
+        let writer = entry.directions[side].writer.take();
+        if was_open && !entry.remove_from_backlog(side) {
             self.hosts[host].open -= 1;
         }
         let wakers = reader.into_iter().chain(writer);
--- a/crates/simulation/src/network/datagram.rs
+++ b/crates/simulation/src/network/datagram.rs
@@ -37,16 +37,16 @@
     from: SocketAddr,
 }
 
-/// Until when a fault holds at each address.
+/// Until when a fault is active at each address.
 #[derive(Default)]
 struct Outage(BTreeMap<SocketAddr, Nanos>);
 
 impl Outage {
-    fn begin(&mut self, address: SocketAddr, until: Nanos) {
+    fn set_until(&mut self, address: SocketAddr, until: Nanos) {
         self.0.insert(address, until);
     }
 
-    fn holds(&self, now: Nanos, address: SocketAddr) -> bool {
+    fn is_active(&self, now: Nanos, address: SocketAddr) -> bool {
         self.0.get(&address).is_some_and(|until| now < *until)
     }
 }
@@ -62,10 +62,10 @@
 }
 
 impl DatagramNetwork {
-    fn delivers(&self, now: Nanos, from: SocketAddr, to: SocketAddr) -> bool {
-        !self.inbound_dropped.holds(now, to)
-            && !self.outbound_dropped.holds(now, from)
-            && self.partitioned.holds(now, from) == self.partitioned.holds(now, to)
+    fn allows(&self, now: Nanos, from: SocketAddr, to: SocketAddr) -> bool {
+        !self.inbound_dropped.is_active(now, to)
+            && !self.outbound_dropped.is_active(now, from)
+            && self.partitioned.is_active(now, from) == self.partitioned.is_active(now, to)
     }
 }
 
@@ -78,20 +78,20 @@
     /// Drops the datagrams to an address until the moment.
     pub fn drop_inbound_datagrams(&self, address: SocketAddr, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
-        datagrams.inbound_dropped.begin(address, until);
+        datagrams.inbound_dropped.set_until(address, until);
     }
 
     /// Drops the datagrams from an address until the moment.
     pub fn drop_outbound_datagrams(&self, address: SocketAddr, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
-        datagrams.outbound_dropped.begin(address, until);
+        datagrams.outbound_dropped.set_until(address, until);
     }
 
     /// Drops the datagrams between these addresses and all others until the moment.
     pub fn partition_datagrams(&self, addresses: impl Iterator<Item = SocketAddr>, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
         for address in addresses {
-            datagrams.partitioned.begin(address, until);
+            datagrams.partitioned.set_until(address, until);
         }
     }
 
@@ -158,12 +158,12 @@
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let kernel = &self.network.kernel;
         let conditions = self.network.datagrams.borrow().conditions;
-        let delivers = self
+        let delivered = self
             .network
             .datagrams
             .borrow()
-            .delivers(kernel.now(), self.address, to);
-        if !delivers || kernel.random(|rng| rng.chance(conditions.loss)) {
+            .allows(kernel.now(), self.address, to);
+        if !delivered || kernel.random(|rng| rng.chance(conditions.loss)) {
             return Ok(());
         }
         let duplicated = kernel.random(|rng| rng.chance(conditions.duplicate));
--- a/crates/simulation/src/network/link.rs
+++ b/crates/simulation/src/network/link.rs
@@ -77,9 +77,9 @@
     in_transit_bytes: usize,
     pub received: VecDeque<u8>,
     /// The writer has ended this direction.
-    pub ending: bool,
+    pub write_closed: bool,
     /// The end has arrived.
-    pub ended: bool,
+    pub end_received: bool,
     pub reader: Option<Waker>,
     pub writer: Option<Waker>,
     pub counters: Rc<DirectionCounters>,
@@ -120,7 +120,7 @@
 }
 
 impl Arrival {
-    fn wakes(owner: Owner, wakers: impl IntoIterator<Item = Waker>) -> Self {
+    fn waking(owner: Owner, wakers: impl IntoIterator<Item = Waker>) -> Self {
         Arrival {
             wakers: wakers.into_iter().map(|waker| (owner, waker)).collect(),
             reply: None,
@@ -169,29 +169,24 @@
     }
 
     /// Takes a side out of the backlog; whether it was there.
-    pub fn take_in_backlog(&mut self, side: usize) -> bool {
+    pub fn remove_from_backlog(&mut self, side: usize) -> bool {
         side == 1 && std::mem::take(&mut self.in_backlog)
     }
 
     /// What a side sends as it closes: a reset where it has not read all, as TCP does.
     pub fn closing_segment(&mut self, side: usize) -> Option<Segment> {
         let unread = !self.directions[1 - side].received.is_empty();
-        let was_ending = std::mem::replace(&mut self.directions[side].ending, true);
+        let was_write_closed = std::mem::replace(&mut self.directions[side].write_closed, true);
         if self.broken[side] {
             None
         } else if unread {
             Some(Segment::Reset)
         } else {
-            (!was_ending).then_some(Segment::End)
+            (!was_write_closed).then_some(Segment::End)
         }
     }
 
-    pub fn bytes_arrived(
-        &mut self,
-        direction: usize,
-        bytes: Vec<u8>,
-        owners: [Owner; 2],
-    ) -> Arrival {
+    pub fn on_bytes(&mut self, direction: usize, bytes: Vec<u8>, owners: [Owner; 2]) -> Arrival {
         let receiver = 1 - direction;
         if !self.open[receiver] {
             return Arrival {
@@ -201,17 +196,17 @@
         }
         let direction = &mut self.directions[direction];
         direction.received.extend(bytes);
-        Arrival::wakes(owners[receiver], direction.reader.take())
+        Arrival::waking(owners[receiver], direction.reader.take())
     }
 
-    pub fn end_arrived(&mut self, direction: usize, owners: [Owner; 2]) -> Arrival {
+    pub fn on_end(&mut self, direction: usize, owners: [Owner; 2]) -> Arrival {
         let receiver = 1 - direction;
         let direction = &mut self.directions[direction];
-        direction.ended = true;
-        Arrival::wakes(owners[receiver], direction.reader.take())
+        direction.end_received = true;
+        Arrival::waking(owners[receiver], direction.reader.take())
     }
 
-    pub fn reset_arrived(
+    pub fn on_reset(
         &mut self,
         direction: usize,
         owners: [Owner; 2],
@@ -228,11 +223,11 @@
             .into_iter()
             .chain(writer)
             .chain(self.connecting.take());
-        Arrival::wakes(owners[receiver], wakers)
+        Arrival::waking(owners[receiver], wakers)
     }
 
-    pub fn connect_answered(&mut self, established: bool, owner: Owner) -> Arrival {
+    pub fn on_connect_result(&mut self, established: bool, owner: Owner) -> Arrival {
         self.established = Some(established);
-        Arrival::wakes(owner, self.connecting.take())
+        Arrival::waking(owner, self.connecting.take())
     }
 }
--- a/crates/simulation/src/network/listener.rs
+++ b/crates/simulation/src/network/listener.rs
@@ -77,7 +77,7 @@
     fn drop(&mut self) {
         for link in self.take_queue() {
             match self.network.state.borrow_mut().links.get_mut(link) {
-                Some(known) => known.open[1] = false,
+                Some(entry) => entry.open[1] = false,
                 None => continue,
             }
             self.network.send(link, 1, Segment::Reset);
@@ -121,10 +121,10 @@
             let Some(link) = listener.queue.pop_front() else {
                 return Err(ErrorKind::WouldBlock.into());
             };
-            let Some(known) = state.links.get_mut(link).filter(|known| known.open[1]) else {
+            let Some(entry) = state.links.get_mut(link).filter(|entry| entry.open[1]) else {
                 continue;
             };
-            known.in_backlog = false;
+            entry.in_backlog = false;
             state.hosts[self.host].connection_opened();
             return Ok(VirtualStream::new(
                 &self.network,
--- a/crates/simulation/src/network/stream.rs
+++ b/crates/simulation/src/network/stream.rs
@@ -65,7 +65,7 @@
             if link.broken[self.end.side] {
                 return;
             }
-            link.directions[self.end.side].ending = true;
+            link.directions[self.end.side].write_closed = true;
         }
         self.send(Segment::Reset);
     }
@@ -104,14 +104,14 @@
         let LinkSide { link, side } = self.end;
         let mut state = self.network.state.borrow_mut();
         let partial_io = state.conditions.partial_io;
-        let Some(known) = state.links.get_mut(link) else {
+        let Some(entry) = state.links.get_mut(link) else {
             return Poll::Ready(Ok(0));
         };
-        let direction = &mut known.directions[1 - side];
+        let direction = &mut entry.directions[1 - side];
         if direction.received.is_empty() {
-            return if known.broken[side] {
+            return if entry.broken[side] {
                 Poll::Ready(Err(ErrorKind::ConnectionReset.into()))
-            } else if direction.ended {
+            } else if direction.end_received {
                 Poll::Ready(Ok(0))
             } else {
                 direction.reader = Some(cx.waker().clone());
@@ -124,7 +124,7 @@
         }
         direction.counters.count_read(count);
         let waker = direction.writer.take();
-        let writer = known.hosts[1 - side];
+        let writer = entry.hosts[1 - side];
         let owner = state.hosts[writer].owner;
         drop(state);
         if let Some(waker) = waker {
@@ -140,12 +140,12 @@
         let count = {
             let mut state = self.network.state.borrow_mut();
             let partial_io = state.conditions.partial_io;
-            let Some(known) = state.links.get_mut(link) else {
+            let Some(entry) = state.links.get_mut(link) else {
                 return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
             };
-            let broken = known.broken[side];
-            let direction = &mut known.directions[side];
-            if broken || direction.ending {
+            let broken = entry.broken[side];
+            let direction = &mut entry.directions[side];
+            if broken || direction.write_closed {
                 return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
             }
             let unread = direction.unread_bytes();
@@ -178,7 +178,7 @@
             let direction = &link.directions[1 - self.end.side];
             if !direction.received.is_empty() {
                 Readiness::Readable
-            } else if link.broken[self.end.side] || direction.ended {
+            } else if link.broken[self.end.side] || direction.end_received {
                 Readiness::Closed
             } else {
                 Readiness::Idle
@@ -212,7 +212,7 @@
             let Some(link) = link else {
                 return Err(ErrorKind::NotConnected.into());
             };
-            if std::mem::replace(&mut link.directions[self.end.side].ending, true) {
+            if std::mem::replace(&mut link.directions[self.end.side].write_closed, true) {
                 return Ok(());
             }
         }
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -29,7 +29,7 @@
 /// How long after their timeout idle connections may take to close.
 const IDLE_CLOSE_MARGIN: Nanos = 3 * SECOND;
 /// A dispatcher that runs for so many polls without waiting spins.
-const MAX_POLLS_PER_TURN: usize = 200_000;
+const MAX_POLLS_PER_RUN: usize = 200_000;
 /// How often an event of the same instant happens before tasks run.
 const COINCIDENCE_SHARE: f64 = 0.3;
 /// What an idle dispatcher has open: the watch on the endpoint list.
@@ -118,19 +118,19 @@
         for fault in scenario.faults.iter().cloned() {
             kernel.spawn(self.environment.clone().inject(fault));
         }
-        let faults_over = START + faults_over_after(&scenario);
+        let faults_end = START + faults_end_after(&scenario);
         let longest_deadline = scenario.longest_deadline_ms() * MS;
-        self.play_until(faults_over);
-        self.play_until(faults_over + 2 * longest_deadline + RESPONSE_MARGIN);
+        self.run_until(faults_end);
+        self.run_until(faults_end + 2 * longest_deadline + RESPONSE_MARGIN);
         context.checker.borrow_mut().finish(kernel.now());
         self.clients.close_idle_connections();
-        self.play_until(kernel.now() + scenario.limits.idle_ms * MS + IDLE_CLOSE_MARGIN);
+        self.run_until(kernel.now() + scenario.limits.idle_ms * MS + IDLE_CLOSE_MARGIN);
         self.check_resources_at_rest();
         for dispatcher in 0..scenario.dispatchers {
             let environment = self.environment.clone();
             kernel.spawn(async move { environment.stop_dispatcher(dispatcher).await });
         }
-        self.play_until(kernel.now() + MAX_SHUTDOWN_DRAIN + SHUTDOWN_MARGIN + SECOND);
+        self.run_until(kernel.now() + MAX_SHUTDOWN_DRAIN + SHUTDOWN_MARGIN + SECOND);
         self.check_connections_after_end();
         self.report(scenario.seed)
     }
@@ -195,7 +195,7 @@
         }
     }
 
-    fn play_until(&mut self, until: Nanos) {
+    fn run_until(&mut self, until: Nanos) {
         let context = self.context().clone();
         let kernel = &context.kernel;
         self.run_until_idle();
@@ -240,14 +240,14 @@
         let context = self.context();
         let mut polls = 0;
         let result = catch_unwind(AssertUnwindSafe(|| {
-            while polls < MAX_POLLS_PER_TURN && executor.try_tick() {
+            while polls < MAX_POLLS_PER_RUN && executor.try_tick() {
                 polls += 1;
             }
         }));
         if result.is_err() {
             context.report_violation(Rule::Program, format!("host {host} has panicked"));
         }
-        if polls >= MAX_POLLS_PER_TURN {
+        if polls >= MAX_POLLS_PER_RUN {
             context.report_violation(Rule::Program, format!("host {host} spins"));
         }
         let peak = context.network.peak_connections(host);
@@ -264,7 +264,7 @@
         // Dispatchers first, as they use the rest; then the tasks of the environment, which own it.
         let count = self.environment.dispatchers.borrow().len();
         for dispatcher in 0..count {
-            self.environment.take_down(dispatcher);
+            self.environment.drop_dispatcher(dispatcher);
         }
         self.executor = Rc::new(LocalExecutor::new());
     }
@@ -272,7 +272,7 @@
 
 /// When all faults are over, and clients have sent their last request. A fault whose effect is undone afterwards takes
 /// its duration twice.
-fn faults_over_after(scenario: &Scenario) -> Nanos {
+fn faults_end_after(scenario: &Scenario) -> Nanos {
     scenario
         .faults
         .iter()
--- a/crates/simulation/src/simulation/dispatchers.rs
+++ b/crates/simulation/src/simulation/dispatchers.rs
@@ -161,7 +161,7 @@
         );
         self.context.checker.borrow_mut().dispatcher_killed(host);
         self.context.network.kill_host(host);
-        self.take_down(dispatcher);
+        self.drop_dispatcher(dispatcher);
     }
 
     /// Shuts a dispatcher down in order; ends once its process has ended.
@@ -204,11 +204,11 @@
             text,
         );
         // What it had not answered by its end is lost, which is a violation: it was not killed.
-        self.take_down(dispatcher);
+        self.drop_dispatcher(dispatcher);
     }
 
     /// Drops what is left of a dispatcher's process: its connections end as a process's do.
-    pub fn take_down(&self, dispatcher: usize) {
+    pub fn drop_dispatcher(&self, dispatcher: usize) {
         let (executor, node) = {
             let mut dispatchers = self.dispatchers.borrow_mut();
             let slot = &mut dispatchers[dispatcher];
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -19,9 +19,9 @@
 use std::rc::Rc;
 
 /// How long discovery takes to notice that a process has started.
-const START_NOTICE: RangeInclusive<Nanos> = 5 * MS..=400 * MS;
+const START_NOTICE_DELAY: RangeInclusive<Nanos> = 5 * MS..=400 * MS;
 /// How long discovery takes to notice that a process has ended.
-const END_NOTICE: RangeInclusive<Nanos> = 5 * MS..=800 * MS;
+const END_NOTICE_DELAY: RangeInclusive<Nanos> = 5 * MS..=800 * MS;
 
 /// The ports of a discovery agent.
 const DISCOVERY_PORTS: [u16; 2] = [8500, 8501];
@@ -104,7 +104,7 @@
         &self,
         worker: WorkerIndex,
         state: EndpointState,
-        notice: RangeInclusive<Nanos>,
+        notice_delay: RangeInclusive<Nanos>,
     ) {
         self.changes.set(self.changes.get() + 1);
         let change = self.changes.get();
@@ -112,8 +112,9 @@
         let kernel = &self.context.kernel;
         for agent in &self.agents {
             let delay = agent.current_delay();
-            let noticed = kernel.random(|rng| rng.range(*notice.start(), *notice.end() + 1));
-            let wait = noticed + delay;
+            let notice_delay =
+                kernel.random(|rng| rng.range(*notice_delay.start(), *notice_delay.end() + 1));
+            let wait = notice_delay + delay;
             let (agent, endpoint, kernel) = (agent.clone(), endpoint.clone(), kernel.clone());
             self.context.kernel.spawn(async move {
                 kernel.sleep(wait).await;
@@ -141,7 +142,7 @@
             || format!("worker {worker}"),
         );
         self.workers.borrow_mut()[worker] = process;
-        self.publish_endpoint(worker, EndpointState::Ready, START_NOTICE);
+        self.publish_endpoint(worker, EndpointState::Ready, START_NOTICE_DELAY);
     }
 
     /// Terminates a process, and starts a new one after the time, unless that is 0.
@@ -160,7 +161,7 @@
             .record(TimelineEvent::WorkerTerminated, worker as u64, 0, || {
                 format!("worker {worker}")
             });
-        self.publish_endpoint(worker, EndpointState::Removed, END_NOTICE);
+        self.publish_endpoint(worker, EndpointState::Removed, END_NOTICE_DELAY);
         if restart_after > 0 {
             self.context.kernel.sleep(restart_after).await;
             self.restart_worker(worker);
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -14,9 +14,9 @@
 use std::rc::Rc;
 
 /// How long discovery takes to notice that a worker drains.
-const DRAIN_NOTICE: RangeInclusive<Nanos> = 0..=300 * MS;
+const DRAIN_NOTICE_DELAY: RangeInclusive<Nanos> = 0..=300 * MS;
 /// How long discovery takes to notice that a host is lost.
-const HOST_LOST_NOTICE: RangeInclusive<Nanos> = 500 * MS..=1500 * MS;
+const HOST_LOST_NOTICE_DELAY: RangeInclusive<Nanos> = 500 * MS..=1500 * MS;
 /// The descriptors that a dispatcher keeps at least.
 const MIN_DESCRIPTORS: usize = 64;
 
@@ -99,10 +99,10 @@
             FaultKind::EndpointsDelayed => {
                 self.agents[target].delay_changes(active.until, active.duration);
             }
-            FaultKind::EndpointsStale => self.agents[target].show_stale_list(active.duration),
+            FaultKind::EndpointsStale => self.agents[target].publish_stale_list(active.duration),
             FaultKind::EndpointsMissing => self.omit_endpoints(active),
             FaultKind::EndpointsMalformed => self.agents[target].send_malformed_lists(active.until),
-            FaultKind::EndpointsForgetWatch => self.forget_watch(active).await,
+            FaultKind::EndpointsForgetWatch => self.drop_watch(active).await,
             FaultKind::Kill => self.kill_and_start(active).await,
             FaultKind::Stop => self.stop_and_start(active).await,
             FaultKind::Reload | FaultKind::ReloadUnreachable => self.move_discovery(active),
@@ -148,7 +148,7 @@
         let process = self.worker(worker);
         let network = &self.context.network;
         network.set_unreachable(process.host(), true);
-        self.publish_endpoint(worker, EndpointState::Removed, HOST_LOST_NOTICE);
+        self.publish_endpoint(worker, EndpointState::Removed, HOST_LOST_NOTICE_DELAY);
         self.context.kernel.sleep(active.duration).await;
         // Once the host is back, what was open is reset.
         network.set_unreachable(process.host(), false);
@@ -160,7 +160,7 @@
         let worker = active.fault.target;
         let process = self.worker(worker);
         process.draining.set(true);
-        self.publish_endpoint(worker, EndpointState::Draining, DRAIN_NOTICE);
+        self.publish_endpoint(worker, EndpointState::Draining, DRAIN_NOTICE_DELAY);
         if active.fault.kind == FaultKind::DrainRejectQueued {
             process.reject_queued();
         }
@@ -191,9 +191,9 @@
         self.agents[active.fault.target].omit_workers(omitted, active.until);
     }
 
-    async fn forget_watch(&self, active: &ActiveFault) {
+    async fn drop_watch(&self, active: &ActiveFault) {
         let agent = &self.agents[active.fault.target];
-        agent.forget_open_polls();
+        agent.drop_open_polls();
         self.context.kernel.sleep(active.duration).await;
         agent.record_current_as_published();
     }
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -35,7 +35,7 @@
 
 impl FaultInterval {
     /// Whether it affects what happens now: drawn, where it affects only a share.
-    fn strikes(&self, kernel: &Kernel) -> bool {
+    fn affects_now(&self, kernel: &Kernel) -> bool {
         kernel.now() < self.until
             && (self.share >= 1.0 || kernel.random(|rng| rng.chance(self.share)))
     }
@@ -110,7 +110,7 @@
 }
 
 /// Ends once the other side has closed the connection.
-async fn closed(stream: &VirtualStream) {
+async fn wait_until_closed(stream: &VirtualStream) {
     if stream.readable().await.is_ok() && stream.readiness() != Readiness::Closed {
         // What can be read is the next, pipelined request: it waits, and a close behind it goes unnoticed.
         std::future::pending::<()>().await;
@@ -201,7 +201,7 @@
     async fn accept(self: Rc<Self>, listener: VirtualListener) {
         loop {
             let _ = listener.wait_ready().await;
-            self.stall_over().await;
+            self.wait_until_stall_ends().await;
             loop {
                 match listener.accept() {
                     Ok(stream) => self.clone().spawn(self.clone().serve(stream)),
@@ -213,7 +213,7 @@
         }
     }
 
-    async fn stall_over(&self) {
+    async fn wait_until_stall_ends(&self) {
         let kernel = &self.context.kernel;
         loop {
             let until = self.faults.borrow().stalled_until;
@@ -229,7 +229,7 @@
         let mut inbox = Inbox::default();
         loop {
             let idle_until = kernel.now() + self.idle_timeout.max(MS);
-            let early = self.faults.borrow().malformed.strikes(kernel)
+            let early = self.faults.borrow().malformed.affects_now(kernel)
                 && kernel.random(|rng| rng.chance(EARLY_RESPONSE_SHARE));
             if early {
                 // Answers before it has read all, and closes.
@@ -241,7 +241,7 @@
             let Some(Ok(Some(message))) = kernel.timeout_at(idle_until, request).await else {
                 return;
             };
-            self.stall_over().await;
+            self.wait_until_stall_ends().await;
             let persistence = match message.target.as_str() {
                 "/healthz" | "/load" => wire::send(&mut stream, wire::EMPTY_OK).await,
                 _ => self.handle_attempt(&mut stream, &message).await,
@@ -258,7 +258,7 @@
         stream: &mut VirtualStream,
         message: &Message,
     ) -> Option<Persistence> {
-        let execution = self.attempt_arrived(stream, message)?;
+        let execution = self.record_attempt(stream, message)?;
         let faults = self.attempt_faults(&execution);
         if faults.at_capacity {
             return execution.reject(stream, wire::NOT_STARTED).await;
@@ -267,7 +267,7 @@
             if self.context.kernel.random(|rng| rng.chance(0.5)) {
                 execution.record_start();
             }
-            closed(stream).await;
+            wait_until_closed(stream).await;
             return None;
         }
         if faults.fails {
@@ -281,7 +281,7 @@
     }
 
     /// Has the checker see an attempt; none where no client sent such a request.
-    fn attempt_arrived(
+    fn record_attempt(
         self: &Rc<Self>,
         stream: &VirtualStream,
         message: &Message,
@@ -355,16 +355,16 @@
     fn attempt_faults(&self, execution: &Execution) -> AttemptFaults {
         let kernel = &self.context.kernel;
         let faults = self.faults.borrow();
-        let at_capacity = faults.at_capacity.strikes(kernel)
+        let at_capacity = faults.at_capacity.affects_now(kernel)
             || (self.draining.get() && self.rejects_while_draining.get());
-        let errors = faults.errors.strikes(kernel);
+        let errors = faults.errors.affects_now(kernel);
         let fails_class =
-            execution.class == faults.failing_class && faults.class_failures.strikes(kernel);
+            execution.class == faults.failing_class && faults.class_failures.affects_now(kernel);
         AttemptFaults {
             at_capacity,
             fails: errors || fails_class,
-            unresponsive: faults.unresponsive.strikes(kernel),
-            malformed: faults.malformed.strikes(kernel),
+            unresponsive: faults.unresponsive.affects_now(kernel),
+            malformed: faults.malformed.affects_now(kernel),
         }
     }
 
--- a/crates/simulation/src/worker/execution.rs
+++ b/crates/simulation/src/worker/execution.rs
@@ -1,6 +1,6 @@
 //! One attempt at a worker: it waits for a slot, runs and is answered.
 use super::wire::{self, CHUNKED, LAST_CHUNK, chunk, line};
-use super::{Persistence, WorkerProcess, closed};
+use super::{Persistence, WorkerProcess, wait_until_closed};
 use crate::checker::RequestIndex;
 use crate::context::Context;
 use crate::network::VirtualStream;
@@ -33,7 +33,7 @@
 }
 
 /// How waiting for a slot ended.
-enum Turn {
+enum SlotWait {
     Granted,
     /// The queue was cleared.
     Rejected,
@@ -106,30 +106,30 @@
                 return self.reject(stream, wire::NOT_STARTED).await;
             }
             match self.wait_for_slot(stream).await {
-                Turn::Granted => {}
-                Turn::Rejected => return self.reject_from_queue(stream).await,
-                Turn::Dropped => return None,
+                SlotWait::Granted => {}
+                SlotWait::Rejected => return self.reject_from_queue(stream).await,
+                SlotWait::Dropped => return None,
             }
         }
         self.run_in_slot(stream, SlotGuard(process.clone())).await
     }
 
-    async fn wait_for_slot(&self, stream: &VirtualStream) -> Turn {
+    async fn wait_for_slot(&self, stream: &VirtualStream) -> SlotWait {
         let process = &self.process;
-        let (grant, turn) = async_channel::bounded(1);
+        let (grant, granted) = async_channel::bounded(1);
         process.queue.borrow_mut().push_back(grant);
         let connection_closed = async {
-            closed(stream).await;
+            wait_until_closed(stream).await;
             None
         };
-        let granted = async { Some(turn.recv().await.is_ok()) };
-        match granted.or(connection_closed).await {
-            Some(true) => Turn::Granted,
-            Some(false) => Turn::Rejected,
+        let slot_granted = async { Some(granted.recv().await.is_ok()) };
+        match slot_granted.or(connection_closed).await {
+            Some(true) => SlotWait::Granted,
+            Some(false) => SlotWait::Rejected,
             // Dropping the receiver lets the queue skip it, also where a slot is granted in this very instant.
-            None if process.spec.cancels_queued => Turn::Dropped,
-            None if turn.recv().await.is_ok() => Turn::Granted,
-            None => Turn::Dropped,
+            None if process.spec.cancels_queued => SlotWait::Dropped,
+            None if granted.recv().await.is_ok() => SlotWait::Granted,
+            None => SlotWait::Dropped,
         }
     }
 
@@ -139,13 +139,13 @@
         slot: SlotGuard,
     ) -> Option<Persistence> {
         let process = &self.process;
-        process.stall_over().await;
+        process.wait_until_stall_ends().await;
         self.record_start();
         let text = format!("{CHUNKED}{}", chunk(&line(&self.id, "started", "")));
         let mut open = stream.write_all(text.as_bytes()).await.is_ok();
         let service_time = self.service_time();
         self.context().kernel.sleep(service_time).await;
-        process.stall_over().await;
+        process.wait_until_stall_ends().await;
         drop(slot);
         let text = format!("{}{LAST_CHUNK}", chunk(&self.done_line()));
         open &= stream.write_all(text.as_bytes()).await.is_ok();
--- a/crates/simulation/src/worker/malformed.rs
+++ b/crates/simulation/src/worker/malformed.rs
@@ -1,7 +1,7 @@
 //! Responses that break the worker protocol, or use a rare part of it.
 use super::execution::Execution;
 use super::wire::{self, CHUNKED, LAST_CHUNK, NOT_STARTED, chunk, line};
-use super::{Persistence, closed};
+use super::{Persistence, wait_until_closed};
 use crate::network::VirtualStream;
 use crate::time::{MS, SECOND};
 use crate::timeline::TimelineEvent;
@@ -143,7 +143,7 @@
             }
             Malformation::SilentAfterStart => {
                 self.send_started(stream).await?;
-                closed(stream).await;
+                wait_until_closed(stream).await;
                 None
             }
             Malformation::ClosedUnanswered => None,
