--- a/crates/simulation/src/client.rs
+++ b/crates/simulation/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that follow the protocol. Those that break it are in [`misbehaving`].
+//! Clients that follow the protocol; [`misbehaving`] contains those that break it.
 mod exchange;
 mod misbehaving;
 
@@ -18,18 +18,19 @@
 use std::rc::Rc;
 
 const CONNECT_TIMEOUT: Nanos = 200 * MS;
-/// The longest pause before a client retries.
+/// The maximum pause before a client retries; the pause is uniform below it.
 const MAX_RETRY_PAUSE: Nanos = 150 * MS;
 
 /// The first random stream of the loads; each load has its own.
 const LOAD_STREAM: u64 = 1000;
 /// The first random stream of the misbehaving clients; each client has its own.
 const MISBEHAVING_STREAM: u64 = 100_000;
+/// Streams reserved for each entry of misbehaving clients in the scenario.
 const MISBEHAVING_STREAMS_PER_ENTRY: usize = 1000;
-/// The stream of one request's retries, under a seed that its load draws.
+/// The random stream of the retries of one request; the seed comes from the stream of its load.
 const RETRY_STREAM: u64 = 7;
 
-/// A connection that is kept between requests, and what has been read from it.
+/// A persistent connection, and the unparsed bytes read from it.
 struct ClientConnection {
     stream: VirtualStream,
     inbox: Inbox,
@@ -48,26 +49,27 @@
 pub struct Clients {
     context: Rc<Context>,
     scenario: Rc<Scenario>,
-    /// Where each dispatcher listens.
+    /// The listen address of each dispatcher.
     listeners: Vec<SocketAddr>,
     host: HostId,
+    /// Idle connections by dispatcher.
     idle_connections: RefCell<Vec<Vec<ClientConnection>>>,
 }
 
-/// A request as its client means it.
+/// The properties of a request at its client.
 #[derive(Clone, Copy)]
 struct RequestSpec {
     class: usize,
     work: Nanos,
     timeout: Nanos,
-    /// After how long the client disconnects, if it does.
+    /// The time from sending to the disconnect of the client; `None` if it waits for the response.
     disconnect_after: Option<Nanos>,
-    /// The hint of its work, where one is sent.
+    /// The work hint; `None` if the request carries none.
     hint: Option<Nanos>,
 }
 
 impl Clients {
-    /// Clients of the dispatchers that listen at these addresses.
+    /// Creates the clients of the dispatchers that listen at these addresses.
     pub fn new(
         context: &Rc<Context>,
         scenario: &Rc<Scenario>,
@@ -84,7 +86,7 @@
         })
     }
 
-    /// Starts all clients of the scenario, whose times count from `start`.
+    /// Starts all clients of the scenario; their times are relative to `start`.
     pub fn start(self: &Rc<Self>, start: Nanos) {
         for (index, load) in self.scenario.loads.iter().enumerate() {
             let rng = Rng::new(self.scenario.seed, LOAD_STREAM + index as u64);
@@ -107,7 +109,7 @@
                 let clients = self.clone();
                 self.context.kernel.spawn(async move {
                     clients.context.kernel.sleep_until(ENVIRONMENT, at).await;
-                    // A client whose connection breaks has nothing more to do.
+                    // The client ends when its connection breaks.
                     let _ = clients.misbehave(kind, dispatcher, rng).await;
                 });
             }
@@ -162,7 +164,7 @@
 
     fn generate_request(&self, load: &Load, rng: &mut Rng) -> RequestSpec {
         let [low, high] = load.work_ms;
-        // Log-uniform: sizes spread over their whole range.
+        // Log-uniform, so that sizes cover the whole range.
         let work = from_ms(low * (high / low).powf(rng.unit()));
         let timeout = self.scenario.classes[load.class].deadline_ms * MS;
         let disconnects = rng.chance(load.disconnect_share);
@@ -179,7 +181,8 @@
         }
     }
 
-    /// Sends a request, and retries it while that is safe and retries are left.
+    /// Sends a request, and retries it while a retry is safe and the number of retries is not used
+    /// up.
     async fn request_with_retries(
         self: Rc<Self>,
         mut dispatcher: usize,
@@ -192,7 +195,7 @@
             if retries_left == 0 || !self.may_retry(outcome, spec.class) {
                 return;
             }
-            // What stands before the dispatchers spreads connections at random.
+            // A load balancer in front of the dispatchers distributes connections at random.
             dispatcher = rng.index(self.listeners.len());
             let pause = rng.range(0, MAX_RETRY_PAUSE);
             self.context.kernel.sleep(pause).await;
@@ -209,7 +212,8 @@
         }
     }
 
-    /// An idle connection, or a new one where there is none.
+    /// Takes an idle connection, or opens a new one if none is idle; returns `None` if the connect
+    /// fails.
     async fn idle_or_new_connection(&self, dispatcher: usize) -> Option<ClientConnection> {
         if let Some(connection) = self.idle_connections.borrow_mut()[dispatcher].pop()
             && connection.stream.readiness() == Readiness::Idle
@@ -246,7 +250,7 @@
     }
 }
 
-/// A request as it goes over the wire.
+/// Renders a request in its wire format.
 fn render_request(request: RequestIndex, spec: &RequestSpec, body: &str) -> String {
     let hint = spec
         .hint
--- a/crates/simulation/src/client/exchange.rs
+++ b/crates/simulation/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response.
+//! The exchange of one request and its response, and the ways in which it can end.
 use super::{ClientConnection, Clients, RequestSpec, render_request};
 use crate::checker::{RequestIndex, SLACK};
 use crate::http::Message;
@@ -8,16 +8,18 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rosewall::types::Nanos;
 
-/// How much longer than the rules allow a client waits, to see how late a response is.
+/// How long a client waits beyond the latest time that the rules allow, so that a late response is
+/// observed as late.
 pub(super) const LATE_RESPONSE_WAIT: Nanos = 20 * MS;
 
+/// The fraction of requests with a large body.
 const LARGE_BODY_SHARE: f64 = 0.02;
 const LARGE_BODY_BYTES: usize = 40_000;
 const MAX_SMALL_BODY_BYTES: u64 = 600;
-/// The share of disconnecting clients that reset their connection in place of closing it.
+/// The fraction of disconnecting clients that reset the connection instead of closing it.
 const RESET_SHARE: f64 = 0.3;
 
-/// How a request ended for its client.
+/// The outcome of a request at its client.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ClientOutcome {
     Succeeded,
@@ -33,7 +35,7 @@
     New,
 }
 
-/// A request to one dispatcher, as it is sent.
+/// A rendered request to one dispatcher.
 struct Exchange<'a> {
     dispatcher: usize,
     request: RequestIndex,
@@ -42,7 +44,7 @@
 }
 
 impl Clients {
-    /// Sends one request to one dispatcher.
+    /// Sends one request to one dispatcher and waits for its outcome.
     pub(super) async fn send_request(&self, dispatcher: usize, spec: RequestSpec) -> ClientOutcome {
         let kernel = &self.context.kernel;
         let request = self.create_request(&spec, None);
@@ -70,7 +72,8 @@
             spec: &spec,
             text: &render_request(request, &spec, &"x".repeat(body_len)),
         };
-        // Again over a new connection, where the dispatcher closed an idle one before it read any of this.
+        // Resends over a new connection if the dispatcher closed an idle one before it read any of
+        // the request.
         for source in [ConnectionSource::IdleOrNew, ConnectionSource::New] {
             let connection = match source {
                 ConnectionSource::IdleOrNew => self.idle_or_new_connection(dispatcher).await,
@@ -88,7 +91,7 @@
         ClientOutcome::ConnectFailed
     }
 
-    /// Sends a request over a connection; none where it is to be sent again over a new one.
+    /// Sends a request over a connection; returns `None` if it must be resent over a new one.
     async fn exchange(
         &self,
         exchange: &Exchange<'_>,
@@ -123,7 +126,7 @@
                 let unread = sent.bytes_read() <= offset;
                 if unread && offset > 0 && source == ConnectionSource::IdleOrNew {
                     kernel.record(TimelineEvent::RequestResent, request as u64, 0, || {
-                        format!("request {request:08x}: its idle connection was closed")
+                        format!("request {request:08x}: idle connection closed before the request was read")
                     });
                     return None;
                 }
@@ -181,9 +184,9 @@
     fn on_connection_lost(&self, request: RequestIndex) -> ClientOutcome {
         let kernel = &self.context.kernel;
         kernel.record(TimelineEvent::ResponseLost, request as u64, 0, || {
-            format!("request {request:08x}: its connection ended")
+            format!("request {request:08x}: connection closed before the response")
         });
-        self.response_lost(request, "its connection ended");
+        self.response_lost(request, "connection closed before the response");
         ClientOutcome::Failed
     }
 
@@ -207,7 +210,7 @@
         kernel.record(TimelineEvent::RequestTimedOut, request as u64, 0, || {
             format!("request {request:08x}")
         });
-        self.response_lost(request, "nothing came before its deadline");
+        self.response_lost(request, "no response by its deadline");
         ClientOutcome::Failed
     }
 }
--- a/crates/simulation/src/client/misbehaving.rs
+++ b/crates/simulation/src/client/misbehaving.rs
@@ -16,24 +16,24 @@
 const LENGTH_AND_BODY: &str = "Content-Length: 4\r\n\r\nbody";
 const LENGTH: &str = "Content-Length: 4\r\n\r\n";
 
-/// Why a request of a misbehaving client must not be served.
+/// Returns why a request of a misbehaving client must not be served.
 fn invalid_reason(kind: Misbehaviour) -> &'static str {
     match kind {
-        Misbehaviour::HalfHead | Misbehaviour::HalfBody => "it never came complete",
-        Misbehaviour::Trickle => "it trickled for longer than allowed",
-        Misbehaviour::HugeHead => "its head is too large",
-        Misbehaviour::HugeBody => "its body is too large",
-        Misbehaviour::EndlessChunks => "its body never ends",
-        Misbehaviour::NoId => "it has no id",
-        Misbehaviour::UnknownClass => "its class is unknown",
-        Misbehaviour::TwoLengths => "it has two lengths",
-        Misbehaviour::LengthAndChunks => "it has a length and is chunked",
-        Misbehaviour::BareLineFeeds => "its lines end in bare line feeds",
-        _ => "its client misbehaves",
+        Misbehaviour::HalfHead | Misbehaviour::HalfBody => "request incomplete",
+        Misbehaviour::Trickle => "request not received within the time limit",
+        Misbehaviour::HugeHead => "head too large",
+        Misbehaviour::HugeBody => "body too large",
+        Misbehaviour::EndlessChunks => "body without an end",
+        Misbehaviour::NoId => "request id missing",
+        Misbehaviour::UnknownClass => "unknown request class",
+        Misbehaviour::TwoLengths => "two content lengths",
+        Misbehaviour::LengthAndChunks => "both a content length and chunked encoding",
+        Misbehaviour::BareLineFeeds => "lines end in bare line feeds",
+        _ => "client breaks the protocol",
     }
 }
 
-/// A valid request made malformed.
+/// Turns a valid request into a malformed one.
 fn malformed(kind: Misbehaviour, text: &str) -> String {
     match kind {
         Misbehaviour::HugeHead => {
@@ -72,7 +72,7 @@
 }
 
 impl Clients {
-    /// Breaks the protocol; none where the connection breaks first.
+    /// Runs one client that breaks the protocol; returns `None` if its connection breaks.
     pub(super) async fn misbehave(
         &self,
         kind: Misbehaviour,
@@ -212,7 +212,8 @@
         Some(())
     }
 
-    /// Says that it disconnected, and still reads.
+    /// Closes the write side after the request, which counts as a disconnect, and continues to
+    /// read.
     async fn half_close(mut self) -> Option<()> {
         let request = self.create_valid();
         let text = self.render(request);
@@ -228,7 +229,7 @@
         Some(())
     }
 
-    /// Reads until the connection ends, or for some seconds.
+    /// Reads until the connection ends, for at most 4 seconds.
     async fn read_until_closed(mut self) {
         let until = self.now() + 4 * SECOND;
         let kernel = &self.clients.context.kernel;
@@ -267,12 +268,15 @@
         let response = inbox.response(&mut self.stream);
         match kernel.timeout_at(until, response).await {
             Some(Ok(Some(message))) => self.clients.check_response(request, &message),
-            _ => self.clients.response_lost(request, "in HTTP/1.0"),
+            _ => self
+                .clients
+                .response_lost(request, "no response to an HTTP/1.0 request"),
         }
         Some(())
     }
 
-    /// Sends the id of an active request once more over another connection.
+    /// Sends a request, and again the same request, with the same id, over another connection while
+    /// the first is active.
     async fn reuse_request_id(mut self) -> Option<()> {
         let clients = self.clients;
         let kernel = &clients.context.kernel;
@@ -336,7 +340,10 @@
         let response = inbox.response(stream);
         match self.context.kernel.timeout_at(until, response).await {
             Some(Ok(Some(message))) => self.record_response(request, &message),
-            _ => self.response_lost(request, "whose id was sent twice"),
+            _ => self.response_lost(
+                request,
+                "no response to the first of two requests with one id",
+            ),
         }
     }
 }
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -1,5 +1,6 @@
-//! A stand-in for discovery: one agent beside each dispatcher, which learns of changes late and publishes them as the
-//! protocol has it, or, under a fault, is silent, publishes wrong or older lists, or moves to another address.
+//! Simulated discovery: one agent per dispatcher, which receives changes with a delay and publishes
+//! them in the discovery protocol. Under a fault an agent does not answer, publishes wrong or
+//! outdated lists, or moves to another address.
 mod faults;
 mod list;
 
@@ -21,39 +22,40 @@
 use std::rc::Rc;
 
 const LISTEN_BACKLOG: usize = 64;
+/// The upper bound of the `wait` parameter of a poll.
 const MAX_WAIT_MS: u64 = 60_000;
-/// The share of polls that are answered with a snapshot though a delta would do.
+/// The fraction of polls that are answered with a snapshot although a delta is possible.
 const SNAPSHOT_SHARE: f64 = 0.2;
 /// A body that no dispatcher can parse.
 const MALFORMED_BODY: &str = "{\"seq\":9,\"whole\":true,\"hosts\":[{}]}";
 
-/// A list that was current at a moment.
+/// A list, and the time since which it was the current one.
 struct PastList {
     at: Nanos,
     list: EndpointList,
 }
 
-/// A list that is shown in place of the current one.
+/// An outdated list that is published in place of the current one until a given time.
 struct StaleList {
     until: Nanos,
     list: EndpointList,
 }
 
-/// Workers that the list omits.
+/// Workers omitted from the published list until a given time.
 #[derive(Default)]
 struct Omission {
     until: Nanos,
     workers: Vec<WorkerIndex>,
 }
 
-/// A list as a dispatcher sees it.
+/// The list that is published to the dispatcher.
 struct VisibleList {
     list: EndpointList,
-    /// Whether it differs from the current one.
+    /// Whether a fault makes it differ from the current list.
     faulty: bool,
 }
 
-/// How much later changes reach the agent, and until when.
+/// An additional delay of changes on their way to the agent, active until a given time.
 #[derive(Clone, Copy, Default)]
 struct Delay {
     until: Nanos,
@@ -63,19 +65,19 @@
 /// The discovery agent of one dispatcher.
 pub struct DiscoveryAgent {
     context: Rc<Context>,
-    /// Where it listens; a dispatcher is configured with one of the two.
+    /// The listen addresses; the dispatcher is configured with one of them.
     addresses: [SocketAddr; 2],
     dispatcher_host: Cell<HostId>,
     current: RefCell<EndpointList>,
     history: RefCell<Vec<PastList>>,
-    /// The last change that was applied to each endpoint.
+    /// The number of the last change applied to each endpoint.
     last_change: RefCell<Vec<u64>>,
     stale: RefCell<Option<StaleList>>,
     omission: RefCell<Omission>,
     malformed_until: Cell<Nanos>,
     delay: Cell<Delay>,
     silent_until: RefCell<[Nanos; 2]>,
-    /// Open polls that wait for a change.
+    /// Senders that wake the polls waiting for a change.
     waiting_polls: RefCell<Vec<Sender<()>>>,
     /// Number of times that the open polls were dropped.
     poll_drops: Cell<u32>,
@@ -121,17 +123,17 @@
         agent
     }
 
-    /// One of the addresses at which it listens.
+    /// Returns the listen address with this index, 0 or 1.
     pub fn address(&self, index: usize) -> SocketAddr {
         self.addresses[index]
     }
 
-    /// Sets the host of the dispatcher beside it.
+    /// Sets the host of the agent's dispatcher.
     pub fn set_dispatcher(&self, host: HostId) {
         self.dispatcher_host.set(host);
     }
 
-    /// How much later a change reaches the agent now.
+    /// Returns the additional delay of a change that is sent to the agent now.
     pub fn current_delay(&self) -> Nanos {
         let delay = self.delay.get();
         if self.context.kernel.now() < delay.until {
@@ -141,7 +143,8 @@
         }
     }
 
-    /// A change reaches the agent; one that is older than what it has does nothing.
+    /// Applies a change of an endpoint; ignores one that is older than the last change of that
+    /// endpoint.
     pub fn apply(&self, worker: WorkerIndex, endpoint: Endpoint, change: u64) {
         {
             let mut last_change = self.last_change.borrow_mut();
@@ -161,7 +164,7 @@
         self.notify_polls();
     }
 
-    /// The list as a dispatcher is started with it; it counts as published.
+    /// Renders the list with which a dispatcher on `host` starts, and records it as published.
     pub fn publish_initial_list(&self, host: HostId) -> String {
         let list = self.visible_list().list;
         self.record_published(&list, None, host);
@@ -199,7 +202,7 @@
         VisibleList { list, faulty }
     }
 
-    /// Has the checker know what a dispatcher was told.
+    /// Records in the checker the endpoints that were published to a dispatcher.
     fn record_published(&self, list: &EndpointList, since: Option<u64>, host: HostId) {
         let Context {
             kernel, checker, ..
@@ -212,7 +215,8 @@
             let removed = endpoint
                 .as_ref()
                 .is_none_or(|endpoint| endpoint.state == EndpointState::Removed);
-            // A snapshot does not name removed workers: it says so only to those that knew of them.
+            // A snapshot omits removed workers, so it removes a worker only at a dispatcher that
+            // knows the worker.
             if since.is_none() && removed && !checker.known_workers(host).contains(&worker) {
                 continue;
             }
@@ -252,7 +256,7 @@
         while let Ok(Some(message)) = inbox.request(&mut stream).await {
             let poll = Poll::parse(&message, self.context.kernel.now());
             if self.wait_for_change(&poll, address).await.is_none() {
-                // The poll stays open and is never answered.
+                // The dropped poll stays open and is never answered.
                 let _ = inbox.request(&mut stream).await;
                 return;
             }
@@ -262,7 +266,7 @@
         }
     }
 
-    /// Ends once a poll is to be answered; none where the agent has dropped it.
+    /// Waits until a poll must be answered; returns `None` if the agent has dropped the poll.
     async fn wait_for_change(&self, poll: &Poll, address: usize) -> Option<()> {
         let kernel = &self.context.kernel;
         let poll_drops = self.poll_drops.get();
@@ -289,13 +293,13 @@
         }
     }
 
-    /// Answers a poll; none where the connection broke.
+    /// Answers a poll; returns `None` if the connection broke.
     async fn answer(&self, poll: &Poll, stream: &mut VirtualStream) -> Option<()> {
         let kernel = &self.context.kernel;
         let VisibleList { list, faulty } = self.visible_list();
         let host = stream.peer();
         let malformed = kernel.now() < self.malformed_until.get();
-        // A delta is possible only on what the dispatcher has.
+        // A delta requires a list without faults, and a version that is not newer than the list.
         let needs_snapshot = faulty || poll.since.is_none_or(|since| since > list.version);
         let snapshot = needs_snapshot || kernel.random(|rng| rng.chance(SNAPSHOT_SHARE));
         let since = if snapshot { None } else { poll.since };
@@ -313,11 +317,11 @@
     }
 }
 
-/// What a dispatcher polls for.
+/// The parameters of a dispatcher's poll.
 struct Poll {
-    /// The version that it has.
+    /// The list version that the dispatcher has; `None` if it has none.
     since: Option<u64>,
-    /// When it is answered though nothing has changed.
+    /// The time at which the poll is answered even without a change.
     until: Nanos,
 }
 
--- a/crates/simulation/src/discovery/faults.rs
+++ b/crates/simulation/src/discovery/faults.rs
@@ -6,29 +6,29 @@
 use std::rc::Rc;
 
 impl DiscoveryAgent {
-    /// Answers nothing at one address until the moment.
+    /// Stops answering at one of the two addresses until the time `until`.
     pub fn silence(&self, address: usize, until: Nanos) {
         self.silent_until.borrow_mut()[address] = until;
     }
 
-    /// Never answers the polls that are open now.
+    /// Drops the polls that are open now: they are never answered.
     pub fn drop_open_polls(&self) {
         self.poll_drops.set(self.poll_drops.get() + 1);
         self.notify_polls();
     }
 
-    /// What it has counts as published, whether or not it was polled.
+    /// Records the current list as published, even if the dispatcher has not polled it.
     pub fn record_current_as_published(&self) {
         let list = self.current.borrow().clone();
         self.record_published(&list, None, self.dispatcher_host.get());
     }
 
-    /// Learns of changes later until the moment.
+    /// Delays changes on their way to the agent by `by` until the time `until`.
     pub fn delay_changes(&self, until: Nanos, by: Nanos) {
         self.delay.set(Delay { until, by });
     }
 
-    /// Shows the list of some time ago, for as long.
+    /// Publishes the list as it was `age` ago, for a time of `age`.
     pub fn publish_stale_list(self: &Rc<Self>, age: Nanos) {
         let now = self.context.kernel.now();
         let then = now.saturating_sub(age);
@@ -43,14 +43,14 @@
         self.notify_polls_now_and_at(now + age);
     }
 
-    /// Omits these workers until the moment.
+    /// Omits these workers from the list until the time `until`.
     pub fn omit_workers(self: &Rc<Self>, workers: Vec<WorkerIndex>, until: Nanos) {
         *self.omission.borrow_mut() = Omission { until, workers };
         self.current.borrow_mut().version += 1;
         self.notify_polls_now_and_at(until);
     }
 
-    /// Answers with what cannot be parsed until the moment.
+    /// Answers with lists that cannot be parsed until the time `until`.
     pub fn send_malformed_lists(&self, until: Nanos) {
         self.malformed_until.set(until);
         self.notify_polls();
@@ -62,7 +62,7 @@
         self.context.kernel.spawn(async move {
             let kernel = &agent.context.kernel;
             kernel.sleep_until(ENVIRONMENT, at).await;
-            // A new version, so that what was shown wrongly is published anew.
+            // A new version, so that the dispatcher receives the correct list.
             agent.current.borrow_mut().version += 1;
             agent.notify_polls();
         });
--- a/crates/simulation/src/discovery/list.rs
+++ b/crates/simulation/src/discovery/list.rs
@@ -1,42 +1,42 @@
-//! Endpoint lists, and how they go over the wire.
+//! Endpoint lists and their wire format.
 use crate::checker::WorkerIndex;
 use crate::time::MS;
 use rosewall::types::{EndpointState, Nanos};
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// What a list says of one worker.
+/// The entry of one worker in an endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Whether it takes requests.
+    /// Whether the worker is ready, draining or removed.
     pub state: EndpointState,
-    /// Where it listens.
+    /// The listen address of the worker.
     pub address: SocketAddr,
-    /// When its process started; 0 for one that has long been up.
+    /// The start time of the worker's process; 0 for one that started long before the simulation.
     pub started_at: Nanos,
-    /// Its zone.
+    /// The zone of the worker, by number.
     pub zone: usize,
-    /// Its cell.
+    /// The cell of the worker, by number.
     pub cell: usize,
 }
 
-/// A list of endpoints.
+/// An endpoint list; `None` in place of an endpoint that a fault omits.
 #[derive(Clone, Default)]
 pub(super) struct EndpointList {
     pub version: u64,
     pub endpoints: Vec<Option<Endpoint>>,
-    /// The version at which each endpoint changed last.
+    /// The list version of the last change of each endpoint.
     pub changed_at: Vec<u64>,
 }
 
-/// A list as it goes over the wire: a snapshot, or the changes since a version.
+/// Renders a list in its wire format: a snapshot, or the delta since a version.
 pub(super) fn render(list: &EndpointList, since: Option<u64>) -> String {
     let changed = |worker: &WorkerIndex| since.is_none_or(|since| list.changed_at[*worker] > since);
     let hosts: Vec<_> = (0..list.endpoints.len())
         .filter(changed)
         .filter_map(|worker| {
             let endpoint = list.endpoints[worker].as_ref()?;
-            // A snapshot does not name removed workers.
+            // A snapshot omits removed workers.
             let omitted = since.is_none() && endpoint.state == EndpointState::Removed;
             (!omitted).then(|| render_endpoint(worker, endpoint))
         })
--- a/crates/simulation/src/http.rs
+++ b/crates/simulation/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as the environment speaks it: no more than it needs, and independent of the dispatcher's own code, so that
-//! the code under test is not checked by itself.
+//! Minimal HTTP/1.1 parser of the simulated clients, workers and discovery. It is independent of
+//! the dispatcher's parser, so that the code under test does not check itself.
 use crate::network::VirtualStream;
 use futures_lite::AsyncReadExt;
 use httparse::Header;
@@ -8,31 +8,31 @@
 const MAX_HEADERS: usize = 64;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What has been read from one connection and is no complete message yet.
+/// The bytes read from one connection that do not form a complete message yet.
 #[derive(Default)]
 pub struct Inbox {
     bytes: Vec<u8>,
-    /// The offset of the first of these bytes on the connection.
+    /// The offset of the first buffered byte in the connection's stream.
     offset: u64,
 }
 
-/// A complete message.
+/// A complete request or response.
 pub struct Message {
-    /// The target of a request.
+    /// The target of a request; empty in a response.
     pub target: String,
-    /// The status of a response.
+    /// The status of a response; 0 in a request.
     pub status: u16,
     fields: Vec<(String, String)>,
-    /// The body.
+    /// The body, empty without a content length.
     pub body: Vec<u8>,
-    /// The offset of its first byte on the connection.
+    /// The offset of the message's first byte in the connection's stream.
     pub begin: u64,
-    /// The offset behind its last byte on the connection.
+    /// The offset after the message's last byte in the connection's stream.
     pub end: u64,
 }
 
 impl Message {
-    /// The value of a header field.
+    /// Returns the value of a header field; the name is case-insensitive.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .iter()
@@ -40,7 +40,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether the connection ends with it.
+    /// Whether the connection closes after this message.
     pub fn closes_connection(&self) -> bool {
         self.field("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
@@ -53,7 +53,7 @@
     Response,
 }
 
-/// A parsed head.
+/// The parsed head of a message.
 #[derive(Default)]
 struct Head {
     target: String,
@@ -69,7 +69,7 @@
                 let mut request = httparse::Request::new(&mut headers);
                 request
                     .parse(bytes)
-                    .map_err(|error| invalid_data("a request's head", error))?;
+                    .map_err(|error| invalid_data("request head", error))?;
                 Ok(Head {
                     target: request.path.unwrap_or_default().to_string(),
                     fields: fields(request.headers),
@@ -80,7 +80,7 @@
                 let mut response = httparse::Response::new(&mut headers);
                 response
                     .parse(bytes)
-                    .map_err(|error| invalid_data("a response's head", error))?;
+                    .map_err(|error| invalid_data("response head", error))?;
                 Ok(Head {
                     status: response.code.unwrap_or_default(),
                     fields: fields(response.headers),
@@ -95,7 +95,7 @@
             .iter()
             .find(|(name, _)| name.eq_ignore_ascii_case("content-length"))
             .map_or(Ok(0), |(_, value)| value.parse::<usize>())
-            .map_err(|error| invalid_data("a content length", error))
+            .map_err(|error| invalid_data("content length", error))
     }
 }
 
@@ -110,24 +110,24 @@
 }
 
 fn invalid_data(part: &str, error: impl std::fmt::Display) -> io::Error {
-    io::Error::new(ErrorKind::InvalidData, format!("{part}: {error}"))
+    io::Error::new(ErrorKind::InvalidData, format!("invalid {part}: {error}"))
 }
 
 impl Inbox {
-    /// The next complete request; none where the connection ends before one begins.
+    /// Reads the next complete request; returns `None` if the connection ends before one begins.
     ///
     /// # Errors
     ///
-    /// Where the connection breaks, or what came is no request.
+    /// If the connection breaks, or the bytes are not a valid request.
     pub async fn request(&mut self, stream: &mut VirtualStream) -> io::Result<Option<Message>> {
         self.message(stream, MessageKind::Request).await
     }
 
-    /// The next complete response; none where the connection ends before one begins.
+    /// Reads the next complete response; returns `None` if the connection ends before one begins.
     ///
     /// # Errors
     ///
-    /// Where the connection breaks, or what came is no response.
+    /// If the connection breaks, or the bytes are not a valid response.
     pub async fn response(&mut self, stream: &mut VirtualStream) -> io::Result<Option<Message>> {
         self.message(stream, MessageKind::Response).await
     }
--- a/crates/simulation/src/kernel.rs
+++ b/crates/simulation/src/kernel.rs
@@ -1,5 +1,6 @@
-//! The virtual clock and the event queue. Events of one instant happen in an order that the seed draws. The kernel
-//! knows neither the network nor the checker: it hands out events, and [`crate::context`] acts on them.
+//! The virtual clock and the event queue. Events of one instant are processed in an order that
+//! depends on the seed. The kernel is independent of the network and the checker: it yields events,
+//! and [`crate::context`] dispatches them.
 use crate::rng::Rng;
 use crate::timeline::{Timeline, TimelineEntry, TimelineEvent, Trace};
 use async_executor::{LocalExecutor, Task};
@@ -13,21 +14,22 @@
 use std::rc::{Rc, Weak};
 use std::task::{Context, Poll, Waker};
 
-/// Whose executor runs a task: [`ENVIRONMENT`], or the host number of a dispatcher.
+/// Identifies the executor that runs a task: [`ENVIRONMENT`], or the host number of a dispatcher.
 pub type Owner = usize;
 
-/// The owner of everything that is no dispatcher: clients, workers, discovery.
+/// The owner of all simulated parts other than dispatchers: clients, workers and discovery.
 pub const ENVIRONMENT: Owner = 0;
 
-/// Something that happens at a moment.
+/// An event of the simulation, scheduled for a point in virtual time.
 pub enum Event {
     /// A timer fires.
     Wake(Waker),
     /// The next segment in transit in one direction of a link arrives.
     Deliver {
-        /// The link.
+        /// The key of the link in the network.
         link: usize,
-        /// The direction: 0 carries what the connecting side writes.
+        /// The direction: 0 carries the bytes written by the connecting side, 1 those of the
+        /// accepting side.
         direction: usize,
     },
     /// A datagram arrives.
@@ -36,19 +38,19 @@
 
 /// A datagram in transit.
 pub struct Datagram {
-    /// The address to which it was sent.
+    /// The destination address.
     pub to: SocketAddr,
-    /// The address from which it was sent.
+    /// The address of the sending socket.
     pub from: SocketAddr,
-    /// Its payload.
+    /// The payload.
     pub bytes: Vec<u8>,
 }
 
-/// An event, and the owner of what it wakes.
+/// An event, and the owner of the tasks that it wakes.
 pub struct OwnedEvent {
-    /// The owner.
+    /// The owner whose executor runs after the event.
     pub owner: Owner,
-    /// The event.
+    /// The event to process.
     pub event: Event,
 }
 
@@ -59,21 +61,21 @@
     serial: u64,
 }
 
-/// The virtual clock, the event queue, the randomness of the simulation and its timeline.
+/// The virtual clock, the event queue, the main random stream and the timeline of a simulation.
 pub struct Kernel {
     now: Cell<Nanos>,
     queue: RefCell<Queue>,
     rng: RefCell<Rng>,
     executor: Weak<LocalExecutor<'static>>,
-    /// Owners of which something was woken since they last ran.
+    /// Owners with tasks woken since the owner last ran.
     runnable: RefCell<Vec<Owner>>,
-    /// How many timers each owner waits for.
+    /// Number of pending timers by owner.
     timers: RefCell<FxHashMap<Owner, usize>>,
     timeline: RefCell<Timeline>,
 }
 
 impl Kernel {
-    /// A kernel whose clock stands at `start`; `executor` runs the tasks of the environment.
+    /// Creates a kernel whose clock shows `start`; `executor` runs the tasks of the environment.
     pub fn new(
         start: Nanos,
         seed: u64,
@@ -91,22 +93,22 @@
         })
     }
 
-    /// The virtual time.
+    /// Returns the current virtual time, in Unix nanoseconds.
     pub fn now(&self) -> Nanos {
         self.now.get()
     }
 
-    /// A digest of the timeline so far.
+    /// Returns a digest of the timeline so far.
     pub fn digest(&self) -> u64 {
         self.timeline.borrow().digest()
     }
 
-    /// Takes the lines of the timeline, where they were collected.
+    /// Takes the collected lines of the timeline; empty with [`Trace::Off`].
     pub fn take_timeline(&self) -> Vec<TimelineEntry> {
         self.timeline.borrow_mut().take_entries()
     }
 
-    /// Draws from the simulation's main stream.
+    /// Draws from the simulation's main random stream.
     pub fn random<T>(&self, draw: impl FnOnce(&mut Rng) -> T) -> T {
         draw(&mut self.rng.borrow_mut())
     }
@@ -120,14 +122,15 @@
         }
     }
 
-    /// Records an event of this moment in the timeline; `a` and `b` go into the digest with it.
+    /// Records an event at the current time in the timeline; `a` and `b` are part of the digest,
+    /// `text` is not.
     pub fn record(&self, event: TimelineEvent, a: u64, b: u64, text: impl FnOnce() -> String) {
         self.timeline
             .borrow_mut()
             .record(self.now.get(), event, [a, b], text);
     }
 
-    /// Has an owner's executor run before the next event.
+    /// Schedules an owner's executor to run before the next event.
     pub fn mark_runnable(&self, owner: Owner) {
         let mut runnable = self.runnable.borrow_mut();
         if !runnable.contains(&owner) {
@@ -135,13 +138,13 @@
         }
     }
 
-    /// Wakes a task of an owner.
+    /// Wakes a task and marks its owner as runnable.
     pub fn wake(&self, owner: Owner, waker: Waker) {
         self.mark_runnable(owner);
         waker.wake();
     }
 
-    /// The owners to be run, in a random order.
+    /// Takes the runnable owners, in random order.
     pub fn take_runnable(&self) -> Vec<Owner> {
         let mut owners = std::mem::take(&mut *self.runnable.borrow_mut());
         for last in (1..owners.len()).rev() {
@@ -164,7 +167,7 @@
         serial
     }
 
-    /// When the next event is.
+    /// Returns the time of the next event, or `None` if the queue is empty.
     pub fn next_event_at(&self) -> Option<Nanos> {
         let mut queue = self.queue.borrow_mut();
         loop {
@@ -176,7 +179,8 @@
         }
     }
 
-    /// Advances the clock to the next event and removes it from the queue; none where the queue is empty.
+    /// Advances the clock to the next event and removes it from the queue; returns `None` if the
+    /// queue is empty.
     pub fn next_event(&self) -> Option<OwnedEvent> {
         let at = self.next_event_at()?;
         let event = {
@@ -188,7 +192,7 @@
         event
     }
 
-    /// Ends at the moment.
+    /// Returns a future that completes at the virtual time `at`, in a task of `owner`.
     pub fn sleep_until(self: &Rc<Self>, owner: Owner, at: Nanos) -> SleepUntil {
         SleepUntil {
             kernel: self.clone(),
@@ -198,12 +202,13 @@
         }
     }
 
-    /// Ends after the time, in a task of the environment.
+    /// Sleeps for `duration`, in a task of the environment.
     pub async fn sleep(self: &Rc<Self>, duration: Nanos) {
         self.sleep_until(ENVIRONMENT, self.now() + duration).await;
     }
 
-    /// The result of `work`, or none once the moment has come, in a task of the environment.
+    /// Runs `work` in a task of the environment; returns `None` if it has not completed by the time
+    /// `at`.
     pub async fn timeout_at<T>(
         self: &Rc<Self>,
         at: Nanos,
@@ -217,7 +222,7 @@
         futures_lite::FutureExt::or(work, timeout).await
     }
 
-    /// How many timers an owner waits for.
+    /// Returns the number of pending timers of an owner.
     pub fn timers(&self, owner: Owner) -> usize {
         self.timers
             .borrow()
@@ -275,7 +280,8 @@
         if let Some(serial) = self.serial {
             self.kernel.timer_disarmed(self.owner);
             let event = self.kernel.queue.borrow_mut().events.remove(&serial);
-            // Dropping a waker may drop a task, which may schedule: the queue is not borrowed any more.
+            // Dropping a waker may drop a task, which may schedule an event: the queue must not be
+            // borrowed here.
             drop(event);
         }
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,6 +1,6 @@
-//! The virtual network: hosts, listeners and links. Bytes take their time, arrive in pieces, and are delayed, reset or
-//! lost as faults have it. A link has two sides and two directions; side 0 is the one that connected, and direction 0
-//! carries what it writes.
+//! The virtual network: hosts, listeners and links. Segments have a random latency, and reads and
+//! writes may be partial; faults reset links and make hosts unreachable. A link has two sides and
+//! two directions: side 0 is the connecting one, and direction 0 carries the bytes that it writes.
 mod datagram;
 mod link;
 mod listener;
@@ -22,15 +22,16 @@
 use std::task::Poll;
 pub use stream::VirtualStream;
 
-/// The number of a host; for a dispatcher's host also its owner.
+/// The number of a host; the host of a dispatcher has the same number as its [`Owner`].
 pub type HostId = usize;
 
 struct Host {
     owner: Owner,
-    /// What goes to it or comes from it is lost.
+    /// Whether all segments to and from this host are lost.
     unreachable: bool,
-    /// Connections that a process here has open, and the highest number of them since it was last reset.
+    /// Number of open connections.
     open: usize,
+    /// The highest value of `open` since the last reset of the peak.
     peak: usize,
 }
 
@@ -41,25 +42,25 @@
     }
 }
 
-/// How the network behaves while no fault is active.
+/// Behaviour of connections while no fault is active.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// The lowest latency of a packet.
+    /// The minimum latency of a segment.
     pub min_latency: Nanos,
-    /// The highest latency of a packet.
+    /// The maximum latency of a segment, inclusive.
     pub max_latency: Nanos,
-    /// The share of writes and reads that take only a part of what they could.
+    /// The fraction of reads and writes, 0 to 1, that may transfer fewer bytes than possible.
     pub partial_io: f64,
-    /// Whether a reset discards what has been received and not read.
+    /// Whether a reset discards bytes that were received and not yet read.
     pub reset_discards_unread: bool,
 }
 
-/// Which sides of a link learn of a reset.
+/// The sides of a link to which a reset is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResetScope {
-    /// The other side, as when the host resets the connection.
+    /// The peer only, as when the host itself resets the connection.
     OtherSide,
-    /// Both sides, as when something between them does.
+    /// Both sides, as when a device between them resets the connection.
     BothSides,
 }
 
@@ -77,7 +78,7 @@
     listeners: FxHashMap<SocketAddr, ListenerState>,
 }
 
-/// All hosts, and what connects them.
+/// All hosts, and the links, listeners and datagram sockets between them.
 pub struct Network {
     kernel: Rc<Kernel>,
     state: RefCell<State>,
@@ -85,7 +86,7 @@
 }
 
 impl Network {
-    /// A network without hosts, on which no datagram is lost or delayed.
+    /// Creates a network without hosts, on which no datagram is lost or delayed.
     pub fn new(kernel: &Rc<Kernel>, conditions: NetworkConditions) -> Rc<Self> {
         Rc::new(Network {
             kernel: kernel.clone(),
@@ -118,27 +119,28 @@
         host
     }
 
-    /// How many connections a host has open.
+    /// Returns the number of open connections of a host.
     pub fn open_connections(&self, host: HostId) -> usize {
         self.state.borrow().hosts[host].open
     }
 
-    /// The highest number of connections that a host had open at once.
+    /// Returns the highest number of connections that a host had open at once since the peak was
+    /// last reset.
     pub fn peak_connections(&self, host: HostId) -> usize {
         self.state.borrow().hosts[host].peak
     }
 
-    /// Forgets the highest number of connections of a host.
+    /// Resets the peak number of connections of a host to 0.
     pub fn reset_peak_connections(&self, host: HostId) {
         self.state.borrow_mut().hosts[host].peak = 0;
     }
 
-    /// Whether what goes to a host or comes from it is lost.
+    /// Sets whether all segments to and from a host are lost.
     pub fn set_unreachable(&self, host: HostId, unreachable: bool) {
         self.state.borrow_mut().hosts[host].unreachable = unreachable;
     }
 
-    /// Listens at an address, in place of whoever listened there before.
+    /// Listens at an address; replaces an earlier listener there.
     pub fn listen(
         self: &Rc<Self>,
         host: HostId,
@@ -156,7 +158,8 @@
     ///
     /// # Errors
     ///
-    /// Where no one listens there, or the connection is reset before it is established.
+    /// `ConnectionRefused` if no listener is bound to the address, or the connection is reset
+    /// before it is established.
     pub async fn connect(
         self: &Rc<Self>,
         host: HostId,
@@ -165,7 +168,8 @@
         let link = {
             let mut state = self.state.borrow_mut();
             let listening = state.listeners.get(&to).map(|listener| listener.host);
-            // Where no one listens, the refusal comes from the own host; an unreachable host says nothing.
+            // Without a listener the refusal comes from the connecting host; an unreachable host
+            // sends no reply.
             let other = listening.unwrap_or(host);
             state.hosts[host].connection_opened();
             state.links.insert(Link::connecting([host, other], to))
@@ -193,7 +197,7 @@
         }
     }
 
-    /// The next segment in transit in one direction of a link arrives.
+    /// Delivers the next segment in transit in one direction of a link.
     pub fn deliver(&self, link: usize, direction: usize) {
         let arrival = self.state.borrow_mut().receive_next(link, direction);
         let Some(Arrival { wakers, reply }) = arrival else {
@@ -208,7 +212,7 @@
         self.remove_if_done(link);
     }
 
-    /// The process at a host ends: its listeners close and its connections are reset.
+    /// Ends the process of a host: closes its listeners and resets its connections.
     pub fn kill_host(&self, host: HostId) {
         self.state
             .borrow_mut()
@@ -229,7 +233,7 @@
         }
     }
 
-    /// Resets a share of a host's links without its process ending.
+    /// Resets each link of a host with probability `share`; its process continues.
     pub fn reset_links(&self, host: HostId, share: f64, scope: ResetScope) {
         for LinkSide { link, side } in self.links_of(host) {
             if self.kernel.random(|rng| rng.chance(share)) {
@@ -275,7 +279,7 @@
             .schedule(at, owner, Event::Deliver { link, direction });
     }
 
-    /// Removes a link that no one has open and on which nothing is in transit.
+    /// Removes a link that neither side has open and on which nothing is in transit.
     fn remove_if_done(&self, link: usize) {
         let mut state = self.state.borrow_mut();
         if state.links.get(link).is_some_and(Link::is_done) {
@@ -283,7 +287,7 @@
         }
     }
 
-    /// One side closes its end.
+    /// Closes one side of a link.
     fn close(&self, LinkSide { link, side }: LinkSide) {
         let segment = {
             let mut state = self.state.borrow_mut();
@@ -308,11 +312,12 @@
 }
 
 impl State {
-    /// Takes the next segment out of transit and lets it arrive; none where there is none.
+    /// Applies the next segment in transit; returns `None` if the link or the segment no longer
+    /// exists.
     fn receive_next(&mut self, link: usize, direction: usize) -> Option<Arrival> {
         let entry = self.links.get_mut(link)?;
         let segment = entry.directions[direction].pop()?;
-        // Who answers a connect is whoever listens as it arrives.
+        // The accepting host is the one that listens when the connect arrives.
         if let (Segment::Connect, Some(listener)) = (&segment, self.listeners.get(&entry.listener))
         {
             entry.hosts[1] = listener.host;
@@ -336,7 +341,7 @@
                         reply: Some(Segment::ConnectResult(true)),
                     }
                 }
-                // A full backlog says nothing: the connect is as good as lost.
+                // A full backlog sends no reply, as if the connect were lost.
                 Some(_) => Arrival::default(),
                 None => Arrival {
                     wakers: Vec::new(),
@@ -347,7 +352,8 @@
         })
     }
 
-    /// One side of a link is gone with its process; whether it was open, and who is to be woken.
+    /// Closes one side of a link when its process ends; returns whether it was open, and the tasks
+    /// to wake.
     fn detach_side(
         &mut self,
         link: usize,
--- a/crates/simulation/src/network/datagram.rs
+++ b/crates/simulation/src/network/datagram.rs
@@ -1,4 +1,5 @@
-//! Datagrams on the virtual network: lost, delayed, duplicated and dropped by direction, as the scenario has it.
+//! Datagrams on the virtual network, with the loss, latency, duplication and outages that the
+//! scenario defines.
 use super::{HostId, Network};
 use crate::kernel::{Datagram, ENVIRONMENT, Event};
 use rosewall::types::Nanos;
@@ -10,19 +11,20 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// How many datagrams a socket's buffer takes, about.
+/// The maximum number of datagrams queued at a socket; further ones are dropped. About the size of
+/// a socket buffer.
 const MAX_QUEUED: usize = 200;
 
-/// What happens to datagrams while no fault is active.
+/// Treatment of datagrams while no fault is active.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DatagramConditions {
-    /// The share that is lost.
+    /// The fraction of datagrams that is lost, 0 to 1.
     pub loss: f64,
-    /// The share that is duplicated.
+    /// The fraction of datagrams that is delivered twice, 0 to 1.
     pub duplicate: f64,
-    /// The lowest latency.
+    /// The minimum latency.
     pub min_latency: Nanos,
-    /// The highest latency.
+    /// The maximum latency, inclusive.
     pub max_latency: Nanos,
 }
 
@@ -37,7 +39,7 @@
     from: SocketAddr,
 }
 
-/// Until when a fault is active at each address.
+/// A fault at some addresses: the time until which it is active at each.
 #[derive(Default)]
 struct Outage(BTreeMap<SocketAddr, Nanos>);
 
@@ -75,19 +77,19 @@
         self.datagrams.borrow_mut().conditions = conditions;
     }
 
-    /// Drops the datagrams to an address until the moment.
+    /// Drops the datagrams to an address until the time `until`.
     pub fn drop_inbound_datagrams(&self, address: SocketAddr, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
         datagrams.inbound_dropped.set_until(address, until);
     }
 
-    /// Drops the datagrams from an address until the moment.
+    /// Drops the datagrams from an address until the time `until`.
     pub fn drop_outbound_datagrams(&self, address: SocketAddr, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
         datagrams.outbound_dropped.set_until(address, until);
     }
 
-    /// Drops the datagrams between these addresses and all others until the moment.
+    /// Drops the datagrams between these addresses and all others until the time `until`.
     pub fn partition_datagrams(&self, addresses: impl Iterator<Item = SocketAddr>, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
         for address in addresses {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// A datagram arrives, if a socket is bound to its address.
+    /// Delivers a datagram; drops it if no socket is bound to its address.
     pub fn deliver_datagram(&self, datagram: Datagram) {
         let woken = {
             let mut datagrams = self.datagrams.borrow_mut();
@@ -124,7 +126,7 @@
 }
 
 impl VirtualDatagramSocket {
-    /// Binds a socket, in place of whatever was bound to the address before.
+    /// Binds a socket to an address; replaces an earlier socket there.
     pub fn bind(network: &Rc<Network>, host: HostId, address: SocketAddr) -> Self {
         let mailbox = Mailbox {
             host,
--- a/crates/simulation/src/network/link.rs
+++ b/crates/simulation/src/network/link.rs
@@ -1,4 +1,5 @@
-//! A link between two hosts: what is in transit in each direction, and what has arrived and is not read yet.
+//! A link between two hosts: the segments in transit in each direction, and the received bytes that
+//! are not read yet.
 use super::HostId;
 use crate::kernel::Owner;
 use rosewall::types::Nanos;
@@ -8,7 +9,8 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-/// How many writes are remembered: attempts are checked as they arrive, so only what is in transit is looked up.
+/// Number of writes in the log of one direction. Attempts are checked on arrival, so only writes
+/// still in transit are looked up.
 const WRITE_LOG_LEN: usize = 256;
 
 /// A waker, and the owner of its task.
@@ -18,19 +20,19 @@
     Bytes(Vec<u8>),
     End,
     Reset,
-    /// The connecting side's first packet.
+    /// The first segment of the connecting side.
     Connect,
-    /// Whether someone listens at the address of the connect.
+    /// Whether the connection was accepted into a listener's backlog.
     ConnectResult(bool),
 }
 
 struct Write {
-    /// How many bytes were written after it.
+    /// The total number of bytes written up to and including this write.
     end: u64,
     at: Nanos,
 }
 
-/// What the checker sees of one direction, also after its link is gone.
+/// Byte counters of one direction, for the checker; they outlive the link.
 #[derive(Default)]
 pub struct DirectionCounters {
     written: Cell<u64>,
@@ -39,17 +41,18 @@
 }
 
 impl DirectionCounters {
-    /// How many bytes were written so far.
+    /// Returns the number of bytes written so far.
     pub fn bytes_written(&self) -> u64 {
         self.written.get()
     }
 
-    /// How many bytes were read so far.
+    /// Returns the number of bytes read so far.
     pub fn bytes_read(&self) -> u64 {
         self.read.get()
     }
 
-    /// When the byte at this offset was written.
+    /// Returns the time at which the byte at this offset was written, or 0 if it was not written
+    /// yet.
     pub fn written_at(&self, offset: u64) -> Nanos {
         let log = self.log.borrow();
         let index = log.partition_point(|write| write.end <= offset);
@@ -76,9 +79,9 @@
     in_transit: VecDeque<(Nanos, Segment)>,
     in_transit_bytes: usize,
     pub received: VecDeque<u8>,
-    /// The writer has ended this direction.
+    /// Whether the writer has closed this direction.
     pub write_closed: bool,
-    /// The end has arrived.
+    /// Whether the end of this direction has reached the reader.
     pub end_received: bool,
     pub reader: Option<Waker>,
     pub writer: Option<Waker>,
@@ -86,7 +89,8 @@
 }
 
 impl Direction {
-    /// Puts a segment in transit that arrives at the moment, or with the one before it where that is later.
+    /// Puts a segment in transit and returns its arrival time: `at`, or the arrival time of the
+    /// previous segment if that is later.
     pub fn push(&mut self, at: Nanos, segment: Segment) -> Nanos {
         let last = self.in_transit.back().map_or(0, |(at, _)| *at);
         let at = at.max(last);
@@ -105,17 +109,17 @@
         Some(segment)
     }
 
-    /// How many bytes were written and not read yet.
+    /// Returns the number of bytes written and not read yet.
     pub fn unread_bytes(&self) -> usize {
         self.in_transit_bytes + self.received.len()
     }
 }
 
-/// What the arrival of a segment leads to.
+/// The effects of the arrival of a segment.
 #[derive(Default)]
 pub(super) struct Arrival {
     pub wakers: Vec<OwnedWaker>,
-    /// Sent back over the link.
+    /// A segment to send back over the link.
     pub reply: Option<Segment>,
 }
 
@@ -131,11 +135,11 @@
 pub(super) struct Link {
     pub hosts: [HostId; 2],
     pub directions: [Direction; 2],
-    /// Whether each side has its end open.
+    /// Whether each side is open.
     pub open: [bool; 2],
     /// Whether a reset has reached each side.
     pub broken: [bool; 2],
-    /// Whether the connect succeeded, once the connecting side knows.
+    /// The result of the connect, once it has reached the connecting side.
     pub established: Option<bool>,
     pub connecting: Option<Waker>,
     /// Whether side 1 is in the backlog of its listener.
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Whether no one has it open and nothing is in transit.
+    /// Whether neither side is open and nothing is in transit.
     pub fn is_done(&self) -> bool {
         let empty = |direction: &Direction| direction.in_transit.is_empty();
         self.open == [false; 2] && self.directions.iter().all(empty)
@@ -168,12 +172,13 @@
         self.in_backlog = true;
     }
 
-    /// Takes a side out of the backlog; whether it was there.
+    /// Removes a side from the backlog; returns whether it was there.
     pub fn remove_from_backlog(&mut self, side: usize) -> bool {
         side == 1 && std::mem::take(&mut self.in_backlog)
     }
 
-    /// What a side sends as it closes: a reset where it has not read all, as TCP does.
+    /// Returns the segment that a side sends on close: a reset if received bytes are unread, as TCP
+    /// does.
     pub fn closing_segment(&mut self, side: usize) -> Option<Segment> {
         let unread = !self.directions[1 - side].received.is_empty();
         let was_write_closed = std::mem::replace(&mut self.directions[side].write_closed, true);
--- a/crates/simulation/src/network/listener.rs
+++ b/crates/simulation/src/network/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners of the virtual network.
+//! Listeners of the virtual network and their backlogs.
 use super::link::{OwnedWaker, Segment};
 use super::stream::VirtualStream;
 use super::{HostId, LinkSide, Network};
@@ -12,7 +12,7 @@
 
 pub(super) struct ListenerState {
     pub host: HostId,
-    /// Links that are not accepted yet.
+    /// Links that wait to be accepted, by key.
     queue: VecDeque<usize>,
     backlog: usize,
     waker: Option<Waker>,
@@ -32,7 +32,7 @@
         self.queue.len() < self.backlog
     }
 
-    /// Queues a link; who is to be woken by it.
+    /// Queues a link; returns the tasks to wake.
     pub fn push(&mut self, link: usize, owner: Owner) -> Vec<OwnedWaker> {
         self.queue.push_back(link);
         self.waker
@@ -43,7 +43,7 @@
     }
 }
 
-/// A listener. Dropping it closes it; connections in its backlog are reset.
+/// A listener at one address. Dropping it resets the connections in its backlog.
 pub struct VirtualListener {
     network: Rc<Network>,
     host: HostId,
@@ -61,7 +61,7 @@
 
     fn take_queue(&self) -> VecDeque<usize> {
         let mut state = self.network.state.borrow_mut();
-        // Another process may listen at the address by now.
+        // Another process may have replaced this listener at the address.
         match state.listeners.get(&self.address) {
             Some(listener) if listener.host == self.host => state
                 .listeners
--- a/crates/simulation/src/network/stream.rs
+++ b/crates/simulation/src/network/stream.rs
@@ -1,4 +1,4 @@
-//! Connections of the virtual network.
+//! Byte streams over the links of the virtual network.
 use super::link::{DirectionCounters, Link, Segment};
 use super::{HostId, LinkSide, Network};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// How many bytes a direction carries that were written and not read: as many as a small socket buffer.
+/// The maximum number of written and unread bytes per direction: the size of a small socket buffer.
 const BUFFER_BYTES: usize = 32 * 1024;
 
-/// One side of a link. Dropping it closes it.
+/// One side of a link. Dropping the stream closes that side.
 pub struct VirtualStream {
     network: Rc<Network>,
     end: LinkSide,
@@ -25,18 +25,18 @@
         }
     }
 
-    /// The host of the other side.
+    /// Returns the host of the other side, or 0 if the link no longer exists.
     pub fn peer(&self) -> HostId {
         self.link(|link| link.hosts[1 - self.end.side])
             .unwrap_or_default()
     }
 
-    /// The counters of what this side writes.
+    /// Returns the counters of the direction that this side writes.
     pub fn sent(&self) -> Rc<DirectionCounters> {
         self.counters(self.end.side)
     }
 
-    /// The counters of what this side reads.
+    /// Returns the counters of the direction that this side reads.
     pub fn received(&self) -> Rc<DirectionCounters> {
         self.counters(1 - self.end.side)
     }
@@ -55,7 +55,7 @@
             .map(read)
     }
 
-    /// Resets the connection for the other side.
+    /// Sends a reset to the other side.
     pub fn reset(self) {
         {
             let mut state = self.network.state.borrow_mut();
@@ -74,7 +74,8 @@
         self.network.send(self.end.link, self.end.side, segment);
     }
 
-    /// How many of `limit` bytes are read or written at once.
+    /// Returns how many of at most `limit` bytes one read or write transfers; the number is random
+    /// with probability `partial_io`.
     fn partial(&self, limit: usize, partial_io: f64) -> usize {
         if limit <= 1 || partial_io <= 0.0 {
             return limit;
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! One simulation: a scenario set up, played to its end on the virtual clock, and checked.
+//! Runs one scenario to its end on the virtual clock and reports the violations of the rules.
 mod dispatcher_config;
 mod dispatchers;
 mod environment;
@@ -20,42 +20,44 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-/// The first moment, in Unix time: any will do that lies well after 0.
+/// The start of the simulation in Unix nanoseconds. The value is arbitrary, but must be well
+/// after 0.
 const START: Nanos = 1_800_000_000 * SECOND;
-/// How long after the start clients begin.
+/// The delay from the start of the simulation to the start of the clients.
 const CLIENT_START_DELAY: Nanos = 100 * MS;
-/// How long after the last deadline a late response is still awaited.
+/// The time after the last deadline during which a late response is still awaited.
 const RESPONSE_MARGIN: Nanos = 5 * SECOND;
-/// How long after their timeout idle connections may take to close.
+/// The time after the idle timeout within which idle connections must be closed.
 const IDLE_CLOSE_MARGIN: Nanos = 3 * SECOND;
-/// A dispatcher that runs for so many polls without waiting spins.
+/// The number of task polls without a wait after which a dispatcher counts as busy-looping.
 const MAX_POLLS_PER_RUN: usize = 200_000;
-/// How often an event of the same instant happens before tasks run.
+/// The probability that another event of the same instant is processed before the tasks run.
 const COINCIDENCE_SHARE: f64 = 0.3;
-/// What an idle dispatcher has open: the watch on the endpoint list.
+/// Open connections of an idle dispatcher: the watch on the endpoint list.
 const IDLE_CONNECTIONS: usize = 1;
-/// The tasks of an idle dispatcher: engine, watch, listener, cluster.
+/// Tasks of an idle dispatcher: engine, watch, listener, cluster.
 const IDLE_TASKS: usize = 4;
-/// The timers of an idle dispatcher: those of the engine and of the cluster, and two timeouts of the watch.
+/// Timers of an idle dispatcher: those of the engine and the cluster, and two timeouts of the
+/// watch.
 const IDLE_TIMERS: usize = 5;
 
-/// What a simulation came to. The keys of its JSON form are read by other programs.
+/// The result of a simulation. Other programs read the keys of its JSON form.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Report {
-    /// The seed.
+    /// The seed of the scenario.
     pub seed: u64,
-    /// The violations of the rules.
+    /// The detected violations of the rules.
     pub violations: Vec<Violation>,
-    /// What became of the requests.
+    /// Counts of requests by outcome.
     pub tally: Tally,
-    /// How many events were played.
+    /// The number of steps; events of one instant that are processed together count as one.
     pub steps: u64,
-    /// How much virtual time passed, in seconds.
+    /// The elapsed virtual time, in seconds.
     pub virtual_s: f64,
     /// A digest of the timeline.
     #[serde(serialize_with = "hex_digest")]
     pub digest: u64,
-    /// The timeline, where it was wanted.
+    /// The lines of the timeline; empty with [`Trace::Off`].
     #[serde(skip)]
     pub trace: Vec<TraceLine>,
 }
@@ -63,18 +65,18 @@
 /// One line of the timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceLine {
-    /// When, in milliseconds from the start of the simulation.
+    /// The time since the start of the simulation, in milliseconds.
     pub at_ms: f64,
-    /// What happened.
+    /// The kind of the event, and its details.
     pub text: String,
 }
 
-/// Plays a scenario.
+/// Runs a scenario to its end and returns the report.
 pub fn run_scenario(scenario: &Scenario, trace: Trace) -> Report {
     Simulation::new(scenario, trace).run()
 }
 
-/// A simulation that is being played.
+/// A running simulation.
 struct Simulation {
     environment: Rc<Environment>,
     clients: Rc<Clients>,
@@ -109,7 +111,7 @@
         &self.environment.context
     }
 
-    /// Plays it to its end.
+    /// Runs the simulation to its end.
     fn run(mut self) -> Report {
         let scenario = self.environment.scenario.clone();
         let context = self.context().clone();
@@ -156,7 +158,8 @@
         }
     }
 
-    /// Once faults are over and no client is there, each dispatcher has what it needs at rest, and no more.
+    /// Checks that each dispatcher, without faults and clients, holds no more resources than an
+    /// idle one needs.
     fn check_resources_at_rest(&self) {
         let Context {
             kernel, network, ..
@@ -176,7 +179,7 @@
             for (resource, count, needed) in resources {
                 if count > needed {
                     let text = format!(
-                        "dispatcher {dispatcher} has {count} {resource} at rest, {needed} are needed"
+                        "dispatcher {dispatcher} holds {count} {resource} when idle, expected at most {needed}"
                     );
                     self.context().report_violation(Rule::ResourceLeak, text);
                 }
@@ -189,7 +192,9 @@
             let host = slot.host;
             let open = self.context().network.open_connections(host);
             if open > 0 {
-                let text = format!("host {host} has {open} connections after its process ended");
+                let text = format!(
+                    "host {host} has {open} open connections after the end of its process, expected 0"
+                );
                 self.context().report_violation(Rule::ResourceLeak, text);
             }
         }
@@ -202,7 +207,7 @@
         while kernel.next_event_at().is_some_and(|at| at <= until) {
             self.steps += 1;
             context.step();
-            // Events of one instant reach the tasks one by one, or together.
+            // Tasks run after each event of one instant, or after several of them.
             while kernel.next_event_at() == Some(kernel.now())
                 && kernel.random(|rng| rng.chance(COINCIDENCE_SHARE))
             {
@@ -210,7 +215,7 @@
             }
             self.run_until_idle();
         }
-        // A timer brings the clock to `until`, where no event does.
+        // Without a further event a timer advances the clock to `until`.
         kernel.spawn(kernel.sleep_until(ENVIRONMENT, until));
         self.run_until_idle();
         while kernel.next_event_at().is_some_and(|at| at <= until) {
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Runs all owners of which something was woken, until none has more to do at this moment.
+    /// Runs all runnable owners until none has a runnable task at the current time.
     fn run_until_idle(&self) {
         loop {
             let owners = self.context().kernel.take_runnable();
@@ -245,15 +250,22 @@
             }
         }));
         if result.is_err() {
-            context.report_violation(Rule::Program, format!("host {host} has panicked"));
+            context.report_violation(
+                Rule::Program,
+                format!("host {host}: the dispatcher panicked"),
+            );
         }
         if polls >= MAX_POLLS_PER_RUN {
-            context.report_violation(Rule::Program, format!("host {host} spins"));
+            context.report_violation(
+                Rule::Program,
+                format!("host {host}: no wait within {MAX_POLLS_PER_RUN} task polls"),
+            );
         }
         let peak = context.network.peak_connections(host);
-        if peak > self.environment.scenario.limits.sockets {
+        let limit = self.environment.scenario.limits.sockets;
+        if peak > limit {
             context.network.reset_peak_connections(host);
-            let text = format!("host {host} has {peak} connections");
+            let text = format!("host {host} has {peak} open connections, limit {limit}");
             context.report_violation(Rule::Descriptors, text);
         }
     }
@@ -261,7 +273,8 @@
 
 impl Drop for Simulation {
     fn drop(&mut self) {
-        // Dispatchers first, as they use the rest; then the tasks of the environment, which own it.
+        // Dispatchers are dropped first, since they use the environment; then the tasks that own
+        // the environment.
         let count = self.environment.dispatchers.borrow().len();
         for dispatcher in 0..count {
             self.environment.drop_dispatcher(dispatcher);
@@ -270,8 +283,9 @@
     }
 }
 
-/// When all faults are over, and clients have sent their last request. A fault whose effect is undone afterwards takes
-/// its duration twice.
+/// Returns the time from the start after which all faults have ended and clients have sent their
+/// last request. A fault is counted with twice its duration, as undoing its effect may take as long
+/// again.
 fn faults_end_after(scenario: &Scenario) -> Nanos {
     scenario
         .faults
--- a/crates/simulation/src/simulation/dispatcher_config.rs
+++ b/crates/simulation/src/simulation/dispatcher_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a dispatcher, in the form of the file that the daemon reads.
+//! Generates the configuration of a dispatcher in the format of the daemon's configuration file.
 use super::dispatchers::{gossip_address, listen_address};
 use super::environment::Environment;
 use crate::rng::Rng;
@@ -9,19 +9,19 @@
 use rosewall_engine::config::{Config, ConfigError};
 use serde_json::{Value, json};
 
-/// The first random stream of the dispatchers' seeds; each moment has its own.
+/// The first random stream of the dispatchers' seeds; the stream depends on the start time.
 const SEED_STREAM: u64 = 50_000;
-/// A prime that spreads moments over the streams.
+/// The number of streams over which start times are distributed; a prime.
 const SEED_STREAMS: u64 = 1_000_003;
-/// Dispatchers that all others contact first.
+/// The number of dispatchers that all others contact first to join the cluster.
 const CLUSTER_SEEDS: usize = 3;
-/// What a late result is worth beside one in time.
+/// The value of a late result relative to one within the latency objective.
 const LATE_WEIGHT: f64 = 0.2;
 
-/// Why a configuration could not be made.
+/// The reason why a configuration could not be generated.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConfigurationError {
-    #[error("the endpoint list is no JSON: {0}")]
+    #[error("endpoint list is not valid JSON: {0}")]
     Endpoints(#[from] serde_json::Error),
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -30,7 +30,8 @@
 }
 
 impl Environment {
-    /// The configuration of a dispatcher that starts with these endpoints.
+    /// Generates the configuration of a dispatcher that starts with these endpoints and this
+    /// descriptor limit.
     pub fn dispatcher_config(
         &self,
         dispatcher: usize,
--- a/crates/simulation/src/simulation/dispatchers.rs
+++ b/crates/simulation/src/simulation/dispatchers.rs
@@ -1,4 +1,4 @@
-//! Dispatchers: started, reloaded, shut down and killed.
+//! Starts, reloads, shuts down and kills dispatchers.
 use super::dispatcher_config::ConfigurationError;
 use super::environment::Environment;
 use super::runtime::VirtualRuntime;
@@ -15,55 +15,56 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// After the signal to stop, requests drain for the longest deadline, at most for this time.
+/// The maximum drain time after the stop signal; requests drain for the longest deadline if that is
+/// shorter.
 pub(super) const MAX_SHUTDOWN_DRAIN: Nanos = 3_000 * MS;
-/// How much later than that the process is killed.
+/// The time after the drain time at which the process is killed.
 pub(super) const SHUTDOWN_MARGIN: Nanos = 700 * MS;
 
 const LISTEN_PORT: u16 = 3000;
 const LISTEN_BACKLOG: usize = 128;
 const GOSSIP_PORT: u16 = 7946;
-/// Dispatchers in one subnet of the virtual network.
+/// Number of dispatchers in one subnet of the virtual network.
 const DISPATCHERS_PER_SUBNET: usize = 250;
 
 /// The first random stream of wall clocks; each dispatcher has its own.
 const CLOCK_STREAM: u64 = 60_000;
 
-/// The place of one dispatcher, and the process that runs there.
+/// The slot of one dispatcher, and the process that runs in it.
 #[derive(Default)]
 pub(super) struct DispatcherSlot {
     executor: Option<Rc<LocalExecutor<'static>>>,
     pub node: Option<Node<VirtualRuntime>>,
     pub host: HostId,
-    /// How many tasks the process has.
+    /// Number of tasks of the process.
     pub tasks: Rc<Cell<usize>>,
-    /// Which address of its discovery agent it was configured with last.
+    /// The index of the discovery agent's address in the last configuration.
     pub discovery_address: usize,
 }
 
-/// Why a dispatcher did not start.
+/// The reason why a dispatcher did not start.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    #[error("the node did not start: {0}")]
+    #[error("node did not start: {0}")]
     Node(#[source] Box<dyn std::error::Error>),
 }
 
-/// Where a dispatcher's datagrams arrive.
+/// Returns the address of a dispatcher's cluster datagrams.
 pub(super) fn gossip_address(dispatcher: usize) -> SocketAddr {
     let subnet = (dispatcher / DISPATCHERS_PER_SUBNET) as u8;
     let host = (dispatcher % DISPATCHERS_PER_SUBNET) as u8 + 1;
     ([10, 0, subnet, host], GOSSIP_PORT).into()
 }
 
-/// Where a dispatcher's clients connect.
+/// Returns the address to which a dispatcher's clients connect.
 pub(super) fn listen_address(dispatcher: usize) -> SocketAddr {
     ([10, 0, 0, dispatcher as u8], LISTEN_PORT).into()
 }
 
 impl Environment {
-    /// Starts a process at a dispatcher's place.
+    /// Starts a process in a dispatcher's slot.
     pub fn start_dispatcher(&self, dispatcher: usize) {
         let kernel = &self.context.kernel;
         let host = self.context.network.add_dispatcher_host();
@@ -77,8 +78,10 @@
             || format!("dispatcher {dispatcher} as host {host}"),
         );
         if let Err(error) = started {
-            self.context
-                .report_violation(Rule::Program, format!("no start: {error}"));
+            self.context.report_violation(
+                Rule::Program,
+                format!("dispatcher {dispatcher} did not start: {error}"),
+            );
         }
         kernel.mark_runnable(host);
     }
@@ -115,7 +118,7 @@
         Ok(())
     }
 
-    /// How far the wall clock at a dispatcher's place is ahead: the same at each start.
+    /// Returns how far the wall clock of a dispatcher is ahead; the same at each start.
     fn clock_offset(&self, dispatcher: usize) -> Nanos {
         let max_skew = self
             .scenario
@@ -129,7 +132,7 @@
         self.dispatchers.borrow()[dispatcher].node.is_some()
     }
 
-    /// The executor of the dispatcher at a host, if its process is the current one there.
+    /// Returns the executor of the dispatcher on a host; `None` if its process has ended.
     pub fn dispatcher_executor(&self, host: Owner) -> Option<Rc<LocalExecutor<'static>>> {
         self.dispatchers
             .borrow()
@@ -138,7 +141,7 @@
             .and_then(|slot| slot.executor.clone())
     }
 
-    /// Configures a dispatcher anew.
+    /// Reloads the configuration of a running dispatcher.
     pub fn reload(&self, dispatcher: usize, descriptors: usize) {
         const NO_ENDPOINTS: &str = "{\"seq\":0,\"whole\":true,\"hosts\":[]}";
         let config = self.dispatcher_config(dispatcher, NO_ENDPOINTS, descriptors);
@@ -164,7 +167,7 @@
         self.drop_dispatcher(dispatcher);
     }
 
-    /// Shuts a dispatcher down in order; ends once its process has ended.
+    /// Shuts a dispatcher down gracefully, and waits until its process has ended.
     pub async fn stop_dispatcher(&self, dispatcher: usize) {
         let kernel = &self.context.kernel;
         let now = kernel.now();
@@ -194,7 +197,7 @@
         let longest_deadline = self.scenario.longest_deadline_ms() * MS;
         let kill_at = now + longest_deadline.min(MAX_SHUTDOWN_DRAIN) + SHUTDOWN_MARGIN;
         if kernel.timeout_at(kill_at, ended.recv()).await.is_none() {
-            let text = format!("dispatcher {dispatcher} did not end in time");
+            let text = format!("dispatcher {dispatcher} did not shut down in time");
             self.context.report_violation(Rule::Shutdown, text);
         }
         kernel.record(
@@ -203,11 +206,13 @@
             host as u64,
             text,
         );
-        // What it had not answered by its end is lost, which is a violation: it was not killed.
+        // Requests unanswered at this point are lost, which is a violation since the process was
+        // not killed.
         self.drop_dispatcher(dispatcher);
     }
 
-    /// Drops what is left of a dispatcher's process: its connections end as a process's do.
+    /// Drops the node and the executor of a dispatcher; its connections close as at the end of a
+    /// process.
     pub fn drop_dispatcher(&self, dispatcher: usize) {
         let (executor, node) = {
             let mut dispatchers = self.dispatchers.borrow_mut();
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -1,4 +1,4 @@
-//! All of a simulation that faults act on: workers, discovery agents and dispatchers.
+//! The parts of a simulation that faults affect: workers, discovery agents and dispatchers.
 use super::START;
 use super::dispatchers::DispatcherSlot;
 use crate::checker::{Checker, WorkerIndex};
@@ -18,32 +18,33 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// How long discovery takes to notice that a process has started.
+/// The time until discovery detects the start of a process.
 const START_NOTICE_DELAY: RangeInclusive<Nanos> = 5 * MS..=400 * MS;
-/// How long discovery takes to notice that a process has ended.
+/// The time until discovery detects the end of a process.
 const END_NOTICE_DELAY: RangeInclusive<Nanos> = 5 * MS..=800 * MS;
 
-/// The ports of a discovery agent.
+/// The ports of the two addresses of a discovery agent.
 const DISCOVERY_PORTS: [u16; 2] = [8500, 8501];
 const WORKER_PORT: u16 = 3000;
-/// Workers in one subnet of the virtual network.
+/// Number of workers in one subnet of the virtual network.
 const WORKERS_PER_SUBNET: usize = 200;
 
-/// Workers, discovery agents and dispatchers of a simulation.
+/// The workers, discovery agents and dispatchers of a simulation.
 pub(super) struct Environment {
     pub context: Rc<Context>,
     pub scenario: Rc<Scenario>,
     pub dispatchers: RefCell<Vec<DispatcherSlot>>,
-    /// One beside each dispatcher.
+    /// Discovery agents, one per dispatcher.
     pub agents: Vec<Rc<DiscoveryAgent>>,
     pub workers: RefCell<Vec<Rc<WorkerProcess>>>,
     overloaded: Sender<WorkerIndex>,
-    /// How many changes discovery has noticed.
+    /// Number of endpoint changes so far.
     changes: Cell<u64>,
 }
 
 impl Environment {
-    /// Sets up all but the dispatchers, which are started one by one. The receiver gets workers that are overloaded.
+    /// Sets up the environment; dispatchers are started separately. The receiver yields overloaded
+    /// workers.
     pub fn new(
         scenario: &Scenario,
         executor: &Rc<LocalExecutor<'static>>,
@@ -51,7 +52,8 @@
     ) -> (Rc<Self>, Receiver<WorkerIndex>) {
         let scenario = Rc::new(scenario.clone());
         let context = new_context(&scenario, executor, trace);
-        // Host 0 belongs to no one: hosts of dispatchers are their owners, and owner 0 is the environment.
+        // Host 0 stays unused: the host of a dispatcher is also its owner, and owner 0 is the
+        // environment.
         context.network.add_host();
         let (overloaded, overloaded_workers) = async_channel::unbounded();
         let workers: Vec<_> = (0..scenario.workers.len())
@@ -87,7 +89,7 @@
         (environment, overloaded_workers)
     }
 
-    /// Terminates workers that are overloaded; they stay down.
+    /// Terminates overloaded workers without a restart.
     pub async fn terminate_overloaded_workers(self: Rc<Self>, overloaded: Receiver<WorkerIndex>) {
         while let Ok(worker) = overloaded.recv().await {
             let process = self.worker(worker);
@@ -99,7 +101,8 @@
         self.workers.borrow()[worker].clone()
     }
 
-    /// What discovery notices reaches the agents, each in its time.
+    /// Sends the new state of a worker to all agents, each after a random delay within
+    /// `notice_delay`.
     pub fn publish_endpoint(
         &self,
         worker: WorkerIndex,
@@ -123,10 +126,10 @@
         }
     }
 
-    /// Starts a new process at the worker's address, cold.
+    /// Starts a new process at the worker's address; it has to warm up.
     pub fn restart_worker(&self, worker: WorkerIndex) {
         let kernel = &self.context.kernel;
-        // Endpoint lists carry whole milliseconds.
+        // Endpoint lists contain start times in whole milliseconds.
         let started_at = kernel.now() / MS * MS;
         let start = ProcessStart {
             worker,
@@ -145,7 +148,7 @@
         self.publish_endpoint(worker, EndpointState::Ready, START_NOTICE_DELAY);
     }
 
-    /// Terminates a process, and starts a new one after the time, unless that is 0.
+    /// Terminates a process, and starts a new one after `restart_after`, unless that is 0.
     pub async fn terminate_worker(
         &self,
         worker: WorkerIndex,
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What each fault does.
+//! Injects the faults of a scenario.
 use super::START;
 use super::dispatchers::gossip_address;
 use super::environment::Environment;
@@ -13,14 +13,14 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// How long discovery takes to notice that a worker drains.
+/// The time until discovery detects that a worker is draining.
 const DRAIN_NOTICE_DELAY: RangeInclusive<Nanos> = 0..=300 * MS;
-/// How long discovery takes to notice that a host is lost.
+/// The time until discovery detects that a host is lost.
 const HOST_LOST_NOTICE_DELAY: RangeInclusive<Nanos> = 500 * MS..=1500 * MS;
-/// The descriptors that a dispatcher keeps at least.
+/// The lowest descriptor limit to which a fault reduces a dispatcher.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// A fault that has begun.
+/// An active fault, with its duration and end in virtual time.
 struct ActiveFault {
     fault: Fault,
     duration: Nanos,
@@ -37,7 +37,8 @@
 }
 
 impl Environment {
-    /// Plays one fault, from its moment to its end.
+    /// Waits for the time of a fault, injects it, and undoes it after its duration unless it ends by
+    /// itself.
     pub async fn inject(self: Rc<Self>, fault: Fault) {
         let kernel = &self.context.kernel;
         kernel
@@ -150,7 +151,7 @@
         network.set_unreachable(process.host(), true);
         self.publish_endpoint(worker, EndpointState::Removed, HOST_LOST_NOTICE_DELAY);
         self.context.kernel.sleep(active.duration).await;
-        // Once the host is back, what was open is reset.
+        // When the host is reachable again, its open connections are reset.
         network.set_unreachable(process.host(), false);
         process.terminate();
         self.restart_worker(worker);
@@ -175,7 +176,7 @@
     }
 }
 
-/// Faults of the endpoint list that a dispatcher gets.
+/// Faults of the endpoint lists published to a dispatcher.
 impl Environment {
     fn silence_discovery(&self, active: &ActiveFault) {
         for address in 0..2 {
--- a/crates/simulation/src/simulation/runtime.rs
+++ b/crates/simulation/src/simulation/runtime.rs
@@ -1,4 +1,4 @@
-//! The runtime of a dispatcher: virtual clock, virtual network, and an executor of its own.
+//! The runtime of a dispatcher, based on the virtual clock and network, with a separate executor.
 use crate::context::Context;
 use crate::network::{HostId, VirtualDatagramSocket, VirtualListener, VirtualStream};
 use async_executor::{LocalExecutor, Task};
@@ -14,9 +14,9 @@
     pub(super) context: Rc<Context>,
     pub(super) host: HostId,
     pub(super) executor: Weak<LocalExecutor<'static>>,
-    /// How many tasks the dispatcher has.
+    /// Number of tasks of the dispatcher.
     pub(super) tasks: Rc<Cell<usize>>,
-    /// How far its wall clock is ahead.
+    /// How far the dispatcher's wall clock is ahead of the virtual clock.
     pub(super) clock_offset: Nanos,
 }
 
@@ -75,7 +75,7 @@
         };
         match self.executor.upgrade() {
             Some(executor) => executor.spawn(work),
-            // The dispatcher is being taken down: nothing more of it runs.
+            // The dispatcher is being dropped: the task never runs.
             None => LocalExecutor::new().spawn(work),
         }
     }
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -1,4 +1,5 @@
-//! A worker: slots, a queue in order of arrival, a slow start, and the faults that a scenario gives it.
+//! A simulated worker: concurrency slots, a first-in-first-out queue, slow start, and injected
+//! faults.
 mod execution;
 mod malformed;
 mod wire;
@@ -21,87 +22,89 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The share of the connections of a worker with malformed responses on which it answers before it has read a request.
+/// The probability, while responses are malformed, that a worker answers before it has read a
+/// request.
 const EARLY_RESPONSE_SHARE: f64 = 0.05;
 
-/// A fault that lasts until a moment, and how much it affects.
+/// A fault that is active until a given time, and its extent.
 #[derive(Clone, Copy, Default)]
 pub struct FaultInterval {
-    /// When it ends.
+    /// The time at which the fault ends.
     pub until: Nanos,
-    /// What it affects, as the fault has it.
+    /// The fraction of affected events, 0 to 1; for [`WorkerFaults::slow`] the factor of the
+    /// service time.
     pub share: f64,
 }
 
 impl FaultInterval {
-    /// Whether it affects what happens now: drawn, where it affects only a share.
+    /// Whether the fault affects the current event; random if it affects only a fraction of events.
     fn affects_now(&self, kernel: &Kernel) -> bool {
         kernel.now() < self.until
             && (self.share >= 1.0 || kernel.random(|rng| rng.chance(self.share)))
     }
 }
 
-/// The faults of one worker.
+/// The injected faults of one worker.
 #[derive(Default)]
 pub struct WorkerFaults {
-    /// It does nothing until then.
+    /// The time until which the worker is stalled; it processes nothing before.
     pub stalled_until: Nanos,
-    /// It takes `share` times as long.
+    /// The service time is multiplied by `share`.
     pub slow: FaultInterval,
-    /// It answers with an error.
+    /// Attempts are answered with status 500.
     pub errors: FaultInterval,
-    /// It never answers.
+    /// Attempts are never answered.
     pub unresponsive: FaultInterval,
-    /// It rejects everything.
+    /// Attempts are rejected, as at capacity.
     pub at_capacity: FaultInterval,
-    /// Its responses are malformed.
+    /// Responses are malformed.
     pub malformed: FaultInterval,
-    /// It fails one class.
+    /// Attempts of [`Self::failing_class`] are answered with status 500.
     pub class_failures: FaultInterval,
-    /// The class that it fails.
+    /// The class affected by [`Self::class_failures`].
     pub failing_class: usize,
 }
 
-/// How a worker's process starts.
+/// The start parameters of a worker's process.
 pub struct ProcessStart {
-    /// The worker.
+    /// The index of the worker in the scenario.
     pub worker: WorkerIndex,
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
-    /// Unix time, 0 for one that has long been up.
+    /// The start time in Unix nanoseconds; 0 for a process that started long before the simulation.
     pub started_at: Nanos,
-    /// Notified when it is overloaded.
+    /// Receives the worker's index when the worker is overloaded.
     pub overloaded: Sender<WorkerIndex>,
 }
 
-/// One process of a worker, from its start to its end.
+/// One incarnation of a worker, from the start of its process to the end.
 pub struct WorkerProcess {
     context: Rc<Context>,
     start: ProcessStart,
     spec: WorkerSpec,
     host: HostId,
     idle_timeout: Nanos,
-    /// What goes wrong with it.
+    /// The faults that are injected into this process.
     pub faults: RefCell<WorkerFaults>,
-    /// Whether it drains.
+    /// Whether the process is draining.
     pub draining: Cell<bool>,
     rejects_while_draining: Cell<bool>,
     running: Cell<usize>,
     queue: RefCell<VecDeque<Sender<()>>>,
     results_produced: Cell<u64>,
-    /// Dropped as the process ends, which ends all its tasks.
+    /// Dropped when the process ends, which ends all its tasks.
     alive: RefCell<Option<Sender<()>>>,
     ended: Receiver<()>,
 }
 
-/// Whether a connection takes a further request.
+/// Whether a connection stays open after a response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Persistence {
     KeepOpen,
     Close,
 }
 
-/// What the active faults do to one attempt.
+/// The effects of the active faults on one attempt.
 struct AttemptFaults {
     at_capacity: bool,
     fails: bool,
@@ -109,16 +112,17 @@
     malformed: bool,
 }
 
-/// Ends once the other side has closed the connection.
+/// Waits until the other side has closed the connection.
 async fn wait_until_closed(stream: &VirtualStream) {
     if stream.readable().await.is_ok() && stream.readiness() != Readiness::Closed {
-        // What can be read is the next, pipelined request: it waits, and a close behind it goes unnoticed.
+        // The readable bytes belong to a pipelined request, which stays unread; a close after it is
+        // not detected.
         std::future::pending::<()>().await;
     }
 }
 
 impl WorkerProcess {
-    /// Starts a process.
+    /// Starts a process on a new host.
     pub fn start(context: &Rc<Context>, scenario: &Scenario, start: ProcessStart) -> Rc<Self> {
         let host = context.network.add_host();
         let (alive, ended) = async_channel::bounded(1);
@@ -150,39 +154,39 @@
         process
     }
 
-    /// The host on which it runs.
+    /// Returns the host of the process.
     pub fn host(&self) -> HostId {
         self.host
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.start.address
     }
 
-    /// When it started; 0 for one that has long been up.
+    /// Returns the start time; 0 for a process that started long before the simulation.
     pub fn started_at(&self) -> Nanos {
         self.start.started_at
     }
 
-    /// What the scenario says of its worker.
+    /// Returns the worker's specification in the scenario.
     pub fn spec(&self) -> &WorkerSpec {
         &self.spec
     }
 
-    /// Whether it has not ended.
+    /// Whether the process has not ended.
     pub fn is_alive(&self) -> bool {
         self.alive.borrow().is_some()
     }
 
-    /// Ends the process: its connections are reset, and what it ran is lost.
+    /// Ends the process: resets its connections; running and queued attempts are lost.
     pub fn terminate(&self) {
         self.context.network.kill_host(self.host);
         self.alive.borrow_mut().take();
         self.context.kernel.mark_runnable(ENVIRONMENT);
     }
 
-    /// Rejects what is queued, and what arrives while it drains.
+    /// Rejects all queued attempts, and those that arrive while the worker is draining.
     pub fn reject_queued(&self) {
         self.rejects_while_draining.set(true);
         self.queue.borrow_mut().clear();
@@ -232,7 +236,7 @@
             let early = self.faults.borrow().malformed.affects_now(kernel)
                 && kernel.random(|rng| rng.chance(EARLY_RESPONSE_SHARE));
             if early {
-                // Answers before it has read all, and closes.
+                // Answers before the request has been read, and closes.
                 let _ = kernel.timeout_at(idle_until, stream.readable()).await;
                 let _ = stream.write_all(wire::NOT_STARTED.as_bytes()).await;
                 return;
@@ -252,7 +256,7 @@
         }
     }
 
-    /// Handles one attempt; none where its connection broke.
+    /// Handles one attempt; returns `None` if its connection broke.
     async fn handle_attempt(
         self: &Rc<Self>,
         stream: &mut VirtualStream,
@@ -280,7 +284,7 @@
         execution.run(stream).await
     }
 
-    /// Has the checker see an attempt; none where no client sent such a request.
+    /// Records an attempt in the checker; returns `None` if no client sent such a request.
     fn record_attempt(
         self: &Rc<Self>,
         stream: &VirtualStream,
@@ -310,7 +314,7 @@
             worker as u64,
             || {
                 format!(
-                    "request {id} at worker {worker}, by dispatcher host {}",
+                    "request {id} at worker {worker}, from dispatcher host {}",
                     origin.host
                 )
             },
@@ -351,7 +355,8 @@
         }
     }
 
-    /// Draws for each fault, also where one alone decides, so that the draws do not depend on the outcome.
+    /// Evaluates every fault, even if one alone determines the outcome, so that random draws do not
+    /// depend on it.
     fn attempt_faults(&self, execution: &Execution) -> AttemptFaults {
         let kernel = &self.context.kernel;
         let faults = self.faults.borrow();
@@ -368,7 +373,7 @@
         }
     }
 
-    /// Frees a slot for the first in the queue.
+    /// Releases a slot and grants it to the first queued attempt that still waits.
     fn release_slot(&self) {
         self.running.set(self.running.get() - 1);
         loop {
--- a/crates/simulation/src/worker/execution.rs
+++ b/crates/simulation/src/worker/execution.rs
@@ -1,4 +1,4 @@
-//! One attempt at a worker: it waits for a slot, runs and is answered.
+//! Execution of one attempt at a worker: waiting for a slot, running and responding.
 use super::wire::{self, CHUNKED, LAST_CHUNK, chunk, line};
 use super::{Persistence, WorkerProcess, wait_until_closed};
 use crate::checker::RequestIndex;
@@ -9,7 +9,7 @@
 use rosewall::types::Nanos;
 use std::rc::Rc;
 
-/// The smallest factor by which a slow worker takes longer.
+/// The minimum service-time factor of a slow worker.
 const MIN_SLOWDOWN: f64 = 0.01;
 
 /// An attempt that has reached a worker.
@@ -17,13 +17,13 @@
     pub process: Rc<WorkerProcess>,
     pub request: RequestIndex,
     pub attempt: usize,
-    /// The request's id, as it came.
+    /// The request id as received.
     pub id: String,
     pub class: usize,
     pub work: Nanos,
 }
 
-/// A slot in use; released when dropped.
+/// A slot in use, released on drop.
 struct SlotGuard(Rc<WorkerProcess>);
 
 impl Drop for SlotGuard {
@@ -32,12 +32,12 @@
     }
 }
 
-/// How waiting for a slot ended.
+/// The result of waiting for a slot.
 enum SlotWait {
     Granted,
     /// The queue was cleared.
     Rejected,
-    /// The request was dropped with its connection.
+    /// The attempt left the queue because its connection closed.
     Dropped,
 }
 
@@ -59,7 +59,7 @@
         checker.execution_started(kernel.now(), self.request);
     }
 
-    /// Produces a result that the checker knows.
+    /// Produces a unique result and records it in the checker.
     fn produce_result(&self) -> String {
         let process = &self.process;
         process
@@ -76,7 +76,7 @@
         line(&self.id, "done", &result)
     }
 
-    /// Sends a response that promises that nothing ran.
+    /// Sends a response that promises that the attempt did not run.
     pub async fn reject(&self, stream: &mut VirtualStream, text: &str) -> Option<Persistence> {
         let sent = stream.sent();
         let end = sent.bytes_written() + text.len() as u64;
@@ -87,7 +87,7 @@
         wire::send(stream, text).await
     }
 
-    /// Rejects what was queued.
+    /// Rejects a queued attempt; returns `None` if the process has ended.
     pub async fn reject_from_queue(&self, stream: &mut VirtualStream) -> Option<Persistence> {
         if !self.process.is_alive() {
             return None;
@@ -96,7 +96,7 @@
         self.reject(stream, &text).await
     }
 
-    /// Waits for a slot, runs and answers; its connection may end meanwhile.
+    /// Waits for a slot, runs the attempt and responds; returns `None` if the connection closed.
     pub async fn run(&self, stream: &mut VirtualStream) -> Option<Persistence> {
         let process = &self.process;
         if process.running.get() < process.spec.slots {
@@ -126,7 +126,8 @@
         match slot_granted.or(connection_closed).await {
             Some(true) => SlotWait::Granted,
             Some(false) => SlotWait::Rejected,
-            // Dropping the receiver lets the queue skip it, also where a slot is granted in this very instant.
+            // Dropping the receiver makes the queue skip this attempt, even if a slot is granted at
+            // the same instant.
             None if process.spec.cancels_queued => SlotWait::Dropped,
             None if granted.recv().await.is_ok() => SlotWait::Granted,
             None => SlotWait::Dropped,
--- a/crates/simulation/src/worker/malformed.rs
+++ b/crates/simulation/src/worker/malformed.rs
@@ -1,4 +1,4 @@
-//! Responses that break the worker protocol, or use a rare part of it.
+//! Responses that break the worker protocol, or use rare parts of it.
 use super::execution::Execution;
 use super::wire::{self, CHUNKED, LAST_CHUNK, NOT_STARTED, chunk, line};
 use super::{Persistence, wait_until_closed};
@@ -7,10 +7,10 @@
 use crate::timeline::TimelineEvent;
 use futures_lite::AsyncWriteExt;
 
-/// Whether a request runs beside a malformed response.
+/// Whether the request runs although its response is malformed.
 enum Runs {
     Never,
-    /// In half of the cases.
+    /// With probability 0.5.
     Maybe,
     Always,
 }
@@ -42,7 +42,8 @@
     BodyNeverEnds,
 }
 
-/// Drawn from with equal weights; the one that stands twice is twice as frequent.
+/// The malformations to select from with equal weights; one that is listed twice is twice as
+/// frequent.
 const MALFORMATIONS: [Malformation; 24] = [
     Malformation::RejectedLine,
     Malformation::Rejected503,
@@ -107,7 +108,7 @@
 }
 
 impl Execution {
-    /// Sends a response that breaks the protocol in a randomly drawn way.
+    /// Sends a response with a randomly selected malformation.
     pub async fn respond_malformed(&self, stream: &mut VirtualStream) -> Option<Persistence> {
         let kernel = &self.context().kernel;
         let number = kernel.random(|rng| rng.index(MALFORMATIONS.len()));
@@ -213,12 +214,12 @@
                 let done = chunk(&self.done_line());
                 format!("{}{done}{LAST_CHUNK}and more", self.started())
             }
-            // Those that are no one text are sent by functions of their own.
+            // The other malformations are more than one text; separate functions send them.
             _ => String::new(),
         }
     }
 
-    /// The head of a response and the line that says that the request runs.
+    /// Renders the head of a response and the line that reports the start of the request.
     fn started(&self) -> String {
         format!("{CHUNKED}{}", chunk(&line(&self.id, "started", "")))
     }
