--- a/crates/simulation/src/client.rs
+++ b/crates/simulation/src/client.rs
@@ -4,7 +4,7 @@
 
 use crate::checker::RequestIndex;
 use crate::context::Context;
-use crate::http::Inbox;
+use crate::http::MessageReader;
 use crate::kernel::ENVIRONMENT;
 use crate::network::{HostId, VirtualStream};
 use crate::rng::Rng;
@@ -33,14 +33,14 @@
 /// A persistent connection, and the unparsed bytes read from it.
 struct ClientConnection {
     stream: VirtualStream,
-    inbox: Inbox,
+    reader: MessageReader,
 }
 
 impl ClientConnection {
     fn new(stream: VirtualStream) -> Self {
         ClientConnection {
             stream,
-            inbox: Inbox::default(),
+            reader: MessageReader::default(),
         }
     }
 }
--- a/crates/simulation/src/client/exchange.rs
+++ b/crates/simulation/src/client/exchange.rs
@@ -119,7 +119,14 @@
             kernel.sleep_until(ENVIRONMENT, give_up_at).await;
             None
         };
-        let response = async { Some(connection.inbox.response(&mut connection.stream).await) };
+        let response = async {
+            Some(
+                connection
+                    .reader
+                    .read_response(&mut connection.stream)
+                    .await,
+            )
+        };
         match response.or(give_up).await {
             Some(Ok(Some(message))) => Some(self.on_response(exchange, connection, &message)),
             Some(_) => {
--- a/crates/simulation/src/client/misbehaving.rs
+++ b/crates/simulation/src/client/misbehaving.rs
@@ -2,7 +2,7 @@
 use super::exchange::LATE_RESPONSE_WAIT;
 use super::{Clients, RequestSpec, render_request};
 use crate::checker::{RequestIndex, SLACK};
-use crate::http::Inbox;
+use crate::http::MessageReader;
 use crate::network::VirtualStream;
 use crate::rng::Rng;
 use crate::scenario::Misbehaviour;
@@ -264,8 +264,8 @@
         self.request_sent(request, self.now() + self.spec.timeout);
         let until = self.now() + self.spec.timeout + SLACK + LATE_RESPONSE_WAIT;
         let kernel = &self.clients.context.kernel;
-        let mut inbox = Inbox::default();
-        let response = inbox.response(&mut self.stream);
+        let mut reader = MessageReader::default();
+        let response = reader.read_response(&mut self.stream);
         match kernel.timeout_at(until, response).await {
             Some(Ok(Some(message))) => self.clients.check_response(request, &message),
             _ => self
@@ -313,7 +313,10 @@
         kernel.sleep(4 * MS).await;
         let mut stream = stream?;
         stream.write_all(text.as_bytes()).await.ok()?;
-        let message = Inbox::default().response(&mut stream).await.ok()??;
+        let message = MessageReader::default()
+            .read_response(&mut stream)
+            .await
+            .ok()??;
         let status = message.status;
         kernel.record(
             TimelineEvent::ReusedIdAnswered,
@@ -336,8 +339,8 @@
         until: Nanos,
         stream: &mut VirtualStream,
     ) {
-        let mut inbox = Inbox::default();
-        let response = inbox.response(stream);
+        let mut reader = MessageReader::default();
+        let response = reader.read_response(stream);
         match self.context.kernel.timeout_at(until, response).await {
             Some(Ok(Some(message))) => self.record_response(request, &message),
             _ => self.response_lost(
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -6,7 +6,7 @@
 
 use crate::checker::{PublishedState, WorkerIndex};
 use crate::context::Context;
-use crate::http::{Inbox, Message};
+use crate::http::{Message, MessageReader};
 use crate::kernel::ENVIRONMENT;
 use crate::network::{HostId, VirtualListener, VirtualStream};
 use crate::time::MS;
@@ -252,12 +252,12 @@
     }
 
     async fn serve(self: Rc<Self>, mut stream: VirtualStream, address: usize) {
-        let mut inbox = Inbox::default();
-        while let Ok(Some(message)) = inbox.request(&mut stream).await {
+        let mut reader = MessageReader::default();
+        while let Ok(Some(message)) = reader.read_request(&mut stream).await {
             let poll = Poll::parse(&message, self.context.kernel.now());
             if self.wait_for_change(&poll, address).await.is_none() {
                 // The dropped poll stays open and is never answered.
-                let _ = inbox.request(&mut stream).await;
+                let _ = reader.read_request(&mut stream).await;
                 return;
             }
             if self.answer(&poll, &mut stream).await.is_none() {
--- a/crates/simulation/src/http.rs
+++ b/crates/simulation/src/http.rs
@@ -10,7 +10,7 @@
 
 /// The bytes read from one connection that do not form a complete message yet.
 #[derive(Default)]
-pub struct Inbox {
+pub struct MessageReader {
     bytes: Vec<u8>,
     /// The offset of the first buffered byte in the connection's stream.
     offset: u64,
@@ -113,14 +113,17 @@
     io::Error::new(ErrorKind::InvalidData, format!("invalid {part}: {error}"))
 }
 
-impl Inbox {
+impl MessageReader {
     /// Reads the next complete request; returns `None` if the connection ends before one begins.
     ///
     /// # Errors
     ///
     /// If the connection breaks, or the bytes are not a valid request.
-    pub async fn request(&mut self, stream: &mut VirtualStream) -> io::Result<Option<Message>> {
-        self.message(stream, MessageKind::Request).await
+    pub async fn read_request(
+        &mut self,
+        stream: &mut VirtualStream,
+    ) -> io::Result<Option<Message>> {
+        self.read_message(stream, MessageKind::Request).await
     }
 
     /// Reads the next complete response; returns `None` if the connection ends before one begins.
@@ -128,18 +131,21 @@
     /// # Errors
     ///
     /// If the connection breaks, or the bytes are not a valid response.
-    pub async fn response(&mut self, stream: &mut VirtualStream) -> io::Result<Option<Message>> {
-        self.message(stream, MessageKind::Response).await
+    pub async fn read_response(
+        &mut self,
+        stream: &mut VirtualStream,
+    ) -> io::Result<Option<Message>> {
+        self.read_message(stream, MessageKind::Response).await
     }
 
-    async fn message(
+    async fn read_message(
         &mut self,
         stream: &mut VirtualStream,
         kind: MessageKind,
     ) -> io::Result<Option<Message>> {
         let mut buffer = [0; 4096];
         loop {
-            if let Some(message) = self.take_message(kind)? {
+            if let Some(message) = self.parse_message(kind)? {
                 return Ok(Some(message));
             }
             match stream.read(&mut buffer).await? {
@@ -150,7 +156,7 @@
         }
     }
 
-    fn take_message(&mut self, kind: MessageKind) -> io::Result<Option<Message>> {
+    fn parse_message(&mut self, kind: MessageKind) -> io::Result<Option<Message>> {
         let head_end = self
             .bytes
             .windows(HEAD_END.len())
--- a/crates/simulation/src/network/datagram.rs
+++ b/crates/simulation/src/network/datagram.rs
@@ -28,7 +28,7 @@
     pub max_latency: Nanos,
 }
 
-struct Mailbox {
+struct BoundSocket {
     host: HostId,
     queued: VecDeque<Received>,
     waker: Option<Waker>,
@@ -56,7 +56,7 @@
 #[derive(Default)]
 pub(super) struct DatagramNetwork {
     conditions: DatagramConditions,
-    mailboxes: BTreeMap<SocketAddr, Mailbox>,
+    sockets: BTreeMap<SocketAddr, BoundSocket>,
     inbound_dropped: Outage,
     outbound_dropped: Outage,
     /// The addresses on one side of a partition.
@@ -101,16 +101,16 @@
     pub fn deliver_datagram(&self, datagram: Datagram) {
         let woken = {
             let mut datagrams = self.datagrams.borrow_mut();
-            let Some(mailbox) = datagrams.mailboxes.get_mut(&datagram.to) else {
+            let Some(socket) = datagrams.sockets.get_mut(&datagram.to) else {
                 return;
             };
-            if mailbox.queued.len() < MAX_QUEUED {
-                mailbox.queued.push_back(Received {
+            if socket.queued.len() < MAX_QUEUED {
+                socket.queued.push_back(Received {
                     bytes: datagram.bytes,
                     from: datagram.from,
                 });
             }
-            mailbox.waker.take().map(|waker| (mailbox.host, waker))
+            socket.waker.take().map(|waker| (socket.host, waker))
         };
         if let Some((host, waker)) = woken {
             self.kernel.wake(host, waker);
@@ -128,7 +128,7 @@
 impl VirtualDatagramSocket {
     /// Binds a socket to an address; replaces an earlier socket there.
     pub fn bind(network: &Rc<Network>, host: HostId, address: SocketAddr) -> Self {
-        let mailbox = Mailbox {
+        let socket = BoundSocket {
             host,
             queued: VecDeque::new(),
             waker: None,
@@ -136,8 +136,8 @@
         network
             .datagrams
             .borrow_mut()
-            .mailboxes
-            .insert(address, mailbox);
+            .sockets
+            .insert(address, socket);
         VirtualDatagramSocket {
             network: network.clone(),
             address,
@@ -149,9 +149,9 @@
 impl Drop for VirtualDatagramSocket {
     fn drop(&mut self) {
         let mut datagrams = self.network.datagrams.borrow_mut();
-        let bound = datagrams.mailboxes.get(&self.address);
-        if bound.is_some_and(|mailbox| mailbox.host == self.host) {
-            datagrams.mailboxes.remove(&self.address);
+        let bound = datagrams.sockets.get(&self.address);
+        if bound.is_some_and(|socket| socket.host == self.host) {
+            datagrams.sockets.remove(&self.address);
         }
     }
 }
@@ -185,15 +185,15 @@
     async fn receive(&self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         poll_fn(|cx| {
             let mut datagrams = self.network.datagrams.borrow_mut();
-            let mailbox = datagrams
-                .mailboxes
+            let socket = datagrams
+                .sockets
                 .get_mut(&self.address)
-                .filter(|mailbox| mailbox.host == self.host);
-            let Some(mailbox) = mailbox else {
+                .filter(|socket| socket.host == self.host);
+            let Some(socket) = socket else {
                 return Poll::Pending;
             };
-            let Some(received) = mailbox.queued.pop_front() else {
-                mailbox.waker = Some(cx.waker().clone());
+            let Some(received) = socket.queued.pop_front() else {
+                socket.waker = Some(cx.waker().clone());
                 return Poll::Pending;
             };
             let length = received.bytes.len().min(bytes.len());
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -6,7 +6,7 @@
 
 use crate::checker::{AttemptOrigin, AttemptTarget, WorkArrival, WorkerIndex};
 use crate::context::Context;
-use crate::http::{Inbox, Message};
+use crate::http::{Message, MessageReader};
 use crate::kernel::{ENVIRONMENT, Kernel};
 use crate::network::{HostId, VirtualListener, VirtualStream};
 use crate::scenario::{Scenario, WorkerSpec};
@@ -230,7 +230,7 @@
 
     async fn serve(self: Rc<Self>, mut stream: VirtualStream) {
         let kernel = &self.context.kernel;
-        let mut inbox = Inbox::default();
+        let mut reader = MessageReader::default();
         loop {
             let idle_until = kernel.now() + self.idle_timeout.max(MS);
             let early = self.faults.borrow().malformed.affects_now(kernel)
@@ -241,7 +241,7 @@
                 let _ = stream.write_all(wire::NOT_STARTED.as_bytes()).await;
                 return;
             }
-            let request = inbox.request(&mut stream);
+            let request = reader.read_request(&mut stream);
             let Some(Ok(Some(message))) = kernel.timeout_at(idle_until, request).await else {
                 return;
             };
