--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Simulated discovery: one agent per dispatcher, which receives changes with a delay and publishes
-//! them in the discovery protocol. Under a fault an agent does not answer, publishes wrong or
-//! outdated lists, or moves to another address.
+//! them in the discovery protocol. Under a fault an agent does not answer, publishes incorrect
+//! or outdated lists, or moves to another address.
 mod faults;
 mod list;
 
--- a/crates/simulation/src/http.rs
+++ b/crates/simulation/src/http.rs
@@ -8,7 +8,7 @@
 const MAX_HEADERS: usize = 64;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// The bytes read from one connection that do not form a complete message yet.
+/// Reads the messages of one connection; buffers the bytes that do not form a complete message yet.
 #[derive(Default)]
 pub struct MessageReader {
     bytes: Vec<u8>,
--- a/crates/simulation/src/network/datagram.rs
+++ b/crates/simulation/src/network/datagram.rs
@@ -72,7 +72,7 @@
 }
 
 impl Network {
-    /// Sets what happens to datagrams while no fault is active.
+    /// Sets the treatment of datagrams while no fault is active.
     pub fn set_datagram_conditions(&self, conditions: DatagramConditions) {
         self.datagrams.borrow_mut().conditions = conditions;
     }
