--- a/crates/simulation/src/client/misbehaving.rs
+++ b/crates/simulation/src/client/misbehaving.rs
@@ -1,8 +1,8 @@
 //! Clients that break the protocol.
-use super::exchange::EXTRA_WAIT;
+use super::exchange::LATE_RESPONSE_WAIT;
 use super::{Clients, RequestSpec, render_request};
 use crate::checker::{RequestIndex, SLACK};
-use crate::http::Inbox;
+use crate::http::MessageReader;
 use crate::network::VirtualStream;
 use crate::rng::Rng;
 use crate::scenario::Misbehaviour;
@@ -16,24 +16,24 @@
 const LENGTH_AND_BODY: &str = "Content-Length: 4\r\n\r\nbody";
 const LENGTH: &str = "Content-Length: 4\r\n\r\n";
 
-/// Why a request of a misbehaving client must not be served.
+/// Returns why a request of a misbehaving client must not be served.
 fn invalid_reason(kind: Misbehaviour) -> &'static str {
     match kind {
-        Misbehaviour::HalfHead | Misbehaviour::HalfBody => "it never came complete",
-        Misbehaviour::Trickle => "it trickled for longer than allowed",
-        Misbehaviour::HugeHead => "its head is too large",
-        Misbehaviour::HugeBody => "its body is too large",
-        Misbehaviour::EndlessChunks => "its body never ends",
-        Misbehaviour::NoId => "it has no id",
-        Misbehaviour::UnknownClass => "its class is unknown",
-        Misbehaviour::TwoLengths => "it has two lengths",
-        Misbehaviour::LengthAndChunks => "it has a length and is chunked",
-        Misbehaviour::BareLineFeeds => "its lines end in bare line feeds",
-        _ => "its client misbehaves",
+        Misbehaviour::HalfHead | Misbehaviour::HalfBody => "request incomplete",
+        Misbehaviour::Trickle => "request not received within the time limit",
+        Misbehaviour::HugeHead => "head too large",
+        Misbehaviour::HugeBody => "body too large",
+        Misbehaviour::EndlessChunks => "body without an end",
+        Misbehaviour::NoId => "request id missing",
+        Misbehaviour::UnknownClass => "unknown request class",
+        Misbehaviour::TwoLengths => "two content lengths",
+        Misbehaviour::LengthAndChunks => "both a content length and chunked encoding",
+        Misbehaviour::BareLineFeeds => "lines end in bare line feeds",
+        _ => "client breaks the protocol",
     }
 }
 
-/// A valid request made malformed.
+/// Turns a valid request into a malformed one.
 fn malformed(kind: Misbehaviour, text: &str) -> String {
     match kind {
         Misbehaviour::HugeHead => {
@@ -72,7 +72,7 @@
 }
 
 impl Clients {
-    /// Breaks the protocol; none where the connection breaks first.
+    /// Runs one client that breaks the protocol; returns `None` if its connection breaks.
     pub(super) async fn misbehave(
         &self,
         kind: Misbehaviour,
@@ -212,7 +212,8 @@
         Some(())
     }
 
-    /// Says that it disconnected, and still reads.
+    /// Closes the write side after the request, which counts as a disconnect, and continues to
+    /// read.
     async fn half_close(mut self) -> Option<()> {
         let request = self.create_valid();
         let text = self.render(request);
@@ -228,7 +229,7 @@
         Some(())
     }
 
-    /// Reads until the connection ends, or for some seconds.
+    /// Reads until the connection ends, for at most 4 seconds.
     async fn read_until_closed(mut self) {
         let until = self.now() + 4 * SECOND;
         let kernel = &self.clients.context.kernel;
@@ -261,18 +262,21 @@
         let text = malformed(self.kind, &self.render(request));
         self.write(text.as_bytes()).await?;
         self.request_sent(request, self.now() + self.spec.timeout);
-        let until = self.now() + self.spec.timeout + SLACK + EXTRA_WAIT;
+        let until = self.now() + self.spec.timeout + SLACK + LATE_RESPONSE_WAIT;
         let kernel = &self.clients.context.kernel;
-        let mut inbox = Inbox::default();
-        let response = inbox.response(&mut self.stream);
+        let mut reader = MessageReader::default();
+        let response = reader.read_response(&mut self.stream);
         match kernel.timeout_at(until, response).await {
             Some(Ok(Some(message))) => self.clients.check_response(request, &message),
-            _ => self.clients.response_lost(request, "in HTTP/1.0"),
+            _ => self
+                .clients
+                .response_lost(request, "no response to an HTTP/1.0 request"),
         }
         Some(())
     }
 
-    /// Sends the id of an active request once more over another connection.
+    /// Sends a request, and again the same request, with the same id, over another connection while
+    /// the first is active.
     async fn reuse_request_id(mut self) -> Option<()> {
         let clients = self.clients;
         let kernel = &clients.context.kernel;
@@ -290,9 +294,9 @@
             .checker
             .borrow_mut()
             .request_id_reused(request);
-        let until = self.now() + self.spec.timeout + SLACK + EXTRA_WAIT;
+        let until = self.now() + self.spec.timeout + SLACK + LATE_RESPONSE_WAIT;
         let second = clients.send_reused_id(request, &text, other);
-        let first = clients.await_first_of_reused_id(request, until, &mut self.stream);
+        let first = clients.await_first_response(request, until, &mut self.stream);
         futures_lite::future::zip(first, kernel.timeout_at(until, second)).await;
         Some(())
     }
@@ -309,7 +313,10 @@
         kernel.sleep(4 * MS).await;
         let mut stream = stream?;
         stream.write_all(text.as_bytes()).await.ok()?;
-        let message = Inbox::default().response(&mut stream).await.ok()??;
+        let message = MessageReader::default()
+            .read_response(&mut stream)
+            .await
+            .ok()??;
         let status = message.status;
         kernel.record(
             TimelineEvent::ReusedIdAnswered,
@@ -326,17 +333,20 @@
         Some(())
     }
 
-    async fn await_first_of_reused_id(
+    async fn await_first_response(
         &self,
         request: RequestIndex,
         until: Nanos,
         stream: &mut VirtualStream,
     ) {
-        let mut inbox = Inbox::default();
-        let response = inbox.response(stream);
+        let mut reader = MessageReader::default();
+        let response = reader.read_response(stream);
         match self.context.kernel.timeout_at(until, response).await {
             Some(Ok(Some(message))) => self.record_response(request, &message),
-            _ => self.response_lost(request, "whose id was sent twice"),
+            _ => self.response_lost(
+                request,
+                "no response to the first of two requests with one id",
+            ),
         }
     }
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,6 +1,6 @@
-//! The virtual network: hosts, listeners and links. Bytes take their time, arrive in pieces, and are delayed, reset or
-//! lost as faults have it. A link has two sides and two directions; side 0 is the one that connected, and direction 0
-//! carries what it writes.
+//! The virtual network: hosts, listeners and links. Segments have a random latency, and reads and
+//! writes may be partial; faults reset links and make hosts unreachable. A link has two sides and
+//! two directions: side 0 is the connecting one, and direction 0 carries the bytes that it writes.
 mod datagram;
 mod link;
 mod listener;
@@ -22,15 +22,16 @@
 use std::task::Poll;
 pub use stream::VirtualStream;
 
-/// The number of a host; for a dispatcher's host also its owner.
+/// The number of a host; the host of a dispatcher has the same number as its [`Owner`].
 pub type HostId = usize;
 
 struct Host {
     owner: Owner,
-    /// What goes to it or comes from it is lost.
+    /// Whether all segments to and from this host are lost.
     unreachable: bool,
-    /// Connections that a process here has open, and the highest number of them since it was last reset.
+    /// Number of open connections.
     open: usize,
+    /// The highest value of `open` since the last reset of the peak.
     peak: usize,
 }
 
@@ -41,25 +42,25 @@
     }
 }
 
-/// How the network behaves while no fault is active.
+/// Behaviour of connections while no fault is active.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// The lowest latency of a packet.
+    /// The minimum latency of a segment.
     pub min_latency: Nanos,
-    /// The highest latency of a packet.
+    /// The maximum latency of a segment, inclusive.
     pub max_latency: Nanos,
-    /// The share of writes and reads that take only a part of what they could.
+    /// The fraction of reads and writes, 0 to 1, that may transfer fewer bytes than possible.
     pub partial_io: f64,
-    /// Whether a reset discards what has been received and not read.
+    /// Whether a reset discards bytes that were received and not yet read.
     pub reset_discards_unread: bool,
 }
 
-/// Which sides of a link learn of a reset.
+/// The sides of a link to which a reset is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResetScope {
-    /// The other side, as when the host resets the connection.
+    /// The peer only, as when the host itself resets the connection.
     OtherSide,
-    /// Both sides, as when something between them does.
+    /// Both sides, as when a device between them resets the connection.
     BothSides,
 }
 
@@ -77,7 +78,7 @@
     listeners: FxHashMap<SocketAddr, ListenerState>,
 }
 
-/// All hosts, and what connects them.
+/// All hosts, and the links, listeners and datagram sockets between them.
 pub struct Network {
     kernel: Rc<Kernel>,
     state: RefCell<State>,
@@ -85,7 +86,7 @@
 }
 
 impl Network {
-    /// A network without hosts, on which no datagram is lost or delayed.
+    /// Creates a network without hosts, on which no datagram is lost or delayed.
     pub fn new(kernel: &Rc<Kernel>, conditions: NetworkConditions) -> Rc<Self> {
         Rc::new(Network {
             kernel: kernel.clone(),
@@ -118,27 +119,28 @@
         host
     }
 
-    /// How many connections a host has open.
+    /// Returns the number of open connections of a host.
     pub fn open_connections(&self, host: HostId) -> usize {
         self.state.borrow().hosts[host].open
     }
 
-    /// The highest number of connections that a host had open at once.
+    /// Returns the highest number of connections that a host had open at once since the peak was
+    /// last reset.
     pub fn peak_connections(&self, host: HostId) -> usize {
         self.state.borrow().hosts[host].peak
     }
 
-    /// Forgets the highest number of connections of a host.
+    /// Resets the peak number of connections of a host to 0.
     pub fn reset_peak_connections(&self, host: HostId) {
         self.state.borrow_mut().hosts[host].peak = 0;
     }
 
-    /// Whether what goes to a host or comes from it is lost.
+    /// Sets whether all segments to and from a host are lost.
     pub fn set_unreachable(&self, host: HostId, unreachable: bool) {
         self.state.borrow_mut().hosts[host].unreachable = unreachable;
     }
 
-    /// Listens at an address, in place of whoever listened there before.
+    /// Listens at an address; replaces an earlier listener there.
     pub fn listen(
         self: &Rc<Self>,
         host: HostId,
@@ -156,7 +158,8 @@
     ///
     /// # Errors
     ///
-    /// Where no one listens there, or the connection is reset before it is established.
+    /// `ConnectionRefused` if no listener is bound to the address, or the connection is reset
+    /// before it is established.
     pub async fn connect(
         self: &Rc<Self>,
         host: HostId,
@@ -165,7 +168,8 @@
         let link = {
             let mut state = self.state.borrow_mut();
             let listening = state.listeners.get(&to).map(|listener| listener.host);
-            // Where no one listens, the refusal comes from the own host; an unreachable host says nothing.
+            // Without a listener the refusal comes from the connecting host; an unreachable host
+            // sends no reply.
             let other = listening.unwrap_or(host);
             state.hosts[host].connection_opened();
             state.links.insert(Link::connecting([host, other], to))
@@ -174,14 +178,14 @@
         self.send(link, 0, Segment::Connect);
         let established = std::future::poll_fn(|cx| {
             let mut state = self.state.borrow_mut();
-            let Some(known) = state.links.get_mut(link) else {
+            let Some(entry) = state.links.get_mut(link) else {
                 return Poll::Ready(false);
             };
-            match known.established {
-                _ if known.broken[0] => Poll::Ready(false),
+            match entry.established {
+                _ if entry.broken[0] => Poll::Ready(false),
                 Some(established) => Poll::Ready(established),
                 None => {
-                    known.connecting = Some(cx.waker().clone());
+                    entry.connecting = Some(cx.waker().clone());
                     Poll::Pending
                 }
             }
@@ -193,9 +197,9 @@
         }
     }
 
-    /// The next segment in transit in one direction of a link arrives.
+    /// Delivers the next segment in transit in one direction of a link.
     pub fn deliver(&self, link: usize, direction: usize) {
-        let arrival = self.state.borrow_mut().arrive(link, direction);
+        let arrival = self.state.borrow_mut().receive_next(link, direction);
         let Some(Arrival { wakers, reply }) = arrival else {
             return;
         };
@@ -208,14 +212,15 @@
         self.remove_if_done(link);
     }
 
-    /// The process at a host ends: its listeners close and its connections are reset.
+    /// Ends the process of a host: closes its listeners and resets its connections.
     pub fn kill_host(&self, host: HostId) {
         self.state
             .borrow_mut()
             .listeners
             .retain(|_, listener| listener.host != host);
         for LinkSide { link, side } in self.links_of(host) {
-            let Some((was_open, wakers)) = self.state.borrow_mut().abandon(link, side, host) else {
+            let Some((was_open, wakers)) = self.state.borrow_mut().detach_side(link, side, host)
+            else {
                 continue;
             };
             if was_open {
@@ -228,7 +233,7 @@
         }
     }
 
-    /// Resets a share of a host's links without its process ending.
+    /// Resets each link of a host with probability `share`; its process continues.
     pub fn reset_links(&self, host: HostId, share: f64, scope: ResetScope) {
         for LinkSide { link, side } in self.links_of(host) {
             if self.kernel.random(|rng| rng.chance(share)) {
@@ -242,8 +247,8 @@
 
     fn links_of(&self, host: HostId) -> Vec<LinkSide> {
         let state = self.state.borrow();
-        let side_at_host = |(link, known): (usize, &Link)| {
-            known
+        let side_at_host = |(link, entry): (usize, &Link)| {
+            entry
                 .hosts
                 .iter()
                 .position(|one| *one == host)
@@ -263,18 +268,18 @@
             .random(|rng| rng.range(min_latency, max_latency + 1))
             .max(1);
         let mut state = self.state.borrow_mut();
-        let Some(known) = state.links.get_mut(link) else {
+        let Some(entry) = state.links.get_mut(link) else {
             return;
         };
-        let at = known.directions[direction].push(self.kernel.now() + latency, segment);
-        let receiver = known.hosts[1 - direction];
+        let at = entry.directions[direction].push(self.kernel.now() + latency, segment);
+        let receiver = entry.hosts[1 - direction];
         let owner = state.hosts[receiver].owner;
         drop(state);
         self.kernel
             .schedule(at, owner, Event::Deliver { link, direction });
     }
 
-    /// Removes a link that no one has open and on which nothing is in transit.
+    /// Removes a link that neither side has open and on which nothing is in transit.
     fn remove_if_done(&self, link: usize) {
         let mut state = self.state.borrow_mut();
         if state.links.get(link).is_some_and(Link::is_done) {
@@ -282,22 +287,22 @@
         }
     }
 
-    /// One side closes its end.
+    /// Closes one side of a link.
     fn close(&self, LinkSide { link, side }: LinkSide) {
         let segment = {
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
-            let Some(known) = state.links.get_mut(link) else {
+            let Some(entry) = state.links.get_mut(link) else {
                 return;
             };
-            if !std::mem::take(&mut known.open[side]) {
+            if !std::mem::take(&mut entry.open[side]) {
                 return;
             }
-            let host = known.hosts[side];
-            if !known.take_in_backlog(side) {
+            let host = entry.hosts[side];
+            if !entry.remove_from_backlog(side) {
                 state.hosts[host].open -= 1;
             }
-            known.closing_segment(side)
+            entry.closing_segment(side)
         };
         if let Some(segment) = segment {
             self.send(link, side, segment);
@@ -307,59 +312,61 @@
 }
 
 impl State {
-    /// Takes the next segment out of transit and lets it arrive; none where there is none.
-    fn arrive(&mut self, link: usize, direction: usize) -> Option<Arrival> {
-        let known = self.links.get_mut(link)?;
-        let segment = known.directions[direction].pop()?;
-        // Who answers a connect is whoever listens as it arrives.
-        if let (Segment::Connect, Some(listener)) = (&segment, self.listeners.get(&known.listener))
+    /// Applies the next segment in transit; returns `None` if the link or the segment no longer
+    /// exists.
+    fn receive_next(&mut self, link: usize, direction: usize) -> Option<Arrival> {
+        let entry = self.links.get_mut(link)?;
+        let segment = entry.directions[direction].pop()?;
+        // The accepting host is the one that listens when the connect arrives.
+        if let (Segment::Connect, Some(listener)) = (&segment, self.listeners.get(&entry.listener))
         {
-            known.hosts[1] = listener.host;
+            entry.hosts[1] = listener.host;
         }
-        let owners = known.hosts.map(|host| self.hosts[host].owner);
-        let lost = known.hosts.iter().any(|host| self.hosts[*host].unreachable);
+        let owners = entry.hosts.map(|host| self.hosts[host].owner);
+        let lost = entry.hosts.iter().any(|host| self.hosts[*host].unreachable);
         if lost {
             return Some(Arrival::default());
         }
         Some(match segment {
-            Segment::Bytes(bytes) => known.bytes_arrived(direction, bytes, owners),
-            Segment::End => known.end_arrived(direction, owners),
+            Segment::Bytes(bytes) => entry.on_bytes(direction, bytes, owners),
+            Segment::End => entry.on_end(direction, owners),
             Segment::Reset => {
-                known.reset_arrived(direction, owners, self.conditions.reset_discards_unread)
+                entry.on_reset(direction, owners, self.conditions.reset_discards_unread)
             }
-            Segment::Connect => match self.listeners.get_mut(&known.listener) {
+            Segment::Connect => match self.listeners.get_mut(&entry.listener) {
                 Some(listener) if listener.has_capacity() => {
-                    known.enter_backlog();
+                    entry.enter_backlog();
                     Arrival {
                         wakers: listener.push(link, owners[1]),
                         reply: Some(Segment::ConnectResult(true)),
                     }
                 }
-                // A full backlog says nothing: the connect is as good as lost.
+                // A full backlog sends no reply, as if the connect were lost.
                 Some(_) => Arrival::default(),
                 None => Arrival {
                     wakers: Vec::new(),
                     reply: Some(Segment::ConnectResult(false)),
                 },
             },
-            Segment::ConnectResult(established) => known.connect_answered(established, owners[0]),
+            Segment::ConnectResult(established) => entry.on_connect_result(established, owners[0]),
         })
     }
 
-    /// One side of a link is gone with its process; whether it was open, and who is to be woken.
-    fn abandon(
+    /// Closes one side of a link when its process ends; returns whether it was open, and the tasks
+    /// to wake.
+    fn detach_side(
         &mut self,
         link: usize,
         side: usize,
         host: HostId,
     ) -> Option<(bool, Vec<link::OwnedWaker>)> {
         let owner = self.hosts[host].owner;
-        let known = self.links.get_mut(link)?;
-        let was_open = std::mem::take(&mut known.open[side]);
-        known.broken[side] = true;
-        let reader = known.directions[1 - side].reader.take();
-        let writer = known.directions[side].writer.take();
-        if was_open && !known.take_in_backlog(side) {
+        let entry = self.links.get_mut(link)?;
+        let was_open = std::mem::take(&mut entry.open[side]);
+        entry.broken[side] = true;
+        let reader = entry.directions[1 - side].reader.take();
+        let writer = entry.directions[side].writer.take();
+        if was_open && !entry.remove_from_backlog(side) {
             self.hosts[host].open -= 1;
         }
         let wakers = reader.into_iter().chain(writer);
--- a/crates/simulation/src/network/datagram.rs
+++ b/crates/simulation/src/network/datagram.rs
@@ -1,4 +1,5 @@
-//! Datagrams on the virtual network: lost, delayed, duplicated and dropped by direction, as the scenario has it.
+//! Datagrams on the virtual network, with the loss, latency, duplication and outages that the
+//! scenario defines.
 use super::{HostId, Network};
 use crate::kernel::{Datagram, ENVIRONMENT, Event};
 use rosewall::types::Nanos;
@@ -10,23 +11,24 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// How many datagrams a socket's buffer takes, about.
+/// The maximum number of datagrams queued at a socket; further ones are dropped. About the size of
+/// a socket buffer.
 const MAX_QUEUED: usize = 200;
 
-/// What happens to datagrams while no fault is active.
+/// Treatment of datagrams while no fault is active.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DatagramConditions {
-    /// The share that is lost.
+    /// The fraction of datagrams that is lost, 0 to 1.
     pub loss: f64,
-    /// The share that is duplicated.
+    /// The fraction of datagrams that is delivered twice, 0 to 1.
     pub duplicate: f64,
-    /// The lowest latency.
+    /// The minimum latency.
     pub min_latency: Nanos,
-    /// The highest latency.
+    /// The maximum latency, inclusive.
     pub max_latency: Nanos,
 }
 
-struct Mailbox {
+struct BoundSocket {
     host: HostId,
     queued: VecDeque<Received>,
     waker: Option<Waker>,
@@ -37,16 +39,16 @@
     from: SocketAddr,
 }
 
-/// Until when a fault holds at each address.
+/// A fault at some addresses: the time until which it is active at each.
 #[derive(Default)]
 struct Outage(BTreeMap<SocketAddr, Nanos>);
 
 impl Outage {
-    fn begin(&mut self, address: SocketAddr, until: Nanos) {
+    fn set_until(&mut self, address: SocketAddr, until: Nanos) {
         self.0.insert(address, until);
     }
 
-    fn holds(&self, now: Nanos, address: SocketAddr) -> bool {
+    fn is_active(&self, now: Nanos, address: SocketAddr) -> bool {
         self.0.get(&address).is_some_and(|until| now < *until)
     }
 }
@@ -54,7 +56,7 @@
 #[derive(Default)]
 pub(super) struct DatagramNetwork {
     conditions: DatagramConditions,
-    mailboxes: BTreeMap<SocketAddr, Mailbox>,
+    sockets: BTreeMap<SocketAddr, BoundSocket>,
     inbound_dropped: Outage,
     outbound_dropped: Outage,
     /// The addresses on one side of a partition.
@@ -62,53 +64,53 @@
 }
 
 impl DatagramNetwork {
-    fn delivers(&self, now: Nanos, from: SocketAddr, to: SocketAddr) -> bool {
-        !self.inbound_dropped.holds(now, to)
-            && !self.outbound_dropped.holds(now, from)
-            && self.partitioned.holds(now, from) == self.partitioned.holds(now, to)
+    fn allows(&self, now: Nanos, from: SocketAddr, to: SocketAddr) -> bool {
+        !self.inbound_dropped.is_active(now, to)
+            && !self.outbound_dropped.is_active(now, from)
+            && self.partitioned.is_active(now, from) == self.partitioned.is_active(now, to)
     }
 }
 
 impl Network {
-    /// Sets what happens to datagrams while no fault is active.
+    /// Sets the treatment of datagrams while no fault is active.
     pub fn set_datagram_conditions(&self, conditions: DatagramConditions) {
         self.datagrams.borrow_mut().conditions = conditions;
     }
 
-    /// Drops the datagrams to an address until the moment.
+    /// Drops the datagrams to an address until the time `until`.
     pub fn drop_inbound_datagrams(&self, address: SocketAddr, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
-        datagrams.inbound_dropped.begin(address, until);
+        datagrams.inbound_dropped.set_until(address, until);
     }
 
-    /// Drops the datagrams from an address until the moment.
+    /// Drops the datagrams from an address until the time `until`.
     pub fn drop_outbound_datagrams(&self, address: SocketAddr, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
-        datagrams.outbound_dropped.begin(address, until);
+        datagrams.outbound_dropped.set_until(address, until);
     }
 
-    /// Drops the datagrams between these addresses and all others until the moment.
+    /// Drops the datagrams between these addresses and all others until the time `until`.
     pub fn partition_datagrams(&self, addresses: impl Iterator<Item = SocketAddr>, until: Nanos) {
         let mut datagrams = self.datagrams.borrow_mut();
         for address in addresses {
-            datagrams.partitioned.begin(address, until);
+            datagrams.partitioned.set_until(address, until);
         }
     }
 
-    /// A datagram arrives, if a socket is bound to its address.
+    /// Delivers a datagram; drops it if no socket is bound to its address.
     pub fn deliver_datagram(&self, datagram: Datagram) {
         let woken = {
             let mut datagrams = self.datagrams.borrow_mut();
-            let Some(mailbox) = datagrams.mailboxes.get_mut(&datagram.to) else {
+            let Some(socket) = datagrams.sockets.get_mut(&datagram.to) else {
                 return;
             };
-            if mailbox.queued.len() < MAX_QUEUED {
-                mailbox.queued.push_back(Received {
+            if socket.queued.len() < MAX_QUEUED {
+                socket.queued.push_back(Received {
                     bytes: datagram.bytes,
                     from: datagram.from,
                 });
             }
-            mailbox.waker.take().map(|waker| (mailbox.host, waker))
+            socket.waker.take().map(|waker| (socket.host, waker))
         };
         if let Some((host, waker)) = woken {
             self.kernel.wake(host, waker);
@@ -124,9 +126,9 @@
 }
 
 impl VirtualDatagramSocket {
-    /// Binds a socket, in place of whatever was bound to the address before.
+    /// Binds a socket to an address; replaces an earlier socket there.
     pub fn bind(network: &Rc<Network>, host: HostId, address: SocketAddr) -> Self {
-        let mailbox = Mailbox {
+        let socket = BoundSocket {
             host,
             queued: VecDeque::new(),
             waker: None,
@@ -134,8 +136,8 @@
         network
             .datagrams
             .borrow_mut()
-            .mailboxes
-            .insert(address, mailbox);
+            .sockets
+            .insert(address, socket);
         VirtualDatagramSocket {
             network: network.clone(),
             address,
@@ -147,9 +149,9 @@
 impl Drop for VirtualDatagramSocket {
     fn drop(&mut self) {
         let mut datagrams = self.network.datagrams.borrow_mut();
-        let bound = datagrams.mailboxes.get(&self.address);
-        if bound.is_some_and(|mailbox| mailbox.host == self.host) {
-            datagrams.mailboxes.remove(&self.address);
+        let bound = datagrams.sockets.get(&self.address);
+        if bound.is_some_and(|socket| socket.host == self.host) {
+            datagrams.sockets.remove(&self.address);
         }
     }
 }
@@ -158,12 +160,12 @@
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let kernel = &self.network.kernel;
         let conditions = self.network.datagrams.borrow().conditions;
-        let delivers = self
+        let delivered = self
             .network
             .datagrams
             .borrow()
-            .delivers(kernel.now(), self.address, to);
-        if !delivers || kernel.random(|rng| rng.chance(conditions.loss)) {
+            .allows(kernel.now(), self.address, to);
+        if !delivered || kernel.random(|rng| rng.chance(conditions.loss)) {
             return Ok(());
         }
         let duplicated = kernel.random(|rng| rng.chance(conditions.duplicate));
@@ -183,15 +185,15 @@
     async fn receive(&self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         poll_fn(|cx| {
             let mut datagrams = self.network.datagrams.borrow_mut();
-            let mailbox = datagrams
-                .mailboxes
+            let socket = datagrams
+                .sockets
                 .get_mut(&self.address)
-                .filter(|mailbox| mailbox.host == self.host);
-            let Some(mailbox) = mailbox else {
+                .filter(|socket| socket.host == self.host);
+            let Some(socket) = socket else {
                 return Poll::Pending;
             };
-            let Some(received) = mailbox.queued.pop_front() else {
-                mailbox.waker = Some(cx.waker().clone());
+            let Some(received) = socket.queued.pop_front() else {
+                socket.waker = Some(cx.waker().clone());
                 return Poll::Pending;
             };
             let length = received.bytes.len().min(bytes.len());
--- a/crates/simulation/src/network/link.rs
+++ b/crates/simulation/src/network/link.rs
@@ -1,4 +1,5 @@
-//! A link between two hosts: what is in transit in each direction, and what has arrived and is not read yet.
+//! A link between two hosts: the segments in transit in each direction, and the received bytes that
+//! are not read yet.
 use super::HostId;
 use crate::kernel::Owner;
 use rosewall::types::Nanos;
@@ -8,7 +9,8 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-/// How many writes are remembered: attempts are checked as they arrive, so only what is in transit is looked up.
+/// Number of writes in the log of one direction. Attempts are checked on arrival, so only writes
+/// still in transit are looked up.
 const WRITE_LOG_LEN: usize = 256;
 
 /// A waker, and the owner of its task.
@@ -18,19 +20,19 @@
     Bytes(Vec<u8>),
     End,
     Reset,
-    /// The connecting side's first packet.
+    /// The first segment of the connecting side.
     Connect,
-    /// Whether someone listens at the address of the connect.
+    /// Whether the connection was accepted into a listener's backlog.
     ConnectResult(bool),
 }
 
 struct Write {
-    /// How many bytes were written after it.
+    /// The total number of bytes written up to and including this write.
     end: u64,
     at: Nanos,
 }
 
-/// What the checker sees of one direction, also after its link is gone.
+/// Byte counters of one direction, for the checker; they outlive the link.
 #[derive(Default)]
 pub struct DirectionCounters {
     written: Cell<u64>,
@@ -39,17 +41,18 @@
 }
 
 impl DirectionCounters {
-    /// How many bytes were written so far.
+    /// Returns the number of bytes written so far.
     pub fn bytes_written(&self) -> u64 {
         self.written.get()
     }
 
-    /// How many bytes were read so far.
+    /// Returns the number of bytes read so far.
     pub fn bytes_read(&self) -> u64 {
         self.read.get()
     }
 
-    /// When the byte at this offset was written.
+    /// Returns the time at which the byte at this offset was written, or 0 if it was not written
+    /// yet.
     pub fn written_at(&self, offset: u64) -> Nanos {
         let log = self.log.borrow();
         let index = log.partition_point(|write| write.end <= offset);
@@ -76,17 +79,18 @@
     in_transit: VecDeque<(Nanos, Segment)>,
     in_transit_bytes: usize,
     pub received: VecDeque<u8>,
-    /// The writer has ended this direction.
-    pub ending: bool,
-    /// The end has arrived.
-    pub ended: bool,
+    /// Whether the writer has closed this direction.
+    pub write_closed: bool,
+    /// Whether the end of this direction has reached the reader.
+    pub end_received: bool,
     pub reader: Option<Waker>,
     pub writer: Option<Waker>,
     pub counters: Rc<DirectionCounters>,
 }
 
 impl Direction {
-    /// Puts a segment in transit that arrives at the moment, or with the one before it where that is later.
+    /// Puts a segment in transit and returns its arrival time: `at`, or the arrival time of the
+    /// previous segment if that is later.
     pub fn push(&mut self, at: Nanos, segment: Segment) -> Nanos {
         let last = self.in_transit.back().map_or(0, |(at, _)| *at);
         let at = at.max(last);
@@ -105,22 +109,22 @@
         Some(segment)
     }
 
-    /// How many bytes were written and not read yet.
+    /// Returns the number of bytes written and not read yet.
     pub fn unread_bytes(&self) -> usize {
         self.in_transit_bytes + self.received.len()
     }
 }
 
-/// What the arrival of a segment leads to.
+/// The effects of the arrival of a segment.
 #[derive(Default)]
 pub(super) struct Arrival {
     pub wakers: Vec<OwnedWaker>,
-    /// Sent back over the link.
+    /// A segment to send back over the link.
     pub reply: Option<Segment>,
 }
 
 impl Arrival {
-    fn wakes(owner: Owner, wakers: impl IntoIterator<Item = Waker>) -> Self {
+    fn waking(owner: Owner, wakers: impl IntoIterator<Item = Waker>) -> Self {
         Arrival {
             wakers: wakers.into_iter().map(|waker| (owner, waker)).collect(),
             reply: None,
@@ -131,11 +135,11 @@
 pub(super) struct Link {
     pub hosts: [HostId; 2],
     pub directions: [Direction; 2],
-    /// Whether each side has its end open.
+    /// Whether each side is open.
     pub open: [bool; 2],
     /// Whether a reset has reached each side.
     pub broken: [bool; 2],
-    /// Whether the connect succeeded, once the connecting side knows.
+    /// The result of the connect, once it has reached the connecting side.
     pub established: Option<bool>,
     pub connecting: Option<Waker>,
     /// Whether side 1 is in the backlog of its listener.
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Whether no one has it open and nothing is in transit.
+    /// Whether neither side is open and nothing is in transit.
     pub fn is_done(&self) -> bool {
         let empty = |direction: &Direction| direction.in_transit.is_empty();
         self.open == [false; 2] && self.directions.iter().all(empty)
@@ -168,30 +172,26 @@
         self.in_backlog = true;
     }
 
-    /// Takes a side out of the backlog; whether it was there.
-    pub fn take_in_backlog(&mut self, side: usize) -> bool {
+    /// Removes a side from the backlog; returns whether it was there.
+    pub fn remove_from_backlog(&mut self, side: usize) -> bool {
         side == 1 && std::mem::take(&mut self.in_backlog)
     }
 
-    /// What a side sends as it closes: a reset where it has not read all, as TCP does.
+    /// Returns the segment that a side sends on close: a reset if received bytes are unread, as TCP
+    /// does.
     pub fn closing_segment(&mut self, side: usize) -> Option<Segment> {
         let unread = !self.directions[1 - side].received.is_empty();
-        let was_ending = std::mem::replace(&mut self.directions[side].ending, true);
+        let was_write_closed = std::mem::replace(&mut self.directions[side].write_closed, true);
         if self.broken[side] {
             None
         } else if unread {
             Some(Segment::Reset)
         } else {
-            (!was_ending).then_some(Segment::End)
+            (!was_write_closed).then_some(Segment::End)
         }
     }
 
-    pub fn bytes_arrived(
-        &mut self,
-        direction: usize,
-        bytes: Vec<u8>,
-        owners: [Owner; 2],
-    ) -> Arrival {
+    pub fn on_bytes(&mut self, direction: usize, bytes: Vec<u8>, owners: [Owner; 2]) -> Arrival {
         let receiver = 1 - direction;
         if !self.open[receiver] {
             return Arrival {
@@ -201,17 +201,17 @@
         }
         let direction = &mut self.directions[direction];
         direction.received.extend(bytes);
-        Arrival::wakes(owners[receiver], direction.reader.take())
+        Arrival::waking(owners[receiver], direction.reader.take())
     }
 
-    pub fn end_arrived(&mut self, direction: usize, owners: [Owner; 2]) -> Arrival {
+    pub fn on_end(&mut self, direction: usize, owners: [Owner; 2]) -> Arrival {
         let receiver = 1 - direction;
         let direction = &mut self.directions[direction];
-        direction.ended = true;
-        Arrival::wakes(owners[receiver], direction.reader.take())
+        direction.end_received = true;
+        Arrival::waking(owners[receiver], direction.reader.take())
     }
 
-    pub fn reset_arrived(
+    pub fn on_reset(
         &mut self,
         direction: usize,
         owners: [Owner; 2],
@@ -228,11 +228,11 @@
             .into_iter()
             .chain(writer)
             .chain(self.connecting.take());
-        Arrival::wakes(owners[receiver], wakers)
+        Arrival::waking(owners[receiver], wakers)
     }
 
-    pub fn connect_answered(&mut self, established: bool, owner: Owner) -> Arrival {
+    pub fn on_connect_result(&mut self, established: bool, owner: Owner) -> Arrival {
         self.established = Some(established);
-        Arrival::wakes(owner, self.connecting.take())
+        Arrival::waking(owner, self.connecting.take())
     }
 }
--- a/crates/simulation/src/network/stream.rs
+++ b/crates/simulation/src/network/stream.rs
@@ -1,4 +1,4 @@
-//! Connections of the virtual network.
+//! Byte streams over the links of the virtual network.
 use super::link::{DirectionCounters, Link, Segment};
 use super::{HostId, LinkSide, Network};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// How many bytes a direction carries that were written and not read: as many as a small socket buffer.
+/// The maximum number of written and unread bytes per direction: the size of a small socket buffer.
 const BUFFER_BYTES: usize = 32 * 1024;
 
-/// One side of a link. Dropping it closes it.
+/// One side of a link. Dropping the stream closes that side.
 pub struct VirtualStream {
     network: Rc<Network>,
     end: LinkSide,
@@ -25,18 +25,18 @@
         }
     }
 
-    /// The host of the other side.
+    /// Returns the host of the other side, or 0 if the link no longer exists.
     pub fn peer(&self) -> HostId {
         self.link(|link| link.hosts[1 - self.end.side])
             .unwrap_or_default()
     }
 
-    /// The counters of what this side writes.
+    /// Returns the counters of the direction that this side writes.
     pub fn sent(&self) -> Rc<DirectionCounters> {
         self.counters(self.end.side)
     }
 
-    /// The counters of what this side reads.
+    /// Returns the counters of the direction that this side reads.
     pub fn received(&self) -> Rc<DirectionCounters> {
         self.counters(1 - self.end.side)
     }
@@ -55,7 +55,7 @@
             .map(read)
     }
 
-    /// Resets the connection for the other side.
+    /// Sends a reset to the other side.
     pub fn reset(self) {
         {
             let mut state = self.network.state.borrow_mut();
@@ -65,7 +65,7 @@
             if link.broken[self.end.side] {
                 return;
             }
-            link.directions[self.end.side].ending = true;
+            link.directions[self.end.side].write_closed = true;
         }
         self.send(Segment::Reset);
     }
@@ -74,7 +74,8 @@
         self.network.send(self.end.link, self.end.side, segment);
     }
 
-    /// How many of `limit` bytes are read or written at once.
+    /// Returns how many of at most `limit` bytes one read or write transfers; the number is random
+    /// with probability `partial_io`.
     fn partial(&self, limit: usize, partial_io: f64) -> usize {
         if limit <= 1 || partial_io <= 0.0 {
             return limit;
@@ -104,14 +105,14 @@
         let LinkSide { link, side } = self.end;
         let mut state = self.network.state.borrow_mut();
         let partial_io = state.conditions.partial_io;
-        let Some(known) = state.links.get_mut(link) else {
+        let Some(entry) = state.links.get_mut(link) else {
             return Poll::Ready(Ok(0));
         };
-        let direction = &mut known.directions[1 - side];
+        let direction = &mut entry.directions[1 - side];
         if direction.received.is_empty() {
-            return if known.broken[side] {
+            return if entry.broken[side] {
                 Poll::Ready(Err(ErrorKind::ConnectionReset.into()))
-            } else if direction.ended {
+            } else if direction.end_received {
                 Poll::Ready(Ok(0))
             } else {
                 direction.reader = Some(cx.waker().clone());
@@ -124,7 +125,7 @@
         }
         direction.counters.count_read(count);
         let waker = direction.writer.take();
-        let writer = known.hosts[1 - side];
+        let writer = entry.hosts[1 - side];
         let owner = state.hosts[writer].owner;
         drop(state);
         if let Some(waker) = waker {
@@ -140,12 +141,12 @@
         let count = {
             let mut state = self.network.state.borrow_mut();
             let partial_io = state.conditions.partial_io;
-            let Some(known) = state.links.get_mut(link) else {
+            let Some(entry) = state.links.get_mut(link) else {
                 return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
             };
-            let broken = known.broken[side];
-            let direction = &mut known.directions[side];
-            if broken || direction.ending {
+            let broken = entry.broken[side];
+            let direction = &mut entry.directions[side];
+            if broken || direction.write_closed {
                 return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
             }
             let unread = direction.unread_bytes();
@@ -178,7 +179,7 @@
             let direction = &link.directions[1 - self.end.side];
             if !direction.received.is_empty() {
                 Readiness::Readable
-            } else if link.broken[self.end.side] || direction.ended {
+            } else if link.broken[self.end.side] || direction.end_received {
                 Readiness::Closed
             } else {
                 Readiness::Idle
@@ -212,7 +213,7 @@
             let Some(link) = link else {
                 return Err(ErrorKind::NotConnected.into());
             };
-            if std::mem::replace(&mut link.directions[self.end.side].ending, true) {
+            if std::mem::replace(&mut link.directions[self.end.side].write_closed, true) {
                 return Ok(());
             }
         }
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What each fault does.
+//! Injects the faults of a scenario.
 use super::START;
 use super::dispatchers::gossip_address;
 use super::environment::Environment;
@@ -13,14 +13,14 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// How long discovery takes to notice that a worker drains.
-const DRAIN_NOTICE: RangeInclusive<Nanos> = 0..=300 * MS;
-/// How long discovery takes to notice that a host is lost.
-const HOST_LOST_NOTICE: RangeInclusive<Nanos> = 500 * MS..=1500 * MS;
-/// The descriptors that a dispatcher keeps at least.
+/// The time until discovery detects that a worker is draining.
+const DRAIN_NOTICE_DELAY: RangeInclusive<Nanos> = 0..=300 * MS;
+/// The time until discovery detects that a host is lost.
+const HOST_LOST_NOTICE_DELAY: RangeInclusive<Nanos> = 500 * MS..=1500 * MS;
+/// The lowest descriptor limit to which a fault reduces a dispatcher.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// A fault that has begun.
+/// An active fault, with its duration and end in virtual time.
 struct ActiveFault {
     fault: Fault,
     duration: Nanos,
@@ -37,7 +37,8 @@
 }
 
 impl Environment {
-    /// Plays one fault, from its moment to its end.
+    /// Waits for the time of a fault, injects it, and undoes it after its duration unless it ends by
+    /// itself.
     pub async fn inject(self: Rc<Self>, fault: Fault) {
         let kernel = &self.context.kernel;
         kernel
@@ -99,10 +100,10 @@
             FaultKind::EndpointsDelayed => {
                 self.agents[target].delay_changes(active.until, active.duration);
             }
-            FaultKind::EndpointsStale => self.agents[target].show_stale_list(active.duration),
+            FaultKind::EndpointsStale => self.agents[target].publish_stale_list(active.duration),
             FaultKind::EndpointsMissing => self.omit_endpoints(active),
             FaultKind::EndpointsMalformed => self.agents[target].send_malformed_lists(active.until),
-            FaultKind::EndpointsForgetWatch => self.forget_watch(active).await,
+            FaultKind::EndpointsForgetWatch => self.drop_watch(active).await,
             FaultKind::Kill => self.kill_and_start(active).await,
             FaultKind::Stop => self.stop_and_start(active).await,
             FaultKind::Reload | FaultKind::ReloadUnreachable => self.move_discovery(active),
@@ -148,9 +149,9 @@
         let process = self.worker(worker);
         let network = &self.context.network;
         network.set_unreachable(process.host(), true);
-        self.publish_endpoint(worker, EndpointState::Removed, HOST_LOST_NOTICE);
+        self.publish_endpoint(worker, EndpointState::Removed, HOST_LOST_NOTICE_DELAY);
         self.context.kernel.sleep(active.duration).await;
-        // Once the host is back, what was open is reset.
+        // When the host is reachable again, its open connections are reset.
         network.set_unreachable(process.host(), false);
         process.terminate();
         self.restart_worker(worker);
@@ -160,7 +161,7 @@
         let worker = active.fault.target;
         let process = self.worker(worker);
         process.draining.set(true);
-        self.publish_endpoint(worker, EndpointState::Draining, DRAIN_NOTICE);
+        self.publish_endpoint(worker, EndpointState::Draining, DRAIN_NOTICE_DELAY);
         if active.fault.kind == FaultKind::DrainRejectQueued {
             process.reject_queued();
         }
@@ -175,7 +176,7 @@
     }
 }
 
-/// Faults of the endpoint list that a dispatcher gets.
+/// Faults of the endpoint lists published to a dispatcher.
 impl Environment {
     fn silence_discovery(&self, active: &ActiveFault) {
         for address in 0..2 {
@@ -191,9 +192,9 @@
         self.agents[active.fault.target].omit_workers(omitted, active.until);
     }
 
-    async fn forget_watch(&self, active: &ActiveFault) {
+    async fn drop_watch(&self, active: &ActiveFault) {
         let agent = &self.agents[active.fault.target];
-        agent.forget_open_polls();
+        agent.drop_open_polls();
         self.context.kernel.sleep(active.duration).await;
         agent.record_current_as_published();
     }
