--- a/crates/cluster-testbed/src/lib.rs
+++ b/crates/cluster-testbed/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod relay;
 pub mod scale;
 pub mod scenario;
-pub mod stand;
+pub mod stubs;
 pub mod testbed;
 pub mod worker;
--- a/crates/cluster-testbed/src/scale/fleet/files.rs
+++ b/crates/cluster-testbed/src/scale/fleet/files.rs
@@ -3,7 +3,7 @@
 use crate::error::TestbedError;
 use crate::scale::plan::EndpointLists;
 use crate::scale::topology::ZONES;
-use crate::stand::configuration;
+use crate::stubs::configuration;
 use serde_json::{Value, json};
 
 const MAX_SOCKETS: usize = 4_096;
--- a/crates/cluster-testbed/src/scale/load/client.rs
+++ b/crates/cluster-testbed/src/scale/load/client.rs
@@ -2,7 +2,7 @@
 use super::LoadTally;
 use super::schedule::PlannedRequest;
 use crate::scale::http::{MessageReader, unix_nanos};
-use crate::stand::request;
+use crate::stubs::request;
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
 use std::cell::RefCell;
--- a/crates/cluster-testbed/src/scale/workers/request.rs
+++ b/crates/cluster-testbed/src/scale/workers/request.rs
@@ -1,5 +1,5 @@
 //! What workers read of a request, and their responses.
-use crate::stand::field;
+use crate::stubs::field;
 use std::time::Duration;
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/crates/cluster-testbed/src/testbed.rs
+++ b/crates/cluster-testbed/src/testbed.rs
@@ -14,7 +14,7 @@
 use crate::process::Process;
 use crate::relay::Relay;
 use crate::scenario::Scenario;
-use crate::stand::Discovery;
+use crate::stubs::Discovery;
 use crate::worker::Worker;
 use client::Client;
 pub(crate) use client::request_status;
--- a/crates/cluster-testbed/src/testbed/client.rs
+++ b/crates/cluster-testbed/src/testbed/client.rs
@@ -1,7 +1,7 @@
 //! A client of one dispatcher: sends one request after the other, over a connection that it keeps while it lasts.
 use crate::checker::{ClientRequest, Response};
 use crate::scenario::Load;
-use crate::stand::{message, request};
+use crate::stubs::{message, request};
 use rosewall::pcg::Pcg;
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
--- a/crates/cluster-testbed/src/testbed/dispatchers.rs
+++ b/crates/cluster-testbed/src/testbed/dispatchers.rs
@@ -3,7 +3,7 @@
 use crate::checker::Outage;
 use crate::error::TestbedError;
 use crate::process::Process;
-use crate::stand::configuration;
+use crate::stubs::configuration;
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
--- a/crates/cluster-testbed/src/testbed/setup.rs
+++ b/crates/cluster-testbed/src/testbed/setup.rs
@@ -4,7 +4,7 @@
 use crate::error::TestbedError;
 use crate::relay::Relay;
 use crate::scenario::{FaultKind, Scenario};
-use crate::stand::{Discovery, host};
+use crate::stubs::{Discovery, host};
 use crate::worker::{SlowStart, Worker};
 use rosewall::pcg::Pcg;
 use std::path::PathBuf;
--- a/crates/cluster-testbed/src/testbed/workers.rs
+++ b/crates/cluster-testbed/src/testbed/workers.rs
@@ -2,7 +2,7 @@
 use super::Testbed;
 use crate::checker::Drain;
 use crate::error::TestbedError;
-use crate::stand::host;
+use crate::stubs::host;
 use crate::worker::Worker;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/cluster-testbed/src/worker.rs
+++ b/crates/cluster-testbed/src/worker.rs
@@ -1,7 +1,7 @@
 //! A simulated worker with concurrency slots and one queue, first in, first out. It can warm up, hang, and break
 //! connections. The checker reads its record of what it received and ran, and nothing else of it.
 use crate::error::TestbedError;
-use crate::stand::{field, message};
+use crate::stubs::{field, message};
 use std::collections::HashSet;
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/crates/rosewalld/tests/daemon/attempts.rs
+++ b/crates/rosewalld/tests/daemon/attempts.rs
@@ -1,6 +1,6 @@
 //! Outcomes of attempts, and retries by class.
 use crate::start_fleet;
-use rosewall_cluster_testbed::stand::{
+use rosewall_cluster_testbed::stubs::{
     Act, Daemon, Discovery, Worker, configuration, field, host, listen, message, request, script,
     vanished_machine,
 };
--- a/crates/rosewalld/tests/daemon/configuration.rs
+++ b/crates/rosewalld/tests/daemon/configuration.rs
@@ -1,6 +1,6 @@
 //! Loading of the configuration file at program start and at SIGHUP.
 use crate::start_fleet;
-use rosewall_cluster_testbed::stand::{Discovery, Worker, configuration, host, script};
+use rosewall_cluster_testbed::stubs::{Discovery, Worker, configuration, host, script};
 use std::process::Command;
 use test_case::test_case;
 
--- a/crates/rosewalld/tests/daemon/connections.rs
+++ b/crates/rosewalld/tests/daemon/connections.rs
@@ -1,6 +1,6 @@
 //! Reuse of connections to clients and workers.
 use crate::start_fleet;
-use rosewall_cluster_testbed::stand::{
+use rosewall_cluster_testbed::stubs::{
     Act, Daemon, Discovery, Worker, configuration, host, request, script,
 };
 use std::sync::atomic::Ordering;
--- a/crates/rosewalld/tests/daemon/discovery.rs
+++ b/crates/rosewalld/tests/daemon/discovery.rs
@@ -1,6 +1,6 @@
 //! Endpoint list: watches, draining workers and failures of the discovery service.
 use crate::start_fleet;
-use rosewall_cluster_testbed::stand::{
+use rosewall_cluster_testbed::stubs::{
     Daemon, Discovery, Worker, configuration, host, script, vanished_machine,
 };
 
--- a/crates/rosewalld/tests/daemon/limits.rs
+++ b/crates/rosewalld/tests/daemon/limits.rs
@@ -1,6 +1,6 @@
 //! Limits on descriptors, request time and log lines, under many connections, invalid requests and signals.
 use crate::start_fleet;
-use rosewall_cluster_testbed::stand::{
+use rosewall_cluster_testbed::stubs::{
     Act, Client, Daemon, Discovery, Worker, configuration, host, request, script,
 };
 use std::io::Write;
--- a/crates/rosewalld/tests/daemon/main.rs
+++ b/crates/rosewalld/tests/daemon/main.rs
@@ -8,7 +8,7 @@
 mod rolling_upgrade;
 mod shutdown;
 
-use rosewall_cluster_testbed::stand::{
+use rosewall_cluster_testbed::stubs::{
     Act, Daemon, Discovery, Worker, configuration, host, script,
 };
 
--- a/crates/rosewalld/tests/daemon/rolling_upgrade.rs
+++ b/crates/rosewalld/tests/daemon/rolling_upgrade.rs
@@ -1,5 +1,5 @@
 //! Rolling upgrade: dispatchers with and without load reports share the same workers.
-use rosewall_cluster_testbed::stand::{
+use rosewall_cluster_testbed::stubs::{
     Client, Daemon, Discovery, configuration, field, host, listen, message, request,
 };
 use serde_json::Value;
--- a/crates/rosewalld/tests/daemon/shutdown.rs
+++ b/crates/rosewalld/tests/daemon/shutdown.rs
@@ -1,6 +1,6 @@
 //! Graceful shutdown at SIGTERM.
 use crate::start_fleet;
-use rosewall_cluster_testbed::stand::{Act, counter_in, request};
+use rosewall_cluster_testbed::stubs::{Act, counter_in, request};
 
 #[test]
 fn shutdown_answers_active_requests_and_closes_the_listener() {
--- a/crates/rosewalld/tests/teardown.rs
+++ b/crates/rosewalld/tests/teardown.rs
@@ -1,6 +1,6 @@
 //! Races at teardown: a worker, client, connection or discovery agent ends while an answer or a rule still depends on it.
 //! Test stubs force each race. See `docs/ends.md`.
-use rosewall_cluster_testbed::stand::{
+use rosewall_cluster_testbed::stubs::{
     Act, Daemon, Discovery, Worker, configuration, host, request, script, vanished_machine,
 };
 use std::io::{Read, Write};
