--- a/crates/cluster-testbed/src/checker/slow_start.rs
+++ b/crates/cluster-testbed/src/checker/slow_start.rs
@@ -48,7 +48,7 @@
 impl Evidence<'_> {
     /// What a worker received while it warmed up; none for one that started warm.
     pub(super) fn slow_start(&self, number: usize, worker: &Worker) -> Option<SlowStartFinding> {
-        let started = worker.started_cold?;
+        let started = worker.warm_up_started_at?;
         let warm_at = started + worker.slow_start.duration;
         let received = worker.read(|record| record.received.clone());
         let received: Vec<_> = received
--- a/crates/cluster-testbed/src/explore.rs
+++ b/crates/cluster-testbed/src/explore.rs
@@ -64,7 +64,7 @@
             if seed >= self.end_seed {
                 return;
             }
-            let result = run_scenario(&Scenario::drawn(seed), None);
+            let result = run_scenario(&Scenario::generate(seed), None);
             if self.record(result).is_none() {
                 return;
             }
--- a/crates/cluster-testbed/src/main.rs
+++ b/crates/cluster-testbed/src/main.rs
@@ -94,14 +94,14 @@
             scenario.seed = seed.unwrap_or(scenario.seed);
             run_and_print(&scenario, cli)
         }
-        Command::Replay { seed } => run_and_print(&Scenario::drawn(*seed), cli),
+        Command::Replay { seed } => run_and_print(&Scenario::generate(*seed), cli),
         Command::Scale(scale) => scale.run(cli.json).map(Outcome::from),
         Command::Simulated(process) => {
             process.run()?;
             Ok(Outcome::Passed)
         }
         Command::Draw { seed } => {
-            output::print_scenario(&Scenario::drawn(*seed));
+            output::print_scenario(&Scenario::generate(*seed));
             Ok(Outcome::Passed)
         }
         Command::Explore { seeds, first, jobs } => {
--- a/crates/cluster-testbed/src/scale/http.rs
+++ b/crates/cluster-testbed/src/scale/http.rs
@@ -9,7 +9,7 @@
 pub fn message_end(bytes: &[u8]) -> Option<usize> {
     let head_end = bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
     let head = std::str::from_utf8(&bytes[..head_end]).ok()?;
-    let body_length = crate::stubs::field(head, "content-length")
+    let body_length = crate::stubs::header_field(head, "content-length")
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     (bytes.len() >= head_end + body_length).then_some(head_end + body_length)
--- a/crates/cluster-testbed/src/scale/workers/request.rs
+++ b/crates/cluster-testbed/src/scale/workers/request.rs
@@ -1,5 +1,5 @@
 //! What workers read of a request, and their responses.
-use crate::stubs::field;
+use crate::stubs::header_field;
 use std::time::Duration;
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -17,7 +17,7 @@
 impl Request {
     pub(super) fn parse(message: &str) -> Option<Request> {
         let (head, body) = message.split_once("\r\n\r\n")?;
-        let id = field(head, "request-id")?;
+        let id = header_field(head, "request-id")?;
         let dispatcher = id.strip_prefix('d')?.split_once('-')?.0.parse().ok()?;
         let mut words = body.split(' ');
         let work = Duration::from_micros(words.next()?.parse().ok()?);
--- a/crates/cluster-testbed/src/scenario/draw.rs
+++ b/crates/cluster-testbed/src/scenario/draw.rs
@@ -78,24 +78,27 @@
         let some: Vec<usize> = (0..fleet.dispatchers).filter(|_| self.coin()).collect();
         let worker = self.below(fleet.workers as u64) as usize;
         match self.below(12) {
-            0 => Fault::new(at_ms, FaultKind::Kill, some).lasting(self.one_of(&[0, 1_000])),
-            1 => Fault::new(at_ms, FaultKind::Kill, [one]).lasting(500),
-            2 | 3 => Fault::new(at_ms, FaultKind::Pause, [one]).lasting(300 + self.below(3_000)),
+            0 => Fault::new(at_ms, FaultKind::Kill, some).with_duration(self.one_of(&[0, 1_000])),
+            1 => Fault::new(at_ms, FaultKind::Kill, [one]).with_duration(500),
+            2 | 3 => {
+                Fault::new(at_ms, FaultKind::Pause, [one]).with_duration(300 + self.below(3_000))
+            }
             4 => Fault::new(at_ms, FaultKind::Restart, [one]),
             5 => Fault::new(at_ms, FaultKind::Drain, [worker]),
-            6 => Fault::new(at_ms, FaultKind::Hang, [worker]).lasting(1_000),
-            7 => Fault::new(at_ms, FaultKind::Reset, [worker]).lasting(500),
-            8 => Fault::new(at_ms, FaultKind::LoseResponse, [worker]).lasting(500),
-            9 => Fault::new(at_ms, FaultKind::Partition, some).lasting(1_000 + self.below(4_000)),
-            10 => Fault::new(at_ms, FaultKind::DropInbound, [one]).lasting(2_000),
-            _ => Fault::new(at_ms, FaultKind::DropOutbound, [one]).lasting(2_000),
+            6 => Fault::new(at_ms, FaultKind::Hang, [worker]).with_duration(1_000),
+            7 => Fault::new(at_ms, FaultKind::Reset, [worker]).with_duration(500),
+            8 => Fault::new(at_ms, FaultKind::LoseResponse, [worker]).with_duration(500),
+            9 => Fault::new(at_ms, FaultKind::Partition, some)
+                .with_duration(1_000 + self.below(4_000)),
+            10 => Fault::new(at_ms, FaultKind::DropInbound, [one]).with_duration(2_000),
+            _ => Fault::new(at_ms, FaultKind::DropOutbound, [one]).with_duration(2_000),
         }
     }
 }
 
 impl Scenario {
     /// The scenario of a seed: a small fleet, workers that join cold, and up to four more faults of any kind.
-    pub fn drawn(seed: u64) -> Scenario {
+    pub fn generate(seed: u64) -> Scenario {
         let mut draw = Draw(Pcg::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ STREAM));
         let fleet = draw.fleet();
         let load = draw.load();
--- a/crates/cluster-testbed/src/scenario/fault.rs
+++ b/crates/cluster-testbed/src/scenario/fault.rs
@@ -81,7 +81,7 @@
     }
 
     /// The same fault, active for a time.
-    pub fn lasting(self, duration_ms: u64) -> Self {
+    pub fn with_duration(self, duration_ms: u64) -> Self {
         Fault {
             duration_ms,
             ..self
--- a/crates/cluster-testbed/src/stubs.rs
+++ b/crates/cluster-testbed/src/stubs.rs
@@ -7,12 +7,12 @@
 mod http;
 mod worker;
 
-pub use client::{Answer, Client};
+pub use client::{Client, Response};
 pub use configuration::configuration;
-pub use daemon::{Daemon, counter_in, folder};
-pub use discovery::{Discovery, host};
-pub use http::{field, listen, message, request};
-pub use worker::{Act, Script, Worker, script, vanished_machine};
+pub use daemon::{Daemon, counter_in};
+pub use discovery::{Discovery, endpoint_json};
+pub use http::{header_field, listen, read_message, request};
+pub use worker::{ResponseQueue, StubResponse, Worker, response_queue, unreachable_address};
 
 use std::time::Duration;
 
--- a/crates/cluster-testbed/src/stubs/client.rs
+++ b/crates/cluster-testbed/src/stubs/client.rs
@@ -1,5 +1,5 @@
 //! A client of one dispatcher, for tests.
-use super::{TIMEOUT, message, request};
+use super::{TIMEOUT, read_message, request};
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
 
@@ -10,7 +10,7 @@
 }
 
 /// A response.
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Its head, with the status line.
@@ -36,22 +36,23 @@
     }
 
     /// Reads the next response; none once the connection has ended.
-    pub fn answer(&mut self) -> Option<Answer> {
-        let (head, body) = message(&mut self.reader)?;
+    pub fn read_response(&mut self) -> Option<Response> {
+        let (head, body) = read_message(&mut self.reader)?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        Some(Answer { status, head, body })
+        Some(Response { status, head, body })
     }
 
     /// Sends a request and reads its response.
-    pub fn ask(&mut self, id: &str, scheme: &str, seconds: f64) -> Answer {
-        self.send(request(id, scheme, seconds, "", "a body").as_bytes());
-        self.answer().expect("no answer")
+    pub fn exchange(&mut self, id: &str, class: &str, seconds: f64) -> Response {
+        self.send(request(id, class, seconds, "", "a body").as_bytes());
+        self.read_response()
+            .expect("the connection ended without a response")
     }
 
     /// Sends a GET request; the status of its response, or 0 where there is none.
     pub fn get(&mut self, path: &str) -> u16 {
         self.send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
-        self.answer().map_or(0, |answer| answer.status)
+        self.read_response().map_or(0, |response| response.status)
     }
 
     /// Whether the other side ends the connection without sending anything more.
--- a/crates/cluster-testbed/src/stubs/daemon.rs
+++ b/crates/cluster-testbed/src/stubs/daemon.rs
@@ -42,7 +42,7 @@
 }
 
 /// Creates a folder for the files of one process.
-pub fn folder() -> PathBuf {
+fn create_folder() -> PathBuf {
     static SERIAL: AtomicU32 = AtomicU32::new(0);
     let serial = SERIAL.fetch_add(1, Ordering::SeqCst);
     let folder = std::env::temp_dir().join(format!("rosewalld-{}-{serial}", std::process::id()));
@@ -67,24 +67,24 @@
 impl Daemon {
     /// Starts it and waits until it listens.
     pub fn start(configuration: &Value) -> Daemon {
-        Daemon::start_under("", configuration)
+        Daemon::start_after_shell_command("", configuration)
     }
 
-    /// Starts it by a shell that runs `first` before it.
-    pub fn start_under(first: &str, configuration: &Value) -> Daemon {
-        Daemon::start_reading(first, configuration, LogReading::All)
+    /// Starts it by a shell that runs `shell_command` before it.
+    pub fn start_after_shell_command(shell_command: &str, configuration: &Value) -> Daemon {
+        Daemon::start_with(shell_command, configuration, LogReading::All)
     }
 
     /// Starts it, and reads nothing of its log once it listens.
-    pub fn start_unread(configuration: &Value) -> Daemon {
-        Daemon::start_reading("", configuration, LogReading::UntilListening)
+    pub fn start_with_unread_log(configuration: &Value) -> Daemon {
+        Daemon::start_with("", configuration, LogReading::UntilListening)
     }
 
-    fn start_reading(first: &str, configuration: &Value, reading: LogReading) -> Daemon {
-        let folder = folder();
+    fn start_with(shell_command: &str, configuration: &Value, reading: LogReading) -> Daemon {
+        let folder = create_folder();
         let file = folder.join("config.json");
         std::fs::write(&file, configuration.to_string()).unwrap();
-        let mut child = crate::process::command(first)
+        let mut child = crate::process::command(shell_command)
             .env("PROXY_CONFIG", &file)
             .stderr(Stdio::piped())
             .spawn()
@@ -99,13 +99,13 @@
             log,
             folder,
         };
-        let line = daemon.line("listening on ", 0);
+        let line = daemon.wait_for_line("listening on ", 0);
         daemon.address = line.rsplit(' ').next().unwrap().to_string();
         daemon
     }
 
     /// Waits for a line of the log that contains `text`, from the line number `from` on.
-    fn line(&self, text: &str, from: usize) -> String {
+    fn wait_for_line(&self, text: &str, from: usize) -> String {
         let find = |lines: &Vec<String>| {
             lines
                 .iter()
@@ -139,11 +139,11 @@
         let from = self.log.lines.lock().unwrap().len();
         std::fs::write(self.folder.join("config.json"), text).unwrap();
         self.signal("HUP");
-        self.line(line, from);
+        self.wait_for_line(line, from);
     }
 
     /// How many lines of the log contain `text`.
-    pub fn lines(&self, text: &str) -> usize {
+    pub fn line_count(&self, text: &str) -> usize {
         self.log
             .lines
             .lock()
@@ -157,11 +157,11 @@
     pub fn counter(&self, name: &str) -> u64 {
         let from = self.log.lines.lock().unwrap().len();
         self.signal("USR1");
-        counter_in(&self.line("counters:", from), name)
+        counter_in(&self.wait_for_line("counters:", from), name)
     }
 
     /// Waits until a counter has reached a value.
-    pub fn until_counter(&self, name: &str, value: u64) {
+    pub fn wait_for_counter(&self, name: &str, value: u64) {
         let deadline = Instant::now() + TIMEOUT;
         while self.counter(name) < value {
             assert!(
@@ -174,7 +174,7 @@
     }
 
     /// Sends this many signals, 1 ms apart.
-    pub fn signals(&self, name: &str, count: u32) {
+    pub fn signal_repeatedly(&self, name: &str, count: u32) {
         let pid = self.child.id();
         let command = format!("for i in $(seq {count}); do kill -{name} {pid}; sleep 0.001; done");
         assert!(
@@ -187,14 +187,14 @@
     }
 
     /// Waits for its end: the exit code.
-    pub fn exit(&mut self) -> Option<i32> {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
     /// Waits for its end: the exit code, and the line with the counters.
-    pub fn ended(&mut self) -> (Option<i32>, String) {
+    pub fn wait_for_exit_and_counters(&mut self) -> (Option<i32>, String) {
         let code = self.child.wait().unwrap().code();
-        (code, self.line("stopped; counters:", 0))
+        (code, self.wait_for_line("stopped; counters:", 0))
     }
 
     /// A client that is connected to it.
@@ -203,7 +203,7 @@
     }
 
     /// Waits until it is ready.
-    pub fn until_ready(&self) {
+    pub fn wait_until_ready(&self) {
         let deadline = Instant::now() + TIMEOUT;
         while self.client().get("/healthz") != 200 {
             assert!(Instant::now() < deadline, "never ready");
--- a/crates/cluster-testbed/src/stubs/discovery.rs
+++ b/crates/cluster-testbed/src/stubs/discovery.rs
@@ -1,5 +1,5 @@
 //! A simulated discovery service with one endpoint list, for tests. It can be late, silent, down and malformed.
-use super::{TIMEOUT, listen, message};
+use super::{TIMEOUT, listen, read_message};
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
@@ -14,7 +14,7 @@
 struct State {
     version: u64,
     endpoints: Vec<Value>,
-    changed: Vec<Value>,
+    changed_endpoints: Vec<Value>,
     down: bool,
     /// The version that the newest watch knows.
     watched_version: u64,
@@ -24,7 +24,7 @@
     /// Whether `endpoints` is the full list as it is now, for whoever missed a change.
     has_full_list: bool,
     /// How often all open watches have been forgotten.
-    forgotten: u32,
+    abandon_count: u32,
     /// Whether watches are accepted and not answered.
     unresponsive: bool,
     /// Whether the next response ends in its middle, with its connection open.
@@ -46,7 +46,7 @@
 }
 
 /// The endpoint of a worker, as discovery publishes it.
-pub fn host(name: &str, dial: &str, health: &str) -> Value {
+pub fn endpoint_json(name: &str, dial: &str, health: &str) -> Value {
     json!({"host": name, "dial": dial, "site": "here", "class": "m1", "block": 0, "health": health,
            "share": 1.0, "born_ms": 0})
 }
@@ -82,7 +82,7 @@
 /// Whether there was news for a watch before its time was over.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchEnd {
-    News,
+    Changed,
     Expired,
 }
 
@@ -94,7 +94,7 @@
         let no_changes = Vec::new();
         let endpoints = match (full, end) {
             (true, _) => &self.endpoints,
-            (false, WatchEnd::News) => &self.changed,
+            (false, WatchEnd::Changed) => &self.changed_endpoints,
             (false, WatchEnd::Expired) => &no_changes,
         };
         let list = json!({"seq": self.version, "whole": full, "hosts": endpoints}).to_string();
@@ -106,10 +106,10 @@
 
 impl Discovery {
     /// Starts it with these endpoints.
-    pub fn start(hosts: Vec<Value>) -> Discovery {
+    pub fn start(endpoints: Vec<Value>) -> Discovery {
         let state = State {
             version: 1,
-            endpoints: hosts,
+            endpoints,
             ..State::default()
         };
         let mut discovery = Discovery {
@@ -126,15 +126,15 @@
 
     /// Answers one watch; `None` ends the connection.
     fn answer(&self, mut stream: &TcpStream) -> Option<()> {
-        let (head, _) = message(&mut BufReader::new(stream))?;
+        let (head, _) = read_message(&mut BufReader::new(stream))?;
         let mut state = self.shared.state.lock().unwrap();
         let watch = Watch::parse(&head);
         state.watches += 1;
         state.watched_version = watch.version.unwrap_or(0);
         self.shared.changed.notify_all();
-        let forgotten = state.forgotten;
-        let (mut state, end) = self.wait_for_news(state, &watch);
-        if state.forgotten != forgotten {
+        let abandon_count = state.abandon_count;
+        let (mut state, end) = self.wait_for_change(state, &watch);
+        if state.abandon_count != abandon_count {
             drop(state);
             hold_open(stream);
             return None;
@@ -155,14 +155,14 @@
 
     /// Waits while there is nothing to answer. A version that was never published is answered at once, the newest one
     /// once the time of the watch is over.
-    fn wait_for_news<'a>(
+    fn wait_for_change<'a>(
         &'a self,
         mut state: MutexGuard<'a, State>,
         watch: &Watch,
     ) -> (MutexGuard<'a, State>, WatchEnd) {
-        let forgotten = state.forgotten;
-        let mut end = WatchEnd::News;
-        while !state.down && state.forgotten == forgotten {
+        let abandon_count = state.abandon_count;
+        let mut end = WatchEnd::Changed;
+        while !state.down && state.abandon_count == abandon_count {
             let is_newest = watch.version == Some(state.version);
             if !state.unresponsive && (!is_newest || end == WatchEnd::Expired) {
                 break;
@@ -176,7 +176,7 @@
             end = if Instant::now() >= watch.deadline {
                 WatchEnd::Expired
             } else {
-                WatchEnd::News
+                WatchEnd::Changed
             };
         }
         (state, end)
@@ -187,7 +187,7 @@
         self.shared.changed.notify_all();
     }
 
-    fn until(&self, holds: impl Fn(&State) -> bool) {
+    fn wait_until(&self, holds: impl Fn(&State) -> bool) {
         let state = self.shared.state.lock().unwrap();
         let waited = self
             .shared
@@ -198,91 +198,93 @@
     }
 
     /// Publishes changes, and the full list for new watches; waits for no one.
-    pub fn put(&self, changed: Vec<Value>, all: Vec<Value>) {
+    pub fn publish(&self, changed: Vec<Value>, all: Vec<Value>) {
         self.change(|state| {
             state.version += 1;
             state.has_full_list = true;
-            state.changed = changed;
+            state.changed_endpoints = changed;
             state.endpoints = all;
         });
     }
 
     /// Publishes changes, and waits until the program has read them.
-    pub fn tell(&self, hosts: Vec<Value>) {
+    pub fn publish_changes(&self, endpoints: Vec<Value>) {
         let mut version = 0;
         self.change(|state| {
             state.version += 1;
             version = state.version;
-            state.changed = hosts;
+            state.changed_endpoints = endpoints;
         });
-        self.until(|state| state.watched_version == version);
+        self.wait_until(|state| state.watched_version == version);
     }
 
     /// Sends this text in place of a list, and waits until the program has read it.
-    pub fn garble(&self, text: &'static str) {
+    pub fn send_malformed_list(&self, text: &'static str) {
         self.change(|state| {
             state.malformed = Some(text);
             state.version += 1;
         });
-        self.until(|state| state.malformed.is_none() && state.watched_version == state.version);
+        self.wait_until(|state| {
+            state.malformed.is_none() && state.watched_version == state.version
+        });
     }
 
     /// Never answers the watches that are open now.
-    pub fn fall_silent(&self) {
-        self.change(|state| state.forgotten += 1);
+    pub fn abandon_open_watches(&self) {
+        self.change(|state| state.abandon_count += 1);
     }
 
     /// Sends only half of the next response.
-    pub fn cut_next(&self) {
+    pub fn truncate_next_response(&self) {
         self.change(|state| state.truncates_next = true);
     }
 
     /// Accepts watches and answers none.
-    pub fn go_deaf(&self) {
+    pub fn stop_responding(&self) {
         self.change(|state| state.unresponsive = true);
     }
 
     /// Answers again, but none of the watches of before.
-    pub fn come_to(&self) {
+    pub fn resume_responding(&self) {
         self.change(|state| {
             state.unresponsive = false;
-            state.forgotten += 1;
+            state.abandon_count += 1;
         });
     }
 
     /// Waits until the program has read what was published last.
-    pub fn until_followed(&self) {
-        self.until(|state| state.watched_version == state.version);
+    pub fn wait_until_list_is_read(&self) {
+        self.wait_until(|state| state.watched_version == state.version);
     }
 
     /// Waits until this many watches have come.
-    pub fn until_called(&self, calls: u32) {
-        self.until(|state| state.watches >= calls);
+    pub fn wait_for_watches(&self, calls: u32) {
+        self.wait_until(|state| state.watches >= calls);
     }
 
     /// Closes connections and answers nothing.
-    pub fn go_down(&self) {
+    pub fn shut_down(&self) {
         self.change(|state| state.down = true);
     }
 
     /// Answers again, with these endpoints, and waits until the program has read them.
-    pub fn come_back(&self, hosts: Vec<Value>) {
+    pub fn restart(&self, endpoints: Vec<Value>) {
         self.change(|state| {
             state.version += 1;
             state.down = false;
-            state.changed = hosts.clone();
-            state.endpoints = hosts;
+            state.changed_endpoints = endpoints.clone();
+            state.endpoints = endpoints;
         });
-        self.until(|state| state.watched_version == state.version);
+        self.wait_until(|state| state.watched_version == state.version);
     }
 
     /// How many watches have come.
-    pub fn calls(&self) -> u32 {
+    pub fn watch_count(&self) -> u32 {
         self.shared.state.lock().unwrap().watches
     }
 
     /// Waits until a watch has come that knows a version.
-    pub fn until_watched(&self) {
-        self.until(|state| state.watched_version > 0);
+    pub fn wait_for_versioned_watch(&self) {
+        self.wait_until(|state| state.watched_version > 0);
     }
 }
--- a/crates/cluster-testbed/src/stubs/http.rs
+++ b/crates/cluster-testbed/src/stubs/http.rs
@@ -17,14 +17,14 @@
 }
 
 /// Reads a message: the head, and a body by its length.
-pub fn message(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
+pub fn read_message(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if reader.read_line(&mut head).ok()? == 0 {
             return None;
         }
     }
-    let length = field(&head, "content-length")
+    let length = header_field(&head, "content-length")
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     let mut body = vec![0; length];
@@ -33,7 +33,7 @@
 }
 
 /// The value of a header field.
-pub fn field(head: &str, name: &str) -> Option<String> {
+pub fn header_field(head: &str, name: &str) -> Option<String> {
     let mut pairs = head.lines().filter_map(|line| line.split_once(':'));
     pairs
         .find(|(key, _)| key.eq_ignore_ascii_case(name))
@@ -41,10 +41,10 @@
 }
 
 /// A request's head and body, with `more` header lines.
-pub fn request(id: &str, scheme: &str, seconds: f64, more: &str, body: &str) -> String {
+pub fn request(id: &str, class: &str, seconds: f64, extra_headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
-        "POST /api/do?x=1&y=%20 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id}\r\nRequest-Class: {scheme}\r\n\
-         Tenant: acme\r\nRequest-Timeout: {seconds}\r\n{more}Content-Length: {length}\r\n\r\n{body}"
+        "POST /api/do?x=1&y=%20 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
+         Tenant: acme\r\nRequest-Timeout: {seconds}\r\n{extra_headers}Content-Length: {length}\r\n\r\n{body}"
     )
 }
--- a/crates/cluster-testbed/src/stubs/worker.rs
+++ b/crates/cluster-testbed/src/stubs/worker.rs
@@ -1,7 +1,7 @@
-//! A simulated worker that acts by a script, for tests.
+//! A simulated worker that sends queued responses, for tests.
 mod response;
 
-use super::{field, message};
+use super::{header_field, read_message};
 use response::{HEALTH_RESPONSE, Responder};
 use std::collections::VecDeque;
 use std::io::{BufReader, Write};
@@ -13,13 +13,13 @@
 
 /// What a worker does with one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum StubResponse {
     /// Runs it and says so.
     Done,
     /// `Done`, after this many ms.
-    Later(u64),
+    DoneAfterMs(u64),
     /// `Done`, and then the connection ends.
-    DoneClose,
+    DoneThenClose,
     /// A status without a body, and whether it says that the request has not started.
     Status(u16, bool),
     /// One line with this state.
@@ -27,70 +27,70 @@
     /// These bytes as the body of a 200, where `ID` stands for the id.
     Body(&'static str),
     /// A line that is too long.
-    Oversized,
+    OversizedLine,
     /// Ends the connection before it answers.
-    Cut,
+    CloseBeforeResponse,
     /// Ends the connection after it has said that the request started.
-    CutStarted,
+    CloseAfterStart,
     /// Never answers.
-    Silent,
+    NoResponse,
     /// `Done`, and then the connection is dropped as soon as anything more comes on it.
-    DoneStale,
+    DoneThenCloseOnReuse,
     /// Lines that say that it runs without an end, as fast as they are taken.
-    Endless,
+    EndlessProgress,
     /// `Done`, and then more lines without an end, one each 20 ms.
-    DoneEndless,
+    DoneThenEndlessProgress,
     /// `Done`, and as the first bytes of the next request arrive a second response, by which that one has not started.
-    DoneTwice,
+    DoneThenNotStarted,
 }
 
 /// What all workers of a test are to do, in the order of requests; then `Done`.
-pub type Script = Arc<Mutex<VecDeque<Act>>>;
+pub type ResponseQueue = Arc<Mutex<VecDeque<StubResponse>>>;
 
-/// A script with these acts.
-pub fn script(acts: &[Act]) -> Script {
-    Arc::new(Mutex::new(acts.iter().copied().collect()))
+/// A queue of these responses.
+pub fn response_queue(responses: &[StubResponse]) -> ResponseQueue {
+    Arc::new(Mutex::new(responses.iter().copied().collect()))
 }
 
-type Seen = Mutex<Vec<(String, String, Vec<u8>)>>;
+type ReceivedRequests = Mutex<Vec<(String, String, Vec<u8>)>>;
 
-/// A simulated worker that acts by a script.
+/// A simulated worker that sends queued responses.
 pub struct Worker {
     /// Where it listens.
-    pub dial: String,
+    pub address: String,
     /// The first line of each request, its id and its body.
-    pub seen: Arc<Seen>,
+    pub received: Arc<ReceivedRequests>,
     /// How many connections it has accepted.
-    pub connections: Arc<AtomicU32>,
+    pub accepted_connections: Arc<AtomicU32>,
     /// How many of them have ended.
-    pub ended: Arc<AtomicU32>,
+    pub closed_connections: Arc<AtomicU32>,
 }
 
 impl Worker {
     /// Starts it on a free loopback port.
-    pub fn start(script: &Script) -> Worker {
+    pub fn start(response_queue: &ResponseQueue) -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let dial = listener.local_addr().unwrap().to_string();
+        let address = listener.local_addr().unwrap().to_string();
         let worker = Worker {
-            dial,
-            seen: Arc::default(),
-            connections: Arc::default(),
-            ended: Arc::default(),
+            address,
+            received: Arc::default(),
+            accepted_connections: Arc::default(),
+            closed_connections: Arc::default(),
         };
-        let seen = worker.seen.clone();
-        let connections = worker.connections.clone();
-        let ended = worker.ended.clone();
-        let script = script.clone();
+        let received = worker.received.clone();
+        let accepted_connections = worker.accepted_connections.clone();
+        let closed_connections = worker.closed_connections.clone();
+        let response_queue = response_queue.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                connections.fetch_add(1, Ordering::SeqCst);
-                let seen = seen.clone();
-                let script = script.clone();
-                let ended = ended.clone();
+                accepted_connections.fetch_add(1, Ordering::SeqCst);
+                let received = received.clone();
+                let response_queue = response_queue.clone();
+                let closed_connections = closed_connections.clone();
                 thread::spawn(move || {
-                    while serve(&stream, &seen, &script).is_some() {}
+                    while serve(&stream, &received, &response_queue).is_some() {}
                     drop(stream);
-                    ended.fetch_add(1, Ordering::SeqCst);
+                    closed_connections.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
@@ -98,28 +98,36 @@
     }
 
     /// How many requests it has received.
-    pub fn count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+    pub fn request_count(&self) -> usize {
+        self.received.lock().unwrap().len()
     }
 }
 
 /// Serves one request; `None` ends the connection.
-fn serve(mut stream: &TcpStream, seen: &Seen, script: &Mutex<VecDeque<Act>>) -> Option<()> {
-    let (head, body) = message(&mut BufReader::new(stream))?;
+fn serve(
+    mut stream: &TcpStream,
+    received: &ReceivedRequests,
+    response_queue: &Mutex<VecDeque<StubResponse>>,
+) -> Option<()> {
+    let (head, body) = read_message(&mut BufReader::new(stream))?;
     let first = head.lines().next()?.to_string();
-    let id = field(&head, "request-id").unwrap_or_default();
+    let id = header_field(&head, "request-id").unwrap_or_default();
     if first.starts_with("GET ") {
-        seen.lock().unwrap().push((first, id, body));
+        received.lock().unwrap().push((first, id, body));
         return stream.write_all(HEALTH_RESPONSE).ok();
     }
-    let act = script.lock().unwrap().pop_front().unwrap_or(Act::Done);
+    let response = response_queue
+        .lock()
+        .unwrap()
+        .pop_front()
+        .unwrap_or(StubResponse::Done);
     let responder = Responder::new(stream, &id, &body);
-    seen.lock().unwrap().push((first, id, body));
-    responder.respond(act)
+    received.lock().unwrap().push((first, id, body));
+    responder.respond(response)
 }
 
 /// An address where connections never come up: its listener takes none, and its queue is full.
-pub fn vanished_machine() -> (TcpListener, (String, Vec<TcpStream>)) {
+pub fn unreachable_address() -> (TcpListener, (String, Vec<TcpStream>)) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
--- a/crates/cluster-testbed/src/stubs/worker/response.rs
+++ b/crates/cluster-testbed/src/stubs/worker/response.rs
@@ -1,5 +1,5 @@
-//! What a scripted worker answers to one request.
-use super::Act;
+//! What a stub worker answers to one request.
+use super::StubResponse;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Answers by an act; `None` ends the connection.
-    pub(super) fn respond(&self, act: Act) -> Option<()> {
-        match act {
-            Act::Done => self.send(&self.done()),
-            Act::DoneClose => self.send_last(&self.done()),
-            Act::Later(ms) => {
+    /// Sends a response; `None` ends the connection.
+    pub(super) fn respond(&self, response: StubResponse) -> Option<()> {
+        match response {
+            StubResponse::Done => self.send(&self.done()),
+            StubResponse::DoneThenClose => self.send_last(&self.done()),
+            StubResponse::DoneAfterMs(ms) => {
                 self.send(&self.started())?;
                 thread::sleep(Duration::from_millis(ms));
                 self.send(&format!("{}{LAST_CHUNK}", chunk(&self.done_line)))
             }
-            Act::Status(status, not_started) => {
+            StubResponse::Status(status, not_started) => {
                 let field = if not_started {
                     "Not-Started: 1\r\n"
                 } else {
@@ -58,22 +58,22 @@
                     "HTTP/1.1 {status} Other\r\n{field}Content-Length: 0\r\n\r\n"
                 ))
             }
-            Act::State(state) => self.send(&self.complete(&self.line(state))),
-            Act::Body(text) => self.send(&self.complete(&text.replace("ID", &self.id))),
-            Act::Oversized => {
+            StubResponse::State(state) => self.send(&self.complete(&self.line(state))),
+            StubResponse::Body(text) => self.send(&self.complete(&text.replace("ID", &self.id))),
+            StubResponse::OversizedLine => {
                 let line = format!("{{\"id\":\"{}\"", "x".repeat(OVERSIZED_LINE));
                 self.send(&self.complete(&line))
             }
-            Act::Cut => None,
-            Act::CutStarted => self.send_last(&self.started()),
-            Act::DoneStale => {
+            StubResponse::CloseBeforeResponse => None,
+            StubResponse::CloseAfterStart => self.send_last(&self.started()),
+            StubResponse::DoneThenCloseOnReuse => {
                 self.send(&self.done())?;
                 self.wait_for_bytes_or_close()
             }
-            Act::Silent => self.wait_for_bytes_or_close(),
-            Act::Endless => self.send_progress_forever(),
-            Act::DoneEndless => self.send_progress_after_done(),
-            Act::DoneTwice => {
+            StubResponse::NoResponse => self.wait_for_bytes_or_close(),
+            StubResponse::EndlessProgress => self.send_progress_forever(),
+            StubResponse::DoneThenEndlessProgress => self.send_progress_after_done(),
+            StubResponse::DoneThenNotStarted => {
                 self.send(&self.done())?;
                 self.stream.peek(&mut [0]).ok()?;
                 self.send(NOT_STARTED_RESPONSE)
--- a/crates/cluster-testbed/src/testbed.rs
+++ b/crates/cluster-testbed/src/testbed.rs
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 
 /// How often faults are looked at.
-const TICK: Duration = Duration::from_millis(20);
+const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long processes have to log their counters after a signal.
 const COUNTERS_WAIT: Duration = Duration::from_millis(100);
 
@@ -94,7 +94,7 @@
             {
                 self.apply(event)?;
             }
-            thread::sleep(TICK);
+            thread::sleep(FAULT_POLL_INTERVAL);
         }
         Ok(())
     }
--- a/crates/cluster-testbed/src/testbed/client.rs
+++ b/crates/cluster-testbed/src/testbed/client.rs
@@ -1,7 +1,7 @@
 //! A client of one dispatcher: sends one request after the other, over a connection that it keeps while it lasts.
 use crate::checker::{ClientRequest, Response};
 use crate::scenario::Load;
-use crate::stubs::{message, request};
+use crate::stubs::{read_message, request};
 use rosewall::pcg::Pcg;
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -46,7 +46,7 @@
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(timeout)).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
-    let (head, _) = message(&mut BufReader::new(&stream))?;
+    let (head, _) = read_message(&mut BufReader::new(&stream))?;
     status_in(&head)
 }
 
@@ -124,7 +124,7 @@
             // The connection had ended before, so the dispatcher has not accepted the request.
             return ConnectionState::Closed;
         }
-        let head = message(&mut BufReader::new(stream)).map(|(head, _)| head);
+        let head = read_message(&mut BufReader::new(stream)).map(|(head, _)| head);
         let ended_at = Instant::now();
         let status = head.as_deref().and_then(status_in);
         let request = ClientRequest {
--- a/crates/cluster-testbed/src/testbed/dispatchers.rs
+++ b/crates/cluster-testbed/src/testbed/dispatchers.rs
@@ -170,14 +170,14 @@
     }
 
     /// Takes a dispatcher away from its clients, before it ends.
-    fn withdraw(&mut self, number: usize) {
+    fn take_out_of_service(&mut self, number: usize) {
         self.begin_outage(number);
         self.dispatchers[number].publish_address(None);
     }
 
     /// Kills a dispatcher.
     pub fn kill(&mut self, number: usize) {
-        self.withdraw(number);
+        self.take_out_of_service(number);
         if let Some(mut process) = self.dispatchers[number].process.take() {
             process.kill();
         }
@@ -202,7 +202,7 @@
 
     /// Shuts a dispatcher down with SIGTERM; requests of clients from here on are to no running dispatcher.
     pub fn shut_down(&mut self, number: usize) {
-        self.withdraw(number);
+        self.take_out_of_service(number);
         if let Some(mut process) = self.dispatchers[number].process.take() {
             process.signal("TERM");
             // Faults go on meanwhile.
--- a/crates/cluster-testbed/src/testbed/setup.rs
+++ b/crates/cluster-testbed/src/testbed/setup.rs
@@ -4,7 +4,7 @@
 use crate::error::TestbedError;
 use crate::relay::Relay;
 use crate::scenario::{FaultKind, Scenario};
-use crate::stubs::{Discovery, host};
+use crate::stubs::{Discovery, endpoint_json};
 use crate::worker::{SlowStart, Worker};
 use rosewall::pcg::Pcg;
 use std::path::PathBuf;
@@ -48,7 +48,7 @@
     scenario.fleet.dispatchers.max(count)
 }
 
-fn draw_clock_skews(rng: &mut Pcg, range_ms: u64, count: usize) -> Vec<i64> {
+fn generate_clock_skews(rng: &mut Pcg, range_ms: u64, count: usize) -> Vec<i64> {
     let range_ms = range_ms as f64;
     (0..count)
         .map(|_| (range_ms * (rng.unit() - 0.5)) as i64)
@@ -78,14 +78,16 @@
         let endpoints: Vec<_> = workers
             .iter()
             .enumerate()
-            .map(|(number, worker)| host(&format!("w{number:02}"), &worker.address, "ready"))
+            .map(|(number, worker)| {
+                endpoint_json(&format!("w{number:02}"), &worker.address, "ready")
+            })
             .collect();
         let discovery = Discovery::start(endpoints.clone());
         let relay = Relay::start(scenario.seed)?;
         relay.set_default(scenario.links);
         let mut rng = Pcg::new(scenario.seed);
         let count = dispatcher_count(scenario);
-        let clock_skews_ms = draw_clock_skews(&mut rng, scenario.fleet.skew_ms, count);
+        let clock_skews_ms = generate_clock_skews(&mut rng, scenario.fleet.skew_ms, count);
         Ok(Testbed {
             scenario: scenario.clone(),
             begin,
--- a/crates/cluster-testbed/src/testbed/workers.rs
+++ b/crates/cluster-testbed/src/testbed/workers.rs
@@ -2,7 +2,7 @@
 use super::Testbed;
 use crate::checker::Drain;
 use crate::error::TestbedError;
-use crate::stubs::host;
+use crate::stubs::endpoint_json;
 use crate::worker::Worker;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -21,13 +21,13 @@
             let worker = Worker::start(slots, Some(Instant::now()), slow_start)?;
             let started_ms = wall_clock_ms();
             let name = format!("w{:02}", self.workers.len());
-            let mut endpoint = host(&name, &worker.address, "ready");
+            let mut endpoint = endpoint_json(&name, &worker.address, "ready");
             endpoint["born_ms"] = started_ms.into();
             self.workers.push(worker);
             self.endpoints.push(endpoint.clone());
             changed.push(endpoint);
         }
-        self.discovery.put(changed, self.endpoints.clone());
+        self.discovery.publish(changed, self.endpoints.clone());
         Ok(())
     }
 
@@ -38,7 +38,7 @@
         };
         endpoint["health"] = "draining".into();
         let changed = vec![endpoint.clone()];
-        self.discovery.put(changed, self.endpoints.clone());
+        self.discovery.publish(changed, self.endpoints.clone());
         self.drains.push(Drain {
             worker,
             at: Instant::now(),
--- a/crates/cluster-testbed/src/worker.rs
+++ b/crates/cluster-testbed/src/worker.rs
@@ -1,7 +1,7 @@
 //! A simulated worker with concurrency slots and one queue, first in, first out. It can warm up, hang, and break
 //! connections. The checker reads its record of what it received and ran, and nothing else of it.
 use crate::error::TestbedError;
-use crate::stubs::{field, message};
+use crate::stubs::{header_field, read_message};
 use std::collections::HashSet;
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -81,7 +81,7 @@
     /// How many requests it runs at once.
     pub slots: usize,
     /// When its process started, if it starts cold.
-    pub started_cold: Option<Instant>,
+    pub warm_up_started_at: Option<Instant>,
     /// How it warms up.
     pub slow_start: SlowStart,
     record: Mutex<Record>,
@@ -107,7 +107,7 @@
     /// Starts a worker on a loopback port.
     pub fn start(
         slots: usize,
-        started_cold: Option<Instant>,
+        warm_up_started_at: Option<Instant>,
         slow_start: SlowStart,
     ) -> Result<Arc<Worker>, TestbedError> {
         let listener = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::Socket)?;
@@ -118,7 +118,7 @@
         let worker = Arc::new(Worker {
             address,
             slots,
-            started_cold,
+            warm_up_started_at,
             slow_start,
             record: Mutex::default(),
             changed: Condvar::new(),
@@ -159,7 +159,7 @@
 
     /// The share of its full capacity that it has at a moment.
     fn capacity_share(&self, at: Instant) -> f64 {
-        self.started_cold.map_or(1.0, |started| {
+        self.warm_up_started_at.map_or(1.0, |started| {
             self.slow_start
                 .capacity_share(at.saturating_duration_since(started))
         })
@@ -167,8 +167,8 @@
 
     /// Serves one request; `None` ends the connection.
     fn serve(&self, mut stream: &TcpStream) -> Option<()> {
-        let (head, body) = message(&mut BufReader::new(stream))?;
-        let id = field(&head, "request-id")?;
+        let (head, body) = read_message(&mut BufReader::new(stream))?;
+        let id = header_field(&head, "request-id")?;
         let work_s = work_s(&body)?;
         let loses_response = self.wait_for_slot(stream, &id, work_s)?;
         let started =
--- a/crates/cluster-testbed/tests/scenario_files.rs
+++ b/crates/cluster-testbed/tests/scenario_files.rs
@@ -13,13 +13,13 @@
 fn file_of_a_drawn_scenario_still_reads_as_that_scenario(seed: u64) {
     let scenario = Scenario::load(&file(seed)).unwrap();
 
-    assert_eq!(scenario, Scenario::drawn(seed));
+    assert_eq!(scenario, Scenario::generate(seed));
 }
 
 #[test_case(7)]
 #[test_case(19)]
 fn drawn_scenario_is_still_written_with_the_same_keys_and_values(seed: u64) {
-    let text = toml::to_string(&Scenario::drawn(seed)).unwrap();
+    let text = toml::to_string(&Scenario::generate(seed)).unwrap();
 
     assert_eq!(text, std::fs::read_to_string(file(seed)).unwrap());
 }
--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -115,7 +115,7 @@
 #[test]
 fn warm_up_budgets_are_kept_on_both_sides_of_a_partition() {
     let faults = vec![
-        Fault::new(1_000, FaultKind::Partition, 0..4).lasting(6_000),
+        Fault::new(1_000, FaultKind::Partition, 0..4).with_duration(6_000),
         Fault::add_workers(2_000, 2),
     ];
     let report = run_without_violations(&scenario(8, 10.0, faults));
@@ -125,8 +125,8 @@
 #[test]
 fn rules_are_kept_where_one_member_receives_nothing_and_another_sends_nothing() {
     let faults = vec![
-        Fault::new(1_000, FaultKind::DropInbound, [4]).lasting(6_000),
-        Fault::new(1_000, FaultKind::DropOutbound, [1]).lasting(6_000),
+        Fault::new(1_000, FaultKind::DropInbound, [4]).with_duration(6_000),
+        Fault::new(1_000, FaultKind::DropOutbound, [1]).with_duration(6_000),
         Fault::add_workers(2_500, 2),
     ];
     run_without_violations(&scenario(6, 9.0, faults));
@@ -137,7 +137,7 @@
 fn a_member_that_was_paused_for_ten_seconds_has_no_valid_lease_or_grant() {
     let faults = vec![
         Fault::add_workers(2_500, 2),
-        Fault::new(3_500, FaultKind::Pause, [0]).lasting(10_000),
+        Fault::new(3_500, FaultKind::Pause, [0]).with_duration(10_000),
         Fault::add_workers(12_000, 2),
     ];
     run_without_violations(&scenario(6, 16.0, faults));
--- a/crates/rosewalld/tests/daemon/attempts.rs
+++ b/crates/rosewalld/tests/daemon/attempts.rs
@@ -1,8 +1,8 @@
 //! Outcomes of attempts, and retries by class.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stubs::{
-    Act, Daemon, Discovery, Worker, configuration, field, host, listen, message, request, script,
-    vanished_machine,
+    Daemon, Discovery, StubResponse, Worker, configuration, endpoint_json, header_field, listen,
+    read_message, request, response_queue, unreachable_address,
 };
 use std::io::{BufReader, Write};
 use std::sync::{Arc, Mutex};
@@ -22,7 +22,7 @@
         )
         .as_bytes(),
     );
-    let answer = client.answer().unwrap();
+    let answer = client.read_response().unwrap();
     assert_eq!(
         (answer.status, answer.body),
         (200, b"did some {body}".to_vec())
@@ -30,7 +30,7 @@
     let seen: Vec<_> = fleet
         .workers
         .iter()
-        .flat_map(|worker| worker.seen.lock().unwrap().clone())
+        .flat_map(|worker| worker.received.lock().unwrap().clone())
         .collect();
     let first = "POST /api/do?x=1&y=%20 HTTP/1.1".to_string();
     assert_eq!(seen, [(first, "9b1f".to_string(), b"some {body}".to_vec())]);
@@ -43,59 +43,59 @@
     let heads: Arc<Mutex<Vec<String>>> = Arc::default();
     let recorded_heads = heads.clone();
     let dial = listen(move |mut stream| {
-        let (head, _) = message(&mut BufReader::new(stream))?;
+        let (head, _) = read_message(&mut BufReader::new(stream))?;
         recorded_heads.lock().unwrap().push(head);
         stream
             .write_all(b"HTTP/1.1 500 Other\r\nContent-Length: 0\r\n\r\n")
             .ok()
     });
-    let discovery = Discovery::start(vec![host("a", &dial, "ready")]);
+    let discovery = Discovery::start(vec![endpoint_json("a", &dial, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
+    daemon.wait_until_ready();
     let mut client = daemon.client();
     client.send(request("id", "invoice", 5.0, header, "a body").as_bytes());
-    assert_eq!(client.answer().unwrap().status, 502);
+    assert_eq!(client.read_response().unwrap().status, 502);
     let heads = heads.lock().unwrap();
     assert!(heads.len() > 1, "the request was not retried");
     assert!(
         heads
             .iter()
-            .all(|head| field(head, "idempotency-key").as_deref() == expected),
+            .all(|head| header_field(head, "idempotency-key").as_deref() == expected),
         "{heads:?}"
     );
 }
 
-#[test_case(Act::Status(503, true); "503 not started")]
-#[test_case(Act::Status(504, true); "504 not started")]
-#[test_case(Act::State("returned"); "returned")]
-fn a_request_that_did_not_run_is_retried_in_every_class(act: Act) {
+#[test_case(StubResponse::Status(503, true); "503 not started")]
+#[test_case(StubResponse::Status(504, true); "504 not started")]
+#[test_case(StubResponse::State("returned"); "returned")]
+fn a_request_that_did_not_run_is_retried_in_every_class(response: StubResponse) {
     for class in ["thumb", "invoice", "charge"] {
-        let fleet = start_fleet(&[act]);
-        let answer = fleet.daemon.client().ask("id", class, 5.0);
+        let fleet = start_fleet(&[response]);
+        let answer = fleet.daemon.client().exchange("id", class, 5.0);
         assert_eq!((answer.status, fleet.attempts()), (200, 2), "{class}");
     }
 }
 
 /// A non-idempotent request fails after its first attempt.
-#[test_case(Act::State("failed"); "failed")]
-#[test_case(Act::State("lost"); "lost")]
-#[test_case(Act::Status(500, false); "500")]
-#[test_case(Act::Status(503, false); "503 that may have started")]
-#[test_case(Act::Cut; "cut before an answer")]
-#[test_case(Act::CutStarted; "cut after the start")]
-#[test_case(Act::Body("{\"id\":\"other\",\"state\":\"done\",\"result\":\"x\"}\n"); "another id")]
-#[test_case(Act::Body("{\"id\":\"ID\",\"state\":\"done\"}\n"); "done without a result")]
-#[test_case(Act::Body("{\"id\":\"ID\",\n"); "malformed json")]
-#[test_case(Act::Body("{\"id\":\"ID\",\"state\":\"running\",\"share\":0.4}\n"); "an end without a last line")]
-#[test_case(Act::Oversized; "an oversized line")]
-fn a_request_that_may_have_run_is_retried_only_if_it_is_idempotent(act: Act) {
+#[test_case(StubResponse::State("failed"); "failed")]
+#[test_case(StubResponse::State("lost"); "lost")]
+#[test_case(StubResponse::Status(500, false); "500")]
+#[test_case(StubResponse::Status(503, false); "503 that may have started")]
+#[test_case(StubResponse::CloseBeforeResponse; "cut before an answer")]
+#[test_case(StubResponse::CloseAfterStart; "cut after the start")]
+#[test_case(StubResponse::Body("{\"id\":\"other\",\"state\":\"done\",\"result\":\"x\"}\n"); "another id")]
+#[test_case(StubResponse::Body("{\"id\":\"ID\",\"state\":\"done\"}\n"); "done without a result")]
+#[test_case(StubResponse::Body("{\"id\":\"ID\",\n"); "malformed json")]
+#[test_case(StubResponse::Body("{\"id\":\"ID\",\"state\":\"running\",\"share\":0.4}\n"); "an end without a last line")]
+#[test_case(StubResponse::OversizedLine; "an oversized line")]
+fn a_request_that_may_have_run_is_retried_only_if_it_is_idempotent(response: StubResponse) {
     for (class, expected) in [
         ("thumb", (200, 2)),
         ("invoice", (200, 2)),
         ("charge", (502, 1)),
     ] {
-        let fleet = start_fleet(&[act]);
-        let answer = fleet.daemon.client().ask("id", class, 5.0);
+        let fleet = start_fleet(&[response]);
+        let answer = fleet.daemon.client().exchange("id", class, 5.0);
         assert_eq!((answer.status, fleet.attempts()), expected, "{class}");
     }
 }
@@ -104,9 +104,9 @@
 #[test_case("thumb"; "idempotent")]
 #[test_case("charge"; "non-idempotent")]
 fn an_invalid_request_fails_and_its_id_is_not_accepted_again(class: &str) {
-    let fleet = start_fleet(&[Act::Status(400, false)]);
+    let fleet = start_fleet(&[StubResponse::Status(400, false)]);
     let mut client = fleet.daemon.client();
-    let statuses = [(); 3].map(|()| client.ask("id", class, 5.0).status);
+    let statuses = [(); 3].map(|()| client.exchange("id", class, 5.0).status);
     assert_eq!((statuses, fleet.attempts()), ([502, 409, 409], 1));
     assert_eq!(
         (
@@ -119,13 +119,16 @@
 
 #[test]
 fn the_id_of_an_active_request_is_not_accepted_again() {
-    let fleet = start_fleet(&[Act::Later(300)]);
+    let fleet = start_fleet(&[StubResponse::DoneAfterMs(300)]);
     let mut client = fleet.daemon.client();
     client.send(request("id", "charge", 5.0, "", "first").as_bytes());
-    fleet.daemon.until_counter("attempts_started", 1);
-    assert_eq!(fleet.daemon.client().ask("id", "thumb", 5.0).status, 409);
+    fleet.daemon.wait_for_counter("attempts_started", 1);
     assert_eq!(
-        (client.answer().unwrap().body, fleet.attempts()),
+        fleet.daemon.client().exchange("id", "thumb", 5.0).status,
+        409
+    );
+    assert_eq!(
+        (client.read_response().unwrap().body, fleet.attempts()),
         (b"did first".to_vec(), 1)
     );
 }
@@ -135,13 +138,16 @@
 #[test_case("invoice", 502; "a request with a key fails")]
 #[test_case("charge", 502; "a non-idempotent request fails")]
 fn an_attempt_at_a_silent_worker_ends_at_the_deadline(class: &str, status: u16) {
-    let fleet = start_fleet(&[Act::Silent]);
-    let answer = fleet.daemon.client().ask("id", class, 0.4);
+    let fleet = start_fleet(&[StubResponse::NoResponse]);
+    let answer = fleet.daemon.client().exchange("id", class, 0.4);
     assert_eq!((answer.status, fleet.attempts()), (status, 1));
     assert_eq!(answer.head.contains("Retry-After: 0.500"), status == 503);
     assert_eq!(fleet.daemon.counter("attempts_timed_out"), 1);
     // The connection to the silent worker has been closed by now.
-    assert_eq!(fleet.daemon.client().ask("next", class, 5.0).status, 200);
+    assert_eq!(
+        fleet.daemon.client().exchange("next", class, 5.0).status,
+        200
+    );
 }
 
 /// A non-idempotent request may be rejected only if it did not run.
@@ -149,49 +155,52 @@
 #[test_case("charge", false; "non-idempotent, connection refused")]
 #[test_case("charge", true; "non-idempotent, connection never established")]
 fn a_request_without_a_connection_did_not_run_and_is_rejected(class: &str, host_vanished: bool) {
-    let (_listener, full) = vanished_machine();
+    let (_listener, full) = unreachable_address();
     let dial = if host_vanished {
         full.0.as_str()
     } else {
         "127.0.0.1:1"
     };
-    let discovery = Discovery::start(vec![host("dead", dial, "ready")]);
+    let discovery = Discovery::start(vec![endpoint_json("dead", dial, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
-    assert_eq!(daemon.client().ask("id", class, 5.0).status, 503);
+    daemon.wait_until_ready();
+    assert_eq!(daemon.client().exchange("id", class, 5.0).status, 503);
     assert_eq!(daemon.counter("attempts_connect_failed"), 3);
 }
 
 #[test]
 fn an_attempt_continues_after_its_client_disconnects() {
-    let fleet = start_fleet(&[Act::Later(400)]);
+    let fleet = start_fleet(&[StubResponse::DoneAfterMs(400)]);
     let mut client = fleet.daemon.client();
     client.send(request("id", "charge", 5.0, "", "").as_bytes());
-    fleet.daemon.until_counter("attempts_started", 1);
+    fleet.daemon.wait_for_counter("attempts_started", 1);
     drop(client);
-    fleet.daemon.until_counter("clients_disconnected", 1);
-    fleet.daemon.until_counter("succeeded_late", 1);
+    fleet.daemon.wait_for_counter("clients_disconnected", 1);
+    fleet.daemon.wait_for_counter("succeeded_late", 1);
     assert_eq!(fleet.attempts(), 1);
 }
 
 #[test]
 fn a_pending_request_of_a_disconnected_client_is_not_sent() {
-    let worker = Worker::start(&script(&[]));
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "draining")]);
+    let worker = Worker::start(&response_queue(&[]));
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "draining")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
-    discovery.until_watched();
+    daemon.wait_until_ready();
+    discovery.wait_for_versioned_watch();
     let mut client = daemon.client();
     client.send(request("pending", "charge", 5.0, "", "").as_bytes());
-    daemon.until_counter("requests", 1);
+    daemon.wait_for_counter("requests", 1);
     drop(client);
-    daemon.until_counter("clients_disconnected", 1);
-    discovery.tell(vec![host("a", &worker.dial, "ready")]);
-    assert_eq!(daemon.client().ask("next", "thumb", 5.0).status, 200);
+    daemon.wait_for_counter("clients_disconnected", 1);
+    discovery.publish_changes(vec![endpoint_json("a", &worker.address, "ready")]);
+    assert_eq!(daemon.client().exchange("next", "thumb", 5.0).status, 200);
     std::thread::sleep(std::time::Duration::from_millis(60));
-    assert_eq!(daemon.client().ask("last", "thumb", 5.0).status, 200);
+    assert_eq!(daemon.client().exchange("last", "thumb", 5.0).status, 200);
     assert_eq!(
-        (worker.count(), daemon.counter("invariant_violations")),
+        (
+            worker.request_count(),
+            daemon.counter("invariant_violations")
+        ),
         (2, 0)
     );
 }
--- a/crates/rosewalld/tests/daemon/configuration.rs
+++ b/crates/rosewalld/tests/daemon/configuration.rs
@@ -1,13 +1,15 @@
 //! Loading of the configuration file at program start and at SIGHUP.
 use crate::start_fleet;
-use rosewall_cluster_testbed::stubs::{Discovery, Worker, configuration, host, script};
+use rosewall_cluster_testbed::stubs::{
+    Discovery, Worker, configuration, endpoint_json, response_queue,
+};
 use std::process::Command;
 use test_case::test_case;
 
 #[test]
 fn a_valid_reload_switches_discovery_and_an_invalid_one_changes_nothing() {
     let fleet = start_fleet(&[]);
-    fleet.discovery.until_watched();
+    fleet.discovery.wait_for_versioned_watch();
     fleet.daemon.reload(
         "{",
         "configuration reload failed, keeping the running configuration",
@@ -18,23 +20,29 @@
         &wrong.to_string(),
         "setting slow_start.from is out of range: -1",
     );
-    let new = Worker::start(&script(&[]));
-    let discovery = Discovery::start(vec![host("c", &new.dial, "ready")]);
+    let new = Worker::start(&response_queue(&[]));
+    let discovery = Discovery::start(vec![endpoint_json("c", &new.address, "ready")]);
     fleet.daemon.reload(
         &configuration(&discovery.address, 1024).to_string(),
         "a new configuration",
     );
-    discovery.until_watched();
-    assert_eq!(fleet.daemon.client().ask("one", "thumb", 5.0).status, 200);
-    assert_eq!((fleet.attempts(), new.count()), (0, 1));
+    discovery.wait_for_versioned_watch();
+    assert_eq!(
+        fleet.daemon.client().exchange("one", "thumb", 5.0).status,
+        200
+    );
+    assert_eq!((fleet.attempts(), new.request_count()), (0, 1));
     // A further reload switches back to the first service.
     fleet.daemon.reload(
         &configuration(&fleet.discovery.address, 1024).to_string(),
         "a new configuration",
     );
-    fleet.discovery.tell(Vec::new());
-    assert_eq!(fleet.daemon.client().ask("two", "thumb", 5.0).status, 200);
-    assert_eq!((fleet.attempts(), new.count()), (1, 1));
+    fleet.discovery.publish_changes(Vec::new());
+    assert_eq!(
+        fleet.daemon.client().exchange("two", "thumb", 5.0).status,
+        200
+    );
+    assert_eq!((fleet.attempts(), new.request_count()), (1, 1));
 }
 
 #[test_case(None, "PROXY_CONFIG is unset or not UTF-8"; "not named")]
--- a/crates/rosewalld/tests/daemon/connections.rs
+++ b/crates/rosewalld/tests/daemon/connections.rs
@@ -1,7 +1,7 @@
 //! Reuse of connections to clients and workers.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stubs::{
-    Act, Daemon, Discovery, Worker, configuration, host, request, script,
+    Daemon, Discovery, StubResponse, Worker, configuration, endpoint_json, request, response_queue,
 };
 use std::sync::atomic::Ordering;
 
@@ -10,12 +10,15 @@
     let fleet = start_fleet(&[]);
     let mut client = fleet.daemon.client();
     for at in 0..20 {
-        assert_eq!(client.ask(&format!("id{at}"), "thumb", 5.0).status, 200);
+        assert_eq!(
+            client.exchange(&format!("id{at}"), "thumb", 5.0).status,
+            200
+        );
     }
     let opened: u32 = fleet
         .workers
         .iter()
-        .map(|worker| worker.connections.load(Ordering::SeqCst))
+        .map(|worker| worker.accepted_connections.load(Ordering::SeqCst))
         .sum();
     assert!(
         opened <= 2,
@@ -26,15 +29,15 @@
 
 #[test]
 fn a_connection_that_the_worker_has_closed_is_not_reused() {
-    let worker = Worker::start(&script(&[Act::DoneClose]));
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
+    let worker = Worker::start(&response_queue(&[StubResponse::DoneThenClose]));
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
-    assert_eq!(daemon.client().ask("one", "charge", 5.0).status, 200);
-    while worker.ended.load(Ordering::SeqCst) == 0 {
+    daemon.wait_until_ready();
+    assert_eq!(daemon.client().exchange("one", "charge", 5.0).status, 200);
+    while worker.closed_connections.load(Ordering::SeqCst) == 0 {
         std::thread::yield_now();
     }
-    assert_eq!(daemon.client().ask("two", "charge", 5.0).status, 200);
+    assert_eq!(daemon.client().exchange("two", "charge", 5.0).status, 200);
     assert_eq!(daemon.counter("pool_stale"), 1);
 }
 
@@ -42,13 +45,13 @@
 /// sent again.
 #[test]
 fn a_connection_that_breaks_before_the_last_byte_fails_no_request() {
-    let worker = Worker::start(&script(&[Act::DoneStale; 6]));
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
+    let worker = Worker::start(&response_queue(&[StubResponse::DoneThenCloseOnReuse; 6]));
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
+    daemon.wait_until_ready();
     let mut client = daemon.client();
-    let statuses = [0, 1, 2, 3].map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status);
-    assert_eq!((statuses, worker.count()), ([200; 4], 4));
+    let statuses = [0, 1, 2, 3].map(|at| client.exchange(&format!("id{at}"), "charge", 5.0).status);
+    assert_eq!((statuses, worker.request_count()), ([200; 4], 4));
     assert!(daemon.counter("pool_broken") > 0);
     assert_eq!(
         (
@@ -62,16 +65,25 @@
 #[test]
 fn a_connection_to_a_restarted_worker_is_not_reused() {
     let fleet = start_fleet(&[]);
-    fleet.discovery.until_watched();
+    fleet.discovery.wait_for_versioned_watch();
     fleet
         .discovery
-        .tell(vec![host("a", &fleet.workers[0].dial, "gone")]);
-    assert_eq!(fleet.daemon.client().ask("one", "thumb", 5.0).status, 200);
-    let mut restarted = host("b", &fleet.workers[1].dial, "ready");
+        .publish_changes(vec![endpoint_json("a", &fleet.workers[0].address, "gone")]);
+    assert_eq!(
+        fleet.daemon.client().exchange("one", "thumb", 5.0).status,
+        200
+    );
+    let mut restarted = endpoint_json("b", &fleet.workers[1].address, "ready");
     restarted["born_ms"] = 1.into();
-    fleet.discovery.tell(vec![restarted]);
-    assert_eq!(fleet.daemon.client().ask("two", "thumb", 5.0).status, 200);
-    assert_eq!(fleet.workers[1].connections.load(Ordering::SeqCst), 2);
+    fleet.discovery.publish_changes(vec![restarted]);
+    assert_eq!(
+        fleet.daemon.client().exchange("two", "thumb", 5.0).status,
+        200
+    );
+    assert_eq!(
+        fleet.workers[1].accepted_connections.load(Ordering::SeqCst),
+        2
+    );
 }
 
 #[test]
@@ -81,9 +93,12 @@
     let both = request("one", "thumb", 5.0, "Expect: 100-continue\r\n", "first");
     let (head, body) = both.split_at(both.len() - 5);
     client.send(head.as_bytes());
-    assert_eq!(client.answer().unwrap().status, 100);
+    assert_eq!(client.read_response().unwrap().status, 100);
     client.send(body.as_bytes());
     client.send(request("two", "thumb", 5.0, "", "second").as_bytes());
-    let answers = [client.answer().unwrap().body, client.answer().unwrap().body];
+    let answers = [
+        client.read_response().unwrap().body,
+        client.read_response().unwrap().body,
+    ];
     assert_eq!(answers, [b"did first".to_vec(), b"did second".to_vec()]);
 }
--- a/crates/rosewalld/tests/daemon/discovery.rs
+++ b/crates/rosewalld/tests/daemon/discovery.rs
@@ -1,28 +1,33 @@
 //! Endpoint list: watches, draining workers and failures of the discovery service.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stubs::{
-    Daemon, Discovery, Worker, configuration, host, script, vanished_machine,
+    Daemon, Discovery, Worker, configuration, endpoint_json, response_queue, unreachable_address,
 };
 
 #[test]
 fn no_request_goes_to_a_draining_worker() {
     let fleet = start_fleet(&[]);
-    fleet.discovery.until_watched();
-    fleet
-        .discovery
-        .tell(vec![host("a", &fleet.workers[0].dial, "draining")]);
+    fleet.discovery.wait_for_versioned_watch();
+    fleet.discovery.publish_changes(vec![endpoint_json(
+        "a",
+        &fleet.workers[0].address,
+        "draining",
+    )]);
     for at in 0..10 {
         assert_eq!(
             fleet
                 .daemon
                 .client()
-                .ask(&format!("id{at}"), "thumb", 5.0)
+                .exchange(&format!("id{at}"), "thumb", 5.0)
                 .status,
             200
         );
     }
     assert_eq!(
-        (fleet.workers[0].count(), fleet.workers[1].count()),
+        (
+            fleet.workers[0].request_count(),
+            fleet.workers[1].request_count()
+        ),
         (0, 10)
     );
 }
@@ -30,125 +35,137 @@
 #[test]
 fn requests_are_served_while_discovery_is_unreachable() {
     let fleet = start_fleet(&[]);
-    fleet.discovery.until_watched();
-    fleet.discovery.go_down();
-    fleet.daemon.until_counter("watches_failed", 2);
+    fleet.discovery.wait_for_versioned_watch();
+    fleet.discovery.shut_down();
+    fleet.daemon.wait_for_counter("watches_failed", 2);
     assert_eq!(
-        fleet.daemon.client().ask("during", "thumb", 5.0).status,
+        fleet
+            .daemon
+            .client()
+            .exchange("during", "thumb", 5.0)
+            .status,
         200
     );
     // A slow machine sends fewer requests, never more.
     std::thread::sleep(std::time::Duration::from_millis(300));
     assert!(
-        fleet.discovery.calls() < 12,
+        fleet.discovery.watch_count() < 12,
         "the list is requested in a busy loop"
     );
-    let new = Worker::start(&script(&[]));
+    let new = Worker::start(&response_queue(&[]));
     fleet
         .discovery
-        .come_back(vec![host("c", &new.dial, "ready")]);
-    assert_eq!(fleet.daemon.client().ask("after", "thumb", 5.0).status, 200);
-    assert_eq!(new.count(), 1);
+        .restart(vec![endpoint_json("c", &new.address, "ready")]);
+    assert_eq!(
+        fleet.daemon.client().exchange("after", "thumb", 5.0).status,
+        200
+    );
+    assert_eq!(new.request_count(), 1);
 }
 
 /// A watch from the cached version spares the service a snapshot for each dispatcher when all of them start at once.
 #[test]
 fn a_polled_list_is_watched_from_the_cached_version() {
-    let worker = Worker::start(&script(&[]));
+    let worker = Worker::start(&response_queue(&[]));
     let (known, new) = (
-        host("a", &worker.dial, "ready"),
-        Worker::start(&script(&[])),
+        endpoint_json("a", &worker.address, "ready"),
+        Worker::start(&response_queue(&[])),
     );
     let discovery = Discovery::start(vec![known.clone()]);
     let mut configuration = configuration(&discovery.address, 1024);
     configuration["settings"]["RegistryMode"] = "on_request".into();
     configuration["known"] = serde_json::json!({"seq": 1, "whole": true, "hosts": [known]});
     let daemon = Daemon::start(&configuration);
-    discovery.until_watched();
-    assert_eq!(discovery.calls(), 1);
-    discovery.go_down();
-    daemon.until_counter("watches_failed", 1);
-    discovery.come_back(vec![host("b", &new.dial, "ready")]);
-    discovery.tell(vec![host("a", &worker.dial, "draining")]);
-    assert_eq!(daemon.client().ask("id", "thumb", 5.0).status, 200);
-    assert_eq!((worker.count(), new.count()), (0, 1));
+    discovery.wait_for_versioned_watch();
+    assert_eq!(discovery.watch_count(), 1);
+    discovery.shut_down();
+    daemon.wait_for_counter("watches_failed", 1);
+    discovery.restart(vec![endpoint_json("b", &new.address, "ready")]);
+    discovery.publish_changes(vec![endpoint_json("a", &worker.address, "draining")]);
+    assert_eq!(daemon.client().exchange("id", "thumb", 5.0).status, 200);
+    assert_eq!((worker.request_count(), new.request_count()), (0, 1));
 }
 
 /// A watch from a version that the service has not reached would miss the changes before that version.
 #[test]
 fn a_snapshot_is_requested_when_the_version_of_the_service_decreases() {
-    let worker = Worker::start(&script(&[]));
-    let discovery = Discovery::start(vec![host("b", &worker.dial, "ready")]);
+    let worker = Worker::start(&response_queue(&[]));
+    let discovery = Discovery::start(vec![endpoint_json("b", &worker.address, "ready")]);
     let mut configuration = configuration(&discovery.address, 1024);
     configuration["settings"]["RegistryMode"] = "on_request".into();
-    let known = host("a", "127.0.0.1:1", "draining");
+    let known = endpoint_json("a", "127.0.0.1:1", "draining");
     configuration["known"] = serde_json::json!({"seq": 9, "whole": true, "hosts": [known]});
     let daemon = Daemon::start(&configuration);
-    daemon.until_counter("lists", 2);
-    assert_eq!(daemon.client().ask("id", "thumb", 5.0).status, 200);
+    daemon.wait_for_counter("lists", 2);
+    assert_eq!(daemon.client().exchange("id", "thumb", 5.0).status, 200);
 }
 
 /// The old watch continues until the new one has received its first list.
 #[test]
 fn a_drain_is_applied_while_the_new_discovery_address_does_not_answer() {
     let fleet = start_fleet(&[]);
-    let (_listener, (silent_address, _queue)) = vanished_machine();
+    let (_listener, (silent_address, _queue)) = unreachable_address();
     fleet.daemon.reload(
         &configuration(&silent_address, 1024).to_string(),
         "a new configuration: discovery at",
     );
     let lists = fleet.daemon.counter("lists");
     let [a, b] = &fleet.workers;
-    fleet.discovery.tell(vec![
-        host("a", &a.dial, "draining"),
-        host("b", &b.dial, "ready"),
+    fleet.discovery.publish_changes(vec![
+        endpoint_json("a", &a.address, "draining"),
+        endpoint_json("b", &b.address, "ready"),
     ]);
-    fleet.daemon.until_counter("lists", lists + 1);
+    fleet.daemon.wait_for_counter("lists", lists + 1);
     let mut client = fleet.daemon.client();
     for at in 0..6 {
-        assert_eq!(client.ask(&format!("id{at}"), "charge", 5.0).status, 200);
+        assert_eq!(
+            client.exchange(&format!("id{at}"), "charge", 5.0).status,
+            200
+        );
     }
-    assert_eq!((a.count(), b.count()), (0, 6));
+    assert_eq!((a.request_count(), b.request_count()), (0, 6));
 }
 
 #[test]
 fn a_malformed_list_is_ignored_and_a_snapshot_fetched() {
     let fleet = start_fleet(&[]);
-    fleet.discovery.until_watched();
+    fleet.discovery.wait_for_versioned_watch();
     fleet
         .discovery
-        .garble("{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"a\"}]}");
+        .send_malformed_list("{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"a\"}]}");
     assert_eq!(fleet.daemon.counter("lists_malformed"), 1);
-    assert_eq!(fleet.daemon.client().ask("id", "thumb", 5.0).status, 200);
+    assert_eq!(
+        fleet.daemon.client().exchange("id", "thumb", 5.0).status,
+        200
+    );
 }
 
 #[test]
 fn a_cached_list_makes_the_daemon_ready_without_discovery() {
     let discovery = Discovery::start(Vec::new());
-    discovery.go_down();
+    discovery.shut_down();
     let mut configuration = configuration(&discovery.address, 1024);
     assert_eq!(Daemon::start(&configuration).client().get("/healthz"), 503);
-    let worker = Worker::start(&script(&[]));
-    configuration["known"] =
-        serde_json::json!({"seq": 1, "whole": true, "hosts": [host("a", &worker.dial, "ready")]});
+    let worker = Worker::start(&response_queue(&[]));
+    configuration["known"] = serde_json::json!({"seq": 1, "whole": true, "hosts": [endpoint_json("a", &worker.address, "ready")]});
     let daemon = Daemon::start(&configuration);
     assert_eq!(daemon.client().get("/healthz"), 200);
-    assert_eq!(daemon.client().ask("id", "thumb", 5.0).status, 200);
+    assert_eq!(daemon.client().exchange("id", "thumb", 5.0).status, 200);
 }
 
 /// The size limit of a list admits the largest fleets of the operators' trials.
 #[test]
 fn a_list_of_a_thousand_workers_is_served() {
-    let worker = Worker::start(&script(&[]));
+    let worker = Worker::start(&response_queue(&[]));
     let hosts = (0..1_024)
-        .map(|at| host(&format!("w{at}"), &worker.dial, "ready"))
+        .map(|at| endpoint_json(&format!("w{at}"), &worker.address, "ready"))
         .collect();
     let discovery = Discovery::start(hosts);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
+    daemon.wait_until_ready();
     let mut client = daemon.client();
     let statuses: Vec<u16> = (0..20)
-        .map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status)
+        .map(|at| client.exchange(&format!("id{at}"), "charge", 5.0).status)
         .collect();
     assert_eq!(statuses, [200; 20]);
 }
--- a/crates/rosewalld/tests/daemon/invalid_requests.rs
+++ b/crates/rosewalld/tests/daemon/invalid_requests.rs
@@ -37,11 +37,17 @@
             .replace("LARGE", &"x".repeat(65_537))
             .as_bytes(),
     );
-    assert_eq!(client.answer().map(|answer| answer.status), Some(status));
+    assert_eq!(
+        client.read_response().map(|answer| answer.status),
+        Some(status)
+    );
     assert!(client.is_closed());
     assert_eq!(
         (fleet.daemon.counter("requests_malformed"), fleet.attempts()),
         (1, 0)
     );
-    assert_eq!(fleet.daemon.client().ask("next", "thumb", 5.0).status, 200);
+    assert_eq!(
+        fleet.daemon.client().exchange("next", "thumb", 5.0).status,
+        200
+    );
 }
--- a/crates/rosewalld/tests/daemon/limits.rs
+++ b/crates/rosewalld/tests/daemon/limits.rs
@@ -1,7 +1,8 @@
 //! Limits on descriptors, request time and log lines, under many connections, invalid requests and signals.
 use crate::start_fleet;
 use rosewall_cluster_testbed::stubs::{
-    Act, Client, Daemon, Discovery, Worker, configuration, host, request, script,
+    Client, Daemon, Discovery, StubResponse, Worker, configuration, endpoint_json, request,
+    response_queue,
 };
 use std::io::Write;
 use test_case::test_case;
@@ -9,15 +10,22 @@
 #[test_case("", 40; "by the configured limit")]
 #[test_case("ulimit -n 24", 1024; "by the limit of the system")]
 fn idle_clients_are_closed_where_descriptors_run_out(shell_command: &str, sockets: usize) {
-    let script = script(&[]);
-    let worker = Worker::start(&script);
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
-    let daemon = Daemon::start_under(shell_command, &configuration(&discovery.address, sockets));
-    daemon.until_ready();
+    let response_queue = response_queue(&[]);
+    let worker = Worker::start(&response_queue);
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "ready")]);
+    let daemon = Daemon::start_after_shell_command(
+        shell_command,
+        &configuration(&discovery.address, sockets),
+    );
+    daemon.wait_until_ready();
     let mut clients: Vec<Client> = (0..40).map(|_| daemon.client()).collect();
     // The system has accepted all of them. The last one is served once the oldest idle ones have been closed.
     assert_eq!(
-        clients.last_mut().unwrap().ask("id", "thumb", 15.0).status,
+        clients
+            .last_mut()
+            .unwrap()
+            .exchange("id", "thumb", 15.0)
+            .status,
         200
     );
     assert!(daemon.counter("clients_idle_closed") > 0);
@@ -35,8 +43,11 @@
             std::thread::sleep(std::time::Duration::from_millis(100));
         }
     });
-    assert_eq!(fleet.daemon.client().ask("id", "thumb", 5.0).status, 200);
-    assert_eq!(slow.answer().map(|answer| answer.status), Some(408));
+    assert_eq!(
+        fleet.daemon.client().exchange("id", "thumb", 5.0).status,
+        200
+    );
+    assert_eq!(slow.read_response().map(|answer| answer.status), Some(408));
 }
 
 #[test]
@@ -46,7 +57,7 @@
     (0..60).for_each(|_| assert_eq!(fleet.daemon.client().get("/other"), 405));
     assert_eq!(fleet.daemon.counter("requests_malformed"), 60);
     let seconds = started_at.elapsed().as_secs() as usize;
-    assert!((1..=2 + seconds).contains(&fleet.daemon.lines("a request was refused")));
+    assert!((1..=2 + seconds).contains(&fleet.daemon.line_count("a request was refused")));
 }
 
 #[test_case("", None; "silent")]
@@ -58,23 +69,26 @@
     let mut idle = fleet.daemon.client();
     idle.send(text.as_bytes());
     let started_at = std::time::Instant::now();
-    assert_eq!(idle.answer().map(|answer| answer.status), status);
+    assert_eq!(idle.read_response().map(|answer| answer.status), status);
     assert!(started_at.elapsed().as_secs() < 10 && idle.is_closed());
-    assert_eq!(served.ask("id", "thumb", 5.0).status, 200);
+    assert_eq!(served.exchange("id", "thumb", 5.0).status, 200);
 }
 
 #[test]
 fn incomplete_requests_block_no_new_client() {
-    let worker = Worker::start(&script(&[]));
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
+    let worker = Worker::start(&response_queue(&[]));
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 64));
-    daemon.until_ready();
-    assert_eq!(daemon.client().ask("before", "thumb", 20.0).status, 200);
+    daemon.wait_until_ready();
+    assert_eq!(
+        daemon.client().exchange("before", "thumb", 20.0).status,
+        200
+    );
     let mut incomplete: Vec<Client> = (0..300).map(|_| daemon.client()).collect();
     incomplete
         .iter_mut()
         .for_each(|client| client.send(b"POST "));
-    assert_eq!(daemon.client().ask("after", "thumb", 20.0).status, 200);
+    assert_eq!(daemon.client().exchange("after", "thumb", 20.0).status, 200);
     // Descriptors were freed by closing clients, not the connection to the worker.
     assert_eq!(
         (daemon.counter("connects"), daemon.counter("pool_evicted")),
@@ -84,10 +98,10 @@
 
 #[test]
 fn an_attempt_without_a_descriptor_counts_as_not_sent() {
-    let worker = Worker::start(&script(&[Act::Silent; 8]));
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
+    let worker = Worker::start(&response_queue(&[StubResponse::NoResponse; 8]));
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 32 + 10));
-    daemon.until_ready();
+    daemon.wait_until_ready();
     let ask = |at| {
         let mut client = daemon.client();
         // Without a hint, the expected service time of a class that never ran is its latency objective, 0.9 s here. The
@@ -98,14 +112,14 @@
     };
     // The attempts of disconnected clients continue, so that there are more attempts than clients.
     let disconnecting: Vec<Client> = (0..5).map(ask).collect();
-    while worker.count() < 5 {
+    while worker.request_count() < 5 {
         std::thread::yield_now();
     }
     drop(disconnecting);
-    daemon.until_counter("clients_disconnected", 5);
+    daemon.wait_for_counter("clients_disconnected", 5);
     let _silent = [ask(5), ask(6)];
-    daemon.until_counter("connects", 7);
-    assert_eq!(ask(7).answer().unwrap().status, 503);
+    daemon.wait_for_counter("connects", 7);
+    assert_eq!(ask(7).read_response().unwrap().status, 503);
     assert_eq!(
         (
             daemon.counter("attempts_connect_failed"),
@@ -117,13 +131,13 @@
 
 #[test]
 fn an_unread_log_delays_no_request() {
-    let worker = Worker::start(&script(&[]));
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
-    let mut daemon = Daemon::start_unread(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
+    let worker = Worker::start(&response_queue(&[]));
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "ready")]);
+    let mut daemon = Daemon::start_with_unread_log(&configuration(&discovery.address, 1024));
+    daemon.wait_until_ready();
     // Many more lines than a pipe buffers.
-    daemon.signals("USR1", 800);
-    assert_eq!(daemon.client().ask("id", "thumb", 5.0).status, 200);
+    daemon.signal_repeatedly("USR1", 800);
+    assert_eq!(daemon.client().exchange("id", "thumb", 5.0).status, 200);
     daemon.signal("TERM");
-    assert_eq!(daemon.exit(), Some(0));
+    assert_eq!(daemon.wait_for_exit(), Some(0));
 }
--- a/crates/rosewalld/tests/daemon/main.rs
+++ b/crates/rosewalld/tests/daemon/main.rs
@@ -9,26 +9,29 @@
 mod shutdown;
 
 use rosewall_cluster_testbed::stubs::{
-    Act, Daemon, Discovery, Worker, configuration, host, script,
+    Daemon, Discovery, StubResponse, Worker, configuration, endpoint_json, response_queue,
 };
 
-/// Two workers that follow one script, an endpoint list with both, and the daemon.
+/// Two workers that share one response queue, an endpoint list with both, and the daemon.
 struct Fleet {
     workers: [Worker; 2],
     discovery: Discovery,
     daemon: Daemon,
 }
 
-fn start_fleet(acts: &[Act]) -> Fleet {
-    let script = script(acts);
-    let workers = [Worker::start(&script), Worker::start(&script)];
+fn start_fleet(responses: &[StubResponse]) -> Fleet {
+    let response_queue = response_queue(responses);
+    let workers = [
+        Worker::start(&response_queue),
+        Worker::start(&response_queue),
+    ];
     let hosts = vec![
-        host("a", &workers[0].dial, "ready"),
-        host("b", &workers[1].dial, "ready"),
+        endpoint_json("a", &workers[0].address, "ready"),
+        endpoint_json("b", &workers[1].address, "ready"),
     ];
     let discovery = Discovery::start(hosts);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
+    daemon.wait_until_ready();
     Fleet {
         workers,
         discovery,
@@ -39,6 +42,6 @@
 impl Fleet {
     /// Returns the number of attempts that reached the workers.
     fn attempts(&self) -> usize {
-        self.workers.iter().map(Worker::count).sum()
+        self.workers.iter().map(Worker::request_count).sum()
     }
 }
--- a/crates/rosewalld/tests/daemon/rolling_upgrade.rs
+++ b/crates/rosewalld/tests/daemon/rolling_upgrade.rs
@@ -1,6 +1,7 @@
 //! Rolling upgrade: dispatchers with and without load reports share the same workers.
 use rosewall_cluster_testbed::stubs::{
-    Client, Daemon, Discovery, configuration, field, host, listen, message, request,
+    Client, Daemon, Discovery, configuration, endpoint_json, header_field, listen, read_message,
+    request,
 };
 use serde_json::Value;
 use std::io::{BufReader, Read, Write};
@@ -36,7 +37,7 @@
 type Worker = Arc<(Mutex<WorkerState>, Condvar)>;
 
 fn serve((state, changed): &(Mutex<WorkerState>, Condvar), mut stream: &TcpStream) -> Option<()> {
-    let id = field(&message(&mut BufReader::new(stream))?.0, "request-id")?;
+    let id = header_field(&read_message(&mut BufReader::new(stream))?.0, "request-id")?;
     let mut locked = state.lock().unwrap();
     locked.received_at.push(Instant::now());
     if locked.hangs {
@@ -82,7 +83,7 @@
         let sent_at = Instant::now();
         let hint = format!("Work-Hint: {}\r\n", SERVICE_TIME.as_micros());
         client.send(request(&format!("{name}-{class}-{n}"), class, 1.5, &hint, "").as_bytes());
-        let status = client.answer().expect("request not answered").status;
+        let status = client.read_response().expect("request not answered").status;
         RequestResult {
             succeeded: status == 200,
             seconds: sent_at.elapsed().as_secs_f64(),
@@ -165,7 +166,7 @@
         sleep(Duration::from_millis(1_000));
         workers[HANGING].0.lock().unwrap().hangs = true;
         sleep(Duration::from_millis(1_000));
-        discovery.tell(vec![endpoint(DRAINING, "draining")]);
+        discovery.publish_changes(vec![endpoint(DRAINING, "draining")]);
         let drained_at = Instant::now();
         workers[HANGING].0.lock().unwrap().hangs = false;
         sleep(Duration::from_millis(500));
@@ -173,7 +174,7 @@
         let joined_at = Instant::now();
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
         warming["born_ms"] = (unix_time.as_millis() as u64).into();
-        discovery.tell(vec![warming]);
+        discovery.publish_changes(vec![warming]);
         let mut results = [Vec::new(), Vec::new()];
         for (n, client) in clients.into_iter().enumerate() {
             results[n % 2].extend(client.join().unwrap());
@@ -281,8 +282,9 @@
         listen(move |stream| serve(&worker, stream))
     };
     let dials: Vec<String> = workers.iter().map(listen).collect();
-    let endpoint =
-        |at: usize, health: &str| host(["a", "b", "c", "d", "e", "f"][at], &dials[at], health);
+    let endpoint = |at: usize, health: &str| {
+        endpoint_json(["a", "b", "c", "d", "e", "f"][at], &dials[at], health)
+    };
     let discovery = Discovery::start((0..WARMING).map(|at| endpoint(at, "ready")).collect());
     let peers: Vec<String> = (0..DISPATCHERS).map(|_| free_address()).collect();
     let upgraded = Upgraded {
@@ -292,7 +294,7 @@
     let daemons: Vec<Daemon> = (0..DISPATCHERS)
         .map(|number| start_dispatcher(number, &discovery.address, &peers, upgraded))
         .collect();
-    daemons.iter().for_each(Daemon::until_ready);
+    daemons.iter().for_each(Daemon::wait_until_ready);
 
     let run = run_with_changes(&daemons, &workers, &discovery, endpoint);
 
--- a/crates/rosewalld/tests/daemon/shutdown.rs
+++ b/crates/rosewalld/tests/daemon/shutdown.rs
@@ -1,10 +1,14 @@
 //! Graceful shutdown at SIGTERM.
 use crate::start_fleet;
-use rosewall_cluster_testbed::stubs::{Act, counter_in, request};
+use rosewall_cluster_testbed::stubs::{StubResponse, counter_in, request};
 
 #[test]
 fn shutdown_answers_active_requests_and_closes_the_listener() {
-    let mut fleet = start_fleet(&[Act::Later(300), Act::Silent, Act::Silent]);
+    let mut fleet = start_fleet(&[
+        StubResponse::DoneAfterMs(300),
+        StubResponse::NoResponse,
+        StubResponse::NoResponse,
+    ]);
     let (mut soon, mut never, mut idle) = (
         fleet.daemon.client(),
         fleet.daemon.client(),
@@ -12,15 +16,15 @@
     );
     assert_eq!(idle.get("/healthz"), 200);
     soon.send(request("soon", "charge", 60.0, "", "x").as_bytes());
-    fleet.daemon.until_counter("attempts", 1);
+    fleet.daemon.wait_for_counter("attempts", 1);
     never.send(request("never", "charge", 60.0, "", "x").as_bytes());
-    fleet.daemon.until_counter("attempts", 2);
+    fleet.daemon.wait_for_counter("attempts", 2);
     // An attempt that times out is retried, but not at the end of the shutdown.
     let mut again = fleet.daemon.client();
     again.send(request("again", "thumb", 60.0, "", "x").as_bytes());
-    fleet.daemon.until_counter("attempts", 3);
+    fleet.daemon.wait_for_counter("attempts", 3);
     fleet.daemon.signal("TERM");
-    let answer_of_soon = soon.answer().unwrap();
+    let answer_of_soon = soon.read_response().unwrap();
     assert_eq!(
         (
             answer_of_soon.status,
@@ -28,7 +32,7 @@
         ),
         (200, true)
     );
-    let answer_of_never = never.answer().unwrap();
+    let answer_of_never = never.read_response().unwrap();
     assert_eq!(
         (
             answer_of_never.status,
@@ -36,9 +40,12 @@
         ),
         (502, true)
     );
-    assert_eq!((again.answer().unwrap().status, fleet.attempts()), (503, 3));
+    assert_eq!(
+        (again.read_response().unwrap().status, fleet.attempts()),
+        (503, 3)
+    );
     assert!(idle.is_closed());
-    let (code, counters) = fleet.daemon.ended();
+    let (code, counters) = fleet.daemon.wait_for_exit_and_counters();
     let count = |name| counter_in(&counters, name);
     assert_eq!(
         (
@@ -55,21 +62,21 @@
 
 #[test]
 fn connections_during_shutdown_are_served_and_closed() {
-    let mut fleet = start_fleet(&[Act::Silent]);
+    let mut fleet = start_fleet(&[StubResponse::NoResponse]);
     let mut active = fleet.daemon.client();
     active.send(request("active", "charge", 60.0, "", "x").as_bytes());
-    fleet.daemon.until_counter("attempts", 1);
+    fleet.daemon.wait_for_counter("attempts", 1);
     fleet.daemon.signal("TERM");
     // The signal is handled after a delay; a client that connects before then is served as usual.
     let status = (0..200)
         .map(|_| fleet.daemon.client().get("/healthz"))
         .find(|status| *status != 200);
     assert_eq!(status, Some(503));
-    let answer = fleet.daemon.client().ask("late", "thumb", 5.0);
+    let answer = fleet.daemon.client().exchange("late", "thumb", 5.0);
     assert_eq!(
         (answer.status, answer.head.contains("Connection: close")),
         (200, true)
     );
-    assert_eq!(active.answer().unwrap().status, 502);
-    assert_eq!(fleet.daemon.ended().0, Some(0));
+    assert_eq!(active.read_response().unwrap().status, 502);
+    assert_eq!(fleet.daemon.wait_for_exit_and_counters().0, Some(0));
 }
--- a/crates/rosewalld/tests/teardown.rs
+++ b/crates/rosewalld/tests/teardown.rs
@@ -1,7 +1,8 @@
 //! Races at teardown: a worker, client, connection or discovery agent ends while an answer or a rule still depends on it.
 //! Test stubs force each race. See `docs/ends.md`.
 use rosewall_cluster_testbed::stubs::{
-    Act, Daemon, Discovery, Worker, configuration, host, request, script, vanished_machine,
+    Daemon, Discovery, StubResponse, Worker, configuration, endpoint_json, request, response_queue,
+    unreachable_address,
 };
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -14,17 +15,23 @@
 fn assert_first_worker_is_avoided(daemon: &Daemon, workers: &[Worker]) {
     let mut client = daemon.client();
     for at in 0..6 {
-        assert_eq!(client.ask(&format!("after{at}"), "charge", 5.0).status, 200);
+        assert_eq!(
+            client.exchange(&format!("after{at}"), "charge", 5.0).status,
+            200
+        );
     }
-    assert_eq!((workers[0].count(), workers[1].count()), (0, 6));
+    assert_eq!(
+        (workers[0].request_count(), workers[1].request_count()),
+        (0, 6)
+    );
 }
 
-/// Starts the daemon with one worker, which follows a script.
-fn start_with_one_worker(acts: &[Act]) -> (Worker, Daemon) {
-    let worker = Worker::start(&script(acts));
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "ready")]);
+/// Starts the daemon with one worker, which sends these responses.
+fn start_with_one_worker(responses: &[StubResponse]) -> (Worker, Daemon) {
+    let worker = Worker::start(&response_queue(responses));
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 1024));
-    daemon.until_ready();
+    daemon.wait_until_ready();
     (worker, daemon)
 }
 
@@ -36,17 +43,17 @@
 
 impl Fleet {
     fn new(mode: &str) -> Fleet {
-        let workers = [(); 2].map(|()| Worker::start(&script(&[])));
+        let workers = [(); 2].map(|()| Worker::start(&response_queue(&[])));
         let hosts = ["a", "b"]
             .iter()
             .zip(&workers)
-            .map(|(name, worker)| host(name, &worker.dial, "ready"));
+            .map(|(name, worker)| endpoint_json(name, &worker.address, "ready"));
         let discovery = Discovery::start(hosts.collect());
         let mut config = configuration(&discovery.address, 1024);
         config["settings"]["RegistryMode"] = mode.into();
         let daemon = Daemon::start(&config);
-        daemon.until_ready();
-        discovery.until_watched();
+        daemon.wait_until_ready();
+        discovery.wait_for_versioned_watch();
         Fleet {
             workers,
             discovery,
@@ -56,8 +63,11 @@
 
     fn drain_first_worker(&self, discovery: &Discovery) {
         let [a, b] = &self.workers;
-        let hosts = vec![host("a", &a.dial, "draining"), host("b", &b.dial, "ready")];
-        discovery.put(hosts.clone(), hosts);
+        let hosts = vec![
+            endpoint_json("a", &a.address, "draining"),
+            endpoint_json("b", &b.address, "ready"),
+        ];
+        discovery.publish(hosts.clone(), hosts);
     }
 }
 
@@ -67,10 +77,10 @@
 #[test_case("on_request", 22; "a polled list")]
 fn a_drain_missed_by_a_silent_watch_is_applied_in_time(mode: &str, seconds: u64) {
     let fleet = Fleet::new(mode);
-    fleet.discovery.fall_silent();
+    fleet.discovery.abandon_open_watches();
     let started_at = Instant::now();
     fleet.drain_first_worker(&fleet.discovery);
-    fleet.discovery.until_followed();
+    fleet.discovery.wait_until_list_is_read();
     assert!(
         started_at.elapsed() < Duration::from_secs(seconds),
         "list applied after {:?}",
@@ -85,22 +95,22 @@
 #[test_case(true; "the agent of a new configuration")]
 fn a_drain_is_applied_soon_after_a_discovery_agent_has_recovered(moves: bool) {
     let fleet = Fleet::new("pushed");
-    let other = Discovery::start(vec![host("a", &fleet.workers[0].dial, "ready")]);
+    let other = Discovery::start(vec![endpoint_json("a", &fleet.workers[0].address, "ready")]);
     let discovery = if moves { &other } else { &fleet.discovery };
-    discovery.go_deaf();
-    let calls = discovery.calls();
+    discovery.stop_responding();
+    let calls = discovery.watch_count();
     if moves {
         fleet.daemon.reload(
             &configuration(&other.address, 1024).to_string(),
             "a new configuration",
         );
     }
-    discovery.fall_silent();
-    discovery.until_called(calls + 6);
+    discovery.abandon_open_watches();
+    discovery.wait_for_watches(calls + 6);
     fleet.drain_first_worker(discovery);
-    discovery.come_to();
+    discovery.resume_responding();
     let started_at = Instant::now();
-    discovery.until_followed();
+    discovery.wait_until_list_is_read();
     assert!(
         started_at.elapsed() < Duration::from_millis(350),
         "list applied after {:?}",
@@ -113,10 +123,10 @@
 #[test]
 fn a_truncated_list_is_requested_again_at_once() {
     let fleet = Fleet::new("pushed");
-    fleet.discovery.cut_next();
+    fleet.discovery.truncate_next_response();
     fleet.drain_first_worker(&fleet.discovery);
     let started_at = Instant::now();
-    fleet.discovery.until_followed();
+    fleet.discovery.wait_until_list_is_read();
     assert!(
         started_at.elapsed() < Duration::from_secs(1),
         "list applied after {:?}",
@@ -128,21 +138,21 @@
 #[test_case("draining")]
 #[test_case("gone")]
 fn an_attempt_whose_worker_drains_while_it_connects_is_not_sent(health: &str) {
-    let (listener, (dial, queue)) = vanished_machine();
-    let worker = Worker::start(&script(&[]));
-    let discovery = Discovery::start(vec![host("a", &dial, "ready")]);
+    let (listener, (dial, queue)) = unreachable_address();
+    let worker = Worker::start(&response_queue(&[]));
+    let discovery = Discovery::start(vec![endpoint_json("a", &dial, "ready")]);
     let mut config = configuration(&discovery.address, 1024);
     // Longer than the 1 s after which the system retries a connection.
     config["settings"]["Bounds"]["ConnectTimeoutNs"] = 8_000_000_000_u64.into();
     let daemon = Daemon::start(&config);
-    daemon.until_ready();
-    discovery.until_watched();
+    daemon.wait_until_ready();
+    discovery.wait_for_versioned_watch();
     let mut client = daemon.client();
     client.send(request("id", "charge", 20.0, "", "a body").as_bytes());
-    daemon.until_counter("connects", 1);
-    discovery.tell(vec![
-        host("a", &dial, health),
-        host("b", &worker.dial, "ready"),
+    daemon.wait_for_counter("connects", 1);
+    discovery.publish_changes(vec![
+        endpoint_json("a", &dial, health),
+        endpoint_json("b", &worker.address, "ready"),
     ]);
     let local = queue
         .iter()
@@ -159,7 +169,13 @@
         Some(0),
         "sent to a worker that is {health}"
     );
-    assert_eq!((client.answer().unwrap().status, worker.count()), (200, 1));
+    assert_eq!(
+        (
+            client.read_response().unwrap().status,
+            worker.request_count()
+        ),
+        (200, 1)
+    );
 }
 
 /// The request is pending because no worker is ready. Its client sends more bytes and disconnects. The end of the stream
@@ -172,16 +188,16 @@
     memory_mb: u64,
     more: usize,
 ) {
-    let worker = Worker::start(&script(&[]));
-    let discovery = Discovery::start(vec![host("a", &worker.dial, "draining")]);
+    let worker = Worker::start(&response_queue(&[]));
+    let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "draining")]);
     let mut config = configuration(&discovery.address, 1024);
     config["limits"]["memory_mb"] = memory_mb.into();
     let daemon = Daemon::start(&config);
-    daemon.until_ready();
-    discovery.until_watched();
+    daemon.wait_until_ready();
+    discovery.wait_for_versioned_watch();
     let mut client = daemon.client();
     client.send(request("pending", "charge", 15.0, "", &"x".repeat(60_000)).as_bytes());
-    daemon.until_counter("requests", 1);
+    daemon.wait_for_counter("requests", 1);
     let next = request("ahead", "charge", 15.0, "", &"x".repeat(60_000));
     let stream = client.reader.get_mut();
     stream
@@ -196,10 +212,13 @@
             "the disconnection was not detected in time"
         );
     }
-    discovery.tell(vec![host("a", &worker.dial, "ready")]);
-    assert_eq!(daemon.client().ask("next", "thumb", 5.0).status, 200);
+    discovery.publish_changes(vec![endpoint_json("a", &worker.address, "ready")]);
+    assert_eq!(daemon.client().exchange("next", "thumb", 5.0).status, 200);
     assert_eq!(
-        (worker.count(), daemon.counter("invariant_violations")),
+        (
+            worker.request_count(),
+            daemon.counter("invariant_violations")
+        ),
         (1, 0)
     );
 }
@@ -207,14 +226,14 @@
 /// Requests that were read completely are answered; the remaining ones are refused with one response.
 #[test]
 fn complete_pipelined_requests_are_answered_and_the_rest_is_refused() {
-    let (_worker, daemon) = start_with_one_worker(&[Act::Later(300)]);
+    let (_worker, daemon) = start_with_one_worker(&[StubResponse::DoneAfterMs(300)]);
     let mut client = daemon.client();
     client.send(request("id0", "thumb", 5.0, "", "x").as_bytes());
-    daemon.until_counter("attempts_started", 1);
+    daemon.wait_for_counter("attempts_started", 1);
     (1..6).for_each(|at| {
         client.send(request(&format!("id{at}"), "thumb", 5.0, "", &"x".repeat(30_000)).as_bytes())
     });
-    let statuses: Vec<u16> = std::iter::from_fn(|| client.answer())
+    let statuses: Vec<u16> = std::iter::from_fn(|| client.read_response())
         .map(|answer| answer.status)
         .collect();
     assert!(statuses.len() > 2 && statuses.len() < 6, "{statuses:?}");
@@ -227,14 +246,14 @@
 
 #[test]
 fn an_endless_answer_fails_its_request_and_delays_no_other() {
-    let (worker, daemon) = start_with_one_worker(&[Act::Endless]);
+    let (worker, daemon) = start_with_one_worker(&[StubResponse::EndlessProgress]);
     let (mut client, started_at) = (daemon.client(), Instant::now());
     client.send(request("endless", "charge", 2.0, "", "").as_bytes());
-    while worker.count() == 0 {
+    while worker.request_count() == 0 {
         std::thread::yield_now();
     }
-    assert_eq!(daemon.client().ask("beside", "thumb", 1.0).status, 200);
-    assert_eq!(client.answer().unwrap().status, 502);
+    assert_eq!(daemon.client().exchange("beside", "thumb", 1.0).status, 200);
+    assert_eq!(client.read_response().unwrap().status, 502);
     assert!(
         started_at.elapsed() < Duration::from_millis(2_050),
         "answered after {:?}",
@@ -244,10 +263,14 @@
 
 #[test]
 fn a_connection_with_data_after_the_last_line_is_closed() {
-    let (worker, daemon) = start_with_one_worker(&[Act::DoneEndless]);
-    assert_eq!(daemon.client().ask("id", "charge", 5.0).status, 200);
+    let (worker, daemon) = start_with_one_worker(&[StubResponse::DoneThenEndlessProgress]);
+    assert_eq!(daemon.client().exchange("id", "charge", 5.0).status, 200);
     let answered = Instant::now();
-    while worker.ended.load(std::sync::atomic::Ordering::SeqCst) == 0 {
+    while worker
+        .closed_connections
+        .load(std::sync::atomic::Ordering::SeqCst)
+        == 0
+    {
         assert!(
             answered.elapsed() < Duration::from_secs(2),
             "the connection is still open"
@@ -260,11 +283,11 @@
 /// and the request would be retried.
 #[test]
 fn a_second_answer_is_not_matched_to_the_next_request() {
-    let (worker, daemon) = start_with_one_worker(&[Act::DoneTwice; 8]);
+    let (worker, daemon) = start_with_one_worker(&[StubResponse::DoneThenNotStarted; 8]);
     let mut client = daemon.client();
-    let statuses = [0, 1, 2, 3].map(|at| client.ask(&format!("id{at}"), "charge", 5.0).status);
+    let statuses = [0, 1, 2, 3].map(|at| client.exchange(&format!("id{at}"), "charge", 5.0).status);
     assert_eq!(
-        (statuses, worker.count()),
+        (statuses, worker.request_count()),
         ([200; 4], 4),
         "a request ran more than once"
     );
