--- a/crates/cluster-testbed/src/scenario/draw.rs
+++ b/crates/cluster-testbed/src/scenario/draw.rs
@@ -4,11 +4,11 @@
 use rosewall::pcg::Pcg;
 
 /// Separates the draws of scenarios from those of a run with the same seed.
-const STREAM: u64 = 0x72_6967;
+const SEED_SALT: u64 = 0x72_6967;
 
-struct Draw(Pcg);
+struct Generator(Pcg);
 
-impl Draw {
+impl Generator {
     fn below(&mut self, limit: u64) -> u64 {
         (self.0.unit() * limit as f64) as u64
     }
@@ -99,12 +99,14 @@
 impl Scenario {
     /// The scenario of a seed: a small fleet, workers that join cold, and up to four more faults of any kind.
     pub fn generate(seed: u64) -> Scenario {
-        let mut draw = Draw(Pcg::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ STREAM));
-        let fleet = draw.fleet();
-        let load = draw.load();
-        let slow_start = draw.slow_start();
-        let links = draw.links();
-        let faults = draw.faults(&fleet);
+        let mut generator = Generator(Pcg::new(
+            seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ SEED_SALT,
+        ));
+        let fleet = generator.fleet();
+        let load = generator.load();
+        let slow_start = generator.slow_start();
+        let links = generator.links();
+        let faults = generator.faults(&fleet);
         Scenario {
             name: format!("drawn {seed}"),
             seed,
