--- a/crates/cluster-testbed/src/scenario.rs
+++ b/crates/cluster-testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: the fleet, the load, the clocks, the links between dispatchers, and the faults with their times.
+//! Scenarios of the testbed: fleet, load, clock skew, links between dispatchers, and timed faults.
 mod draw;
 mod fault;
 
@@ -15,55 +15,55 @@
 const MAX_CLIENTS: usize = 16;
 const MAX_SECONDS: usize = 300;
 
-/// What the testbed runs.
+/// Scenario that the testbed runs. A missing key has the default value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// Its name in reports.
+    /// Name in reports.
     pub name: String,
-    /// The seed of all that is random.
+    /// Seed of the random numbers of the run.
     pub seed: u64,
-    /// How long clients send requests.
+    /// Duration in seconds for which clients send requests: above 0, up to 300.
     pub seconds: f64,
-    /// The processes.
+    /// Dispatchers and workers.
     pub fleet: Fleet,
-    /// The clients.
+    /// Load from the clients.
     pub load: Load,
-    /// How workers warm up.
+    /// Slow start of workers that join.
     #[serde(rename = "cold")]
     pub slow_start: SlowStartConfig,
-    /// The links between dispatchers while no fault is active.
+    /// Conditions of the links between dispatchers while no fault changes them.
     #[serde(rename = "datagrams")]
     pub links: LinkConditions,
-    /// The faults.
+    /// Faults, in any order.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
-/// The processes of a scenario.
+/// Dispatchers and workers of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// How many dispatchers run from the start.
+    /// Number of dispatchers at the start, 1 to 50.
     pub dispatchers: usize,
-    /// How many dispatchers the settings name; 0 for as many as run.
+    /// Number of dispatchers in the settings; 0 for the number at the start.
     #[serde(rename = "says")]
     pub configured_dispatchers: usize,
-    /// Whether they form a cluster.
+    /// Whether the dispatchers form a cluster.
     #[serde(rename = "members")]
     pub membership: bool,
-    /// The size of the quorum.
+    /// Number of quorum members, which are the first dispatchers.
     #[serde(rename = "keepers")]
     pub quorum_members: usize,
-    /// Whether dispatchers exchange their load.
+    /// Whether dispatchers exchange load reports.
     #[serde(rename = "peers")]
     pub peer_load: bool,
-    /// How many workers run from the start.
+    /// Number of workers at the start, 1 to 64.
     pub workers: usize,
-    /// How many requests each worker runs at once.
+    /// Concurrency slots of each worker, 1 to 64.
     #[serde(rename = "seats")]
     pub slots: usize,
-    /// The range over which the wall clocks of dispatchers differ.
+    /// Range in milliseconds over which the wall clocks of dispatchers differ.
     pub skew_ms: u64,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Fleet {
-    /// The number of dispatchers in the settings.
+    /// Returns the number of dispatchers in the settings.
     pub fn expected_dispatchers(&self) -> usize {
         if self.configured_dispatchers == 0 {
             self.dispatchers
@@ -93,17 +93,17 @@
     }
 }
 
-/// The clients of a scenario.
+/// Load from the clients of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Clients of each dispatcher; each has one request at a time.
+    /// Number of clients of each dispatcher, 1 to 16. Each has one request at a time.
     pub clients: usize,
-    /// The mean work of a request.
+    /// Mean work of a request, in milliseconds of one concurrency slot of a warm worker.
     pub work_ms: f64,
-    /// The mean pause of a client between a response and its next request.
+    /// Mean pause in milliseconds between a response and the next request of a client.
     pub pause_ms: f64,
-    /// The deadline of a request, from when it is sent.
+    /// Time in milliseconds from the sending of a request to its deadline.
     pub expiry_ms: u64,
 }
 
@@ -118,22 +118,23 @@
     }
 }
 
-/// How the workers of a scenario warm up, and what the settings say of it.
+/// Slow start of the workers of a scenario, and the settings for it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SlowStartConfig {
-    /// The share of its full capacity that a worker has at first.
+    /// Initial capacity of a worker, as a fraction of its full capacity.
     #[serde(rename = "from")]
     pub initial_share: f64,
-    /// How long until it has its full capacity.
+    /// Time in milliseconds until a worker has its full capacity.
     #[serde(rename = "time_ms")]
     pub duration_ms: u64,
-    /// The multiple of its present capacity, received within the window, at which it is overloaded.
+    /// Warm-up budget per window, as a multiple of the present capacity of a worker. More work is an overload.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
-    /// The window over which received work counts.
+    /// Length in milliseconds of the window over which received work is summed.
     pub window_ms: u64,
-    /// What the settings of dispatchers have in place of `overload_multiple`, to test that the checker finds overload.
+    /// Multiple in the settings of dispatchers, in place of `overload_multiple`. A larger value tests that the checker
+    /// detects overload.
     #[serde(rename = "told_multiple")]
     pub configured_multiple: Option<f64>,
 }
@@ -167,7 +168,7 @@
 }
 
 impl Scenario {
-    /// Reads a scenario file and checks it.
+    /// Reads a scenario file and checks its values.
     pub fn load(path: &Path) -> Result<Scenario, TestbedError> {
         let text = std::fs::read_to_string(path).map_err(|source| TestbedError::Read {
             path: path.to_path_buf(),
@@ -182,7 +183,7 @@
         Ok(scenario)
     }
 
-    /// Checks that it can run on one machine, in bounded time.
+    /// Checks that the scenario is small enough for one machine and runs for at most 300 s.
     pub fn check(&self) -> Result<(), TestbedError> {
         let fleet = &self.fleet;
         let seconds = self.seconds.ceil() as usize;
--- a/crates/cluster-testbed/src/scenario/draw.rs
+++ b/crates/cluster-testbed/src/scenario/draw.rs
@@ -1,9 +1,9 @@
-//! Scenarios drawn from a seed.
+//! Generation of scenarios from a seed.
 use super::{Fault, FaultKind, Fleet, Load, Scenario, SlowStartConfig};
 use crate::relay::LinkConditions;
 use rosewall::pcg::Pcg;
 
-/// Separates the draws of scenarios from those of a run with the same seed.
+/// Combined with the seed, so that the random numbers of generation differ from those of a run with the same seed.
 const SEED_SALT: u64 = 0x72_6967;
 
 struct Generator(Pcg);
@@ -97,7 +97,8 @@
 }
 
 impl Scenario {
-    /// The scenario of a seed: a small fleet, workers that join cold, and up to four more faults of any kind.
+    /// Generates the scenario of a seed: a small fleet, workers that join, and one to four more faults. The same seed
+    /// always gives the same scenario.
     pub fn generate(seed: u64) -> Scenario {
         let mut generator = Generator(Pcg::new(
             seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ SEED_SALT,
--- a/crates/cluster-testbed/src/scenario/fault.rs
+++ b/crates/cluster-testbed/src/scenario/fault.rs
@@ -1,74 +1,74 @@
-//! The faults of a scenario.
+//! Faults of a scenario.
 use crate::relay::LinkConditions;
 use serde::{Deserialize, Serialize};
 
-/// What a fault does.
+/// Effect of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Dispatchers get SIGKILL; they start again after the duration, if one is given.
+    /// Kills dispatchers with SIGKILL. They restart after the duration, if it is above 0.
     Kill,
-    /// Dispatchers get SIGSTOP, and SIGCONT after the duration.
+    /// Pauses dispatchers with SIGSTOP, and resumes them with SIGCONT after the duration.
     Pause,
-    /// Dispatchers get SIGTERM; they start again once they have ended.
+    /// Shuts dispatchers down with SIGTERM. They restart 1.5 s later.
     #[serde(rename = "roll")]
     Restart,
-    /// Dispatchers get SIGTERM and do not start again.
+    /// Shuts dispatchers down with SIGTERM. They do not restart.
     #[serde(rename = "leave")]
     Shutdown,
-    /// Dispatchers start for the first time.
+    /// Starts dispatchers that have not run before.
     Start,
-    /// This many new workers join cold.
+    /// Adds `count` workers that are warming up, at least one.
     #[serde(rename = "join")]
     AddWorkers,
-    /// Workers are published as draining.
+    /// Publishes workers as draining.
     Drain,
-    /// Workers receive requests and never answer.
+    /// Makes workers receive requests without ever answering.
     Hang,
-    /// Workers break connections before they run a request.
+    /// Makes workers close connections before they run a request.
     Reset,
-    /// Workers run requests and break connections before the response.
+    /// Makes workers run requests and close connections before the end of the response.
     #[serde(rename = "lose")]
     LoseResponse,
-    /// No datagram passes between these dispatchers and all others.
+    /// Drops all datagrams between these dispatchers and all others.
     #[serde(rename = "split")]
     Partition,
-    /// No datagram reaches these dispatchers.
+    /// Drops all datagrams to these dispatchers.
     #[serde(rename = "deaf")]
     DropInbound,
-    /// No datagram of these dispatchers arrives.
+    /// Drops all datagrams from these dispatchers.
     #[serde(rename = "mute")]
     DropOutbound,
-    /// All links have these conditions.
+    /// Sets the conditions of all links to `link`.
     #[serde(rename = "ways")]
     LinkConditions,
 }
 
-/// One fault.
+/// Fault of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins.
+    /// Time of its beginning in milliseconds after the start of the clients.
     pub at_ms: u64,
-    /// What it does.
+    /// Effect.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// The numbers of the dispatchers or workers that it hits.
+    /// Numbers of the affected dispatchers or workers, from 0.
     #[serde(default, rename = "who")]
     pub targets: Vec<usize>,
-    /// How long it is active; 0 for the rest of the scenario.
+    /// Active time in milliseconds; 0 for the rest of the scenario.
     #[serde(default, rename = "lasts_ms")]
     pub duration_ms: u64,
-    /// How many workers join.
+    /// Number of workers that [`FaultKind::AddWorkers`] adds.
     #[serde(default)]
     pub count: usize,
-    /// The conditions of links.
+    /// Conditions of links for [`FaultKind::LinkConditions`].
     #[serde(default, rename = "way")]
     pub link: LinkConditions,
 }
 
 impl Fault {
-    /// A fault that is active for the rest of the scenario.
+    /// Returns a fault that is active for the rest of the scenario.
     pub fn new(at_ms: u64, kind: FaultKind, targets: impl IntoIterator<Item = usize>) -> Self {
         Fault {
             at_ms,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The same fault, active for a time.
+    /// Sets the active time in milliseconds.
     pub fn with_duration(self, duration_ms: u64) -> Self {
         Fault {
             duration_ms,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// New workers that join cold.
+    /// Returns a fault that adds `count` workers that are warming up.
     pub fn add_workers(at_ms: u64, count: usize) -> Self {
         Fault {
             count,
--- a/crates/cluster-testbed/src/stubs.rs
+++ b/crates/cluster-testbed/src/stubs.rs
@@ -1,5 +1,5 @@
-//! Simulated clients, workers and discovery, and the program between them: what the tests of one process use. They panic
-//! where a test cannot go on.
+//! Test stubs of clients, workers and the discovery service, and the daemon process under test. They serve tests of a
+//! single daemon, and panic when a test cannot continue.
 mod client;
 mod configuration;
 mod daemon;
@@ -16,5 +16,5 @@
 
 use std::time::Duration;
 
-/// Long enough for any machine, and for a watch that may wait 20 s; only a failing test waits this long.
+/// Limit on each wait of a stub. Longer than a watch, which may wait 20 s; only a failing test reaches it.
 const TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/cluster-testbed/src/stubs/configuration.rs
+++ b/crates/cluster-testbed/src/stubs/configuration.rs
@@ -1,7 +1,7 @@
-//! The configuration of a dispatcher under test.
+//! Configuration of a dispatcher under test.
 use serde_json::{Value, json};
 
-/// A configuration with this address of discovery and this limit of sockets.
+/// Returns a configuration document with the address of the discovery service and the limit on sockets.
 pub fn configuration(discovery: &str, sockets: usize) -> Value {
     let class = |name: &str, idempotency: &str| {
         json!({"Name": name, "Idempotency": idempotency, "Group": "all", "WindowNs": 5_000_000_000_u64,
--- a/crates/cluster-testbed/src/stubs/daemon.rs
+++ b/crates/cluster-testbed/src/stubs/daemon.rs
@@ -1,4 +1,4 @@
-//! A process of the program, for tests.
+//! Daemon process under test.
 use super::{Client, TIMEOUT};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -9,25 +9,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The lines that a process has logged so far.
+/// Lines that a process has logged so far.
 #[derive(Default)]
 struct Log {
     lines: Mutex<Vec<String>>,
     appended: Condvar,
 }
 
-/// How much of its log is read.
+/// Part of the log that is read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LogReading {
     All,
-    /// Only up to the line that says that it listens, so that its log fills up.
+    /// Only the lines up to "listening on", so that the log pipe fills up.
     UntilListening,
 }
 
-/// A process of the program. It is killed when this is dropped.
+/// Daemon process. Dropping it kills the process and removes its folder.
 pub struct Daemon {
     child: Child,
-    /// Where it listens.
+    /// Address on which it accepts clients.
     pub address: String,
     log: Arc<Log>,
     folder: PathBuf,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Creates a folder for the files of one process.
+/// Creates a temporary folder for the files of one process.
 fn create_folder() -> PathBuf {
     static SERIAL: AtomicU32 = AtomicU32::new(0);
     let serial = SERIAL.fetch_add(1, Ordering::SeqCst);
@@ -65,17 +65,17 @@
 }
 
 impl Daemon {
-    /// Starts it and waits until it listens.
+    /// Starts a daemon and waits until it listens.
     pub fn start(configuration: &Value) -> Daemon {
         Daemon::start_after_shell_command("", configuration)
     }
 
-    /// Starts it by a shell that runs `shell_command` before it.
+    /// Starts a daemon from a shell that runs `shell_command` first, for example to set a limit.
     pub fn start_after_shell_command(shell_command: &str, configuration: &Value) -> Daemon {
         Daemon::start_with(shell_command, configuration, LogReading::All)
     }
 
-    /// Starts it, and reads nothing of its log once it listens.
+    /// Starts a daemon whose log is not read any more once it listens.
     pub fn start_with_unread_log(configuration: &Value) -> Daemon {
         Daemon::start_with("", configuration, LogReading::UntilListening)
     }
@@ -104,7 +104,7 @@
         daemon
     }
 
-    /// Waits for a line of the log that contains `text`, from the line number `from` on.
+    /// Waits for a log line that contains `text`, at or after line number `from`, and returns it.
     fn wait_for_line(&self, text: &str, from: usize) -> String {
         let find = |lines: &Vec<String>| {
             lines
@@ -119,10 +119,10 @@
             .appended
             .wait_timeout_while(lines, TIMEOUT, |lines| find(lines).is_none())
             .unwrap();
-        find(&lines).unwrap_or_else(|| panic!("no line with {text:?} in {lines:#?}"))
+        find(&lines).unwrap_or_else(|| panic!("no log line contains {text:?}: {lines:#?}"))
     }
 
-    /// Sends it the signal of this name, such as `TERM`.
+    /// Sends the process a signal by its name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let command = format!("kill -{name} {}", self.child.id());
         assert!(
@@ -134,7 +134,7 @@
         );
     }
 
-    /// Replaces the configuration and waits for a line of the log that contains `line`.
+    /// Replaces the configuration file, sends `HUP` and waits for a new log line that contains `line`.
     pub fn reload(&self, text: &str, line: &str) {
         let from = self.log.lines.lock().unwrap().len();
         std::fs::write(self.folder.join("config.json"), text).unwrap();
@@ -142,7 +142,7 @@
         self.wait_for_line(line, from);
     }
 
-    /// How many lines of the log contain `text`.
+    /// Returns the number of log lines so far that contain `text`.
     pub fn line_count(&self, text: &str) -> usize {
         self.log
             .lines
@@ -153,14 +153,14 @@
             .count()
     }
 
-    /// One counter, as it stands now.
+    /// Requests the counters with `USR1` and returns the present value of one.
     pub fn counter(&self, name: &str) -> u64 {
         let from = self.log.lines.lock().unwrap().len();
         self.signal("USR1");
         counter_in(&self.wait_for_line("counters:", from), name)
     }
 
-    /// Waits until a counter has reached a value.
+    /// Waits until a counter is at least `value`.
     pub fn wait_for_counter(&self, name: &str, value: u64) {
         let deadline = Instant::now() + TIMEOUT;
         while self.counter(name) < value {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Sends this many signals, 1 ms apart.
+    /// Sends a signal `count` times, 1 ms apart.
     pub fn signal_repeatedly(&self, name: &str, count: u32) {
         let pid = self.child.id();
         let command = format!("for i in $(seq {count}); do kill -{name} {pid}; sleep 0.001; done");
@@ -186,33 +186,36 @@
         );
     }
 
-    /// Waits for its end: the exit code.
+    /// Waits until the process exits and returns its exit code, or `None` if a signal ended it.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
-    /// Waits for its end: the exit code, and the line with the counters.
+    /// Waits until the process exits and returns its exit code and the final log line with the counters.
     pub fn wait_for_exit_and_counters(&mut self) -> (Option<i32>, String) {
         let code = self.child.wait().unwrap().code();
         (code, self.wait_for_line("stopped; counters:", 0))
     }
 
-    /// A client that is connected to it.
+    /// Connects a new client.
     pub fn client(&self) -> Client {
         Client::connect(&self.address)
     }
 
-    /// Waits until it is ready.
+    /// Waits until the health endpoint answers with status 200.
     pub fn wait_until_ready(&self) {
         let deadline = Instant::now() + TIMEOUT;
         while self.client().get("/healthz") != 200 {
-            assert!(Instant::now() < deadline, "never ready");
+            assert!(
+                Instant::now() < deadline,
+                "the daemon was not ready within {TIMEOUT:?}"
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-/// A counter in a log line.
+/// Returns the value of a counter in a log line. Panics if the line does not contain it.
 pub fn counter_in(line: &str, name: &str) -> u64 {
     let mut words = line.split(' ').filter_map(|word| word.split_once('='));
     words
--- a/crates/cluster-testbed/src/stubs/discovery.rs
+++ b/crates/cluster-testbed/src/stubs/discovery.rs
@@ -1,4 +1,5 @@
-//! A simulated discovery service with one endpoint list, for tests. It can be late, silent, down and malformed.
+//! Stub of a discovery service with one endpoint list. It can delay, withhold, truncate or malform its responses, and
+//! refuse to serve.
 use super::{TIMEOUT, listen, read_message};
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
@@ -6,7 +7,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How long a watch waits for news that names no time.
+/// Wait of a watch whose request does not specify one, in milliseconds.
 const DEFAULT_WAIT_MS: u64 = 60_000;
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
@@ -15,19 +16,21 @@
     version: u64,
     endpoints: Vec<Value>,
     changed_endpoints: Vec<Value>,
+    /// Whether connections are closed without an answer.
     down: bool,
-    /// The version that the newest watch knows.
+    /// Version from which the newest watch was sent; 0 if it requested a snapshot.
     watched_version: u64,
+    /// Number of watches received.
     watches: u32,
-    /// Sent once in place of a list.
+    /// Body of the next response, sent once in place of a list.
     malformed: Option<&'static str>,
-    /// Whether `endpoints` is the full list as it is now, for whoever missed a change.
+    /// Whether `endpoints` is current, so that a watch that missed a change is answered with a snapshot.
     has_full_list: bool,
-    /// How often all open watches have been forgotten.
+    /// Number of times that all open watches were abandoned.
     abandon_count: u32,
-    /// Whether watches are accepted and not answered.
+    /// Whether watches are accepted but not answered.
     unresponsive: bool,
-    /// Whether the next response ends in its middle, with its connection open.
+    /// Whether only half of the next response is sent, after which its connection stays open.
     truncates_next: bool,
 }
 
@@ -37,34 +40,34 @@
     changed: Condvar,
 }
 
-/// A simulated discovery service.
+/// Stub of a discovery service. Clones share one list.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which it accepts watches.
     pub address: String,
     shared: Arc<Shared>,
 }
 
-/// The endpoint of a worker, as discovery publishes it.
+/// Returns an endpoint in the form of an endpoint list. `health` is `ready`, `draining` or `gone`.
 pub fn endpoint_json(name: &str, dial: &str, health: &str) -> Value {
     json!({"host": name, "dial": dial, "site": "here", "class": "m1", "block": 0, "health": health,
            "share": 1.0, "born_ms": 0})
 }
 
-/// The number after a name in the query of a request.
+/// Returns the number that follows `name` in the query of a request.
 fn query_number(head: &str, name: &str) -> Option<u64> {
     let (_, rest) = head.split_once(name)?;
     rest.split(['&', ' ']).next()?.parse().ok()
 }
 
-/// Keeps a connection open until the other side closes it, and sends nothing.
+/// Keeps a connection open, without sending, until the daemon closes it or sends more.
 fn hold_open(mut stream: &TcpStream) {
     let _ = stream.read(&mut [0]);
 }
 
-/// A watch of the list.
+/// Watch of the endpoint list.
 struct Watch {
-    /// The newest version that it knows.
+    /// Version from which changes are requested; `None` for a snapshot.
     version: Option<u64>,
     deadline: Instant,
 }
@@ -79,7 +82,7 @@
     }
 }
 
-/// Whether there was news for a watch before its time was over.
+/// Reason for which a watch stops waiting.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchEnd {
     Changed,
@@ -105,7 +108,7 @@
 }
 
 impl Discovery {
-    /// Starts it with these endpoints.
+    /// Starts the service with these endpoints at version 1.
     pub fn start(endpoints: Vec<Value>) -> Discovery {
         let state = State {
             version: 1,
@@ -124,7 +127,7 @@
         discovery
     }
 
-    /// Answers one watch; `None` ends the connection.
+    /// Answers one watch. Returns `None` to close the connection.
     fn answer(&self, mut stream: &TcpStream) -> Option<()> {
         let (head, _) = read_message(&mut BufReader::new(stream))?;
         let mut state = self.shared.state.lock().unwrap();
@@ -153,8 +156,8 @@
         stream.write_all(response.as_bytes()).ok()
     }
 
-    /// Waits while there is nothing to answer. A version that was never published is answered at once, the newest one
-    /// once the time of the watch is over.
+    /// Waits until the watch can be answered. A watch from any version but the newest is answered at once; a watch from
+    /// the newest version is answered at the next change or when its wait has expired.
     fn wait_for_change<'a>(
         &'a self,
         mut state: MutexGuard<'a, State>,
@@ -194,10 +197,13 @@
             .changed
             .wait_timeout_while(state, TIMEOUT, |state| !holds(state));
         let (_state, timeout) = waited.unwrap();
-        assert!(!timeout.timed_out(), "discovery was not called");
+        assert!(
+            !timeout.timed_out(),
+            "the daemon did not send the expected watch within {TIMEOUT:?}"
+        );
     }
 
-    /// Publishes changes, and the full list for new watches; waits for no one.
+    /// Publishes changes, and the full list for watches that missed a change. Does not wait for the daemon.
     pub fn publish(&self, changed: Vec<Value>, all: Vec<Value>) {
         self.change(|state| {
             state.version += 1;
@@ -207,7 +213,7 @@
         });
     }
 
-    /// Publishes changes, and waits until the program has read them.
+    /// Publishes changes and waits until the daemon watches from the new version.
     pub fn publish_changes(&self, endpoints: Vec<Value>) {
         let mut version = 0;
         self.change(|state| {
@@ -218,7 +224,7 @@
         self.wait_until(|state| state.watched_version == version);
     }
 
-    /// Sends this text in place of a list, and waits until the program has read it.
+    /// Sends `text` once in place of a list and waits until the daemon watches from the newest version.
     pub fn send_malformed_list(&self, text: &'static str) {
         self.change(|state| {
             state.malformed = Some(text);
@@ -229,22 +235,22 @@
         });
     }
 
-    /// Never answers the watches that are open now.
+    /// Leaves the watches that are open now unanswered. Later watches are answered.
     pub fn abandon_open_watches(&self) {
         self.change(|state| state.abandon_count += 1);
     }
 
-    /// Sends only half of the next response.
+    /// Sends only half of the next response and keeps its connection open.
     pub fn truncate_next_response(&self) {
         self.change(|state| state.truncates_next = true);
     }
 
-    /// Accepts watches and answers none.
+    /// Accepts watches without answering them, until [`Discovery::resume_responding`].
     pub fn stop_responding(&self) {
         self.change(|state| state.unresponsive = true);
     }
 
-    /// Answers again, but none of the watches of before.
+    /// Answers new watches again. Watches that are open now stay unanswered.
     pub fn resume_responding(&self) {
         self.change(|state| {
             state.unresponsive = false;
@@ -252,22 +258,22 @@
         });
     }
 
-    /// Waits until the program has read what was published last.
+    /// Waits until the daemon watches from the newest version.
     pub fn wait_until_list_is_read(&self) {
         self.wait_until(|state| state.watched_version == state.version);
     }
 
-    /// Waits until this many watches have come.
-    pub fn wait_for_watches(&self, calls: u32) {
-        self.wait_until(|state| state.watches >= calls);
+    /// Waits until `count` watches have been received since the start.
+    pub fn wait_for_watches(&self, count: u32) {
+        self.wait_until(|state| state.watches >= count);
     }
 
-    /// Closes connections and answers nothing.
+    /// Closes connections without an answer, until [`Discovery::restart`].
     pub fn shut_down(&self) {
         self.change(|state| state.down = true);
     }
 
-    /// Answers again, with these endpoints, and waits until the program has read them.
+    /// Answers again, with a new list of these endpoints, and waits until the daemon watches from its version.
     pub fn restart(&self, endpoints: Vec<Value>) {
         self.change(|state| {
             state.version += 1;
@@ -278,12 +284,12 @@
         self.wait_until(|state| state.watched_version == state.version);
     }
 
-    /// How many watches have come.
+    /// Returns the number of watches received since the start.
     pub fn watch_count(&self) -> u32 {
         self.shared.state.lock().unwrap().watches
     }
 
-    /// Waits until a watch has come that knows a version.
+    /// Waits until a watch from a version has been received, which shows that the daemon has a list.
     pub fn wait_for_versioned_watch(&self) {
         self.wait_until(|state| state.watched_version > 0);
     }
--- a/crates/cluster-testbed/src/stubs/http.rs
+++ b/crates/cluster-testbed/src/stubs/http.rs
@@ -1,9 +1,10 @@
-//! The HTTP of simulated peers: messages whose body has a length.
+//! HTTP for the stubs: messages with a `Content-Length` body.
 use std::io::BufRead;
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-/// Listens on a free loopback port and calls `serve` again for each connection until it returns `None`; the address.
+/// Listens on a free loopback port and returns its address. For each connection, calls `serve` repeatedly on a
+/// separate thread until it returns `None`, which closes the connection.
 pub fn listen(serve: impl Fn(&TcpStream) -> Option<()> + Clone + Send + 'static) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -16,7 +17,7 @@
     address
 }
 
-/// Reads a message: the head, and a body by its length.
+/// Reads a message and returns its head and its body; `None` if the connection ends or fails first.
 pub fn read_message(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -32,7 +33,7 @@
     Some((head, body))
 }
 
-/// The value of a header field.
+/// Returns the trimmed value of a header field, by its case-insensitive name.
 pub fn header_field(head: &str, name: &str) -> Option<String> {
     let mut pairs = head.lines().filter_map(|line| line.split_once(':'));
     pairs
@@ -40,7 +41,7 @@
         .map(|(_, value)| value.trim().to_string())
 }
 
-/// A request's head and body, with `more` header lines.
+/// Returns a request with a timeout in seconds. Each of the `extra_headers` ends with CR LF.
 pub fn request(id: &str, class: &str, seconds: f64, extra_headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
--- a/crates/cluster-testbed/src/stubs/worker.rs
+++ b/crates/cluster-testbed/src/stubs/worker.rs
@@ -1,4 +1,4 @@
-//! A simulated worker that sends queued responses, for tests.
+//! Worker stub that sends queued responses.
 mod response;
 
 use super::{header_field, read_message};
@@ -11,63 +11,63 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a worker does with one request.
+/// Response of a stub worker to one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StubResponse {
-    /// Runs it and says so.
+    /// Reports the request as started and done, with a result.
     Done,
-    /// `Done`, after this many ms.
+    /// Reports the start at once, and the result after this number of milliseconds.
     DoneAfterMs(u64),
-    /// `Done`, and then the connection ends.
+    /// `Done`, after which the worker closes the connection.
     DoneThenClose,
-    /// A status without a body, and whether it says that the request has not started.
+    /// A status without a body, and whether it has the field `Not-Started`.
     Status(u16, bool),
-    /// One line with this state.
+    /// A start, then one line with this state.
     State(&'static str),
-    /// These bytes as the body of a 200, where `ID` stands for the id.
+    /// A start, then this text, in which `ID` is replaced by the id of the request.
     Body(&'static str),
-    /// A line that is too long.
+    /// A line longer than the daemon accepts.
     OversizedLine,
-    /// Ends the connection before it answers.
+    /// Closes the connection without a response.
     CloseBeforeResponse,
-    /// Ends the connection after it has said that the request started.
+    /// Reports the start, then closes the connection.
     CloseAfterStart,
-    /// Never answers.
+    /// Sends nothing, and keeps the connection until the daemon closes it or sends more.
     NoResponse,
-    /// `Done`, and then the connection is dropped as soon as anything more comes on it.
+    /// `Done`, after which the worker closes the connection as soon as it receives more bytes.
     DoneThenCloseOnReuse,
-    /// Lines that say that it runs without an end, as fast as they are taken.
+    /// Endless progress lines, as fast as the daemon reads them.
     EndlessProgress,
-    /// `Done`, and then more lines without an end, one each 20 ms.
+    /// `Done`, then endless progress lines, one every 20 ms.
     DoneThenEndlessProgress,
-    /// `Done`, and as the first bytes of the next request arrive a second response, by which that one has not started.
+    /// `Done`, then a second response with status 503 and `Not-Started` at the first bytes of the next request.
     DoneThenNotStarted,
 }
 
-/// What all workers of a test are to do, in the order of requests; then `Done`.
+/// Responses of all workers that share the queue, in the order of requests; `Done` once it is empty.
 pub type ResponseQueue = Arc<Mutex<VecDeque<StubResponse>>>;
 
-/// A queue of these responses.
+/// Returns a queue of these responses.
 pub fn response_queue(responses: &[StubResponse]) -> ResponseQueue {
     Arc::new(Mutex::new(responses.iter().copied().collect()))
 }
 
 type ReceivedRequests = Mutex<Vec<(String, String, Vec<u8>)>>;
 
-/// A simulated worker that sends queued responses.
+/// Worker stub that sends queued responses. Health checks are answered without taking from the queue.
 pub struct Worker {
-    /// Where it listens.
+    /// Address on which it accepts connections.
     pub address: String,
-    /// The first line of each request, its id and its body.
+    /// Request line, id and body of each received request, including health checks.
     pub received: Arc<ReceivedRequests>,
-    /// How many connections it has accepted.
+    /// Number of accepted connections.
     pub accepted_connections: Arc<AtomicU32>,
-    /// How many of them have ended.
+    /// Number of accepted connections that have been closed.
     pub closed_connections: Arc<AtomicU32>,
 }
 
 impl Worker {
-    /// Starts it on a free loopback port.
+    /// Starts a worker on a free loopback port.
     pub fn start(response_queue: &ResponseQueue) -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -97,13 +97,13 @@
         worker
     }
 
-    /// How many requests it has received.
+    /// Returns the number of received requests, including health checks.
     pub fn request_count(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 }
 
-/// Serves one request; `None` ends the connection.
+/// Serves one request. Returns `None` to close the connection.
 fn serve(
     mut stream: &TcpStream,
     received: &ReceivedRequests,
@@ -126,7 +126,8 @@
     responder.respond(response)
 }
 
-/// An address where connections never come up: its listener takes none, and its queue is full.
+/// Returns an address at which connections are never established, like that of an unreachable host: its listener
+/// accepts none, and its queue is full. The listener and the queued connections must be kept alive.
 pub fn unreachable_address() -> (TcpListener, (String, Vec<TcpStream>)) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/cluster-testbed/src/stubs/worker/response.rs
+++ b/crates/cluster-testbed/src/stubs/worker/response.rs
@@ -1,4 +1,4 @@
-//! What a stub worker answers to one request.
+//! Sending of the responses of a stub worker.
 use super::StubResponse;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -11,9 +11,9 @@
 const NOT_STARTED_RESPONSE: &str =
     "HTTP/1.1 503 Other\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 const LAST_CHUNK: &str = "0\r\n\r\n";
-/// More than a line may have.
+/// Length in bytes of a line that the daemon rejects.
 const OVERSIZED_LINE: usize = 70_000;
-/// How many lines on progress are sent at once.
+/// Number of progress lines per write.
 const LINES_AT_ONCE: usize = 1_000;
 const LINE_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends a response; `None` ends the connection.
+    /// Sends a response. Returns `None` to close the connection.
     pub(super) fn respond(&self, response: StubResponse) -> Option<()> {
         match response {
             StubResponse::Done => self.send(&self.done()),
@@ -86,7 +86,7 @@
         stream.write_all(text.as_bytes()).ok()
     }
 
-    /// Sends this and ends the connection.
+    /// Sends `text` and returns `None`, which closes the connection.
     fn send_last(&self, text: &str) -> Option<()> {
         self.send(text)?;
         None
@@ -97,12 +97,12 @@
         format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\"}}\n")
     }
 
-    /// The head, and the line that says that the request started.
+    /// Returns the head and the line that reports the start of the request.
     fn started(&self) -> String {
         format!("{CHUNKED_HEAD}{}", chunk(&self.line("started")))
     }
 
-    /// A complete response with this text after the start.
+    /// Returns a complete response with `text` after the start.
     fn complete(&self, text: &str) -> String {
         format!("{}{}{LAST_CHUNK}", self.started(), chunk(text))
     }
--- a/crates/cluster-testbed/src/testbed.rs
+++ b/crates/cluster-testbed/src/testbed.rs
@@ -1,4 +1,4 @@
-//! Runs one scenario: processes of the real program, simulated workers and discovery, clients, and faults.
+//! Runs one scenario: daemon processes, simulated workers and discovery, clients, and faults.
 mod client;
 mod dispatchers;
 mod faults;
@@ -27,23 +27,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often faults are looked at.
+/// Interval at which due fault events are applied.
 const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long processes have to log their counters after a signal.
+/// Time for processes to log their counters after `USR1`.
 const COUNTERS_WAIT: Duration = Duration::from_millis(100);
 
-/// All that runs for one scenario. Its processes end with it.
+/// Running scenario. Dropping it stops its clients, kills its processes and removes its folder.
 pub struct Testbed {
     scenario: Scenario,
+    /// Time at which all dispatchers were ready.
     begin: Instant,
     folder: PathBuf,
     discovery: Discovery,
     relay: Relay,
-    /// The second and third byte of the loopback addresses of its dispatchers.
+    /// Second and third byte of the dispatchers' loopback addresses for datagrams.
     subnet: [u8; 2],
     dispatchers: Vec<Dispatcher>,
     workers: Vec<Arc<Worker>>,
-    /// The workers as discovery publishes them.
+    /// Workers in the form of the published endpoint list.
     endpoints: Vec<Value>,
     outages: Vec<Outage>,
     drains: Vec<Drain>,
@@ -63,7 +64,7 @@
 }
 
 impl Testbed {
-    /// Starts the clients of all dispatchers.
+    /// Starts the clients of all dispatchers, each on a thread of its own.
     pub fn start_clients(&mut self) {
         for (number, dispatcher) in self.dispatchers.iter().enumerate() {
             for n in 0..self.scenario.load.clients {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Begins and ends all faults at their times, up to the end of the scenario.
+    /// Begins and ends each fault at its time. Returns at the end of the scenario.
     pub fn run(&mut self) -> Result<(), TestbedError> {
         let mut timeline = faults::timeline(&self.scenario.faults)
             .into_iter()
@@ -99,7 +100,7 @@
         Ok(())
     }
 
-    /// Writes the log of each running process, with its counters, into a folder.
+    /// Writes the log of each running process, with its counters, to `n<number>.log` in a folder.
     pub fn write_logs(&self, folder: &Path) -> Result<(), TestbedError> {
         std::fs::create_dir_all(folder).map_err(|source| TestbedError::Write {
             path: folder.to_path_buf(),
@@ -129,7 +130,7 @@
     })
 }
 
-/// Runs a scenario from start to report. The logs of its processes go to `log_folder`, if one is given.
+/// Runs a scenario from its start to its report. Writes the logs of its processes to `log_folder`, if given.
 pub fn run_scenario(
     scenario: &Scenario,
     log_folder: Option<&Path>,
--- a/crates/cluster-testbed/src/testbed/client.rs
+++ b/crates/cluster-testbed/src/testbed/client.rs
@@ -1,4 +1,4 @@
-//! A client of one dispatcher: sends one request after the other, over a connection that it keeps while it lasts.
+//! Client of one dispatcher. Sends one request at a time and reuses its connection while that is open.
 use crate::checker::{ClientRequest, Response};
 use crate::scenario::Load;
 use crate::stubs::{read_message, request};
@@ -10,18 +10,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long after the deadline a client still waits for a response.
+/// Time after the deadline for which a client still waits for a response.
 const RESPONSE_MARGIN_MS: u64 = 1_000;
-/// The longest pause, as a multiple of the mean.
+/// Longest pause, as a multiple of the mean.
 const MAX_PAUSE_MULTIPLE: f64 = 10.0;
 
-/// A request class of the settings of the testbed.
+/// Request class in the configuration of the testbed's dispatchers.
 struct RequestClass {
     name: &'static str,
     idempotent: bool,
 }
 
-/// Requests take the classes in turn.
+/// Classes of requests, in rotation.
 const CLASSES: [RequestClass; 3] = [
     RequestClass {
         name: "thumb",
@@ -41,7 +41,7 @@
     head.split(' ').nth(1)?.parse().ok()
 }
 
-/// Sends one request on a connection of its own; the status of the response.
+/// Sends one request on a new connection and returns the status of the response.
 pub(crate) fn request_status(address: &str, text: &str, timeout: Duration) -> Option<u16> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(timeout)).ok()?;
@@ -50,7 +50,7 @@
     status_in(&head)
 }
 
-/// An open connection, and where it goes.
+/// Open connection and the address of its dispatcher.
 struct Connection {
     stream: TcpStream,
     address: String,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Whether the connection can take another request.
+/// State of the connection after an exchange.
 #[derive(PartialEq, Eq)]
 enum ConnectionState {
     Open,
@@ -75,7 +75,7 @@
 pub(super) struct Client {
     pub(super) name: String,
     pub(super) dispatcher: usize,
-    /// Where the dispatcher is reached, while it runs.
+    /// Address of the dispatcher, or `None` while it is not in service.
     pub(super) address: Arc<Mutex<Option<String>>>,
     pub(super) requests: Arc<Mutex<Vec<ClientRequest>>>,
     pub(super) stopped: Arc<AtomicBool>,
@@ -105,7 +105,7 @@
         thread::sleep(Duration::from_secs_f64(pause_ms.min(max_ms) / 1e3));
     }
 
-    /// The connection to an address: the one that is open, or a new one.
+    /// Returns a connection to `address`: the open one if it matches, otherwise a new one.
     fn connect(&self, open: Option<Connection>, address: String) -> Option<Connection> {
         if open.as_ref().is_some_and(|open| open.address == address) {
             return open;
@@ -114,14 +114,14 @@
         Connection::open(address, read_timeout)
     }
 
-    /// Sends one request and records what came of it.
+    /// Sends one request and records its outcome.
     fn exchange(&mut self, mut stream: &TcpStream, serial: usize) -> ConnectionState {
         let id = format!("{}-{serial}", self.name);
         let class = &CLASSES[serial % CLASSES.len()];
         let text = self.request_text(&id, class);
         let sent_at = Instant::now();
         if stream.write_all(text.as_bytes()).is_err() {
-            // The connection had ended before, so the dispatcher has not accepted the request.
+            // The connection was already closed, so the dispatcher has not received the whole request.
             return ConnectionState::Closed;
         }
         let head = read_message(&mut BufReader::new(stream)).map(|(head, _)| head);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// A request whose work is half to one and a half times the mean.
+    /// Returns a request whose work is between 0.5 and 1.5 times the mean.
     fn request_text(&mut self, id: &str, class: &RequestClass) -> String {
         let work_us = (self.load.work_ms * 1e3 * (0.5 + self.rng.unit())) as u64;
         let headers = format!("Work-Hint: {work_us}\r\n");
--- a/crates/cluster-testbed/src/testbed/dispatchers.rs
+++ b/crates/cluster-testbed/src/testbed/dispatchers.rs
@@ -1,4 +1,4 @@
-//! The life of dispatcher processes: files, start, readiness, pause and end.
+//! Lifecycle of dispatcher processes: configuration files, start, readiness, pause and shutdown.
 use super::{Testbed, request_status, write_file};
 use crate::checker::Outage;
 use crate::error::TestbedError;
@@ -10,24 +10,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A process that is not ready by then counts as failed.
+/// Limit on the wait for each step of the start: the log line and the health endpoint.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a process has to end after SIGTERM; then it is killed, as the platform does.
+/// Time for a process to exit after SIGTERM. It is killed afterwards, as the platform does.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const HEALTH_REQUEST: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a process that goes on after a pause has to send what it had ready.
+/// Time for a resumed process to send answers that were ready at the pause. Its outage ends afterwards.
 const RESUME_WAIT: Duration = Duration::from_millis(5);
-/// The port of datagrams; each process has a loopback address of its own.
+/// Port for datagrams. Each process has a loopback address of its own.
 const DATAGRAM_PORT: u16 = 7946;
 const MAX_SOCKETS: usize = 1024;
 
-/// A dispatcher of the scenario, whether it runs or not.
+/// Dispatcher of the scenario, running or not.
 #[derive(Default)]
 pub(super) struct Dispatcher {
+    /// Process, or `None` while the dispatcher does not run.
     pub(super) process: Option<Process>,
-    /// Where clients reach it, while it runs.
+    /// Address for clients, or `None` while the dispatcher is not in service.
     pub(super) address: Arc<Mutex<Option<String>>>,
 }
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Where a dispatcher gets its datagrams.
+/// Returns the address on which a dispatcher receives datagrams.
 pub(super) fn dispatcher_address(subnet: [u8; 2], number: usize) -> String {
     let [second, third] = subnet;
     format!("127.{second}.{third}.{}:{DATAGRAM_PORT}", number + 1)
@@ -57,7 +58,7 @@
     }
 }
 
-/// Waits until a process serves; its address.
+/// Waits until a process is ready and returns its address for clients.
 fn wait_for_service(number: usize, process: &Process) -> Result<String, TestbedError> {
     let line = process
         .line("listening on ", READY_TIMEOUT)
@@ -74,12 +75,12 @@
 }
 
 impl Testbed {
-    /// Starts a dispatcher under its usual name, and does not wait for it.
+    /// Starts a dispatcher under its default name, without waiting until it is ready.
     pub fn start_dispatcher(&mut self, number: usize) -> Result<(), TestbedError> {
         self.start_dispatcher_as(number, &format!("n{number}"))
     }
 
-    /// Starts a dispatcher under this name of a cluster member, and does not wait for it.
+    /// Starts a dispatcher under the given member name, without waiting until it is ready.
     pub fn start_dispatcher_as(&mut self, number: usize, name: &str) -> Result<(), TestbedError> {
         let mut document = configuration(&self.discovery.address, MAX_SOCKETS);
         self.apply_settings(number, &mut document["settings"]);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The file of the cluster, as an operator would write it.
+    /// Returns the cluster file of a dispatcher, in the form that operators write.
     fn cluster_file(&self, number: usize, name: &str) -> String {
         let fleet = &self.scenario.fleet;
         let seeds: Vec<String> = (0..fleet.dispatchers.min(3))
@@ -140,7 +141,7 @@
         Ok(path)
     }
 
-    /// Waits until a dispatcher that was started serves; then clients reach it.
+    /// Waits until a started dispatcher is ready, then publishes its address to the clients and ends its outage.
     pub fn wait_until_ready(&mut self, number: usize) -> Result<(), TestbedError> {
         let dispatcher = &self.dispatchers[number];
         let Some(process) = &dispatcher.process else {
@@ -169,13 +170,13 @@
         }
     }
 
-    /// Takes a dispatcher away from its clients, before it ends.
+    /// Begins an outage of a dispatcher and withdraws its address from the clients.
     fn take_out_of_service(&mut self, number: usize) {
         self.begin_outage(number);
         self.dispatchers[number].publish_address(None);
     }
 
-    /// Kills a dispatcher.
+    /// Kills a dispatcher with SIGKILL.
     pub fn kill(&mut self, number: usize) {
         self.take_out_of_service(number);
         if let Some(mut process) = self.dispatchers[number].process.take() {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Stops a dispatcher with SIGSTOP.
+    /// Pauses a dispatcher with SIGSTOP.
     pub fn pause(&mut self, number: usize) {
         self.begin_outage(number);
         if let Some(process) = &self.dispatchers[number].process {
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Lets a paused dispatcher go on.
+    /// Resumes a paused dispatcher with SIGCONT.
     pub fn resume(&mut self, number: usize) {
         if let Some(process) = &self.dispatchers[number].process {
             process.signal("CONT");
@@ -200,12 +201,13 @@
         self.end_outage(number);
     }
 
-    /// Shuts a dispatcher down with SIGTERM; requests of clients from here on are to no running dispatcher.
+    /// Shuts a dispatcher down with SIGTERM. Its outage begins before the signal, so that the checker does not expect
+    /// answers to later requests.
     pub fn shut_down(&mut self, number: usize) {
         self.take_out_of_service(number);
         if let Some(mut process) = self.dispatchers[number].process.take() {
             process.signal("TERM");
-            // Faults go on meanwhile.
+            // Waits on another thread, since other faults continue meanwhile. Dropping the process kills it.
             thread::spawn(move || {
                 let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
                 while !process.has_exited() && Instant::now() < deadline {
@@ -215,7 +217,7 @@
         }
     }
 
-    /// The process of a dispatcher, while it runs.
+    /// Returns the process of a dispatcher, or `None` while it does not run.
     pub fn process(&self, number: usize) -> Option<&Process> {
         self.dispatchers[number].process.as_ref()
     }
--- a/crates/cluster-testbed/src/testbed/faults.rs
+++ b/crates/cluster-testbed/src/testbed/faults.rs
@@ -1,30 +1,30 @@
-//! Begins and ends the faults of a scenario.
+//! Beginning and end of the faults of a scenario.
 use super::Testbed;
 use crate::error::TestbedError;
 use crate::relay::LinkConditions;
 use crate::scenario::{Fault, FaultKind};
 use crate::worker::WorkerFault;
 
-/// How long after its SIGTERM a dispatcher starts again.
+/// Time between the SIGTERM of a dispatcher and its restart.
 const RESTART_AFTER_MS: u64 = 1_500;
 
-/// What an event does with its fault. At one time, ends come before beginnings.
+/// Edge of a fault's active time. At equal times, ends are applied before beginnings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Edge {
     End,
     Begin,
 }
 
-/// The beginning or the end of a fault, ordered by time.
+/// Beginning or end of a fault. Events are ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FaultEvent {
     pub(super) at_ms: u64,
     edge: Edge,
-    /// The place of the fault in the scenario.
+    /// Index of the fault in the scenario.
     fault: usize,
 }
 
-/// All beginnings and ends, in order.
+/// Returns the beginnings and ends of all faults, in order.
 pub(super) fn timeline(faults: &[Fault]) -> Vec<FaultEvent> {
     let mut events = Vec::new();
     for (index, fault) in faults.iter().enumerate() {
@@ -49,7 +49,7 @@
     events
 }
 
-/// Which datagrams of a dispatcher a change of links is about.
+/// Directions of a dispatcher's links that a change applies to.
 #[derive(Clone, Copy)]
 struct Directions {
     inbound: bool,
@@ -69,7 +69,7 @@
     outbound: true,
 };
 
-/// What the fault does to a worker, if it hits workers while it is active.
+/// Returns the worker fault that is active as long as a fault of this kind, if there is one.
 fn worker_fault(kind: FaultKind) -> Option<WorkerFault> {
     match kind {
         FaultKind::Hang => Some(WorkerFault::Hang),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The targets of a fault that are dispatchers of this scenario.
+    /// Returns the targets of a fault that are numbers of dispatchers of this scenario.
     fn target_dispatchers(&self, fault: &Fault) -> Vec<usize> {
         let targets = fault.targets.iter().copied();
         targets
@@ -125,7 +125,7 @@
         match fault.kind {
             FaultKind::Kill | FaultKind::Restart => {
                 for number in targets {
-                    // Another fault may have started it again.
+                    // Another fault may have restarted the dispatcher already.
                     if self.dispatchers[number].process.is_none() {
                         self.start_and_wait(number)?;
                     }
@@ -170,7 +170,7 @@
         self.set_links(dispatchers, directions, Some(cut));
     }
 
-    /// Sets the links between these dispatchers and all others.
+    /// Sets the conditions of links between these dispatchers and all others; `None` restores the default.
     fn set_links(
         &self,
         dispatchers: &[usize],
--- a/crates/cluster-testbed/src/testbed/membership.rs
+++ b/crates/cluster-testbed/src/testbed/membership.rs
@@ -1,23 +1,23 @@
-//! Which members dispatchers know, by their own logs. No rule depends on it.
+//! Membership views of dispatchers, read from their logs. No rule depends on them.
 use super::Testbed;
 
-/// What a dispatcher says of its cluster.
+/// Membership view that a dispatcher has logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipView {
-    /// Its own rank.
+    /// Rank of the dispatcher, from 0.
     pub rank: usize,
-    /// How many members it knows, itself included.
+    /// Number of members, including the dispatcher.
     pub members: usize,
 }
 
-/// The number after `key=` in a log line.
+/// Returns the number after `key=` in a log line.
 fn number_in(line: &str, key: &str) -> Option<usize> {
     let mut pairs = line.split(' ').filter_map(|word| word.split_once('='));
     pairs.find(|(name, _)| *name == key)?.1.parse().ok()
 }
 
 impl Testbed {
-    /// The newest view in the log of a dispatcher.
+    /// Returns the newest view in the log of a dispatcher, or `None` if it is not running or has logged none.
     pub fn membership_view(&self, number: usize) -> Option<MembershipView> {
         let lines = self.process(number)?.lines();
         let line = lines.iter().rfind(|line| line.contains("cluster view "))?;
@@ -27,7 +27,8 @@
         })
     }
 
-    /// Whether these dispatchers know just each other, each with a rank of its own.
+    /// Returns whether the view of each of these dispatchers has just as many members as there are numbers, and their
+    /// ranks are 0, 1, 2 and so on, each once.
     pub fn members_agree(&self, numbers: &[usize]) -> bool {
         let mut ranks: Vec<usize> = Vec::new();
         for number in numbers {
--- a/crates/cluster-testbed/src/testbed/report.rs
+++ b/crates/cluster-testbed/src/testbed/report.rs
@@ -1,45 +1,45 @@
-//! The end of a scenario and its report.
+//! End of a scenario and its report.
 use super::Testbed;
 use crate::checker::{ClientRequest, Evidence, SlowStartUse, Violation};
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// What came of one scenario.
+/// Results of one scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The name of the scenario.
+    /// Name of the scenario.
     pub name: String,
-    /// Its seed.
+    /// Seed of the scenario.
     pub seed: u64,
-    /// The violations of rules.
+    /// Rule violations that the checker found.
     pub violations: Vec<Violation>,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     #[serde(rename = "asked")]
     pub requests: usize,
-    /// Responses 200.
+    /// Number of responses with status 200.
     #[serde(rename = "settled")]
     pub succeeded: usize,
-    /// Responses 503.
+    /// Number of responses with status 503.
     #[serde(rename = "declined")]
     pub rejected: usize,
-    /// Responses 502.
+    /// Number of responses with status 502.
     #[serde(rename = "reversed")]
     pub failed: usize,
-    /// The share of requests that did not succeed.
+    /// Fraction of requests that did not succeed.
     #[serde(rename = "missed")]
     pub unsuccessful_share: f64,
-    /// What workers received while they warmed up.
+    /// Use of the warm-up budget of each worker that warmed up.
     #[serde(rename = "cold")]
     pub slow_start: Vec<SlowStartUse>,
-    /// The most work a slot of any warm worker over their mean, in the last third.
+    /// Highest work per concurrency slot of any warm worker, relative to their mean, in the last third of the run.
     #[serde(rename = "uneven")]
     pub imbalance: f64,
-    /// Datagrams forwarded between dispatchers.
+    /// Number of datagrams forwarded between dispatchers.
     pub datagrams: u64,
-    /// Datagrams lost between dispatchers.
+    /// Number of datagrams lost between dispatchers.
     pub lost: u64,
-    /// Bytes of datagrams a second and dispatcher.
+    /// Forwarded datagram bytes per second and dispatcher.
     #[serde(rename = "bytes")]
     pub bytes_per_second: f64,
 }
@@ -50,12 +50,13 @@
 }
 
 impl Testbed {
-    /// The most work a slot that any worker received in a span, over their mean.
+    /// Returns the highest work per concurrency slot that any worker received from `from` to `to`, relative to the mean
+    /// of all workers.
     pub fn work_imbalance(&self, from: Instant, to: Instant) -> f64 {
         self.evidence(to, &[]).imbalance(from, to, |_| true)
     }
 
-    /// Stops the clients and checks the rules.
+    /// Stops the clients, checks the rules and returns the report.
     pub fn finish(mut self) -> Report {
         let end = Instant::now();
         self.stop_clients();
@@ -68,7 +69,7 @@
 
     fn stop_clients(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
-        // A dispatcher that is still paused answers no one; its clients time out by themselves.
+        // A dispatcher that is still paused does not answer; its clients end by their read timeout.
         for client in std::mem::take(&mut self.clients) {
             let _ = client.join();
         }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Whether a worker served from the start and did not drain.
+    /// Returns whether a worker was warm from the start and was not drained.
     fn is_warm(&self, worker: usize) -> bool {
         let drained = self.drains.iter().any(|drain| drain.worker == worker);
         worker < self.scenario.fleet.workers && !drained
--- a/crates/cluster-testbed/src/testbed/setup.rs
+++ b/crates/cluster-testbed/src/testbed/setup.rs
@@ -1,4 +1,4 @@
-//! Starts everything of a scenario up to the moment at which its clients may start.
+//! Setup of a scenario: workers, discovery, relay and dispatchers, until all dispatchers are ready.
 use super::Testbed;
 use super::dispatchers::{Dispatcher, dispatcher_address};
 use crate::error::TestbedError;
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Tells the testbeds of one process apart.
+/// Serial number that distinguishes the testbeds of one process.
 static NEXT_SERIAL: AtomicU32 = AtomicU32::new(0);
 
 fn create_folder(pid: u32, serial: u32) -> Result<PathBuf, TestbedError> {
@@ -37,7 +37,7 @@
         .collect()
 }
 
-/// How many dispatchers ever run: those at the start, and those that faults start.
+/// Returns the number of dispatchers that run at any time: those at the start and those that faults start.
 fn dispatcher_count(scenario: &Scenario) -> usize {
     let starts = scenario
         .faults
@@ -56,7 +56,7 @@
 }
 
 impl Testbed {
-    /// Starts the processes of a scenario and waits until all are ready.
+    /// Starts everything but the clients of a scenario and waits until all dispatchers are ready.
     pub fn start(scenario: &Scenario) -> Result<Testbed, TestbedError> {
         let mut testbed = Testbed::prepare(scenario)?;
         testbed.register_addresses()?;
@@ -67,7 +67,7 @@
         Ok(testbed)
     }
 
-    /// Starts all but the dispatchers.
+    /// Checks the scenario and starts workers, discovery and the relay.
     fn prepare(scenario: &Scenario) -> Result<Testbed, TestbedError> {
         scenario.check()?;
         let pid = std::process::id();
--- a/crates/cluster-testbed/src/testbed/workers.rs
+++ b/crates/cluster-testbed/src/testbed/workers.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list: workers that join and that drain.
+//! Changes to the endpoint list: workers that join or drain.
 use super::Testbed;
 use crate::checker::Drain;
 use crate::error::TestbedError;
@@ -12,7 +12,7 @@
 }
 
 impl Testbed {
-    /// Starts new workers, cold, and publishes them.
+    /// Starts workers that are warming up and publishes them.
     pub fn add_workers(&mut self, count: usize) -> Result<(), TestbedError> {
         let slow_start = self.workers[0].slow_start;
         let mut changed = Vec::new();
@@ -31,7 +31,7 @@
         Ok(())
     }
 
-    /// Publishes a worker as draining.
+    /// Publishes a worker as draining. Does nothing if there is no worker of this number.
     pub fn drain(&mut self, worker: usize) {
         let Some(endpoint) = self.endpoints.get_mut(worker) else {
             return;
--- a/crates/cluster-testbed/src/worker.rs
+++ b/crates/cluster-testbed/src/worker.rs
@@ -1,5 +1,5 @@
-//! A simulated worker with concurrency slots and one queue, first in, first out. It can warm up, hang, and break
-//! connections. The checker reads its record of what it received and ran, and nothing else of it.
+//! Simulated worker with concurrency slots and one first-in, first-out queue. It can warm up, hang, and close
+//! connections early. The checker uses only its record of received and executed requests.
 use crate::error::TestbedError;
 use crate::stubs::{header_field, read_message};
 use std::collections::HashSet;
@@ -9,64 +9,64 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a worker starts cold.
+/// Slow start of a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// The share of its full capacity that it has at first.
+    /// Initial capacity, as a fraction of the full capacity.
     pub initial_share: f64,
-    /// How long until it has its full capacity.
+    /// Time until the worker has its full capacity.
     pub duration: Duration,
-    /// The multiple of its present capacity, received within the window, at which it is overloaded.
+    /// Warm-up budget per window, as a multiple of the present capacity. More work is an overload.
     pub overload_multiple: f64,
-    /// The window over which received work counts.
+    /// Window over which received work is summed.
     pub window: Duration,
 }
 
 impl SlowStart {
-    /// The share of its full capacity that it has at this age.
+    /// Returns the capacity at this age of the worker, as a fraction of its full capacity.
     pub fn capacity_share(&self, age: Duration) -> f64 {
         let duration_s = self.duration.as_secs_f64().max(1e-9);
         (self.initial_share + (1.0 - self.initial_share) * age.as_secs_f64() / duration_s).min(1.0)
     }
 }
 
-/// What a worker may do wrong.
+/// Fault of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WorkerFault {
-    /// It receives requests and never answers.
+    /// Receives requests and never answers.
     Hang,
-    /// It breaks the connection once a request has arrived whole, and does not run it.
+    /// Closes the connection after receiving a complete request, without running it.
     Reset,
-    /// It runs the request and breaks the connection before the response.
+    /// Runs the request and closes the connection before the end of the response.
     LoseResponse,
 }
 
-/// One request as the worker received it.
+/// Request that a worker received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// When it had arrived whole.
+    /// Time at which it was complete.
     pub at: Instant,
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// How long one slot of a warm worker takes, in seconds.
+    /// Service time in seconds on a warm worker.
     pub work_s: f64,
 }
 
-/// The start of one run.
+/// Execution of a request by a worker.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// The id of the request.
+    /// Id of the request.
     pub id: String,
-    /// When it began.
+    /// Time at which the execution started.
     pub at: Instant,
 }
 
-/// What a worker received and ran.
+/// Record of what a worker received and executed, and the state of its queue.
 #[derive(Default)]
 pub struct Record {
-    /// All requests in the order of arrival.
+    /// All received requests, in order of arrival.
     pub received: Vec<ReceivedRequest>,
-    /// All runs in the order in which they began.
+    /// All executions, in order of their start.
     pub executions: Vec<Execution>,
     next_ticket: u64,
     now_serving: u64,
@@ -74,15 +74,15 @@
     faults: HashSet<WorkerFault>,
 }
 
-/// A simulated worker.
+/// Simulated worker.
 pub struct Worker {
-    /// Where it listens.
+    /// Address on which it accepts connections.
     pub address: String,
-    /// How many requests it runs at once.
+    /// Number of concurrency slots.
     pub slots: usize,
-    /// When its process started, if it starts cold.
+    /// Start of its warm-up, or `None` if it is warm from the start.
     pub warm_up_started_at: Option<Instant>,
-    /// How it warms up.
+    /// Slow start that applies if it warms up.
     pub slow_start: SlowStart,
     record: Mutex<Record>,
     changed: Condvar,
@@ -90,14 +90,14 @@
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A chunk of the response with one state line.
+/// Returns a response chunk with one state line.
 fn state_chunk(id: &str, state: &str) -> String {
     let line =
         format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\",\"result\":\"\"}}\n");
     format!("{:x}\r\n{line}\r\n", line.len())
 }
 
-/// The work of a request in seconds; its body has microseconds.
+/// Returns the work of a request in seconds; its body contains the microseconds.
 fn work_s(body: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(body).ok()?;
     Some(text.trim().parse::<f64>().unwrap_or(0.0) / 1e6)
@@ -133,17 +133,17 @@
         Ok(worker)
     }
 
-    /// Reads the record.
+    /// Calls `with` on the record and returns its result.
     pub fn read<T>(&self, with: impl FnOnce(&Record) -> T) -> T {
         with(&self.lock())
     }
 
-    /// Has a fault from here on.
+    /// Activates a fault.
     pub fn begin_fault(&self, fault: WorkerFault) {
         self.change(|record| record.faults.insert(fault));
     }
 
-    /// Has this fault no longer.
+    /// Deactivates a fault.
     pub fn end_fault(&self, fault: WorkerFault) {
         self.change(|record| record.faults.remove(&fault));
     }
@@ -157,7 +157,7 @@
         self.changed.notify_all();
     }
 
-    /// The share of its full capacity that it has at a moment.
+    /// Returns the capacity at a time, as a fraction of the full capacity.
     fn capacity_share(&self, at: Instant) -> f64 {
         self.warm_up_started_at.map_or(1.0, |started| {
             self.slow_start
@@ -165,7 +165,7 @@
         })
     }
 
-    /// Serves one request; `None` ends the connection.
+    /// Serves one request. Returns `None` to close the connection.
     fn serve(&self, mut stream: &TcpStream) -> Option<()> {
         let (head, body) = read_message(&mut BufReader::new(stream))?;
         let id = header_field(&head, "request-id")?;
@@ -186,7 +186,8 @@
             .ok()
     }
 
-    /// Records a request and waits until it runs. Returns whether its response is to be lost.
+    /// Records a request and waits until it may run. Returns whether its response is to be lost, or `None` if a fault
+    /// closes the connection.
     fn wait_for_slot(&self, mut stream: &TcpStream, id: &str, work_s: f64) -> Option<bool> {
         let mut record = self.record.lock().ok()?;
         record.received.push(ReceivedRequest {
@@ -199,7 +200,7 @@
         }
         if record.faults.contains(&WorkerFault::Hang) {
             drop(record);
-            // Returns once the other side has closed the connection.
+            // Returns when the dispatcher closes the connection.
             let _ = stream.read(&mut [0]);
             return None;
         }
