--- a/crates/cluster-testbed/src/scenario.rs
+++ b/crates/cluster-testbed/src/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios of the testbed: fleet, load, clock skew, links between dispatchers, and timed faults.
-mod draw;
 mod fault;
+mod generate;
 
 pub use fault::{Fault, FaultKind};
 
