--- a/crates/rosewalld/tests/daemon/attempts.rs
+++ b/crates/rosewalld/tests/daemon/attempts.rs
@@ -154,9 +154,9 @@
 #[test_case("thumb", false; "idempotent, connection refused")]
 #[test_case("charge", false; "non-idempotent, connection refused")]
 #[test_case("charge", true; "non-idempotent, connection never established")]
-fn a_request_without_a_connection_did_not_run_and_is_rejected(class: &str, host_vanished: bool) {
+fn a_request_without_a_connection_did_not_run_and_is_rejected(class: &str, host_unreachable: bool) {
     let (_listener, full) = unreachable_address();
-    let dial = if host_vanished {
+    let dial = if host_unreachable {
         full.0.as_str()
     } else {
         "127.0.0.1:1"
--- a/crates/rosewalld/tests/daemon/limits.rs
+++ b/crates/rosewalld/tests/daemon/limits.rs
@@ -102,7 +102,7 @@
     let discovery = Discovery::start(vec![endpoint_json("a", &worker.address, "ready")]);
     let daemon = Daemon::start(&configuration(&discovery.address, 32 + 10));
     daemon.wait_until_ready();
-    let ask = |at| {
+    let send_request = |at| {
         let mut client = daemon.client();
         // Without a hint, the expected service time of a class that never ran is its latency objective, 0.9 s here. The
         // seventh of such requests at two concurrency slots would have no time left.
@@ -111,15 +111,15 @@
         client
     };
     // The attempts of disconnected clients continue, so that there are more attempts than clients.
-    let disconnecting: Vec<Client> = (0..5).map(ask).collect();
+    let disconnecting: Vec<Client> = (0..5).map(send_request).collect();
     while worker.request_count() < 5 {
         std::thread::yield_now();
     }
     drop(disconnecting);
     daemon.wait_for_counter("clients_disconnected", 5);
-    let _silent = [ask(5), ask(6)];
+    let _silent = [send_request(5), send_request(6)];
     daemon.wait_for_counter("connects", 7);
-    assert_eq!(ask(7).read_response().unwrap().status, 503);
+    assert_eq!(send_request(7).read_response().unwrap().status, 503);
     assert_eq!(
         (
             daemon.counter("attempts_connect_failed"),
--- a/crates/rosewalld/tests/daemon/rolling_upgrade.rs
+++ b/crates/rosewalld/tests/daemon/rolling_upgrade.rs
@@ -77,7 +77,7 @@
 fn run_client(daemon: &Daemon, name: usize) -> Vec<RequestResult> {
     let mut client = Client::connect(&daemon.address);
     let started_at = Instant::now();
-    let ask = |n: usize| {
+    let exchange = |n: usize| {
         sleep(Duration::from_millis(100 + 40 * (n as u64 % 4)));
         let class = ["thumb", "invoice", "charge"][n % 3];
         let sent_at = Instant::now();
@@ -90,7 +90,7 @@
         }
     };
     (0..)
-        .map(ask)
+        .map(exchange)
         .take_while(|_| started_at.elapsed() < CLIENT_RUN_TIME)
         .collect()
 }
