--- a/crates/cluster-testbed/src/stand/discovery.rs
+++ b/crates/cluster-testbed/src/stubs/discovery.rs
@@ -1,12 +1,13 @@
-//! A simulated discovery service with one endpoint list, for tests. It can be late, silent, down and malformed.
-use super::{TIMEOUT, listen, message};
+//! Stub of a discovery service with one endpoint list. It can delay, withhold, truncate or malform its responses, and
+//! refuse to serve.
+use super::{TIMEOUT, listen, read_message};
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How long a watch waits for news that names no time.
+/// Wait of a watch whose request does not specify one, in milliseconds.
 const DEFAULT_WAIT_MS: u64 = 60_000;
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
@@ -14,20 +15,22 @@
 struct State {
     version: u64,
     endpoints: Vec<Value>,
-    changed: Vec<Value>,
+    changed_endpoints: Vec<Value>,
+    /// Whether connections are closed without an answer.
     down: bool,
-    /// The version that the newest watch knows.
+    /// Version from which the newest watch was sent; 0 if it requested a snapshot.
     watched_version: u64,
+    /// Number of watches received.
     watches: u32,
-    /// Sent once in place of a list.
+    /// Body of the next response, sent once in place of a list.
     malformed: Option<&'static str>,
-    /// Whether `endpoints` is the full list as it is now, for whoever missed a change.
+    /// Whether `endpoints` is current, so that a watch that missed a change is answered with a snapshot.
     has_full_list: bool,
-    /// How often all open watches have been forgotten.
-    forgotten: u32,
-    /// Whether watches are accepted and not answered.
+    /// Number of times that all open watches were abandoned.
+    abandon_count: u32,
+    /// Whether watches are accepted but not answered.
     unresponsive: bool,
-    /// Whether the next response ends in its middle, with its connection open.
+    /// Whether only half of the next response is sent, after which its connection stays open.
     truncates_next: bool,
 }
 
@@ -37,34 +40,34 @@
     changed: Condvar,
 }
 
-/// A simulated discovery service.
+/// Stub of a discovery service. Clones share one list.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which it accepts watches.
     pub address: String,
     shared: Arc<Shared>,
 }
 
-/// The endpoint of a worker, as discovery publishes it.
-pub fn host(name: &str, dial: &str, health: &str) -> Value {
+/// Returns an endpoint in the form of an endpoint list. `health` is `ready`, `draining` or `gone`.
+pub fn endpoint_json(name: &str, dial: &str, health: &str) -> Value {
     json!({"host": name, "dial": dial, "site": "here", "class": "m1", "block": 0, "health": health,
            "share": 1.0, "born_ms": 0})
 }
 
-/// The number after a name in the query of a request.
+/// Returns the number that follows `name` in the query of a request.
 fn query_number(head: &str, name: &str) -> Option<u64> {
     let (_, rest) = head.split_once(name)?;
     rest.split(['&', ' ']).next()?.parse().ok()
 }
 
-/// Keeps a connection open until the other side closes it, and sends nothing.
+/// Keeps a connection open, without sending, until the daemon closes it or sends more.
 fn hold_open(mut stream: &TcpStream) {
     let _ = stream.read(&mut [0]);
 }
 
-/// A watch of the list.
+/// Watch of the endpoint list.
 struct Watch {
-    /// The newest version that it knows.
+    /// Version from which changes are requested; `None` for a snapshot.
     version: Option<u64>,
     deadline: Instant,
 }
@@ -79,10 +82,10 @@
     }
 }
 
-/// Whether there was news for a watch before its time was over.
+/// Reason for which a watch stops waiting.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchEnd {
-    News,
+    Changed,
     Expired,
 }
 
@@ -94,7 +97,7 @@
         let no_changes = Vec::new();
         let endpoints = match (full, end) {
             (true, _) => &self.endpoints,
-            (false, WatchEnd::News) => &self.changed,
+            (false, WatchEnd::Changed) => &self.changed_endpoints,
             (false, WatchEnd::Expired) => &no_changes,
         };
         let list = json!({"seq": self.version, "whole": full, "hosts": endpoints}).to_string();
@@ -105,11 +108,11 @@
 }
 
 impl Discovery {
-    /// Starts it with these endpoints.
-    pub fn start(hosts: Vec<Value>) -> Discovery {
+    /// Starts the service with these endpoints at version 1.
+    pub fn start(endpoints: Vec<Value>) -> Discovery {
         let state = State {
             version: 1,
-            endpoints: hosts,
+            endpoints,
             ..State::default()
         };
         let mut discovery = Discovery {
@@ -124,17 +127,17 @@
         discovery
     }
 
-    /// Answers one watch; `None` ends the connection.
+    /// Answers one watch. Returns `None` to close the connection.
     fn answer(&self, mut stream: &TcpStream) -> Option<()> {
-        let (head, _) = message(&mut BufReader::new(stream))?;
+        let (head, _) = read_message(&mut BufReader::new(stream))?;
         let mut state = self.shared.state.lock().unwrap();
         let watch = Watch::parse(&head);
         state.watches += 1;
         state.watched_version = watch.version.unwrap_or(0);
         self.shared.changed.notify_all();
-        let forgotten = state.forgotten;
-        let (mut state, end) = self.wait_for_news(state, &watch);
-        if state.forgotten != forgotten {
+        let abandon_count = state.abandon_count;
+        let (mut state, end) = self.wait_for_change(state, &watch);
+        if state.abandon_count != abandon_count {
             drop(state);
             hold_open(stream);
             return None;
@@ -153,16 +156,16 @@
         stream.write_all(response.as_bytes()).ok()
     }
 
-    /// Waits while there is nothing to answer. A version that was never published is answered at once, the newest one
-    /// once the time of the watch is over.
-    fn wait_for_news<'a>(
+    /// Waits until the watch can be answered. A watch from any version but the newest is answered at once; a watch from
+    /// the newest version is answered at the next change or when its wait has expired.
+    fn wait_for_change<'a>(
         &'a self,
         mut state: MutexGuard<'a, State>,
         watch: &Watch,
     ) -> (MutexGuard<'a, State>, WatchEnd) {
-        let forgotten = state.forgotten;
-        let mut end = WatchEnd::News;
-        while !state.down && state.forgotten == forgotten {
+        let abandon_count = state.abandon_count;
+        let mut end = WatchEnd::Changed;
+        while !state.down && state.abandon_count == abandon_count {
             let is_newest = watch.version == Some(state.version);
             if !state.unresponsive && (!is_newest || end == WatchEnd::Expired) {
                 break;
@@ -176,7 +179,7 @@
             end = if Instant::now() >= watch.deadline {
                 WatchEnd::Expired
             } else {
-                WatchEnd::News
+                WatchEnd::Changed
             };
         }
         (state, end)
@@ -187,102 +190,107 @@
         self.shared.changed.notify_all();
     }
 
-    fn until(&self, holds: impl Fn(&State) -> bool) {
+    fn wait_until(&self, holds: impl Fn(&State) -> bool) {
         let state = self.shared.state.lock().unwrap();
         let waited = self
             .shared
             .changed
             .wait_timeout_while(state, TIMEOUT, |state| !holds(state));
         let (_state, timeout) = waited.unwrap();
-        assert!(!timeout.timed_out(), "discovery was not called");
+        assert!(
+            !timeout.timed_out(),
+            "the daemon did not send the expected watch within {TIMEOUT:?}"
+        );
     }
 
-    /// Publishes changes, and the full list for new watches; waits for no one.
-    pub fn put(&self, changed: Vec<Value>, all: Vec<Value>) {
+    /// Publishes changes, and the full list for watches that missed a change. Does not wait for the daemon.
+    pub fn publish(&self, changed: Vec<Value>, all: Vec<Value>) {
         self.change(|state| {
             state.version += 1;
             state.has_full_list = true;
-            state.changed = changed;
+            state.changed_endpoints = changed;
             state.endpoints = all;
         });
     }
 
-    /// Publishes changes, and waits until the program has read them.
-    pub fn tell(&self, hosts: Vec<Value>) {
+    /// Publishes changes and waits until the daemon watches from the new version.
+    pub fn publish_changes(&self, endpoints: Vec<Value>) {
         let mut version = 0;
         self.change(|state| {
             state.version += 1;
             version = state.version;
-            state.changed = hosts;
+            state.changed_endpoints = endpoints;
         });
-        self.until(|state| state.watched_version == version);
+        self.wait_until(|state| state.watched_version == version);
     }
 
-    /// Sends this text in place of a list, and waits until the program has read it.
-    pub fn garble(&self, text: &'static str) {
+    /// Sends `text` once in place of a list and waits until the daemon watches from the newest version.
+    pub fn send_malformed_list(&self, text: &'static str) {
         self.change(|state| {
             state.malformed = Some(text);
             state.version += 1;
         });
-        self.until(|state| state.malformed.is_none() && state.watched_version == state.version);
+        self.wait_until(|state| {
+            state.malformed.is_none() && state.watched_version == state.version
+        });
     }
 
-    /// Never answers the watches that are open now.
-    pub fn fall_silent(&self) {
-        self.change(|state| state.forgotten += 1);
+    /// Leaves the watches that are open now unanswered. Later watches are answered.
+    pub fn abandon_open_watches(&self) {
+        self.change(|state| state.abandon_count += 1);
     }
 
-    /// Sends only half of the next response.
-    pub fn cut_next(&self) {
+    /// Sends only half of the next response and keeps its connection open.
+    pub fn truncate_next_response(&self) {
         self.change(|state| state.truncates_next = true);
     }
 
-    /// Accepts watches and answers none.
-    pub fn go_deaf(&self) {
+    /// Accepts watches without answering them, until [`Discovery::resume_responding`].
+    pub fn stop_responding(&self) {
         self.change(|state| state.unresponsive = true);
     }
 
-    /// Answers again, but none of the watches of before.
-    pub fn come_to(&self) {
+    /// Answers new watches again. Watches that are open now stay unanswered.
+    pub fn resume_responding(&self) {
         self.change(|state| {
             state.unresponsive = false;
-            state.forgotten += 1;
+            state.abandon_count += 1;
         });
     }
 
-    /// Waits until the program has read what was published last.
-    pub fn until_followed(&self) {
-        self.until(|state| state.watched_version == state.version);
+    /// Waits until the daemon watches from the newest version.
+    pub fn wait_until_list_is_read(&self) {
+        self.wait_until(|state| state.watched_version == state.version);
     }
 
-    /// Waits until this many watches have come.
-    pub fn until_called(&self, calls: u32) {
-        self.until(|state| state.watches >= calls);
+    /// Waits until `count` watches have been received since the start.
+    pub fn wait_for_watches(&self, count: u32) {
+        self.wait_until(|state| state.watches >= count);
     }
 
-    /// Closes connections and answers nothing.
-    pub fn go_down(&self) {
+    /// Closes connections without an answer, until [`Discovery::restart`].
+    pub fn shut_down(&self) {
         self.change(|state| state.down = true);
     }
 
-    /// Answers again, with these endpoints, and waits until the program has read them.
-    pub fn come_back(&self, hosts: Vec<Value>) {
+    /// Answers again, with a new list of these endpoints, and waits until the daemon watches from its version.
+    pub fn restart(&self, endpoints: Vec<Value>) {
         self.change(|state| {
             state.version += 1;
             state.down = false;
-            state.changed = hosts.clone();
-            state.endpoints = hosts;
+            state.changed_endpoints = endpoints.clone();
+            state.endpoints = endpoints;
         });
-        self.until(|state| state.watched_version == state.version);
+        self.wait_until(|state| state.watched_version == state.version);
     }
 
-    /// How many watches have come.
-    pub fn calls(&self) -> u32 {
+    /// Returns the number of watches received since the start.
+    pub fn watch_count(&self) -> u32 {
         self.shared.state.lock().unwrap().watches
     }
 
-    /// Waits until a watch has come that knows a version.
-    pub fn until_watched(&self) {
-        self.until(|state| state.watched_version > 0);
+    /// Waits until a watch from a version has been received, which shows that the daemon has a list.
+    pub fn wait_for_versioned_watch(&self) {
+        self.wait_until(|state| state.watched_version > 0);
     }
 }
--- a/crates/cluster-testbed/src/stand/worker/response.rs
+++ b/crates/cluster-testbed/src/stubs/worker/response.rs
@@ -1,5 +1,5 @@
-//! What a scripted worker answers to one request.
-use super::Act;
+//! Sending of the responses of a stub worker.
+use super::StubResponse;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -11,9 +11,9 @@
 const NOT_STARTED_RESPONSE: &str =
     "HTTP/1.1 503 Other\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 const LAST_CHUNK: &str = "0\r\n\r\n";
-/// More than a line may have.
+/// Length in bytes of a line that the daemon rejects.
 const OVERSIZED_LINE: usize = 70_000;
-/// How many lines on progress are sent at once.
+/// Number of progress lines per write.
 const LINES_AT_ONCE: usize = 1_000;
 const LINE_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Answers by an act; `None` ends the connection.
-    pub(super) fn respond(&self, act: Act) -> Option<()> {
-        match act {
-            Act::Done => self.send(&self.done()),
-            Act::DoneClose => self.send_last(&self.done()),
-            Act::Later(ms) => {
+    /// Sends a response. Returns `None` to close the connection.
+    pub(super) fn respond(&self, response: StubResponse) -> Option<()> {
+        match response {
+            StubResponse::Done => self.send(&self.done()),
+            StubResponse::DoneThenClose => self.send_last(&self.done()),
+            StubResponse::DoneAfterMs(ms) => {
                 self.send(&self.started())?;
                 thread::sleep(Duration::from_millis(ms));
                 self.send(&format!("{}{LAST_CHUNK}", chunk(&self.done_line)))
             }
-            Act::Status(status, not_started) => {
+            StubResponse::Status(status, not_started) => {
                 let field = if not_started {
                     "Not-Started: 1\r\n"
                 } else {
@@ -58,22 +58,22 @@
                     "HTTP/1.1 {status} Other\r\n{field}Content-Length: 0\r\n\r\n"
                 ))
             }
-            Act::State(state) => self.send(&self.complete(&self.line(state))),
-            Act::Body(text) => self.send(&self.complete(&text.replace("ID", &self.id))),
-            Act::Oversized => {
+            StubResponse::State(state) => self.send(&self.complete(&self.line(state))),
+            StubResponse::Body(text) => self.send(&self.complete(&text.replace("ID", &self.id))),
+            StubResponse::OversizedLine => {
                 let line = format!("{{\"id\":\"{}\"", "x".repeat(OVERSIZED_LINE));
                 self.send(&self.complete(&line))
             }
-            Act::Cut => None,
-            Act::CutStarted => self.send_last(&self.started()),
-            Act::DoneStale => {
+            StubResponse::CloseBeforeResponse => None,
+            StubResponse::CloseAfterStart => self.send_last(&self.started()),
+            StubResponse::DoneThenCloseOnReuse => {
                 self.send(&self.done())?;
                 self.wait_for_bytes_or_close()
             }
-            Act::Silent => self.wait_for_bytes_or_close(),
-            Act::Endless => self.send_progress_forever(),
-            Act::DoneEndless => self.send_progress_after_done(),
-            Act::DoneTwice => {
+            StubResponse::NoResponse => self.wait_for_bytes_or_close(),
+            StubResponse::EndlessProgress => self.send_progress_forever(),
+            StubResponse::DoneThenEndlessProgress => self.send_progress_after_done(),
+            StubResponse::DoneThenNotStarted => {
                 self.send(&self.done())?;
                 self.stream.peek(&mut [0]).ok()?;
                 self.send(NOT_STARTED_RESPONSE)
@@ -86,7 +86,7 @@
         stream.write_all(text.as_bytes()).ok()
     }
 
-    /// Sends this and ends the connection.
+    /// Sends `text` and returns `None`, which closes the connection.
     fn send_last(&self, text: &str) -> Option<()> {
         self.send(text)?;
         None
@@ -97,12 +97,12 @@
         format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"{state}\"}}\n")
     }
 
-    /// The head, and the line that says that the request started.
+    /// Returns the head and the line that reports the start of the request.
     fn started(&self) -> String {
         format!("{CHUNKED_HEAD}{}", chunk(&self.line("started")))
     }
 
-    /// A complete response with this text after the start.
+    /// Returns a complete response with `text` after the start.
     fn complete(&self, text: &str) -> String {
         format!("{}{}{LAST_CHUNK}", self.started(), chunk(text))
     }
