--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,10 +1,10 @@
 //! The checker of the rules. It keeps its own record of what happened (what clients sent and received, what reached
 //! workers and ran there, what endpoint lists published) and checks each event against it. It asks no dispatcher anything.
 mod attempts;
+mod counts;
 mod endpoints;
 mod record;
 mod responses;
-mod tally;
 #[cfg(test)]
 mod tests;
 mod warm_up;
@@ -13,13 +13,13 @@
 use crate::scenario::{RequestClass, Rules};
 use crate::time::MS;
 pub use attempts::{AttemptOrigin, AttemptTarget};
+pub use counts::{ClassCounts, RequestCounts};
 use endpoints::PublishedEndpoint;
 pub use endpoints::PublishedState;
 use record::{ClassRules, RequestRecord};
 pub use record::{Outcome, RequestIndex};
 use rosewall::types::Nanos;
 use rustc_hash::{FxHashMap, FxHashSet};
-pub use tally::{ClassTally, Tally};
 use warm_up::WarmingWorker;
 pub use warm_up::WorkArrival;
 
@@ -88,7 +88,7 @@
     /// The mean work of a request, over all loads.
     mean_work: f64,
     violations: Vec<Violation>,
-    tally: Tally,
+    counts: RequestCounts,
 }
 
 impl Checker {
@@ -104,9 +104,9 @@
             warming_workers: Vec::new(),
             mean_work,
             violations: Vec::new(),
-            tally: Tally {
-                classes: vec![ClassTally::default(); classes.len()],
-                ..Tally::default()
+            counts: RequestCounts {
+                classes: vec![ClassCounts::default(); classes.len()],
+                ..RequestCounts::default()
             },
         }
     }
@@ -117,8 +117,8 @@
     }
 
     /// What became of the requests so far.
-    pub fn tally(&self) -> &Tally {
-        &self.tally
+    pub fn counts(&self) -> &RequestCounts {
+        &self.counts
     }
 
     /// Records a violation.
--- a/crates/simulation/src/checker/attempts.rs
+++ b/crates/simulation/src/checker/attempts.rs
@@ -38,7 +38,7 @@
         request: Option<RequestIndex>,
         target: &AttemptTarget,
     ) -> Option<usize> {
-        self.tally.attempts += 1;
+        self.counts.attempts += 1;
         let Some(request) = request.filter(|request| *request < self.requests.len()) else {
             let text = "an attempt with an id that no client sent".to_string();
             self.report_violation(now, Rule::InvalidRequest, text);
--- a/crates/simulation/src/checker/tally.rs
+++ b/crates/simulation/src/checker/counts.rs
@@ -2,7 +2,7 @@
 
 /// What became of the requests of a simulation.
 #[derive(Clone, Debug, Default, serde::Serialize)]
-pub struct Tally {
+pub struct RequestCounts {
     /// Requests that clients created.
     #[serde(rename = "txns")]
     pub requests: u64,
@@ -29,14 +29,14 @@
     /// Warming processes that got more than N + 2 x root of N + 2 requests of mean work within a window, of which over
     /// two thirds came from dispatchers that knew of the start; N is what the rules allow (the operators' measure, beside the checker's own).
     #[serde(rename = "fell_by_root")]
-    pub overloaded_by_root: u64,
+    pub overloaded_workers: u64,
     /// The same by class, in the scenario's order.
-    pub classes: Vec<ClassTally>,
+    pub classes: Vec<ClassCounts>,
 }
 
 /// What became of the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
-pub struct ClassTally {
+pub struct ClassCounts {
     /// Requests that clients created.
     pub requests: u64,
     /// Answered with a result before the deadline.
--- a/crates/simulation/src/checker/responses.rs
+++ b/crates/simulation/src/checker/responses.rs
@@ -15,8 +15,8 @@
     ) -> RequestIndex {
         self.requests
             .push(RequestRecord::new(class, work, invalid_reason));
-        self.tally.requests += 1;
-        if let Some(class) = self.tally.classes.get_mut(class) {
+        self.counts.requests += 1;
+        if let Some(class) = self.counts.classes.get_mut(class) {
             class.requests += 1;
         }
         self.requests.len() - 1
@@ -148,8 +148,8 @@
                 format!("request {request} was answered {by:.1} ms too late"),
             );
         } else if status == 200 {
-            self.tally.in_time += 1;
-            self.tally.classes[class].in_time += 1;
+            self.counts.in_time += 1;
+            self.counts.classes[class].in_time += 1;
         }
     }
 
@@ -185,11 +185,11 @@
     fn end(&mut self, now: Nanos, request: RequestIndex, outcome: Outcome) {
         self.requests[request].ended = Some(Ended { at: now, outcome });
         match outcome {
-            Outcome::Answered(200) => self.tally.succeeded += 1,
-            Outcome::Answered(503) => self.tally.rejected += 1,
-            Outcome::Answered(_) => self.tally.failed += 1,
-            Outcome::Disconnected => self.tally.disconnected += 1,
-            Outcome::Exempted => self.tally.exempted += 1,
+            Outcome::Answered(200) => self.counts.succeeded += 1,
+            Outcome::Answered(503) => self.counts.rejected += 1,
+            Outcome::Answered(_) => self.counts.failed += 1,
+            Outcome::Disconnected => self.counts.disconnected += 1,
+            Outcome::Exempted => self.counts.exempted += 1,
         }
     }
 }
--- a/crates/simulation/src/checker/tests.rs
+++ b/crates/simulation/src/checker/tests.rs
@@ -73,7 +73,10 @@
     checker.finish(DEADLINE);
 
     assert_eq!(violated(&checker), []);
-    assert_eq!((checker.tally().succeeded, checker.tally().in_time), (1, 1));
+    assert_eq!(
+        (checker.counts().succeeded, checker.counts().in_time),
+        (1, 1)
+    );
 }
 
 #[test_case(DEADLINE, b"made 0 6", &[Rule::Answer]; "a result that no worker produced")]
@@ -112,7 +115,7 @@
     checker.dispatcher_killed(DISPATCHER);
     checker.finish(DEADLINE);
     assert_eq!(violated(&checker), [Rule::Answer]);
-    assert_eq!(checker.tally().exempted, 2);
+    assert_eq!(checker.counts().exempted, 2);
 }
 
 #[test_case(Idempotency::Idempotent, RetryScope::Zone, &[]; "an idempotent request")]
@@ -235,5 +238,5 @@
     assert!(arrives(budget));
 
     assert_eq!(violated(&checker), [Rule::SlowStart]);
-    assert_eq!(checker.tally().overloaded_by_root, 1);
+    assert_eq!(checker.counts().overloaded_workers, 1);
 }
--- a/crates/simulation/src/checker/warm_up.rs
+++ b/crates/simulation/src/checker/warm_up.rs
@@ -122,7 +122,7 @@
             && warming.all.sum > limit_by_root
             && !std::mem::replace(&mut warming.overload_counted, true)
         {
-            self.tally.overloaded_by_root += 1;
+            self.counts.overloaded_workers += 1;
         }
         if at_fault && overloaded {
             let worker = arrival.worker;
--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -31,26 +31,27 @@
     pub virtual_s: f64,
     /// Warming processes that were overloaded by the operators' measure.
     #[serde(rename = "fell_by_root")]
-    pub overloaded_by_root: u64,
+    pub overloaded_workers: u64,
     /// Simulations with a violation.
     pub violations: u64,
     /// The same whatever the order in which the simulations were played.
     #[serde(serialize_with = "hex_digest")]
     pub digest: u64,
     /// Which rules were violated.
-    pub broken: BTreeMap<Rule, Broken>,
+    #[serde(rename = "broken")]
+    pub violated_rules: BTreeMap<Rule, RuleViolations>,
 }
 
 /// How often a rule was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct RuleViolations {
     /// In how many simulations.
     pub simulations: u64,
     /// The lowest seed of them.
     pub first_seed: u64,
 }
 
-impl Serialize for Broken {
+impl Serialize for RuleViolations {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.simulations, self.first_seed).serialize(serializer)
     }
@@ -60,11 +61,11 @@
     fn add(&mut self, report: &Report) {
         self.simulations += 1;
         self.steps += report.steps;
-        self.requests += report.tally.requests;
-        self.attempts += report.tally.attempts;
-        self.succeeded += report.tally.succeeded;
+        self.requests += report.counts.requests;
+        self.attempts += report.counts.attempts;
+        self.succeeded += report.counts.succeeded;
         self.virtual_s += report.virtual_s;
-        self.overloaded_by_root += report.tally.overloaded_by_root;
+        self.overloaded_workers += report.counts.overloaded_workers;
         self.violations += u64::from(!report.violations.is_empty());
         // A sum, so that the order does not matter; mixed with the seed, so that two simulations cannot change places.
         let mixed =
@@ -80,12 +81,12 @@
         rules.sort_unstable();
         rules.dedup();
         for rule in rules {
-            let broken = self.broken.entry(rule).or_insert(Broken {
+            let rule_violations = self.violated_rules.entry(rule).or_insert(RuleViolations {
                 simulations: 0,
                 first_seed: report.seed,
             });
-            broken.simulations += 1;
-            broken.first_seed = broken.first_seed.min(report.seed);
+            rule_violations.simulations += 1;
+            rule_violations.first_seed = rule_violations.first_seed.min(report.seed);
         }
     }
 }
--- a/crates/simulation/src/output.rs
+++ b/crates/simulation/src/output.rs
@@ -59,7 +59,7 @@
         summary.attempts,
         summary.virtual_s,
         summary.violations,
-        summary.overloaded_by_root,
+        summary.overloaded_workers,
         summary.digest,
         elapsed.as_secs_f64()
     ));
@@ -71,19 +71,19 @@
         print(&format!("{:>10.3} ms  {}", line.at_ms, line.text));
     }
     print_violations(report);
-    let tally = &report.tally;
+    let counts = &report.counts;
     print(&format!(
         "{} steps, {:.1} virtual s, {} requests: {} succeeded, {} rejected, {} failed, {} disconnected, {} exempted; \
          {} attempts; {} violations, digest {:016x}",
         report.steps,
         report.virtual_s,
-        tally.requests,
-        tally.succeeded,
-        tally.rejected,
-        tally.failed,
-        tally.disconnected,
-        tally.exempted,
-        tally.attempts,
+        counts.requests,
+        counts.succeeded,
+        counts.rejected,
+        counts.failed,
+        counts.disconnected,
+        counts.exempted,
+        counts.attempts,
         report.violations.len(),
         report.digest
     ));
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -5,7 +5,7 @@
 mod faults;
 mod runtime;
 
-use crate::checker::{Rule, Tally, Violation};
+use crate::checker::{RequestCounts, Rule, Violation};
 use crate::client::Clients;
 use crate::context::Context;
 use crate::hex_digest;
@@ -47,7 +47,8 @@
     /// The violations of the rules.
     pub violations: Vec<Violation>,
     /// What became of the requests.
-    pub tally: Tally,
+    #[serde(rename = "tally")]
+    pub counts: RequestCounts,
     /// How many events were played.
     pub steps: u64,
     /// How much virtual time passed, in seconds.
@@ -148,7 +149,7 @@
         Report {
             seed,
             violations: checker.violations().to_vec(),
-            tally: checker.tally().clone(),
+            counts: checker.counts().clone(),
             steps: self.steps,
             virtual_s: since_start_ms(kernel.now()) / 1e3,
             digest: kernel.digest(),
--- a/crates/simulation/tests/drawn_simulations.rs
+++ b/crates/simulation/tests/drawn_simulations.rs
@@ -86,8 +86,8 @@
     assert_eq!(
         (
             summary.simulations,
-            summary.overloaded_by_root,
-            summary.broken.get(&Rule::SlowStart)
+            summary.overloaded_workers,
+            summary.violated_rules.get(&Rule::SlowStart)
         ),
         (150, 0, None)
     );
--- a/crates/simulation/tests/exploration_lock.rs
+++ b/crates/simulation/tests/exploration_lock.rs
@@ -9,12 +9,11 @@
 
     for seed in 0..60 {
         let report = play(&scenario_for_seed(seed, None), Trace::Off);
-        let tally = &report.tally;
         let counts = [
             report.steps,
-            tally.requests,
-            tally.attempts,
-            tally.succeeded,
+            report.counts.requests,
+            report.counts.attempts,
+            report.counts.succeeded,
         ];
         for (total, count) in total.iter_mut().zip(counts) {
             *total += count;
--- a/crates/simulation/tests/planned_scenarios.rs
+++ b/crates/simulation/tests/planned_scenarios.rs
@@ -1,7 +1,7 @@
 //! Scenario files in which faults coincide by plan.
 mod support;
 
-use rosewall_simulation::checker::{ClassTally, Tally};
+use rosewall_simulation::checker::{ClassCounts, RequestCounts};
 use support::play_without_violations;
 use test_case::test_case;
 
@@ -20,10 +20,10 @@
 #[test_case(include_str!("../scenarios/stop-meets-newcomer.toml"), 5; "found: a stop closed on a request in transit")]
 #[test_case(include_str!("../scenarios/left-while-connecting.toml"), 1; "found: sent for a client that had disconnected")]
 fn faults_that_coincide_violate_no_rule(text: &str, min_succeeded: u64) {
-    let tallies = play_without_violations(text, 0..20);
+    let all_counts = play_without_violations(text, 0..20);
 
-    for tally in tallies {
-        assert!(tally.succeeded >= min_succeeded, "{tally:?}");
+    for counts in all_counts {
+        assert!(counts.succeeded >= min_succeeded, "{counts:?}");
     }
 }
 
@@ -34,14 +34,14 @@
 #[test_case(include_str!("../scenarios/small-herd.toml"), 0.02; "most dispatchers are killed in a release")]
 #[test_case(include_str!("../scenarios/small-odd.toml"), 0.1; "wrong lists, and workers that flap, are unresponsive or at capacity")]
 fn a_large_fleet_goes_on_serving(text: &str, max_missed: f64) {
-    let tallies = play_without_violations(text, 0..8);
+    let all_counts = play_without_violations(text, 0..8);
 
-    let sum = |count: fn(&Tally) -> u64| tallies.iter().map(count).sum::<u64>();
-    let requests = sum(|tally| tally.requests);
-    let missed = sum(|tally| tally.rejected + tally.failed);
-    let share = missed as f64 / requests as f64;
+    let sum = |count: fn(&RequestCounts) -> u64| all_counts.iter().map(count).sum::<u64>();
+    let requests = sum(|counts| counts.requests);
+    let missed = sum(|counts| counts.rejected + counts.failed);
+    let fraction = missed as f64 / requests as f64;
     assert!(
-        requests > 5_000 && share < max_missed,
+        requests > 5_000 && fraction < max_missed,
         "{missed} of {requests} requests did not succeed"
     );
 }
@@ -50,19 +50,19 @@
 /// until one of each had succeeded, and the short class queued behind long requests.
 #[test]
 fn a_class_of_short_requests_is_served_beside_long_ones() {
-    let tallies =
+    let all_counts =
         play_without_violations(include_str!("../scenarios/short-beside-long.toml"), 0..8);
 
-    let share_in_time = |class: usize| {
-        let sum = |count: fn(&ClassTally) -> u64| {
-            tallies
+    let fraction_in_time = |class: usize| {
+        let sum = |count: fn(&ClassCounts) -> u64| {
+            all_counts
                 .iter()
-                .map(|tally| count(&tally.classes[class]))
+                .map(|counts| count(&counts.classes[class]))
                 .sum::<u64>()
         };
         sum(|class| class.in_time) as f64 / sum(|class| class.requests) as f64
     };
-    let (short, long) = (share_in_time(0), share_in_time(1));
+    let (short, long) = (fraction_in_time(0), fraction_in_time(1));
     assert!(
         short > 0.67 && long > 0.9,
         "{short:.3} of the short and {long:.3} of the long requests were in time"
@@ -74,7 +74,7 @@
 #[test_case(include_str!("../scenarios/vast-odd.toml"), 1; "wrong lists, and workers that flap, are unresponsive or at capacity")]
 #[test_case(include_str!("../scenarios/vast-zone.toml"), 3; "found: sent anew to a host that was back")]
 fn a_hundred_dispatchers_violate_no_rule(text: &str, seed: u64) {
-    let tallies = play_without_violations(text, seed..seed + 1);
+    let all_counts = play_without_violations(text, seed..seed + 1);
 
-    assert!(tallies[0].succeeded > 6_000, "{tallies:?}");
+    assert!(all_counts[0].succeeded > 6_000, "{all_counts:?}");
 }
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -1,18 +1,18 @@
 //! What the tests share.
-use rosewall_simulation::checker::Tally;
+use rosewall_simulation::checker::RequestCounts;
 use rosewall_simulation::explore::scenario_for_seed;
 use rosewall_simulation::scenario::read;
 use rosewall_simulation::simulation::{Trace, play};
 use std::ops::Range;
 
 /// Plays a planned scenario under each seed, requires that no rule is violated, and returns the tallies.
-pub fn play_without_violations(text: &str, seeds: Range<u64>) -> Vec<Tally> {
+pub fn play_without_violations(text: &str, seeds: Range<u64>) -> Vec<RequestCounts> {
     let planned = read(text).unwrap();
     seeds
         .map(|seed| {
             let report = play(&scenario_for_seed(seed, Some(&planned)), Trace::Off);
             assert_eq!(report.violations, Vec::new(), "seed {seed}");
-            report.tally
+            report.counts
         })
         .collect()
 }
