--- a/crates/simulation/src/checker/responses.rs
+++ b/crates/simulation/src/checker/responses.rs
@@ -154,7 +154,7 @@
     }
 
     /// A request ended without a complete response.
-    pub fn response_lost(&mut self, now: Nanos, request: RequestIndex, how: &str) {
+    pub fn response_lost(&mut self, now: Nanos, request: RequestIndex, reason: &str) {
         let record = &self.requests[request];
         if record.ended.is_some() {
             return;
@@ -171,7 +171,7 @@
         self.report_violation(
             now,
             Rule::Answer,
-            format!("request {request} was accepted and not answered: {how}"),
+            format!("request {request} was accepted and not answered: {reason}"),
         );
         self.end(now, request, Outcome::Exempted);
     }
--- a/crates/simulation/src/checker/tests.rs
+++ b/crates/simulation/src/checker/tests.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_result_that_a_worker_produced_in_time_violates_nothing() {
+fn a_result_that_a_worker_produced_in_time_violates_no_rule() {
     let mut checker = checker(Idempotency::NonIdempotent, RetryScope::All);
     let request = sent_request(&mut checker);
     attempt(&mut checker, START, request, 0);
@@ -83,7 +83,7 @@
 #[test_case(DEADLINE, b"made 1 5", &[Rule::Answer]; "the result of another request")]
 #[test_case(DEADLINE + SLACK, b"made 0 5", &[]; "a result within the slack")]
 #[test_case(DEADLINE + SLACK + 1, b"made 0 5", &[Rule::Answer]; "a result after the deadline")]
-fn a_response_is_true_and_in_time(at: Nanos, body: &[u8], rules: &[Rule]) {
+fn a_response_must_be_correct_and_in_time(at: Nanos, body: &[u8], rules: &[Rule]) {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
     let request = sent_request(&mut checker);
     checker.result_produced(request, 5);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_request_without_a_response_violates_the_answer_rule_unless_its_dispatcher_was_killed() {
+fn a_missing_response_violates_the_answer_rule_unless_the_dispatcher_was_killed() {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
     sent_request(&mut checker);
     checker.finish(DEADLINE);
@@ -122,7 +122,7 @@
 #[test_case(Idempotency::IdempotentWithKey, RetryScope::All, &[]; "with a key that all workers know")]
 #[test_case(Idempotency::IdempotentWithKey, RetryScope::Zone, &[Rule::Idempotency]; "with a key that some workers know")]
 #[test_case(Idempotency::NonIdempotent, RetryScope::All, &[Rule::Idempotency]; "a non-idempotent request")]
-fn a_rejection_promises_that_repeating_does_no_harm(
+fn rejects_only_requests_that_are_safe_to_repeat(
     idempotency: Idempotency,
     retry_scope: RetryScope,
     rules: &[Rule],
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_is_sent_again_once_the_rejection_was_read() {
+fn a_non_idempotent_request_may_be_resent_after_the_rejection_was_read() {
     let mut checker = checker(Idempotency::NonIdempotent, RetryScope::All);
     let request = sent_request(&mut checker);
     let first = attempt(&mut checker, START, request, 0);
@@ -155,7 +155,7 @@
 #[test_case(0, 100 * MS + SLACK, &[]; "within scope and window")]
 #[test_case(1, 0, &[Rule::Idempotency]; "out of its scope")]
 #[test_case(0, 100 * MS + SLACK + 1, &[Rule::Idempotency]; "out of its window")]
-fn a_key_allows_a_retry(zone: usize, after: Nanos, rules: &[Rule]) {
+fn a_key_allows_a_retry_within_its_scope_and_window(zone: usize, after: Nanos, rules: &[Rule]) {
     let mut checker = checker(Idempotency::IdempotentWithKey, RetryScope::Zone);
     let request = sent_request(&mut checker);
     attempt(&mut checker, START, request, 0);
--- a/crates/simulation/src/checker/warm_up.rs
+++ b/crates/simulation/src/checker/warm_up.rs
@@ -38,7 +38,7 @@
     started_at: Nanos,
     capacity: f64,
     /// From dispatchers that knew of the start.
-    informed: WindowedWork,
+    from_notified: WindowedWork,
     all: WindowedWork,
     /// Whether it was counted as overloaded by the root of N.
     overload_counted: bool,
@@ -46,8 +46,8 @@
 
 impl WarmingWorker {
     /// Whether most of the work came from dispatchers that knew of the start; the others are not at fault.
-    fn mostly_informed(&self) -> bool {
-        self.informed.sum * 3.0 >= self.all.sum * 2.0
+    fn mostly_from_notified(&self) -> bool {
+        self.from_notified.sum * 3.0 >= self.all.sum * 2.0
     }
 }
 
@@ -70,7 +70,7 @@
             worker,
             started_at,
             capacity,
-            informed: WindowedWork::default(),
+            from_notified: WindowedWork::default(),
             all: WindowedWork::default(),
             overload_counted: false,
         });
@@ -93,7 +93,7 @@
         if capacity_factor >= 1.0 {
             return false;
         }
-        let informed = self
+        let notified = self
             .published
             .get(&(arrival.dispatcher, arrival.worker))
             .is_some_and(|endpoint| endpoint.started_at == arrival.started_at);
@@ -105,21 +105,22 @@
         };
         let budget =
             self.rules.overload_multiple * warming.capacity * capacity_factor * window as f64;
-        warming.informed.expire(now, window);
-        if informed {
-            warming.informed.push(now, arrival.work);
+        warming.from_notified.expire(now, window);
+        if notified {
+            warming.from_notified.push(now, arrival.work);
         }
         warming.all.expire(now, window);
         warming.all.push(now, arrival.work);
 
         let limit = budget * BUDGET_TOLERANCE;
-        let calls = budget / self.mean_work.max(1.0);
-        let limit_by_root = (calls + 2.0 * calls.sqrt() + 2.0) * self.mean_work;
+        let expected_requests = budget / self.mean_work.max(1.0);
+        let limit_with_deviation =
+            (expected_requests + 2.0 * expected_requests.sqrt() + 2.0) * self.mean_work;
         let overloaded = warming.all.sum > limit;
-        let at_fault = informed && warming.mostly_informed();
-        let share = warming.informed.sum / limit * 100.0;
+        let at_fault = notified && warming.mostly_from_notified();
+        let percent = warming.from_notified.sum / limit * 100.0;
         if at_fault
-            && warming.all.sum > limit_by_root
+            && warming.all.sum > limit_with_deviation
             && !std::mem::replace(&mut warming.overload_counted, true)
         {
             self.counts.overloaded_workers += 1;
@@ -129,7 +130,7 @@
             self.report_violation(
                 now,
                 Rule::SlowStart,
-                format!("worker {worker} warms up and was sent {share:.0}% of what it can take"),
+                format!("worker {worker} warms up and was sent {percent:.0}% of what it can take"),
             );
         }
         overloaded
--- a/crates/simulation/src/commands.rs
+++ b/crates/simulation/src/commands.rs
@@ -1,8 +1,8 @@
 //! What the subcommands do.
 use crate::cli::{Cli, Command, SeedRange, Selection, Source};
 use crate::output::{
-    print, print_replay_command, print_report, print_summary, print_violations, progress_bar,
-    report_shrinking,
+    print, print_replay_command, print_report, print_shrinking_progress, print_summary,
+    print_violations, progress_bar,
 };
 use rosewall_simulation::explore::{explore_with, scenario_for_seed, scenario_with_dispatchers};
 use rosewall_simulation::scenario::{self, Scenario, ScenarioError};
@@ -135,7 +135,7 @@
     let scenario = selected_scenario(selection)?;
     let report = play(&scenario, Trace::Off);
     let violation = report.violations.first().ok_or(CommandError::NoViolation)?;
-    let smallest = shrink(&scenario, violation.rule, report_shrinking);
+    let smallest = shrink(&scenario, violation.rule, print_shrinking_progress);
     let text = render_scenario(&smallest, json)?;
     match out {
         Some(path) => std::fs::write(path, text).map_err(|source| CommandError::Write {
--- a/crates/simulation/src/generate.rs
+++ b/crates/simulation/src/generate.rs
@@ -51,7 +51,7 @@
 ];
 
 /// What goes wrong with a list while a worker on it drains.
-const FAULTS_BESIDE_DRAIN: [FaultKind; 4] = [
+const ENDPOINT_FAULTS_WITH_DRAIN: [FaultKind; 4] = [
     FaultKind::EndpointsStale,
     FaultKind::EndpointsStale,
     FaultKind::ReloadUnreachable,
@@ -85,30 +85,30 @@
         workers: rng.range(2, 9) as usize,
         length_ms: rng.range(2500, 7000),
     };
-    let rules = draw_rules(&mut rng);
+    let rules = generate_rules(&mut rng);
     let workers: Vec<WorkerSpec> = (0..size.workers)
-        .map(|index| draw_worker(&mut rng, index))
+        .map(|index| generate_worker(&mut rng, index))
         .collect();
     let classes: Vec<RequestClass> = IDEMPOTENCIES
         .iter()
-        .map(|idempotency| draw_class(&mut rng, *idempotency))
+        .map(|idempotency| generate_class(&mut rng, *idempotency))
         .collect();
-    let loads = draw_loads(&mut rng, &workers);
-    let mut faults = draw_faults(&mut rng, size);
-    let misbehaving_clients = draw_misbehaving_clients(&mut rng, size);
-    let requests = draw_single_requests(&mut rng, size, &faults);
+    let loads = generate_loads(&mut rng, &workers);
+    let mut faults = generate_faults(&mut rng, size);
+    let misbehaving_clients = generate_misbehaving_clients(&mut rng, size);
+    let requests = generate_single_requests(&mut rng, size, &faults);
     let mut rng = Rng::new(seed, MEMBERSHIP_STREAM);
-    let membership = draw_membership(&mut rng, size);
+    let membership = generate_membership(&mut rng, size);
     if membership.is_some() {
-        draw_cluster_faults(&mut rng, size, &mut faults);
+        generate_cluster_faults(&mut rng, size, &mut faults);
     }
     Scenario {
         name: format!("drawn from {seed}"),
         seed,
         length_ms: size.length_ms,
         dispatchers: size.dispatchers,
-        limits: draw_limits(&mut rng),
-        net: draw_network(&mut rng),
+        limits: generate_limits(&mut rng),
+        net: generate_network(&mut rng),
         rules,
         membership,
         classes,
@@ -120,7 +120,7 @@
     }
 }
 
-fn draw_rules(rng: &mut Rng) -> Rules {
+fn generate_rules(rng: &mut Rng) -> Rules {
     Rules {
         drain_grace_ms: *rng.choose(&[500, 1000, 3000]),
         overload_multiple: *rng.choose(&[3.0, 4.0]),
@@ -130,7 +130,7 @@
     }
 }
 
-fn draw_worker(rng: &mut Rng, index: usize) -> WorkerSpec {
+fn generate_worker(rng: &mut Rng, index: usize) -> WorkerSpec {
     WorkerSpec {
         zone: index % 2,
         cell: index / 2,
@@ -142,7 +142,7 @@
     }
 }
 
-fn draw_class(rng: &mut Rng, idempotency: Idempotency) -> RequestClass {
+fn generate_class(rng: &mut Rng, idempotency: Idempotency) -> RequestClass {
     let deadline_ms = rng.range(250, 2500);
     RequestClass {
         idempotency,
@@ -156,7 +156,7 @@
 }
 
 /// One load a class: together from quiet to well over what the workers can do.
-fn draw_loads(rng: &mut Rng, workers: &[WorkerSpec]) -> Vec<Load> {
+fn generate_loads(rng: &mut Rng, workers: &[WorkerSpec]) -> Vec<Load> {
     let capacity = workers
         .iter()
         .map(|worker| worker.slots as f64 * worker.speed)
@@ -183,24 +183,24 @@
 }
 
 /// Faults gather round a few moments, so that they coincide; some begin at the very same one.
-fn draw_faults(rng: &mut Rng, size: Size) -> Vec<Fault> {
+fn generate_faults(rng: &mut Rng, size: Size) -> Vec<Fault> {
     let moments: Vec<f64> = (0..rng.range(1, 4))
         .map(|_| rng.range(300, size.length_ms) as f64)
         .collect();
     let mut faults = Vec::new();
     for _ in 0..rng.range(1, 8) {
-        let fault = draw_fault(rng, size, &moments);
+        let fault = generate_fault(rng, size, &moments);
         let drains = matches!(fault.kind, FaultKind::Drain | FaultKind::DrainRejectQueued);
         let at_ms = fault.at_ms;
         faults.push(fault);
         if drains && rng.chance(0.4) {
-            faults.push(draw_fault_beside_drain(rng, size, at_ms));
+            faults.push(generate_endpoint_fault_with_drain(rng, size, at_ms));
         }
     }
     faults
 }
 
-fn draw_fault(rng: &mut Rng, size: Size, moments: &[f64]) -> Fault {
+fn generate_fault(rng: &mut Rng, size: Size, moments: &[f64]) -> Fault {
     let kind = if rng.chance(0.6) {
         *rng.choose(&WORKER_FAULTS)
     } else {
@@ -217,7 +217,7 @@
         1 => round(moment + 20.0 * rng.unit()),
         _ => round(moment + 600.0 * rng.unit()),
     };
-    let share = draw_share(rng, kind);
+    let share = generate_share(rng, kind);
     let duration_ms = *rng.choose(&[50.0, 150.0, 400.0, 1000.0, 2500.0]);
     Fault {
         at_ms,
@@ -229,7 +229,7 @@
     }
 }
 
-fn draw_share(rng: &mut Rng, kind: FaultKind) -> f64 {
+fn generate_share(rng: &mut Rng, kind: FaultKind) -> f64 {
     match kind {
         FaultKind::Slow => round(1.5 + 8.0 * rng.unit()),
         FaultKind::ResetConnections
@@ -243,8 +243,8 @@
 }
 
 /// What a list says of a worker that drains matters most while the list itself is at fault.
-fn draw_fault_beside_drain(rng: &mut Rng, size: Size, drain_at_ms: f64) -> Fault {
-    let kind = *rng.choose(&FAULTS_BESIDE_DRAIN);
+fn generate_endpoint_fault_with_drain(rng: &mut Rng, size: Size, drain_at_ms: f64) -> Fault {
+    let kind = *rng.choose(&ENDPOINT_FAULTS_WITH_DRAIN);
     let lead_ms = if kind == FaultKind::EndpointsStale {
         -400.0
     } else {
@@ -260,7 +260,7 @@
     }
 }
 
-fn draw_misbehaving_clients(rng: &mut Rng, size: Size) -> Vec<MisbehavingClient> {
+fn generate_misbehaving_clients(rng: &mut Rng, size: Size) -> Vec<MisbehavingClient> {
     let count = if rng.chance(0.4) { rng.range(1, 5) } else { 0 };
     (0..count)
         .map(|_| MisbehavingClient {
@@ -273,7 +273,7 @@
 }
 
 /// Requests that end, are abandoned or begin just as a fault begins or ends.
-fn draw_single_requests(rng: &mut Rng, size: Size, faults: &[Fault]) -> Vec<SingleRequest> {
+fn generate_single_requests(rng: &mut Rng, size: Size, faults: &[Fault]) -> Vec<SingleRequest> {
     (0..rng.range(0, 4))
         .map(|_| {
             let fault = &faults[rng.index(faults.len())];
@@ -295,7 +295,7 @@
         .collect()
 }
 
-fn draw_membership(rng: &mut Rng, size: Size) -> Option<Membership> {
+fn generate_membership(rng: &mut Rng, size: Size) -> Option<Membership> {
     if size.dispatchers < 2 || !rng.chance(0.5) {
         return None;
     }
@@ -314,7 +314,7 @@
 }
 
 /// Faults between dispatchers, and a worker that restarts while warm-up grants are exchanged.
-fn draw_cluster_faults(rng: &mut Rng, size: Size, faults: &mut Vec<Fault>) {
+fn generate_cluster_faults(rng: &mut Rng, size: Size, faults: &mut Vec<Fault>) {
     for _ in 0..rng.range(0, 3) {
         faults.push(Fault {
             kind: *rng.choose(&CLUSTER_FAULTS),
@@ -337,7 +337,7 @@
     }
 }
 
-fn draw_limits(rng: &mut Rng) -> Limits {
+fn generate_limits(rng: &mut Rng) -> Limits {
     Limits {
         sockets: *rng.choose(&[96, 128, 384]),
         memory_mb: *rng.choose(&[16, 48]),
@@ -347,7 +347,7 @@
     }
 }
 
-fn draw_network(rng: &mut Rng) -> NetworkConfig {
+fn generate_network(rng: &mut Rng) -> NetworkConfig {
     NetworkConfig {
         latency_us: *rng.choose(&[[20, 60], [50, 400], [100, 3000]]),
         partial_io: *rng.choose(&[0.0, 0.05, 0.3]),
--- a/crates/simulation/src/output.rs
+++ b/crates/simulation/src/output.rs
@@ -90,7 +90,7 @@
 }
 
 /// Says on standard error how small a scenario has become.
-pub fn report_shrinking(scenario: &Scenario) {
+pub fn print_shrinking_progress(scenario: &Scenario) {
     eprintln!(
         "{} faults, {} loads, {} misbehaving clients, {} single requests, {} ms",
         scenario.faults.len(),
--- a/crates/simulation/src/scenario/validate.rs
+++ b/crates/simulation/src/scenario/validate.rs
@@ -106,7 +106,7 @@
         .map(move |(index, item)| (Entry { key, index }, item))
 }
 
-fn is_share(value: f64) -> bool {
+fn is_fraction(value: f64) -> bool {
     (0.0..=1.0).contains(&value)
 }
 
@@ -141,7 +141,7 @@
     let entry = Entry::plain("net");
     let [low, high] = scenario.net.latency_us;
     entry.require(low > 0 && low <= high, Problem::Latency)?;
-    entry.require(is_share(scenario.net.partial_io), Problem::Share)
+    entry.require(is_fraction(scenario.net.partial_io), Problem::Share)
 }
 
 fn validate_membership(membership: &Membership) -> Result<(), InvalidEntry> {
@@ -151,7 +151,7 @@
         Problem::QuorumSize,
     )?;
     entry.require(
-        is_share(membership.loss) && is_share(membership.duplicate),
+        is_fraction(membership.loss) && is_fraction(membership.duplicate),
         Problem::Share,
     )?;
     entry.require(
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -87,8 +87,8 @@
         for _ in 0..MAX_REPEATS {
             let mut candidate = self.smallest.clone();
             simplification(&mut candidate);
-            let too_quiet = candidate.loads.iter().any(|load| load.rate < MIN_RATE);
-            if candidate == self.smallest || too_quiet || !self.accept(candidate) {
+            let rate_too_low = candidate.loads.iter().any(|load| load.rate < MIN_RATE);
+            if candidate == self.smallest || rate_too_low || !self.accept(candidate) {
                 return;
             }
         }
--- a/crates/simulation/tests/drawn_simulations.rs
+++ b/crates/simulation/tests/drawn_simulations.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn five_hundred_drawn_simulations_violate_no_rule() {
+fn five_hundred_generated_simulations_violate_no_rule() {
     let mut violating = Vec::new();
 
     let summary = explore(0..500, cores(), None, |report| {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_seed_gives_one_simulation_whatever_runs_beside_it() {
+fn a_seed_gives_the_same_simulation_on_any_number_of_threads() {
     let alone = explore(0..16, 1, None, |_| ());
     let together = explore(0..16, 5, None, |_| ());
     let other_seeds = explore(1..17, 5, None, |_| ());
@@ -59,7 +59,7 @@
 #[test_case(9_890; "starts of requests that never ended")]
 #[test_case(1_005_010; "starts reported before the ends that preceded them")]
 #[test_case(1_015_281; "likewise, and workers with different slots")]
-fn slots_that_do_not_exist_overload_no_warming_worker(seed: u64) {
+fn overestimated_slots_overload_no_warming_worker(seed: u64) {
     let report = play(&scenario_for_seed(seed, None), Trace::Off);
 
     assert_eq!(report.violations, Vec::new());
@@ -68,7 +68,7 @@
 /// Found among 20,000: of eight workers of one type and one listed size the warming one has the capacity of 1.6 slots,
 /// most others of 2.8 to 4, while budgets go by the lowest quarter of the type.
 #[test]
-fn a_worker_smaller_than_its_type_is_not_overloaded() {
+fn a_warming_worker_with_less_capacity_than_its_type_is_not_overloaded() {
     let report = play(&scenario_for_seed(1_006_095, None), Trace::Off);
 
     assert_eq!(report.violations, Vec::new());
--- a/crates/simulation/tests/exploration_lock.rs
+++ b/crates/simulation/tests/exploration_lock.rs
@@ -3,7 +3,7 @@
 use rosewall_simulation::simulation::{Trace, play};
 
 #[test]
-fn sixty_drawn_simulations_take_exactly_the_recorded_steps() {
+fn sixty_generated_simulations_take_exactly_the_recorded_steps() {
     let mut total = [0_u64; 4];
     let mut digest = 0xcbf2_9ce4_8422_2325_u64;
 
--- a/crates/simulation/tests/json_output.rs
+++ b/crates/simulation/tests/json_output.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_keys_of_a_summary_stay() {
+fn the_json_keys_of_a_summary_are_stable() {
     let summary = serde_json::to_value(explore(0..1, 1, None, |_| ())).unwrap();
 
     assert_eq!(
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_keys_of_a_report_stay() {
+fn the_json_keys_of_a_report_are_stable() {
     let report = play(&scenario_for_seed(0, None), Trace::Off);
     let report = serde_json::to_value(report).unwrap();
 
@@ -81,7 +81,7 @@
 #[test_case(Rule::ResourceLeak => "given-back")]
 #[test_case(Rule::Shutdown => "stop")]
 #[test_case(Rule::Program => "program")]
-fn the_word_of_a_rule_stays(rule: Rule) -> String {
+fn the_json_name_of_a_rule_is_stable(rule: Rule) -> String {
     serde_json::to_value(rule)
         .unwrap()
         .as_str()
--- a/crates/simulation/tests/planned_scenarios.rs
+++ b/crates/simulation/tests/planned_scenarios.rs
@@ -2,7 +2,7 @@
 mod support;
 
 use rosewall_simulation::checker::{ClassCounts, RequestCounts};
-use support::play_without_violations;
+use support::run_without_violations;
 use test_case::test_case;
 
 /// Each under twenty seeds, so that events of one instant happen in all orders. `min_succeeded` requests a simulation show
@@ -19,8 +19,8 @@
 #[test_case(include_str!("../scenarios/full-door.toml"), 5; "found: clients aged at a full listener")]
 #[test_case(include_str!("../scenarios/stop-meets-newcomer.toml"), 5; "found: a stop closed on a request in transit")]
 #[test_case(include_str!("../scenarios/left-while-connecting.toml"), 1; "found: sent for a client that had disconnected")]
-fn faults_that_coincide_violate_no_rule(text: &str, min_succeeded: u64) {
-    let all_counts = play_without_violations(text, 0..20);
+fn coinciding_faults_violate_no_rule(text: &str, min_succeeded: u64) {
+    let all_counts = run_without_violations(text, 0..20);
 
     for counts in all_counts {
         assert!(counts.succeeded >= min_succeeded, "{counts:?}");
@@ -33,8 +33,8 @@
 #[test_case(include_str!("../scenarios/small-zone.toml"), 0.02; "a zone is lost and comes back cold")]
 #[test_case(include_str!("../scenarios/small-herd.toml"), 0.02; "most dispatchers are killed in a release")]
 #[test_case(include_str!("../scenarios/small-odd.toml"), 0.1; "wrong lists, and workers that flap, are unresponsive or at capacity")]
-fn a_large_fleet_goes_on_serving(text: &str, max_missed: f64) {
-    let all_counts = play_without_violations(text, 0..8);
+fn a_large_fleet_serves_most_requests_under_faults(text: &str, max_missed: f64) {
+    let all_counts = run_without_violations(text, 0..8);
 
     let sum = |count: fn(&RequestCounts) -> u64| all_counts.iter().map(count).sum::<u64>();
     let requests = sum(|counts| counts.requests);
@@ -51,7 +51,7 @@
 #[test]
 fn a_class_of_short_requests_is_served_beside_long_ones() {
     let all_counts =
-        play_without_violations(include_str!("../scenarios/short-beside-long.toml"), 0..8);
+        run_without_violations(include_str!("../scenarios/short-beside-long.toml"), 0..8);
 
     let fraction_in_time = |class: usize| {
         let sum = |count: fn(&ClassCounts) -> u64| {
@@ -74,7 +74,7 @@
 #[test_case(include_str!("../scenarios/vast-odd.toml"), 1; "wrong lists, and workers that flap, are unresponsive or at capacity")]
 #[test_case(include_str!("../scenarios/vast-zone.toml"), 3; "found: sent anew to a host that was back")]
 fn a_hundred_dispatchers_violate_no_rule(text: &str, seed: u64) {
-    let all_counts = play_without_violations(text, seed..seed + 1);
+    let all_counts = run_without_violations(text, seed..seed + 1);
 
     assert!(all_counts[0].succeeded > 6_000, "{all_counts:?}");
 }
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -23,16 +23,16 @@
 }
 
 #[test]
-fn a_scenario_is_read_as_it_was_written() {
+fn a_written_scenario_is_read_back_unchanged() {
     for seed in 0..50 {
-        let drawn = scenario_for_seed(seed, None);
-        assert_eq!(read(&write(&drawn).unwrap()).unwrap(), drawn);
+        let generated = scenario_for_seed(seed, None);
+        assert_eq!(read(&write(&generated).unwrap()).unwrap(), generated);
     }
 }
 
 /// Stored scenarios are read by later versions: what is written must not change with the names in the code.
 #[test]
-fn the_keys_and_words_of_drawn_scenario_files_stay_as_they_are() {
+fn the_text_of_generated_scenario_files_is_stable() {
     let mut digest = 0xcbf2_9ce4_8422_2325_u64;
 
     for seed in 0..500 {
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 
 /// Plays a planned scenario under each seed, requires that no rule is violated, and returns the tallies.
-pub fn play_without_violations(text: &str, seeds: Range<u64>) -> Vec<RequestCounts> {
+pub fn run_without_violations(text: &str, seeds: Range<u64>) -> Vec<RequestCounts> {
     let planned = read(text).unwrap();
     seeds
         .map(|seed| {
