--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,5 +1,6 @@
-//! The checker of the rules. It keeps its own record of what happened (what clients sent and received, what reached
-//! workers and ran there, what endpoint lists published) and checks each event against it. It asks no dispatcher anything.
+//! Rule checker. Records what clients send and receive, what reaches workers and executes there,
+//! and what endpoint lists publish, and checks each event against this record. Does not rely on any
+//! state of a dispatcher.
 mod attempts;
 mod counts;
 mod endpoints;
@@ -23,60 +24,62 @@
 use warm_up::WarmingWorker;
 pub use warm_up::WorkArrival;
 
-/// How much later than in the rules' figures an event may be: time that the network takes.
+/// Tolerance on all time limits of the rules, for the latency of the network.
 pub const SLACK: Nanos = 50 * MS;
 
-/// How many violations are kept: a simulation that goes on wrongly repeats itself.
+/// Maximum number of violations kept per simulation, as one fault often causes many of the same
+/// kind.
 const MAX_VIOLATIONS: usize = 16;
 
-/// The number of a worker, by its place in the scenario.
+/// Index of a worker in the scenario.
 pub type WorkerIndex = usize;
 
-/// A rule that must hold.
+/// Rule that every simulation must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Every accepted request gets one complete, true response in time.
+    /// Every accepted request gets exactly one complete and correct response before its deadline.
     Answer,
-    /// No non-idempotent request runs twice.
+    /// Non-idempotent requests execute at most once, retries with a key stay within their scope and
+    /// window, and rejected requests are safe to repeat.
     #[serde(rename = "effect")]
     Idempotency,
-    /// A worker that drains or is gone gets no new request.
+    /// A draining or removed worker gets no new requests after the grace period.
     Drain,
-    /// No warming worker is overloaded.
+    /// A worker is not overloaded while it warms up.
     #[serde(rename = "cold")]
     SlowStart,
-    /// Nothing is sent for a request that has ended.
+    /// No attempt is sent for a request that has ended or whose deadline has passed.
     #[serde(rename = "over")]
     SentAfterEnd,
-    /// An invalid request is not served.
+    /// An invalid request is neither sent to a worker nor answered with success.
     #[serde(rename = "bad")]
     InvalidRequest,
-    /// Descriptors stay within the limit.
+    /// The number of open descriptors stays within the limit.
     Descriptors,
-    /// At the end all resources are released.
+    /// All resources are released at the end of the simulation.
     #[serde(rename = "given-back")]
     ResourceLeak,
-    /// A shutdown ends in time.
+    /// A shutdown completes in time.
     #[serde(rename = "stop")]
     Shutdown,
-    /// The program neither panics nor spins.
+    /// The dispatcher neither panics nor runs without ever waiting.
     Program,
 }
 
-/// A violation of a rule.
+/// Violation of a rule at one point in time.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// Violated rule.
     pub rule: Rule,
-    /// When it was violated, in milliseconds from the start of the simulation.
+    /// Time of the violation, in milliseconds from the start of the simulation.
     pub at_ms: f64,
-    /// What happened.
+    /// Description with the request, worker or host concerned.
     #[serde(rename = "what")]
     pub text: String,
 }
 
-/// The record of one simulation, and the violations found so far.
+/// Record of one simulation and the violations found so far.
 pub struct Checker {
     start: Nanos,
     rules: Rules,
@@ -85,14 +88,14 @@
     published: FxHashMap<(HostId, WorkerIndex), PublishedEndpoint>,
     killed_dispatchers: FxHashSet<HostId>,
     warming_workers: Vec<WarmingWorker>,
-    /// The mean work of a request, over all loads.
+    /// Mean work of a request over all loads, in ns of one slot.
     mean_work: f64,
     violations: Vec<Violation>,
     counts: RequestCounts,
 }
 
 impl Checker {
-    /// A checker for a simulation that begins at `start`.
+    /// Creates a checker for a simulation that begins at `start`. `mean_work` is in ns of one slot.
     pub fn new(start: Nanos, rules: Rules, classes: &[RequestClass], mean_work: f64) -> Self {
         Checker {
             start,
@@ -111,17 +114,17 @@
         }
     }
 
-    /// The violations found so far.
+    /// Returns the violations found so far, at most 16.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// What became of the requests so far.
+    /// Returns the request counts so far.
     pub fn counts(&self) -> &RequestCounts {
         &self.counts
     }
 
-    /// Records a violation.
+    /// Records a violation. Has no effect once the maximum number is reached.
     pub fn report_violation(&mut self, now: Nanos, rule: Rule, text: String) {
         if self.violations.len() < MAX_VIOLATIONS {
             let at_ms = now.saturating_sub(self.start) as f64 / 1e6;
@@ -129,17 +132,18 @@
         }
     }
 
-    /// A dispatcher's process was killed: what it had accepted is lost without a violation.
+    /// Records that a dispatcher's process was killed. Losing the requests that it had accepted is
+    /// no violation.
     pub fn dispatcher_killed(&mut self, host: HostId) {
         self.killed_dispatchers.insert(host);
     }
 
-    /// The simulation is over: all that was sent must have ended by now.
+    /// Ends the simulation: reports each sent request that has not ended.
     pub fn finish(&mut self, now: Nanos) {
         for request in 0..self.requests.len() {
             let record = &self.requests[request];
             if record.ended.is_none() && record.sent.is_some() {
-                self.response_lost(now, request, "nothing came until the end of the simulation");
+                self.response_lost(now, request, "no response before the end of the simulation");
             }
         }
     }
--- a/crates/simulation/src/checker/attempts.rs
+++ b/crates/simulation/src/checker/attempts.rs
@@ -1,4 +1,4 @@
-//! What reaches workers and runs there.
+//! Checks of the attempts that reach workers and execute there.
 use super::record::{Attempt, Ended, Outcome, RejectionProof, RequestIndex};
 use super::{Checker, Rule, SLACK, WorkerIndex};
 use crate::network::{DirectionCounters, HostId};
@@ -7,30 +7,31 @@
 use rosewall::types::{EndpointState, Nanos};
 use std::rc::Rc;
 
-/// Who sent an attempt, and when.
+/// Origin and time of an attempt.
 pub struct AttemptOrigin {
-    /// The dispatcher's host.
+    /// Host of the dispatcher.
     pub host: HostId,
-    /// When its first byte was written.
+    /// Time at which the first byte was written.
     pub first_byte_at: Nanos,
-    /// When its last byte was written.
+    /// Time at which the last byte was written.
     pub last_byte_at: Nanos,
 }
 
-/// The worker that an attempt reached.
+/// Worker that an attempt reached.
 pub struct AttemptTarget {
-    /// The worker.
+    /// Index of the worker.
     pub worker: WorkerIndex,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: usize,
-    /// Its cell.
+    /// Cell of the worker.
     pub cell: usize,
 }
 
 type Finding = (Rule, String);
 
 impl Checker {
-    /// A complete attempt has reached a worker. Returns its index, or none if no client sent such a request.
+    /// Checks a complete attempt that has reached a worker. Returns its index within the request,
+    /// or none if no client sent the request.
     pub fn attempt_arrived(
         &mut self,
         now: Nanos,
@@ -40,7 +41,7 @@
     ) -> Option<usize> {
         self.counts.attempts += 1;
         let Some(request) = request.filter(|request| *request < self.requests.len()) else {
-            let text = "an attempt with an id that no client sent".to_string();
+            let text = "an attempt has a request id that no client sent".to_string();
             self.report_violation(now, Rule::InvalidRequest, text);
             return None;
         };
@@ -65,17 +66,19 @@
 
     fn check_validity(&self, request: RequestIndex) -> Option<Finding> {
         let reason = self.requests[request].invalid_reason?;
-        let text = format!("request {request} went to a worker, and is invalid: {reason}");
+        let text = format!("request {request} is invalid ({reason}) and reached a worker");
         Some((Rule::InvalidRequest, text))
     }
 
-    /// Nothing is sent for a request that has ended, or whose deadline has passed.
+    /// Checks that the request had not ended and its deadline had not passed when the attempt was
+    /// sent.
     fn check_not_ended(&self, request: RequestIndex, origin: &AttemptOrigin) -> Option<Finding> {
         let record = &self.requests[request];
         let idempotency = self.classes[record.class].idempotency;
         let sent_at = origin.last_byte_at;
         match record.ended {
-            // A request whose id was sent twice and that was rejected unsent is new to the dispatcher.
+            // After a rejection without an attempt, a second request with the same id is a new one
+            // to the dispatcher.
             Some(Ended {
                 outcome: Outcome::Answered(503),
                 ..
@@ -103,7 +106,8 @@
         }
     }
 
-    /// A request whose earlier attempt may have run is repeated only as its class allows.
+    /// Checks that a request with an attempt that may have executed is retried only as its class
+    /// allows.
     fn check_repetition(
         &self,
         request: RequestIndex,
@@ -125,20 +129,21 @@
         let problem = match class.idempotency {
             Idempotency::Idempotent => return None,
             Idempotency::NonIdempotent => {
-                "is non-idempotent and was sent again while an earlier attempt may have run"
+                "is non-idempotent and was resent while an earlier attempt may have executed"
             }
             Idempotency::IdempotentWithKey if !in_scope => {
-                "is idempotent with a key and was repeated out of its retry scope"
+                "is idempotent with a key and was retried outside its retry scope"
             }
             Idempotency::IdempotentWithKey if origin.first_byte_at > window_end => {
-                "is idempotent with a key and was repeated out of its retry window"
+                "is idempotent with a key and was retried outside its retry window"
             }
             Idempotency::IdempotentWithKey => return None,
         };
         Some((Rule::Idempotency, format!("request {request} {problem}")))
     }
 
-    /// A dispatcher sends to workers that it was told are ready, or were so until the grace began.
+    /// Checks that the worker was published as ready to the dispatcher, or was within the grace
+    /// period after that.
     fn check_endpoint(
         &self,
         request: RequestIndex,
@@ -148,7 +153,7 @@
         let worker = target.worker;
         let Some(endpoint) = self.published.get(&(origin.host, worker)) else {
             let text = format!(
-                "worker {worker} is on no list of the dispatcher that sent request {request}"
+                "request {request} went to worker {worker}, which was never published to the dispatcher"
             );
             return Some((Rule::Drain, text));
         };
@@ -159,18 +164,20 @@
         }
         let by = (origin.first_byte_at - limit) as f64 / 1e6;
         let text = format!(
-            "request {request} went to worker {worker} ({state:?}) {by:.1} ms past the grace"
+            "request {request} went to worker {worker} ({state:?}) {by:.1} ms after the grace period"
         );
         Some((Rule::Drain, text))
     }
 
-    /// The class and the work of a request, for the worker that runs it.
+    /// Returns the class and the work (in ns of one slot) of a request, for the worker that
+    /// executes it.
     pub fn class_and_work(&self, request: RequestIndex) -> (usize, Nanos) {
         let record = &self.requests[request];
         (record.class, record.work)
     }
 
-    /// The worker has not begun this attempt and never will; its promise is complete at the offset `end` of what it writes.
+    /// Records that the worker rejects an attempt without executing it. The rejection is complete
+    /// at offset `end` of the worker's output stream.
     pub fn attempt_rejected(
         &mut self,
         request: RequestIndex,
@@ -181,7 +188,7 @@
         self.requests[request].attempts[attempt].rejection = Some(RejectionProof { end, counters });
     }
 
-    /// A worker begins to run a request.
+    /// Records that a worker starts to execute a request.
     pub fn execution_started(&mut self, now: Nanos, request: RequestIndex) {
         let record = &mut self.requests[request];
         record.executions += 1;
@@ -191,12 +198,12 @@
             self.report_violation(
                 now,
                 Rule::Idempotency,
-                format!("request {request} is non-idempotent and ran twice"),
+                format!("request {request} is non-idempotent and was executed more than once"),
             );
         }
     }
 
-    /// A worker has produced a result.
+    /// Records a result that a worker produced.
     pub fn result_produced(&mut self, request: RequestIndex, number: u64) {
         self.requests[request].results.push(number);
     }
--- a/crates/simulation/src/checker/counts.rs
+++ b/crates/simulation/src/checker/counts.rs
@@ -1,44 +1,47 @@
-//! What became of the requests of a simulation. The keys of the JSON form are read by other programs.
+//! Counts of request outcomes. Other programs read the keys of the JSON form.
 
-/// What became of the requests of a simulation.
+/// Outcomes of all requests of a simulation.
 #[derive(Clone, Debug, Default, serde::Serialize)]
 pub struct RequestCounts {
-    /// Requests that clients created.
+    /// Number of requests that clients created.
     #[serde(rename = "txns")]
     pub requests: u64,
-    /// Answered with a result.
+    /// Requests answered with a result (status 200).
     #[serde(rename = "settled")]
     pub succeeded: u64,
-    /// Answered with the promise that nothing ran.
+    /// Requests rejected with status 503, which promises that a retry is safe.
     #[serde(rename = "declined")]
     pub rejected: u64,
-    /// Answered without that promise.
+    /// Requests answered with any other status, without this promise.
     #[serde(rename = "reversed")]
     pub failed: u64,
-    /// Ended by their client.
+    /// Requests ended by a disconnect of the client.
     #[serde(rename = "left")]
     pub disconnected: u64,
-    /// Lost without a violation.
+    /// Requests that ended without a response, where no rule required one or a violation was
+    /// reported.
     #[serde(rename = "excused")]
     pub exempted: u64,
-    /// Attempts that reached a worker.
+    /// Number of attempts that reached a worker.
     #[serde(rename = "postings")]
     pub attempts: u64,
-    /// Answered with a result before the deadline.
+    /// Requests answered with a result before the deadline.
     pub in_time: u64,
-    /// Warming processes that got more than N + 2 x root of N + 2 requests of mean work within a window, of which over
-    /// two thirds came from dispatchers that knew of the start; N is what the rules allow (the operators' measure, beside the checker's own).
+    /// Worker processes that got more than N + 2 * sqrt(N) + 2 requests of mean work within the
+    /// overload window while warming up, at least two thirds of the work from dispatchers that had
+    /// been notified of the start. N is the number that the rules allow. The measure is the
+    /// operators' and separate from [`Rule::SlowStart`](super::Rule::SlowStart).
     #[serde(rename = "fell_by_root")]
     pub overloaded_workers: u64,
-    /// The same by class, in the scenario's order.
+    /// Counts by class, in the order of the scenario.
     pub classes: Vec<ClassCounts>,
 }
 
-/// What became of the requests of one class.
+/// Outcomes of the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct ClassCounts {
-    /// Requests that clients created.
+    /// Number of requests that clients created.
     pub requests: u64,
-    /// Answered with a result before the deadline.
+    /// Requests answered with a result before the deadline.
     pub in_time: u64,
 }
--- a/crates/simulation/src/checker/endpoints.rs
+++ b/crates/simulation/src/checker/endpoints.rs
@@ -1,16 +1,16 @@
-//! What endpoint lists published to dispatchers.
+//! Record of the endpoint lists published to each dispatcher.
 use super::{Checker, WorkerIndex};
 use crate::network::HostId;
 use rosewall::types::{EndpointState, Nanos};
 
-/// What a list says of one worker.
+/// State of one worker in an endpoint list.
 #[derive(Clone, Copy)]
 pub struct PublishedState {
-    /// Whether it takes requests.
+    /// Published state: ready, draining or removed.
     pub state: EndpointState,
-    /// When its process started; 0 for one that has long been up.
+    /// Start time of the process; 0 if it has been running since before the simulation.
     pub started_at: Nanos,
-    /// The version of the list.
+    /// Version of the list.
     pub version: u64,
 }
 
@@ -23,7 +23,8 @@
 }
 
 impl Checker {
-    /// A list that is written to a dispatcher says this of a worker; of one that a snapshot omits, that it is removed.
+    /// Records the state of a worker in a list that is sent to a dispatcher. A worker that a
+    /// snapshot omits is recorded as removed.
     pub fn endpoint_published(
         &mut self,
         now: Nanos,
@@ -38,7 +39,8 @@
         } = published;
         let known = self.published.get(&(dispatcher, worker)).copied();
         let newer = known.filter(|known| known.version > version && started_at <= known.started_at);
-        // An older list says nothing new of the process that a newer one described.
+        // An older list does not restore a process that a newer list has already marked as not
+        // ready.
         if newer.is_some_and(|newer| newer.state != EndpointState::Ready) {
             return;
         }
@@ -67,7 +69,7 @@
         );
     }
 
-    /// The workers of which a dispatcher was told.
+    /// Returns the workers that were ever published to a dispatcher, in ascending order.
     pub fn known_workers(&self, dispatcher: HostId) -> Vec<WorkerIndex> {
         let mut workers: Vec<WorkerIndex> = self
             .published
--- a/crates/simulation/src/checker/record.rs
+++ b/crates/simulation/src/checker/record.rs
@@ -1,39 +1,40 @@
-//! What is recorded of one request.
+//! Record of one request.
 use crate::network::{DirectionCounters, HostId};
 use crate::scenario::{Idempotency, RequestClass, RetryScope};
 use crate::time::MS;
 use rosewall::types::Nanos;
 use std::rc::Rc;
 
-/// The number of a request, by the order in which clients created them.
+/// Index of a request, in the order in which clients created them.
 pub type RequestIndex = usize;
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// A response with this status came.
+    /// The client received a response with this status.
     Answered(u16),
     /// The client disconnected.
     Disconnected,
-    /// Its dispatcher was killed, or never accepted it.
+    /// The request got no response. Either no rule required one, or the violation has been
+    /// reported.
     Exempted,
 }
 
-/// The end of a request.
+/// End of a request.
 #[derive(Clone, Copy)]
 pub(super) struct Ended {
     pub at: Nanos,
     pub outcome: Outcome,
 }
 
-/// The last byte of a request was written.
+/// Transmission of a request to a dispatcher, up to its last byte.
 #[derive(Clone, Copy)]
 pub(super) struct Sent {
-    /// The dispatcher's host.
+    /// Host of the dispatcher.
     pub to: HostId,
 }
 
-/// What a class allows.
+/// Retry rules of a request class.
 #[derive(Clone, Copy)]
 pub(super) struct ClassRules {
     pub idempotency: Idempotency,
@@ -51,9 +52,9 @@
     }
 }
 
-/// A worker's promise on the wire that it did not run an attempt.
+/// A worker's response that proves that it did not execute an attempt.
 pub(super) struct RejectionProof {
-    /// The offset in what the worker writes at which the promise is complete.
+    /// Offset in the worker's output stream at which the response is complete.
     pub end: u64,
     pub counters: Rc<DirectionCounters>,
 }
@@ -66,7 +67,8 @@
 }
 
 impl Attempt {
-    /// Whether the dispatcher has read that it never ran.
+    /// Returns whether the dispatcher has read the complete proof that the attempt was not
+    /// executed.
     pub fn known_not_executed(&self) -> bool {
         self.rejection
             .as_ref()
@@ -83,11 +85,11 @@
     pub attempts: Vec<Attempt>,
     pub executions: usize,
     pub results: Vec<u64>,
-    /// Why it must not be served, where it must not.
+    /// Reason why the request must not be served; none if it is valid.
     pub invalid_reason: Option<&'static str>,
-    /// Its id was sent twice: what was rejected may be accepted the second time.
+    /// Set if the id was sent twice. The second request may be accepted if the first was rejected.
     pub id_reused: bool,
-    /// Its client reads no response.
+    /// Set if the client does not read the response.
     pub response_abandoned: bool,
 }
 
--- a/crates/simulation/src/checker/responses.rs
+++ b/crates/simulation/src/checker/responses.rs
@@ -1,4 +1,4 @@
-//! What clients send and receive.
+//! Checks of the requests that clients send and the responses that they receive.
 use super::record::{Ended, Outcome, RequestIndex, RequestRecord, Sent};
 use super::{Checker, Rule, SLACK};
 use crate::network::HostId;
@@ -6,7 +6,8 @@
 use rosewall::types::Nanos;
 
 impl Checker {
-    /// A client is about to send a request; `invalid_reason` says why it must not be served, where it must not.
+    /// Records a request that a client is about to send. `invalid_reason` is set if the request
+    /// must not be served.
     pub fn request_created(
         &mut self,
         class: usize,
@@ -22,34 +23,35 @@
         self.requests.len() - 1
     }
 
-    /// The last byte of a request was written to this dispatcher.
+    /// Records that the last byte of a request was written to this dispatcher.
     pub fn request_sent(&mut self, request: RequestIndex, to: HostId, deadline: Nanos) {
         let record = &mut self.requests[request];
         record.sent = Some(Sent { to });
         record.deadline = deadline;
     }
 
-    /// The client of a request disconnected.
+    /// Records that the client of a request disconnected.
     pub fn client_disconnected(&mut self, now: Nanos, request: RequestIndex) {
         self.end_if_active(now, request, Outcome::Disconnected);
     }
 
-    /// No one is at fault that a request got no response.
+    /// Ends a request that got no response without a violation.
     pub fn exempt(&mut self, now: Nanos, request: RequestIndex) {
         self.end_if_active(now, request, Outcome::Exempted);
     }
 
-    /// The client will read no response.
+    /// Records that the client will not read the response.
     pub fn response_abandoned(&mut self, request: RequestIndex) {
         self.requests[request].response_abandoned = true;
     }
 
-    /// The id of a request is sent once more.
+    /// Records that the id of a request is sent a second time.
     pub fn request_id_reused(&mut self, request: RequestIndex) {
         self.requests[request].id_reused = true;
     }
 
-    /// The second request with one id succeeded, which is wrong while the first was active or had been sent to a worker.
+    /// Checks the success of a second request with the same id, which is a violation unless the
+    /// first was rejected.
     pub fn reused_request_id_succeeded(&mut self, now: Nanos, request: RequestIndex) {
         if self.requests[request].outcome() != Some(Outcome::Answered(503)) {
             self.report_violation(
@@ -60,7 +62,7 @@
         }
     }
 
-    /// A complete response has come.
+    /// Checks a complete response and ends the request.
     pub fn answered(&mut self, now: Nanos, request: RequestIndex, status: u16, body: &[u8]) {
         if let Some(outcome) = self.requests[request].outcome() {
             let text = format!(
@@ -95,7 +97,7 @@
         }
     }
 
-    /// The result must be one that a worker produced for this request.
+    /// Checks that a worker produced this result for this request.
     fn check_result(&mut self, now: Nanos, request: RequestIndex, body: &[u8]) {
         let result = std::str::from_utf8(body).ok().and_then(|text| {
             let (of, number) = text.strip_prefix("made ")?.split_once(' ')?;
@@ -106,12 +108,13 @@
             self.report_violation(
                 now,
                 Rule::Answer,
-                format!("request {request} succeeded with what no worker produced for it"),
+                format!("request {request} succeeded with a result that no worker produced for it"),
             );
         }
     }
 
-    /// A rejection promises that nothing ran, or that it does no harm.
+    /// Checks that no attempt of a rejected request may have executed, or that repeating the
+    /// request is harmless.
     fn check_rejection(&mut self, now: Nanos, request: RequestIndex) {
         let record = &self.requests[request];
         let class = self.classes[record.class];
@@ -129,7 +132,7 @@
         };
         if harmful {
             let text = format!(
-                "request {request} ({:?}) was rejected while {unresolved} attempts may have run",
+                "request {request} ({:?}) was rejected while {unresolved} attempts may have executed",
                 class.idempotency
             );
             self.report_violation(now, Rule::Idempotency, text);
@@ -153,7 +156,8 @@
         }
     }
 
-    /// A request ended without a complete response.
+    /// Ends a request that got no complete response, and reports a violation unless none was
+    /// required.
     pub fn response_lost(&mut self, now: Nanos, request: RequestIndex, reason: &str) {
         let record = &self.requests[request];
         if record.ended.is_some() {
--- a/crates/simulation/src/checker/tests.rs
+++ b/crates/simulation/src/checker/tests.rs
@@ -1,4 +1,4 @@
-//! What violates each rule, and what comes close to it and does not.
+//! For each rule, events that violate it and events just within it that do not.
 use super::*;
 use crate::network::DirectionCounters;
 use crate::scenario::{Idempotency, RetryScope, read};
@@ -12,7 +12,7 @@
 const WORK: Nanos = 10 * MS;
 const DEADLINE: Nanos = START + 500 * MS;
 
-/// A checker for one class and a worker that a dispatcher knows as ready.
+/// Returns a checker with one class and one worker that was published to the dispatcher as ready.
 fn checker(idempotency: Idempotency, retry_scope: RetryScope) -> Checker {
     let mut scenario =
         read("seed = 1\nlength_ms = 1\n[[scheme]]\neffect = \"repeatable\"\nsla_ms = 1\nexpiry_ms = 1\n[[worker]]\nslots = 1\n")
@@ -142,7 +142,7 @@
     let request = sent_request(&mut checker);
     let first = attempt(&mut checker, START, request, 0);
 
-    // The promise ends at offset 0, so that it counts as read.
+    // A rejection that ends at offset 0 counts as read.
     let counters = Rc::new(DirectionCounters::default());
     checker.attempt_rejected(request, first, 0, counters);
     attempt(&mut checker, START, request, 0);
@@ -153,8 +153,8 @@
 }
 
 #[test_case(0, 100 * MS + SLACK, &[]; "within scope and window")]
-#[test_case(1, 0, &[Rule::Idempotency]; "out of its scope")]
-#[test_case(0, 100 * MS + SLACK + 1, &[Rule::Idempotency]; "out of its window")]
+#[test_case(1, 0, &[Rule::Idempotency]; "outside its scope")]
+#[test_case(0, 100 * MS + SLACK + 1, &[Rule::Idempotency]; "outside its window")]
 fn a_key_allows_a_retry_within_its_scope_and_window(zone: usize, after: Nanos, rules: &[Rule]) {
     let mut checker = checker(Idempotency::IdempotentWithKey, RetryScope::Zone);
     let request = sent_request(&mut checker);
@@ -176,9 +176,9 @@
     assert_eq!(violated(&checker), [Rule::Idempotency]);
 }
 
-#[test_case(0, &[]; "within the grace")]
-#[test_case(1, &[Rule::Drain]; "after the grace")]
-fn a_draining_worker_gets_requests_only_within_the_grace(late: Nanos, rules: &[Rule]) {
+#[test_case(0, &[]; "within the grace period")]
+#[test_case(1, &[Rule::Drain]; "after the grace period")]
+fn a_draining_worker_gets_requests_only_within_the_grace_period(late: Nanos, rules: &[Rule]) {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
     publish(&mut checker, START, EndpointState::Draining);
     let request = checker.request_created(0, WORK, None);
@@ -222,7 +222,7 @@
         version: 2,
     };
     checker.endpoint_published(START, DISPATCHER, WORKER, published);
-    // 4 times a capacity of 0.2 within 2 s.
+    // 4 times the initial capacity of 0.2 over a window of 2 s.
     let budget = 4.0 * 0.2 * (2_000 * MS) as f64;
     let mut arrives = |work: f64| {
         let arrival = WorkArrival {
--- a/crates/simulation/src/checker/warm_up.rs
+++ b/crates/simulation/src/checker/warm_up.rs
@@ -1,14 +1,14 @@
-//! How much work reaches workers that warm up.
+//! Checks the amount of work that reaches workers while they warm up.
 use super::{Checker, Rule, WorkerIndex};
 use crate::network::HostId;
 use crate::time::MS;
 use rosewall::types::Nanos;
 use std::collections::VecDeque;
 
-/// A warming worker may get a tenth more than its budget, as arrivals are random.
+/// Factor on the budget of a warming worker that is tolerated, as arrivals are random.
 const BUDGET_TOLERANCE: f64 = 1.1;
 
-/// The work that arrived within a window.
+/// Work that arrived within a sliding window.
 #[derive(Default)]
 struct WindowedWork {
     arrivals: VecDeque<(Nanos, f64)>,
@@ -32,39 +32,41 @@
     }
 }
 
-/// A worker's process that warms up, or did so once.
+/// Worker process that is warming up or has warmed up.
 pub(super) struct WarmingWorker {
     worker: WorkerIndex,
     started_at: Nanos,
     capacity: f64,
-    /// From dispatchers that knew of the start.
+    /// Work from dispatchers that had been notified of the start of the process.
     from_notified: WindowedWork,
     all: WindowedWork,
-    /// Whether it was counted as overloaded by the root of N.
+    /// Set once the process is counted in `overloaded_workers`.
     overload_counted: bool,
 }
 
 impl WarmingWorker {
-    /// Whether most of the work came from dispatchers that knew of the start; the others are not at fault.
+    /// Returns whether at least two thirds of the work came from dispatchers that had been notified
+    /// of the start. The other dispatchers are not at fault.
     fn mostly_from_notified(&self) -> bool {
         self.from_notified.sum * 3.0 >= self.all.sum * 2.0
     }
 }
 
-/// Work that reaches a worker.
+/// Arrival of work at a worker.
 pub struct WorkArrival {
-    /// The dispatcher that sent it.
+    /// Host of the dispatcher that sent the work.
     pub dispatcher: HostId,
-    /// The worker.
+    /// Worker that receives the work.
     pub worker: WorkerIndex,
-    /// When the worker's process started.
+    /// Start time of the worker's process; 0 if it has been running since before the simulation.
     pub started_at: Nanos,
-    /// The work, in ns of one slot.
+    /// Amount of work, in ns of one slot.
     pub work: f64,
 }
 
 impl Checker {
-    /// A process starts cold; its capacity is in work a unit of time once it is warm.
+    /// Records the start of a process that warms up. `capacity` is its work per unit of time after
+    /// the warm-up.
     pub fn worker_started(&mut self, worker: WorkerIndex, started_at: Nanos, capacity: f64) {
         self.warming_workers.push(WarmingWorker {
             worker,
@@ -76,7 +78,7 @@
         });
     }
 
-    /// The share of its capacity that a process has.
+    /// Returns the fraction of its full capacity that a process has at `now`, from 0 to 1.
     pub fn capacity_factor(&self, now: Nanos, started_at: Nanos) -> f64 {
         if started_at == 0 {
             return 1.0;
@@ -87,7 +89,7 @@
         (from + (1.0 - from) * age).min(1.0)
     }
 
-    /// Work has reached a worker; true where the worker is overloaded by it.
+    /// Records work that has reached a worker. Returns whether the worker is now overloaded.
     pub fn work_arrived(&mut self, now: Nanos, arrival: &WorkArrival) -> bool {
         let capacity_factor = self.capacity_factor(now, arrival.started_at);
         if capacity_factor >= 1.0 {
@@ -130,7 +132,7 @@
             self.report_violation(
                 now,
                 Rule::SlowStart,
-                format!("worker {worker} warms up and was sent {percent:.0}% of what it can take"),
+                format!("worker {worker} is warming up and was sent {percent:.0}% of its limit"),
             );
         }
         overloaded
--- a/crates/simulation/src/cli.rs
+++ b/crates/simulation/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments of `rosewall-simulate`.
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
@@ -6,53 +6,53 @@
 #[command(
     name = "rosewall-simulate",
     version,
-    about = "Plays dispatchers on a virtual clock and checks them against the four rules"
+    about = "Simulates dispatchers on a virtual clock and checks them against the rules"
 )]
 pub struct Cli {
     #[command(subcommand)]
     pub command: Command,
-    /// Print JSON in place of lines
+    /// Print JSON instead of text
     #[arg(long, global = true)]
     pub json: bool,
 }
 
-/// What is played under a seed.
+/// Options that determine the scenario of a seed.
 #[derive(Args)]
 pub struct Source {
-    /// A scenario file in place of one drawn from the seed
+    /// Scenario file to use instead of one generated from the seed
     #[arg(long, value_name = "FILE")]
     pub scenario: Option<PathBuf>,
-    /// So many dispatchers at least, to which the same load comes
+    /// Minimum number of dispatchers; the total load stays the same
     #[arg(long, value_name = "COUNT", value_parser = clap::value_parser!(u16).range(1..=256))]
     pub dispatchers: Option<u16>,
 }
 
-/// One simulation.
+/// Options that select one simulation.
 #[derive(Args)]
 pub struct Selection {
-    /// The seed
+    /// Seed; the scenario file's own by default
     #[arg(long)]
     pub seed: Option<u64>,
     #[command(flatten)]
     pub source: Source,
 }
 
-/// Many simulations.
+/// Options that select a range of simulations.
 #[derive(Args)]
 pub struct SeedRange {
-    /// How many seeds; for mutations, how many for each at most
+    /// Number of seeds; for `mutations`, the maximum for each mutation
     #[arg(long, default_value_t = 1000)]
     pub seeds: u64,
-    /// The first seed
+    /// First seed
     #[arg(long, default_value_t = 0)]
     pub first: u64,
-    /// How many side by side; all cores where left out
+    /// Number of simulations to run in parallel; one per core by default
     #[arg(long)]
     pub jobs: Option<usize>,
 }
 
 impl SeedRange {
-    /// How many threads play.
+    /// Returns the number of threads to run simulations on.
     pub fn threads(&self) -> usize {
         self.jobs.unwrap_or_else(|| {
             std::thread::available_parallelism().map_or(1, std::num::NonZero::get)
@@ -62,14 +62,14 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Play many simulations; exit code 1 where a rule was violated
+    /// Run many simulations; exits with 1 if a rule is violated
     Explore {
         #[command(flatten)]
         range: SeedRange,
         #[command(flatten)]
         source: Source,
     },
-    /// Play one simulation again; exit code 1 where a rule was violated
+    /// Run one simulation again; exits with 1 if a rule is violated
     Replay {
         #[command(flatten)]
         selection: Selection,
@@ -77,22 +77,22 @@
         #[arg(long)]
         trace: bool,
     },
-    /// Drop faults and clients from a simulation that violates a rule while it still does, and write the scenario
+    /// Remove faults and clients that a violation does not need, and write the reduced scenario
     Shrink {
         #[command(flatten)]
         selection: Selection,
-        /// Where to write it; standard output where left out
+        /// Output file; standard output by default
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
     },
-    /// Print the scenario of a seed
+    /// Print the scenario generated from a seed
     Draw {
-        /// The seed
+        /// Seed
         #[arg(long)]
         seed: u64,
     },
-    /// Mutate the dispatcher, one guard at a time, and say how many simulations it took to find each; exit code 1 where
-    /// one was not found
+    /// Activate each mutation of the dispatcher in turn and print how many simulations its
+    /// detection took; exits with 1 if one is not detected
     Mutations {
         #[command(flatten)]
         range: SeedRange,
--- a/crates/simulation/src/commands.rs
+++ b/crates/simulation/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the subcommands do.
+//! Implementation of the subcommands.
 use crate::cli::{Cli, Command, SeedRange, Selection, Source};
 use crate::output::{
     print, print_replay_command, print_report, print_shrinking_progress, print_summary,
@@ -13,12 +13,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// What a command found.
+/// Result of a completed command, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// No rule was violated, or all mutations were found.
+    /// No rule was violated, or all mutations were detected.
     Passed,
-    /// A rule was violated, or a mutation was not found.
+    /// A rule was violated, or a mutation was not detected.
     Failed,
 }
 
@@ -32,52 +32,52 @@
     }
 }
 
-/// Why a command could not be carried out.
+/// Error that prevents a command from completing.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// A scenario file cannot be read from disk.
     #[error("cannot read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the scenario file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A scenario cannot be written to disk.
     #[error("cannot write {}: {source}", path.display())]
     Write {
-        /// The file.
+        /// Path of the output file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A scenario file makes no sense.
+    /// A scenario file is invalid.
     #[error("{}: {source}", path.display())]
     Scenario {
-        /// The file.
+        /// Path of the scenario file.
         path: PathBuf,
-        /// What is wrong with it, and where.
+        /// The error and its line.
         source: ScenarioError,
     },
-    /// A scenario cannot be printed.
+    /// A scenario cannot be expressed as TOML.
     #[error(transparent)]
     Print(#[from] ScenarioError),
     /// A result cannot be expressed as JSON.
-    #[error("the result cannot be written as JSON: {0}")]
+    #[error("cannot write the result as JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// Nothing says what to play.
-    #[error("name a --seed or a --scenario")]
+    /// Neither a seed nor a scenario file was given.
+    #[error("either --seed or --scenario is required")]
     NothingSelected,
-    /// There is nothing to shrink.
-    #[error("this simulation violates no rule: there is nothing to shrink")]
+    /// The simulation to shrink violates no rule.
+    #[error("nothing to shrink: the simulation violates no rule")]
     NoViolation,
-    /// The build has no mutations.
+    /// The build does not include mutations.
     #[cfg(not(feature = "mutations"))]
-    #[error("mutations are only in a build with `--features mutations`")]
+    #[error("mutations require a build with `--features mutations`")]
     NoMutations,
 }
 
-/// Carries out a command.
+/// Executes a command.
 pub fn run(cli: &Cli) -> Result<Verdict, CommandError> {
     match &cli.command {
         Command::Explore { range, source } => run_explore(range, source, cli.json),
--- a/crates/simulation/src/context.rs
+++ b/crates/simulation/src/context.rs
@@ -1,22 +1,22 @@
-//! What all parts of the environment share: the clock, the network and the checker.
+//! State shared by all parts of the simulated environment: clock, network and checker.
 use crate::checker::{Checker, Rule};
 use crate::kernel::{Event, Kernel, OwnedEvent};
 use crate::network::Network;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The clock, the network and the checker of one simulation.
+/// Clock, network and checker of one simulation.
 pub struct Context {
-    /// The virtual clock and the event queue.
+    /// Virtual clock and event queue.
     pub kernel: Rc<Kernel>,
-    /// The virtual network.
+    /// Virtual network between all hosts.
     pub network: Rc<Network>,
-    /// The checker of the rules.
+    /// Checker that receives the events and reports violations.
     pub checker: RefCell<Checker>,
 }
 
 impl Context {
-    /// Lets the next event happen.
+    /// Advances the clock to the next event and processes it; does nothing if the queue is empty.
     pub fn step(&self) {
         let Some(OwnedEvent { owner, event }) = self.kernel.next_event() else {
             return;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Reports a violation of a rule at this moment.
+    /// Reports a violation of a rule at the current virtual time.
     pub fn report_violation(&self, rule: Rule, text: String) {
         self.checker
             .borrow_mut()
--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -1,4 +1,4 @@
-//! Plays many simulations side by side and sums up what they came to.
+//! Runs many simulations in parallel and sums their results.
 use crate::checker::Rule;
 use crate::generate::generate;
 use crate::hex_digest;
@@ -10,44 +10,46 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc;
 
-/// What all simulations of a run came to. The keys of its JSON form are read by other programs.
+/// Totals over all simulations of an exploration. Other programs read the keys of the JSON form.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// How many simulations were played.
+    /// Number of simulations run.
     #[serde(rename = "worlds")]
     pub simulations: u64,
-    /// The events of all of them.
+    /// Number of simulation steps; events of the same instant may share a step.
     pub steps: u64,
-    /// The requests of all of them.
+    /// Number of requests that clients created.
     #[serde(rename = "txns")]
     pub requests: u64,
-    /// The attempts of all of them.
+    /// Number of attempts that reached a worker.
     #[serde(rename = "postings")]
     pub attempts: u64,
-    /// The requests that succeeded.
+    /// Number of requests that succeeded.
     #[serde(rename = "settled")]
     pub succeeded: u64,
-    /// The virtual time of all of them, in seconds.
+    /// Virtual time in seconds.
     pub virtual_s: f64,
-    /// Warming processes that were overloaded by the operators' measure.
+    /// Worker processes overloaded while warming up, as in [`RequestCounts::overloaded_workers`].
+    ///
+    /// [`RequestCounts::overloaded_workers`]: crate::checker::RequestCounts::overloaded_workers
     #[serde(rename = "fell_by_root")]
     pub overloaded_workers: u64,
-    /// Simulations with a violation.
+    /// Number of simulations with at least one violation.
     pub violations: u64,
-    /// The same whatever the order in which the simulations were played.
+    /// Digest of all timelines, independent of the order in which the simulations ran.
     #[serde(serialize_with = "hex_digest")]
     pub digest: u64,
-    /// Which rules were violated.
+    /// Violated rules.
     #[serde(rename = "broken")]
     pub violated_rules: BTreeMap<Rule, RuleViolations>,
 }
 
-/// How often a rule was violated.
+/// Violations of one rule, over all simulations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RuleViolations {
-    /// In how many simulations.
+    /// Number of simulations that violated the rule.
     pub simulations: u64,
-    /// The lowest seed of them.
+    /// Lowest seed among these simulations.
     pub first_seed: u64,
 }
 
@@ -67,7 +69,8 @@
         self.virtual_s += report.virtual_s;
         self.overloaded_workers += report.counts.overloaded_workers;
         self.violations += u64::from(!report.violations.is_empty());
-        // A sum, so that the order does not matter; mixed with the seed, so that two simulations cannot change places.
+        // A sum does not depend on the order. Mixing in the seed detects two simulations that
+        // swapped results.
         let mixed =
             (report.digest ^ report.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)).rotate_left(17);
         self.digest = self
@@ -91,7 +94,7 @@
     }
 }
 
-/// The scenario of a seed: generated, or `base` under that seed.
+/// Returns the scenario of a seed: `base` under that seed, or a generated one if there is no base.
 pub fn scenario_for_seed(seed: u64, base: Option<&Scenario>) -> Scenario {
     match base {
         Some(base) => Scenario {
@@ -102,7 +105,8 @@
     }
 }
 
-/// The scenario of a seed with at least so many dispatchers, to which the same load comes. Its faults stay as they are.
+/// Returns the scenario of a seed with at least this many dispatchers. Total load and faults do not
+/// change.
 pub fn scenario_with_dispatchers(
     seed: u64,
     base: Option<&Scenario>,
@@ -115,7 +119,8 @@
     }
 }
 
-/// Plays the simulations of these seeds on `jobs` threads; `on_report` sees each report as it comes, in no certain order.
+/// Runs the simulations of these seeds on `jobs` threads. `on_report` is called with each report,
+/// in no particular order.
 pub fn explore(
     seeds: Range<u64>,
     jobs: usize,
@@ -125,7 +130,7 @@
     explore_with(seeds, jobs, |seed| scenario_for_seed(seed, base), on_report)
 }
 
-/// As [`explore`], where `make` makes each seed's scenario.
+/// Like [`explore`], with `make` building the scenario of each seed.
 pub fn explore_with(
     seeds: Range<u64>,
     jobs: usize,
--- a/crates/simulation/src/generate.rs
+++ b/crates/simulation/src/generate.rs
@@ -1,16 +1,18 @@
-//! Generates a scenario from a seed: sizes, classes, load and faults, mixed so that faults coincide. The order of the
-//! draws is part of the format: another order gives another scenario for every seed.
+//! Generates a scenario from a seed: sizes, classes, load and faults, combined so that faults
+//! coincide. The order of the random draws must not change: any other order gives a different
+//! scenario for every seed.
 use crate::rng::Rng;
 use crate::scenario::{
     ALL_MISBEHAVIOURS, Fault, FaultKind, Idempotency, Limits, Load, Membership, MisbehavingClient,
     NetworkConfig, RequestClass, RetryScope, Rules, Scenario, SingleRequest, WorkerSpec,
 };
 
-/// The stream of classes, workers, load and most faults.
+/// Random stream for classes, workers, load and most faults.
 const MAIN_STREAM: u64 = 1;
-/// The stream of membership, limits and network.
+/// Random stream for membership, limits, network and the faults between dispatchers.
 const MEMBERSHIP_STREAM: u64 = 2;
 
+/// Maximum requests per second of one load.
 const MAX_RATE: f64 = 60.0;
 
 const WORKER_FAULTS: [FaultKind; 14] = [
@@ -50,7 +52,7 @@
     FaultKind::Kill,
 ];
 
-/// What goes wrong with a list while a worker on it drains.
+/// Endpoint list faults that are generated together with a drain. Repeated entries are more likely.
 const ENDPOINT_FAULTS_WITH_DRAIN: [FaultKind; 4] = [
     FaultKind::EndpointsStale,
     FaultKind::EndpointsStale,
@@ -64,12 +66,12 @@
     Idempotency::NonIdempotent,
 ];
 
-/// Rounds to figures that people can read.
+/// Rounds to one decimal place, for readable scenario files.
 fn round(value: f64) -> f64 {
     (value * 10.0).round() / 10.0
 }
 
-/// What the faults and the clients of a scenario refer to.
+/// Size of a scenario, which limits the targets and times of its faults and clients.
 #[derive(Clone, Copy)]
 struct Size {
     dispatchers: usize,
@@ -77,7 +79,7 @@
     length_ms: u64,
 }
 
-/// The scenario of a seed.
+/// Generates the scenario of a seed.
 pub fn generate(seed: u64) -> Scenario {
     let mut rng = Rng::new(seed, MAIN_STREAM);
     let size = Size {
@@ -155,7 +157,8 @@
     }
 }
 
-/// One load a class: together from quiet to well over what the workers can do.
+/// Generates one load per class. The total ranges from 20% to 130% of the capacity of all workers,
+/// before the cap on each rate.
 fn generate_loads(rng: &mut Rng, workers: &[WorkerSpec]) -> Vec<Load> {
     let capacity = workers
         .iter()
@@ -182,7 +185,8 @@
         .collect()
 }
 
-/// Faults gather round a few moments, so that they coincide; some begin at the very same one.
+/// Generates faults clustered around a few moments, so that they overlap. Some begin at the same
+/// instant.
 fn generate_faults(rng: &mut Rng, size: Size) -> Vec<Fault> {
     let moments: Vec<f64> = (0..rng.range(1, 4))
         .map(|_| rng.range(300, size.length_ms) as f64)
@@ -242,7 +246,8 @@
     }
 }
 
-/// What a list says of a worker that drains matters most while the list itself is at fault.
+/// Generates a fault of an endpoint list close to a drain, so that the dispatcher may miss or undo
+/// the drain.
 fn generate_endpoint_fault_with_drain(rng: &mut Rng, size: Size, drain_at_ms: f64) -> Fault {
     let kind = *rng.choose(&ENDPOINT_FAULTS_WITH_DRAIN);
     let lead_ms = if kind == FaultKind::EndpointsStale {
@@ -272,7 +277,7 @@
         .collect()
 }
 
-/// Requests that end, are abandoned or begin just as a fault begins or ends.
+/// Generates requests that begin, end or are abandoned close to the begin or the end of a fault.
 fn generate_single_requests(rng: &mut Rng, size: Size, faults: &[Fault]) -> Vec<SingleRequest> {
     (0..rng.range(0, 4))
         .map(|_| {
@@ -313,7 +318,7 @@
     })
 }
 
-/// Faults between dispatchers, and a worker that restarts while warm-up grants are exchanged.
+/// Adds faults between dispatchers, and a worker that restarts while warm-up grants are exchanged.
 fn generate_cluster_faults(rng: &mut Rng, size: Size, faults: &mut Vec<Fault>) {
     for _ in 0..rng.range(0, 3) {
         faults.push(Fault {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,7 @@
-//! A deterministic simulation of dispatchers: network, clients, workers and discovery on a virtual clock, played from a
-//! seed. The dispatchers run the daemon's own code, drivers included; the rest are stand-ins. A checker with its own
-//! record of what happened reports violations of the rules. One seed gives one simulation, to the last byte.
+//! Deterministic simulation of dispatchers with network, clients, workers and discovery on a
+//! virtual clock. The dispatchers run the daemon's own code, drivers included; everything else is
+//! simulated. A checker with its own record of events reports violations of the rules. The same
+//! seed always gives the same simulation.
 
 pub mod checker;
 mod client;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,5 @@
-//! The command `rosewall-simulate`: plays simulations by the thousand, replays one, shrinks one, and looks for mutations.
+//! The command `rosewall-simulate`: explores many simulations, replays or shrinks one, and tests
+//! the checker with mutations.
 mod cli;
 mod commands;
 mod output;
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -1,4 +1,5 @@
-//! Mutation testing of the checker: for each mutation of the dispatcher, a simulation is sought that finds it.
+//! Mutation testing of the checker: searches a simulation that detects a given mutation of the
+//! dispatcher.
 use crate::checker::Rule;
 use crate::generate::generate;
 use crate::simulation::{Trace, play};
@@ -6,23 +7,24 @@
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Whether a mutation was found, and how. The keys of its JSON form are read by other programs.
+/// Result of the search for one mutation. Other programs read the keys of the JSON form.
 #[derive(Clone, Debug, Serialize)]
 pub struct MutationResult {
-    /// The name of the mutation.
+    /// Name of the mutation.
     #[serde(rename = "fault")]
     pub mutation: String,
-    /// How many simulations it took, if it was found.
+    /// Number of simulations until the mutation was detected; none if it was not.
     #[serde(rename = "worlds")]
     pub simulations: Option<u64>,
-    /// The rule that was violated.
+    /// Rule violated first; none if the mutation was not detected.
     pub rule: Option<Rule>,
-    /// What happened.
+    /// Description of the violation; empty if the mutation was not detected.
     #[serde(rename = "what")]
     pub text: String,
 }
 
-/// Plays seeds from `first` on until the mutation is found, at most `limit` simulations on `jobs` threads.
+/// Runs seeds from `first` on until the mutation is detected: at most `limit` simulations, on
+/// `jobs` threads.
 pub fn find(mutation: Mutation, first: u64, limit: u64, jobs: usize) -> MutationResult {
     let name = format!("{mutation:?}");
     let Some(seed) = lowest_violating_seed(mutation, first, limit, jobs) else {
@@ -56,7 +58,8 @@
                 activate(Some(mutation));
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
-                    // Another thread may still play a lower seed: the lowest counts, for any number of jobs.
+                    // Another thread may still be running a lower seed. The lowest one is reported,
+                    // so that the result does not depend on the number of threads.
                     if seed >= first + limit || seed >= lowest.load(Ordering::Relaxed) {
                         return;
                     }
@@ -70,7 +73,7 @@
     Some(lowest.into_inner()).filter(|seed| *seed != u64::MAX)
 }
 
-/// All mutations.
+/// Returns all mutations of the dispatcher.
 pub fn all() -> &'static [Mutation] {
     DISPATCHER
 }
--- a/crates/simulation/src/output.rs
+++ b/crates/simulation/src/output.rs
@@ -1,4 +1,4 @@
-//! What the command prints. Scripts read the counts of these lines.
+//! Text output of the command. Scripts parse the counts in these lines.
 use crate::cli::Source;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use rosewall_simulation::explore::Summary;
@@ -7,7 +7,7 @@
 use std::io::{IsTerminal, Write};
 use std::time::Duration;
 
-/// A progress bar on standard error, where that is a terminal.
+/// Returns a progress bar on standard error, hidden unless that is a terminal.
 pub fn progress_bar(length: u64) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::with_draw_target(Some(length), ProgressDrawTarget::hidden());
@@ -17,9 +17,9 @@
     ProgressBar::new(length).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Prints a line.
+/// Prints a line on standard output.
 pub fn print(line: &str) {
-    // A reader that stops early, as `head` does, is no error.
+    // A closed pipe, as with `| head`, is not an error.
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Prints the command that plays a simulation again.
+/// Prints the command that replays a simulation.
 pub fn print_replay_command(seed: u64, source: &Source) {
     let scenario = source
         .scenario
@@ -89,7 +89,7 @@
     ));
 }
 
-/// Says on standard error how small a scenario has become.
+/// Prints the size of a reduced scenario on standard error.
 pub fn print_shrinking_progress(scenario: &Scenario) {
     eprintln!(
         "{} faults, {} loads, {} misbehaving clients, {} single requests, {} ms",
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,6 +1,6 @@
-//! A scenario: what a simulation consists of and which faults happen in it, as a TOML file that people can read and
-//! write. Times are in milliseconds from the start of the simulation unless a name says otherwise. The keys of the
-//! file are stored data; where they differ from the field names, `serde` maps them here.
+//! Scenarios: the components of a simulation and the faults injected into it, stored as TOML files.
+//! Times are in milliseconds from the start of the simulation unless a name says otherwise. The
+//! keys of the files must not change; where they differ from the field names, `serde` maps them.
 mod clients;
 mod fault;
 mod file;
@@ -12,48 +12,49 @@
 use serde::{Deserialize, Serialize};
 pub use validate::Problem;
 
-/// One simulation: the cluster, its load and its faults.
+/// Description of one simulation: the dispatchers, the workers, their load and their faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What the scenario is about.
+    /// Short description of the scenario; empty by default.
     #[serde(default)]
     pub name: String,
-    /// Seeds everything random: latencies, partial reads and writes, arrivals, who is hit by a fault.
+    /// Seed of all random choices: latencies, partial reads and writes, arrivals, connections hit
+    /// by a fault.
     pub seed: u64,
-    /// How long clients send requests.
+    /// Time during which clients send requests, in milliseconds.
     pub length_ms: u64,
-    /// How many dispatchers run.
+    /// Number of dispatchers; 1 by default.
     #[serde(default = "one")]
     pub dispatchers: usize,
-    /// What each dispatcher may use.
+    /// Resource limits of each dispatcher.
     #[serde(default)]
     pub limits: Limits,
-    /// The network between all hosts.
+    /// Network between all hosts.
     #[serde(default)]
     pub net: NetworkConfig,
-    /// The figures of the checked rules.
+    /// Parameters of the checked rules.
     #[serde(default)]
     pub rules: Rules,
-    /// How dispatchers form a cluster; without it they do not know each other.
+    /// Cluster of the dispatchers. If absent, each dispatcher works on its own.
     #[serde(default, rename = "members")]
     pub membership: Option<Membership>,
-    /// The request classes.
+    /// Request classes; at least one.
     #[serde(rename = "scheme")]
     pub classes: Vec<RequestClass>,
-    /// The workers.
+    /// Workers; at least one.
     #[serde(rename = "worker")]
     pub workers: Vec<WorkerSpec>,
-    /// Clients that send requests at random moments.
+    /// Clients that send requests at random times.
     #[serde(default, rename = "load")]
     pub loads: Vec<Load>,
-    /// Requests at fixed moments.
+    /// Requests at fixed times.
     #[serde(default, rename = "txn")]
     pub requests: Vec<SingleRequest>,
     /// Clients that break the protocol.
     #[serde(default, rename = "bad")]
     pub misbehaving_clients: Vec<MisbehavingClient>,
-    /// The faults.
+    /// Faults to inject.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -63,7 +64,7 @@
 }
 
 impl Scenario {
-    /// The mean work of a request over all loads, in ns of one slot; 0 where there is no load.
+    /// Returns the mean work of a request over all loads, in ns of one slot; 0 if there is no load.
     pub fn mean_work(&self) -> f64 {
         let mean = |[low, high]: [f64; 2]| {
             if high > low {
@@ -78,7 +79,7 @@
         if rate > 0.0 { 1e6 * sum / rate } else { 0.0 }
     }
 
-    /// The longest deadline of any class, in milliseconds.
+    /// Returns the longest deadline of any class, in milliseconds.
     pub fn longest_deadline_ms(&self) -> u64 {
         self.classes
             .iter()
@@ -88,23 +89,23 @@
     }
 }
 
-/// What each dispatcher may use.
+/// Resource limits of each dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Descriptors.
+    /// Maximum number of open descriptors.
     pub sockets: usize,
-    /// Memory in MB.
+    /// Maximum memory in MB.
     pub memory_mb: usize,
-    /// Attempts of one request.
+    /// Maximum number of attempts of one request.
     #[serde(rename = "postings")]
     pub attempts: usize,
-    /// Whether workers are checked beside requests.
+    /// Whether dispatchers send health checks to workers.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// How long a worker keeps an idle connection, by the settings.
+    /// Idle timeout of connections to workers in the settings, in milliseconds.
     pub idle_ms: u64,
-    /// The timeout of a connect to a worker.
+    /// Timeout of a connect to a worker, in milliseconds.
     pub connect_ms: u64,
 }
 
@@ -121,19 +122,19 @@
     }
 }
 
-/// How the network behaves while no fault is active.
+/// Behaviour of the network while no fault is active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NetworkConfig {
-    /// The lowest and the highest latency of a packet.
+    /// Lowest and highest latency of a packet, in microseconds.
     pub latency_us: [u64; 2],
-    /// The share of writes and reads that take only a part of what they could.
+    /// Fraction (0 to 1) of reads and writes that transfer only a part of the available bytes.
     #[serde(rename = "split")]
     pub partial_io: f64,
-    /// Whether a reset discards what has been received and not read.
+    /// Whether a reset discards bytes that were received and not yet read.
     #[serde(rename = "harsh")]
     pub reset_discards_unread: bool,
-    /// Connections that a worker's host queues before they are accepted.
+    /// Length of a worker host's queue of connections that are not yet accepted.
     pub backlog: usize,
 }
 
@@ -148,44 +149,46 @@
     }
 }
 
-/// The cluster of dispatchers, and its datagrams.
+/// Cluster of the dispatchers and the conditions for its datagrams.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Membership {
-    /// The size of the quorum: 1, 3 or 5; 0 for none.
+    /// Number of quorum members: 1, 3 or 5; 0 for no quorum.
     #[serde(rename = "keepers")]
     pub quorum_members: usize,
-    /// Whether dispatchers exchange their load.
+    /// Whether dispatchers exchange peer loads.
     #[serde(rename = "peers")]
     pub peer_load: bool,
-    /// The share of datagrams that are lost.
+    /// Fraction (0 to 1) of datagrams that are lost.
     pub loss: f64,
-    /// The share of datagrams that are duplicated.
+    /// Fraction (0 to 1) of datagrams that are duplicated.
     #[serde(rename = "twice")]
     pub duplicate: f64,
-    /// How much later than packets datagrams may arrive.
+    /// Maximum delay of datagrams in addition to the latency of packets, in milliseconds.
     pub jitter_ms: u64,
-    /// How far a dispatcher's wall clock may be ahead.
+    /// Maximum time by which a dispatcher's wall clock is ahead, in milliseconds.
     pub skew_ms: u64,
 }
 
-/// The figures of the checked rules.
+/// Parameters of the checked rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// How long a worker may get new requests after its dispatcher learned that it drains.
+    /// Grace period in which a worker may still get new requests after it was published as
+    /// draining, in milliseconds.
     #[serde(rename = "grace_ms")]
     pub drain_grace_ms: u64,
-    /// How many times its capacity a warming worker may get within the overload window.
+    /// Multiple of its current capacity that a worker may get within the overload window while it
+    /// warms up.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// The overload window.
+    /// Overload window in milliseconds.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: u64,
-    /// The share of its capacity that a worker has at its start.
+    /// Fraction (0 to 1) of its full capacity that a worker has at its start.
     #[serde(rename = "cold_from")]
     pub slow_start_from: f64,
-    /// How long a worker warms up.
+    /// Duration of the warm-up in milliseconds.
     #[serde(rename = "cold_ms")]
     pub slow_start_ms: u64,
 }
@@ -202,56 +205,56 @@
     }
 }
 
-/// Whether a request may run more than once.
+/// Idempotency of the requests of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// May execute any number of times.
     #[serde(rename = "repeatable")]
     Idempotent,
-    /// It may run again under its key, within its retry scope and window.
+    /// May execute again with the same key, within its retry scope and window.
     #[serde(rename = "referenced")]
     IdempotentWithKey,
-    /// It must run at most once.
+    /// Must execute at most once.
     #[serde(rename = "once-only")]
     NonIdempotent,
 }
 
-/// The workers that know an idempotency key.
+/// Set of workers that share the idempotency keys of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryScope {
     /// All workers.
     #[default]
     All,
-    /// The workers of one zone.
+    /// Workers of one zone.
     Zone,
-    /// The workers of one cell.
+    /// Workers of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// Request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
-    /// Whether its requests may run more than once.
+    /// Idempotency of the requests.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// The workers that know an idempotency key.
+    /// Workers that share the idempotency keys; all by default.
     #[serde(default, rename = "group")]
     pub retry_scope: RetryScope,
-    /// How long workers know an idempotency key.
+    /// Time for which workers keep an idempotency key, in milliseconds; 5000 by default.
     #[serde(default = "retry_window_ms", rename = "window_ms")]
     pub retry_window_ms: u64,
-    /// The latency objective.
+    /// Latency objective in milliseconds.
     #[serde(rename = "sla_ms")]
     pub latency_objective_ms: u64,
-    /// How long clients wait.
+    /// Deadline of the requests, in milliseconds after they are sent.
     #[serde(rename = "expiry_ms")]
     pub deadline_ms: u64,
-    /// The priority weight.
+    /// Priority weight; 1 by default.
     #[serde(default = "unit", rename = "value")]
     pub priority_weight: f64,
-    /// By how much the latency objective is stretched.
+    /// Factor on the latency objective; 1 by default.
     #[serde(default = "unit", rename = "stretch")]
     pub objective_stretch: f64,
 }
@@ -264,28 +267,29 @@
     1.0
 }
 
-/// A worker.
+/// Worker and its capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerSpec {
-    /// The zone in which it runs.
+    /// Zone of the worker; 0 by default.
     #[serde(default)]
     pub zone: usize,
-    /// The cell in which it runs.
+    /// Cell of the worker; 0 by default.
     #[serde(default)]
     pub cell: usize,
-    /// How many requests it runs at once.
+    /// Number of concurrency slots.
     pub slots: usize,
-    /// How many requests it queues.
+    /// Maximum number of queued requests; 12 by default.
     #[serde(default = "queue")]
     pub queue: usize,
-    /// How fast a slot works.
+    /// Speed factor of each slot; 1 by default.
     #[serde(default = "unit")]
     pub speed: f64,
-    /// Whether a queued request is dropped once its connection has closed; otherwise all that arrived complete run.
+    /// Whether a queued request is dropped once its connection has closed. Otherwise all complete
+    /// requests execute.
     #[serde(default, rename = "drops_left")]
     pub cancels_queued: bool,
-    /// How long it keeps idle connections, as a factor of the settings' time.
+    /// Factor on `Limits::idle_ms` after which the worker closes idle connections; 1 by default.
     #[serde(default = "unit", rename = "keeps")]
     pub idle_timeout_factor: f64,
 }
--- a/crates/simulation/src/scenario/clients.rs
+++ b/crates/simulation/src/scenario/clients.rs
@@ -1,99 +1,100 @@
-//! The clients of a scenario.
+//! Clients of a scenario.
 use super::one;
 use serde::{Deserialize, Serialize};
 
-/// Clients that send requests at random moments.
+/// Clients that send requests at random times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// The index of the requests' class.
+    /// Index of the class of the requests.
     #[serde(rename = "scheme")]
     pub class: usize,
-    /// Requests a second, over all dispatchers.
+    /// Requests per second, over all dispatchers.
     pub rate: f64,
-    /// When the load begins.
+    /// Begin of the load, in milliseconds; 0 by default.
     #[serde(default)]
     pub from_ms: u64,
-    /// When the load ends; with the simulation where it is left out.
+    /// End of the load, in milliseconds; `length_ms` of the scenario by default.
     #[serde(default)]
     pub until_ms: Option<u64>,
-    /// The lowest and the highest work of a request.
+    /// Lowest and highest work of a request, in milliseconds of one slot.
     pub work_ms: [f64; 2],
-    /// How many times a client retries a request that is safe to retry.
+    /// Maximum number of retries by the client of a request that is safe to retry; 0 by default.
     #[serde(default)]
     pub retries: usize,
-    /// The share of clients that disconnect before their deadline.
+    /// Fraction (0 to 1) of clients that disconnect before their deadline; 0 by default.
     #[serde(default, rename = "leave")]
     pub disconnect_share: f64,
-    /// Whether requests carry a hint of their work.
+    /// Whether requests carry a work hint.
     #[serde(default)]
     pub hints: bool,
 }
 
-/// One request at one moment.
+/// Single request at a fixed time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SingleRequest {
-    /// When it is sent.
+    /// Time at which the request is sent, in milliseconds.
     pub at_ms: f64,
-    /// The index of its class.
+    /// Index of the class of the request.
     #[serde(rename = "scheme")]
     pub class: usize,
-    /// The dispatcher that gets it.
+    /// Index of the dispatcher that receives the request; 0 by default.
     #[serde(default)]
     pub dispatcher: usize,
-    /// Its work.
+    /// Work of the request, in milliseconds of one slot.
     pub work_ms: f64,
-    /// How long its client waits; the deadline of its class where it is left out.
+    /// Deadline of the request, in milliseconds after it is sent; the deadline of the class by
+    /// default.
     #[serde(default, rename = "within_ms")]
     pub timeout_ms: Option<f64>,
-    /// After how long its client disconnects, if it does.
+    /// Time after which the client disconnects, in milliseconds; absent if it does not.
     #[serde(default, rename = "leave_ms")]
     pub disconnect_after_ms: Option<f64>,
 }
 
-/// How a client breaks the protocol.
+/// Violation of the protocol by a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Misbehaviour {
-    /// It connects and sends nothing.
+    /// Connects and sends nothing.
     Silent,
-    /// It sends random bytes.
+    /// Sends random bytes.
     Garbage,
-    /// It sends a part of a head.
+    /// Sends a part of a request head.
     HalfHead,
-    /// It sends a part of a body.
+    /// Sends a part of a body.
     HalfBody,
-    /// It sends one byte at a time, slowly.
+    /// Sends one byte at a time, slowly.
     Trickle,
-    /// Its head is too large.
+    /// Sends a head that is too large.
     HugeHead,
-    /// Its body is too large.
+    /// Sends a body that is too large.
     HugeBody,
-    /// Its chunked body never ends.
+    /// Sends a chunked body that never ends.
     EndlessChunks,
-    /// Its request has no id.
+    /// Sends a request without an id.
     NoId,
-    /// Its request names a class that does not exist.
+    /// Sends a request of a class that does not exist.
     #[serde(rename = "unknown-scheme")]
     UnknownClass,
-    /// Its request has two different lengths.
+    /// Sends a request with two different content lengths.
     TwoLengths,
-    /// Its request has a length and is chunked.
+    /// Sends a chunked request with a content length.
     LengthAndChunks,
-    /// Its lines end in bare line feeds.
+    /// Ends lines in bare line feeds.
     BareLineFeeds,
-    /// It sends the id of an active request over another connection.
+    /// Sends the id of an active request over another connection.
     SameId,
-    /// It closes its side for writing, which means that it disconnected, and still reads.
+    /// Closes its side for writing, which dispatchers treat as a disconnect, and continues to read.
     HalfClose,
-    /// It pipelines requests and reads no response.
+    /// Pipelines requests and reads no response.
     Unread,
-    /// It speaks HTTP/1.0.
+    /// Sends an HTTP/1.0 request.
     OldVersion,
 }
 
-/// Every way in which a client breaks the protocol.
+/// All kinds of misbehaviour, in the order of [`Misbehaviour`].
 pub const ALL_MISBEHAVIOURS: [Misbehaviour; 17] = [
     Misbehaviour::Silent,
     Misbehaviour::Garbage,
@@ -114,18 +115,18 @@
     Misbehaviour::OldVersion,
 ];
 
-/// Clients that break the protocol.
+/// Clients that violate the protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MisbehavingClient {
-    /// When they connect.
+    /// Time at which the clients connect, in milliseconds.
     pub at_ms: f64,
-    /// How they break the protocol.
+    /// Kind of misbehaviour.
     pub kind: Misbehaviour,
-    /// How many there are.
+    /// Number of clients; 1 by default.
     #[serde(default = "one")]
     pub count: usize,
-    /// The dispatcher to which they connect.
+    /// Index of the dispatcher to which the clients connect; 0 by default.
     #[serde(default)]
     pub dispatcher: usize,
 }
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -1,114 +1,127 @@
-//! The faults of a scenario.
+//! Faults of a scenario.
 use super::unit;
 use serde::{Deserialize, Serialize};
 
-/// What a fault does. Those before [`FaultKind::EndpointsSilent`] hit a worker, the others a dispatcher.
+/// Kind of a fault. Kinds before [`FaultKind::EndpointsSilent`] target a worker, the others a
+/// dispatcher.
+///
+/// "The duration" and "the share" are [`Fault::duration_ms`] and [`Fault::share`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A worker does nothing for a time, and loses nothing.
+    /// A worker pauses for the duration, without losing any state.
     Stall,
-    /// A worker takes `share` times as long.
+    /// A worker takes `share` times as long for each request.
     Slow,
-    /// A worker answers this share at once with an error.
+    /// A worker immediately answers the share of requests with an error.
     Errors,
-    /// A worker fails one class.
+    /// A worker fails the requests of one class.
     #[serde(rename = "fail-scheme")]
     FailClass,
-    /// A worker never answers this share.
+    /// A worker never answers the share of requests.
     #[serde(rename = "swallow")]
     Unresponsive,
-    /// A worker rejects everything.
+    /// A worker rejects all requests.
     #[serde(rename = "full")]
     AtCapacity,
-    /// A worker answers this share with responses that are malformed, never end, or come too early.
+    /// A worker answers the share of requests with responses that are malformed, never end, or come
+    /// too early.
     #[serde(rename = "odd")]
     MalformedResponses,
-    /// A worker's process crashes, with resets; it restarts, cold, after the time (never where that is 0).
+    /// A worker's process crashes, which resets its connections. It restarts after the duration and
+    /// warms up again; it does not restart if the duration is 0.
     #[serde(rename = "die")]
     Crash,
-    /// A worker's host is lost without a notice; it is back, cold, after the time.
+    /// A worker's host becomes unreachable without notice. It returns after the duration and warms
+    /// up again.
     #[serde(rename = "vanish")]
     HostLost,
-    /// A worker drains, completes what it has and is gone after the time, to be restarted after as long.
+    /// A worker drains and completes its requests, ends after the duration, and restarts after the
+    /// same time again.
     Drain,
-    /// As `Drain`, and what is still queued is rejected.
+    /// Like `Drain`, and the worker rejects its queued requests.
     #[serde(rename = "drain-return")]
     DrainRejectQueued,
-    /// A worker's process is replaced at once at the same address.
+    /// A worker's process is immediately replaced at the same address.
     #[serde(rename = "rebirth")]
     Restart,
-    /// This share of a worker's connections is reset from its side.
+    /// The share of a worker's connections is reset by the worker's side.
     #[serde(rename = "cut")]
     ResetConnections,
-    /// This share of a worker's connections is reset in the network, for both sides.
+    /// The share of a worker's connections is reset in the network, for both sides.
     #[serde(rename = "cut-both")]
     ResetBothSides,
-    /// A dispatcher's watch gets no answer for a time.
+    /// A dispatcher's watch gets no answer for the duration.
     #[serde(rename = "list-silent")]
     EndpointsSilent,
-    /// Changes reach a dispatcher later by the fault's duration.
+    /// Changes during the fault reach a dispatcher late, by the duration.
     #[serde(rename = "list-late")]
     EndpointsDelayed,
-    /// A dispatcher's list goes back by the fault's duration, with its version, and is right again after as long.
+    /// A dispatcher gets the list, and its version, of the duration ago, and the current list again
+    /// after the duration.
     #[serde(rename = "list-back")]
     EndpointsStale,
-    /// A dispatcher's list omits this share of the workers for a time.
+    /// A dispatcher's list omits the share of the workers for the duration.
     #[serde(rename = "list-lacks")]
     EndpointsMissing,
-    /// A dispatcher's list cannot be parsed for a time.
+    /// A dispatcher gets lists that cannot be parsed for the duration.
     #[serde(rename = "list-garbled")]
     EndpointsMalformed,
-    /// A dispatcher is killed; it starts again after the time.
+    /// A dispatcher is killed and starts again after the duration.
     Kill,
-    /// A dispatcher is shut down in order; it starts again after the time.
+    /// A dispatcher is shut down gracefully and starts again after the duration.
     Stop,
-    /// A dispatcher is configured with another address of discovery; the old one stops answering.
+    /// A dispatcher is reloaded with another discovery address; the old one stops answering for the
+    /// duration.
     Reload,
-    /// As `Reload`, and the new address answers only after the time.
+    /// Like `Reload`, but the new address does not answer for the duration and the old one
+    /// continues.
     #[serde(rename = "reload-dead")]
     ReloadUnreachable,
-    /// No datagram reaches a dispatcher for a time.
+    /// No datagram reaches a dispatcher for the duration.
     #[serde(rename = "deaf")]
     DropInbound,
-    /// No datagram of a dispatcher arrives for a time.
+    /// No datagram sent by a dispatcher arrives for the duration.
     #[serde(rename = "mute")]
     DropOutbound,
-    /// No datagram passes between the dispatchers up to this one and the others for a time.
+    /// No datagram passes between the dispatchers up to and including the target and the others for
+    /// the duration.
     #[serde(rename = "split")]
     Partition,
-    /// A dispatcher's open watches are never answered, new ones are; what those missed counts after the time.
+    /// A dispatcher's open polls are never answered; new ones are. After the duration, the checker
+    /// treats the current list as published.
     #[serde(rename = "list-forgets")]
     EndpointsForgetWatch,
-    /// Half of a dispatcher's descriptors are taken away for a time, by a reload, but 64.
+    /// A reload halves a dispatcher's descriptor limit for the duration, to no less than 64.
     #[serde(rename = "tighten")]
     ReduceDescriptors,
 }
 
 impl FaultKind {
-    /// Whether its target is a worker, otherwise it is a dispatcher.
+    /// Returns whether the fault targets a worker; otherwise it targets a dispatcher.
     pub fn targets_worker(self) -> bool {
         self < FaultKind::EndpointsSilent
     }
 }
 
-/// One fault.
+/// Fault to inject at a fixed time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins.
+    /// Begin of the fault, in milliseconds.
     pub at_ms: f64,
-    /// What it does.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// The index of the worker or the dispatcher that it hits.
+    /// Index of the worker or the dispatcher that the fault targets, depending on its kind.
     pub target: usize,
-    /// How long it lasts.
+    /// Duration of the fault in milliseconds; 0 by default.
     #[serde(default, rename = "for_ms")]
     pub duration_ms: f64,
-    /// How much it affects, as its kind has it.
+    /// Fraction (0 to 1) of requests, connections or workers affected, or the factor of `Slow`; 1
+    /// by default.
     #[serde(default = "unit")]
     pub share: f64,
-    /// The index of the class that a worker fails.
+    /// Index of the class that a worker fails, for `FailClass`; 0 by default.
     #[serde(default, rename = "scheme")]
     pub class: usize,
 }
--- a/crates/simulation/src/scenario/file.rs
+++ b/crates/simulation/src/scenario/file.rs
@@ -1,42 +1,42 @@
-//! Scenario files: read, checked and written.
+//! Reading and writing of scenario files.
 use super::Scenario;
 use super::validate::{Problem, validate};
 use std::ops::Range;
 
-/// Why a scenario could not be read or written.
+/// Error of reading or writing a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is not TOML, or has a key or a value that a scenario does not have.
+    /// The text is not TOML, or has an unknown key or a value of the wrong type.
     #[error("line {line}: {}", source.message())]
     Syntax {
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the parser found.
+        /// Error of the parser.
         #[source]
         source: Box<toml::de::Error>,
     },
-    /// An entry of the file makes no sense.
+    /// An entry of the file is invalid.
     #[error("line {line}: {problem}")]
     InvalidEntry {
-        /// The line at which the entry begins, from 1.
+        /// Line number at which the entry begins, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Problem with the entry.
         #[source]
         problem: Problem,
     },
-    /// Something that the file does not name makes no sense.
+    /// A value is invalid that the file does not contain.
     #[error("{0}")]
     Invalid(#[source] Problem),
     /// The scenario cannot be expressed as TOML.
-    #[error("the scenario cannot be written as TOML: {0}")]
+    #[error("cannot write the scenario as TOML: {0}")]
     Write(#[from] toml::ser::Error),
 }
 
-/// Reads a scenario.
+/// Parses and validates a scenario.
 ///
 /// # Errors
 ///
-/// Where the text is not a scenario, with the line.
+/// Returns an error with the line if the text is not a valid scenario.
 pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
     let scenario: Scenario = toml::from_str(text).map_err(|error| ScenarioError::Syntax {
         line: error.span().map_or(0, |span| line_at(text, span)),
@@ -52,11 +52,11 @@
     Ok(scenario)
 }
 
-/// Writes a scenario as a file's text.
+/// Formats a scenario as TOML.
 ///
 /// # Errors
 ///
-/// Where a value cannot be expressed as TOML.
+/// Returns an error if a value cannot be expressed as TOML.
 pub fn write(scenario: &Scenario) -> Result<String, ScenarioError> {
     Ok(toml::to_string(scenario)?)
 }
@@ -69,7 +69,8 @@
         + 1
 }
 
-/// The line at which the entry `index` of the list `key` begins, or that of a plain key.
+/// Returns the line number of the entry `index` of the list `key`, or of the key itself if it is
+/// not a list.
 fn line_of(text: &str, key: &str, index: usize) -> Option<usize> {
     let table: toml::Table = toml::from_str(text).ok()?;
     let _ = table.get(key)?;
--- a/crates/simulation/src/scenario/validate.rs
+++ b/crates/simulation/src/scenario/validate.rs
@@ -1,75 +1,78 @@
-//! What the types of a scenario cannot express: ranges, and references between its parts.
+//! Validation of value ranges and of references between the parts of a scenario.
 use super::{Load, Membership, Scenario};
 
-/// Four times the 1,024 dispatchers for which nothing may be capped; simulations of that size take minutes and gigabytes.
+/// Four times the 1,024 dispatchers that must be supported without any cap. Simulations of this
+/// size take minutes and gigabytes of memory.
 const MAX_DISPATCHERS: usize = 4096;
-/// As many workers as dispatchers.
+/// Equal to the maximum number of dispatchers.
 const MAX_WORKERS: usize = 4096;
+/// 30 minutes.
 const MAX_LENGTH_MS: u64 = 30 * 60_000;
 const MAX_CLOCK_OR_NETWORK_DELAY_MS: u64 = 60_000;
+/// Requests per second.
 const MAX_RATE: f64 = 100_000.0;
 
-/// What is wrong with an entry of a scenario.
+/// Reason why an entry of a scenario is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// Too few or too many dispatchers.
-    #[error("1 to 4096 dispatchers are simulated")]
+    /// The number of dispatchers is out of range.
+    #[error("the number of dispatchers must be from 1 to 4096")]
     DispatcherCount,
-    /// Too short or too long.
-    #[error("a simulation lasts from 1 ms to 30 min")]
+    /// The length of the simulation is out of range.
+    #[error("length_ms must be from 1 to 1800000 (30 minutes)")]
     Length,
-    /// There is no class.
-    #[error("there is no scheme: name at least one request class")]
+    /// There is no request class.
+    #[error("at least one request class ([[scheme]]) is required")]
     NoClass,
-    /// Too few or too many workers.
-    #[error("1 to 4096 workers are simulated")]
+    /// The number of workers is out of range.
+    #[error("the number of workers must be from 1 to 4096")]
     WorkerCount,
     /// The latency range is empty or begins at 0.
-    #[error("latencies begin above 0 and end no lower")]
+    #[error("latency_us must be [low, high] with 0 < low <= high")]
     Latency,
-    /// A share is out of range.
-    #[error("a share lies from 0 to 1")]
+    /// A fraction is out of range.
+    #[error("split, loss and twice must be from 0 to 1")]
     Share,
-    /// The quorum has a size that no quorum has.
-    #[error("there are 0, 1, 3 or 5 keepers")]
+    /// The number of quorum members is not supported.
+    #[error("keepers must be 0, 1, 3 or 5")]
     QuorumSize,
     /// Clock skew or jitter is too large.
-    #[error("skew and jitter are up to a minute")]
+    #[error("skew_ms and jitter_ms must be at most 60000")]
     Delay,
-    /// A class without a time.
-    #[error("times are above 0")]
+    /// A class has a deadline or a latency objective of 0.
+    #[error("sla_ms and expiry_ms must be greater than 0")]
     ClassTime,
-    /// A worker that can do nothing.
-    #[error("a worker has slots and a speed")]
+    /// A worker has no capacity.
+    #[error("slots and speed must be greater than 0")]
     Capacity,
-    /// A request without work, or an empty range of work.
-    #[error("work is above 0, and its range ends no lower than it begins")]
+    /// The work of a request is not positive, or its range is empty.
+    #[error("work_ms must be greater than 0, and a range [low, high] must have low <= high")]
     Work,
-    /// A class that does not exist.
-    #[error("there is no such scheme")]
+    /// The class does not exist.
+    #[error("scheme must be the index of an existing request class")]
     UnknownClass,
     /// A rate is out of range.
-    #[error("a rate lies above 0, and not over 100,000")]
+    #[error("rate must be greater than 0 and at most 100000")]
     Rate,
-    /// A dispatcher that does not exist.
-    #[error("there is no such dispatcher")]
+    /// The dispatcher does not exist.
+    #[error("there is no dispatcher with this index")]
     UnknownDispatcher,
-    /// A worker that does not exist.
-    #[error("there is no such worker")]
+    /// The worker does not exist.
+    #[error("there is no worker with this index")]
     UnknownWorker,
-    /// A fault at a negative time.
-    #[error("times are not below 0")]
+    /// A fault has a negative time.
+    #[error("at_ms and for_ms must not be negative")]
     NegativeTime,
 }
 
-/// A problem, and the entry of the file that has it.
+/// Invalid entry of a scenario file and its problem.
 pub(super) struct InvalidEntry {
     pub key: &'static str,
     pub index: usize,
     pub problem: Problem,
 }
 
-/// One entry of the file, against which conditions are checked.
+/// Entry of a scenario file for which conditions are checked.
 #[derive(Clone, Copy)]
 struct Entry {
     key: &'static str,
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,16 +1,18 @@
-//! Reduces a scenario that violates a rule to what is needed for the violation.
+//! Reduces a scenario that violates a rule to the parts that the violation needs.
 use crate::checker::Rule;
 use crate::scenario::Scenario;
 use crate::simulation::{Trace, play};
 
-/// How often one simplification is repeated in a round.
+/// Maximum number of times that one simplification is applied per round.
 const MAX_REPEATS: usize = 6;
+/// Requests per second; no load is reduced below this rate.
 const MIN_RATE: f64 = 0.1;
 const MIN_LENGTH_MS: u64 = 100;
 
 type Simplification = fn(&mut Scenario);
 
-/// Fewer of each, shorter, calmer.
+/// Steps that reduce the load, the length, the network disturbances and the number of clients,
+/// workers and dispatchers.
 const SIMPLIFICATIONS: [Simplification; 8] = [
     halve_misbehaving_clients,
     halve_rates,
@@ -22,8 +24,8 @@
     drop_one_dispatcher,
 ];
 
-/// Drops what is not needed for the violation: the same rule is still violated in what is left. `on_progress` sees each
-/// smaller scenario.
+/// Removes everything that is not needed to violate `rule`. `on_progress` is called with each
+/// smaller scenario that still violates it.
 pub fn shrink(scenario: &Scenario, rule: Rule, on_progress: impl FnMut(&Scenario)) -> Scenario {
     let mut shrinker = Shrinker {
         smallest: scenario.clone(),
@@ -41,7 +43,7 @@
         }
         if shrinker.smallest == before {
             return Scenario {
-                name: format!("shrunk from seed {}, breaks {rule:?}", scenario.seed),
+                name: format!("shrunk from seed {}, violates {rule:?}", scenario.seed),
                 ..before
             };
         }
@@ -62,7 +64,7 @@
             .any(|violation| violation.rule == self.rule)
     }
 
-    /// Takes a candidate where it still violates the rule.
+    /// Accepts a candidate if it still violates the rule; returns whether it does.
     fn accept(&mut self, candidate: Scenario) -> bool {
         if !self.violates(&candidate) {
             return false;
@@ -114,7 +116,7 @@
     }
 }
 
-/// Drops the last worker where no fault needs it.
+/// Drops the last worker unless a fault targets it.
 fn drop_one_worker(scenario: &mut Scenario) {
     let needed = scenario
         .faults
@@ -128,7 +130,7 @@
     scenario.workers.truncate(fewer.max(needed));
 }
 
-/// Drops the last dispatcher where no fault and no client needs it.
+/// Drops the last dispatcher unless a fault or a client targets it.
 fn drop_one_dispatcher(scenario: &mut Scenario) {
     let faults = scenario
         .faults
--- a/crates/simulation/src/time.rs
+++ b/crates/simulation/src/time.rs
@@ -1,4 +1,4 @@
-//! Units of virtual time.
+//! Units of virtual time, in nanoseconds.
 use rosewall::types::Nanos;
 
 /// One millisecond.
@@ -6,7 +6,7 @@
 /// One second.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// A time in milliseconds as whole nanoseconds.
+/// Converts milliseconds to whole nanoseconds.
 pub fn from_ms(milliseconds: f64) -> Nanos {
     (milliseconds * MS as f64) as Nanos
 }
--- a/crates/simulation/src/timeline.rs
+++ b/crates/simulation/src/timeline.rs
@@ -1,56 +1,57 @@
-//! The timeline of a simulation: a digest of all that was recorded, and the lines themselves where they are wanted.
+//! Timeline of a simulation: a digest of all recorded events and, on request, a line of text for
+//! each.
 use rosewall::types::Nanos;
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Whether the lines of the timeline are collected.
+/// Selects whether the lines of the timeline are collected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trace {
-    /// Only the digest is kept.
+    /// Computes the digest only.
     Off,
-    /// The lines are collected.
+    /// Collects the lines as well.
     On,
 }
 
-/// What a line of the timeline records. The digest takes the place in this list: new kinds go to its end.
+/// Kind of a timeline entry. Digests include the position in this list: add new kinds at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimelineEvent {
     /// A client is about to send a request.
     RequestCreated,
-    /// A client sends a request again over a new connection.
+    /// A client resends a request over a new connection.
     RequestResent,
     /// A client has received a complete response.
     ResponseReceived,
     /// A client's connection ended without a response.
     ResponseLost,
-    /// A client gave up waiting.
+    /// A client stopped waiting for a response.
     RequestTimedOut,
     /// A client disconnected before its deadline.
     ClientDisconnected,
-    /// A client breaks the protocol.
+    /// A client violates the protocol.
     ClientMisbehaves,
-    /// The second request with one id was answered.
+    /// A second request with the same id was answered.
     ReusedIdAnswered,
     /// A complete attempt has reached a worker.
     AttemptArrived,
-    /// A worker begins to run a request.
+    /// A worker starts to execute a request.
     ExecutionStarted,
     /// A worker answers with a malformed response.
     MalformedResponse,
-    /// A warming worker is overloaded.
+    /// A worker is overloaded while warming up.
     WorkerOverloaded,
     /// A worker's process has ended.
     WorkerTerminated,
     /// A new process of a worker has started.
     WorkerRestarted,
-    /// An endpoint list was written to a dispatcher.
+    /// An endpoint list was sent to a dispatcher.
     EndpointsPublished,
     /// A dispatcher's process has started.
     DispatcherStarted,
     /// A dispatcher's process was killed.
     DispatcherKilled,
-    /// A dispatcher was told to shut down.
+    /// The shutdown of a dispatcher has begun.
     DispatcherStopping,
     /// A dispatcher's process has ended after its shutdown.
     DispatcherStopped,
@@ -85,22 +86,22 @@
     }
 }
 
-/// One line of the timeline.
+/// One collected line of the timeline.
 pub struct TimelineEntry {
-    /// When it was recorded.
+    /// Virtual time of the event.
     pub at: Nanos,
-    /// What happened.
+    /// Label and description of the event.
     pub text: String,
 }
 
-/// A digest of all that was recorded, and the lines where they are wanted.
+/// Digest of all recorded events, and their lines if a trace is on.
 pub struct Timeline {
     digest: u64,
     entries: Option<Vec<TimelineEntry>>,
 }
 
 impl Timeline {
-    /// An empty timeline.
+    /// Creates an empty timeline.
     pub fn new(trace: Trace) -> Self {
         Timeline {
             digest: FNV_OFFSET_BASIS,
@@ -108,17 +109,17 @@
         }
     }
 
-    /// A digest of all that was recorded so far.
+    /// Returns the digest of all events recorded so far.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes the lines that were collected.
+    /// Removes and returns the collected lines; empty without a trace.
     pub fn take_entries(&mut self) -> Vec<TimelineEntry> {
         self.entries.take().unwrap_or_default()
     }
 
-    /// Records an event; `a` and `b` go into the digest with it.
+    /// Records an event. The time, the kind, `a` and `b` go into the digest; `text` does not.
     pub fn record(
         &mut self,
         at: Nanos,
--- a/crates/simulation/tests/drawn_simulations.rs
+++ b/crates/simulation/tests/drawn_simulations.rs
@@ -1,4 +1,4 @@
-//! Simulations that are drawn from seeds.
+//! Simulations whose scenarios are generated from seeds violate no rule and are reproducible.
 use rosewall_simulation::checker::Rule;
 use rosewall_simulation::explore::{
     explore, explore_with, scenario_for_seed, scenario_with_dispatchers,
@@ -21,7 +21,7 @@
     });
 
     assert_eq!((summary.simulations, violating), (500, Vec::new()));
-    // A simulation in which nothing is requested or served would violate no rule either.
+    // Guards against simulations without requests or successes, which would violate no rule either.
     assert!(
         summary.requests > 200_000 && summary.succeeded > summary.requests / 2,
         "{summary:?}"
@@ -54,8 +54,8 @@
     );
 }
 
-/// Found among 30,000: workers of a type were taken to have more slots than any has, so that a warming worker got twice
-/// its budget. The names say what the slots were estimated by.
+/// Guards against an overestimate of the slots of a worker type, which sent a warming worker twice
+/// its budget. The case names say which input caused the overestimate. Found among 30,000 seeds.
 #[test_case(9_890; "starts of requests that never ended")]
 #[test_case(1_005_010; "starts reported before the ends that preceded them")]
 #[test_case(1_015_281; "likewise, and workers with different slots")]
@@ -65,8 +65,10 @@
     assert_eq!(report.violations, Vec::new());
 }
 
-/// Found among 20,000: of eight workers of one type and one listed size the warming one has the capacity of 1.6 slots,
-/// most others of 2.8 to 4, while budgets go by the lowest quarter of the type.
+/// Guards against an overload of a warming worker that is smaller than the others of its type. Of
+/// eight workers with the same listed size, the warming one has the capacity of 1.6 slots and most
+/// others of 2.8 to 4, while budgets follow the lowest quartile of the type. Found among 20,000
+/// seeds.
 #[test]
 fn a_warming_worker_with_less_capacity_than_its_type_is_not_overloaded() {
     let report = play(&scenario_for_seed(1_006_095, None), Trace::Off);
@@ -74,8 +76,8 @@
     assert_eq!(report.violations, Vec::new());
 }
 
-/// The operators' measure: beyond the N requests that a warming worker may get, 2 x root of N + 2 are chance, also where
-/// thirty dispatchers send to it, each within its own part.
+/// A warming worker may get N requests, plus 2 * sqrt(N) + 2 for random arrivals (the operators'
+/// measure), also when thirty dispatchers send to it, each within its own part of the budget.
 #[test_case(20)]
 #[test_case(30)]
 fn warming_workers_are_not_overloaded_by_many_dispatchers(dispatchers: usize) {
--- a/crates/simulation/tests/exploration_lock.rs
+++ b/crates/simulation/tests/exploration_lock.rs
@@ -1,4 +1,4 @@
-//! Locks what drawn simulations do: a refactoring must not change a single step of them.
+//! Locks the behaviour of generated simulations: a refactoring must not change any step of them.
 use rosewall_simulation::explore::scenario_for_seed;
 use rosewall_simulation::simulation::{Trace, play};
 
--- a/crates/simulation/tests/json_output.rs
+++ b/crates/simulation/tests/json_output.rs
@@ -1,4 +1,5 @@
-//! Other programs read the JSON form of results: its keys and words stay whatever the fields are called.
+//! Stability of the JSON output: other programs read its keys and rule names, so renaming a field
+//! must not change them.
 use rosewall_simulation::checker::Rule;
 use rosewall_simulation::explore::explore;
 use rosewall_simulation::explore::scenario_for_seed;
--- a/crates/simulation/tests/mutations.rs
+++ b/crates/simulation/tests/mutations.rs
@@ -1,4 +1,4 @@
-//! The checker finds every mutation of the dispatcher.
+//! The checker detects every mutation of the dispatcher within 1000 simulations.
 #![cfg(feature = "mutations")]
 
 use rosewall_simulation::mutation;
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files are read, written and checked.
+//! Scenario files: reading, writing, validation and the stability of the stored form.
 use rosewall_simulation::explore::scenario_for_seed;
 use rosewall_simulation::scenario::{read, write};
 use std::path::Path;
@@ -30,7 +30,8 @@
     }
 }
 
-/// Stored scenarios are read by later versions: what is written must not change with the names in the code.
+/// Later versions read stored scenarios, so renaming a field in the code must not change the
+/// written text.
 #[test]
 fn the_text_of_generated_scenario_files_is_stable() {
     let mut digest = 0xcbf2_9ce4_8422_2325_u64;
@@ -46,9 +47,9 @@
 
 #[test_case("kind = \"drain\"", "kind = \"drian\"", "line 40"; "an unknown kind of fault")]
 #[test_case("length_ms", "lenght_ms", "line 4"; "an unknown key")]
-#[test_case("target = 0", "target = 9", "line 38: there is no such worker"; "an unknown worker")]
-#[test_case("dispatchers = 2", "dispatchers = 0", "line 5: 1 to 4096 dispatchers"; "no dispatcher")]
-#[test_case("work_ms = [10.0, 30.0]", "work_ms = [30.0, 10.0]", "line 32: work"; "work that ends before it begins")]
+#[test_case("target = 0", "target = 9", "line 38: there is no worker with this index"; "an unknown worker")]
+#[test_case("dispatchers = 2", "dispatchers = 0", "line 5: the number of dispatchers must be from 1 to 4096"; "no dispatcher")]
+#[test_case("work_ms = [10.0, 30.0]", "work_ms = [30.0, 10.0]", "line 32: work_ms must be greater than 0"; "work that ends before it begins")]
 fn an_invalid_scenario_is_reported_with_its_line(from: &str, to: &str, message: &str) {
     let error = read(&VALID.replacen(from, to, 1)).unwrap_err().to_string();
 
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -1,11 +1,12 @@
-//! What the tests share.
+//! Helpers shared by the tests.
 use rosewall_simulation::checker::RequestCounts;
 use rosewall_simulation::explore::scenario_for_seed;
 use rosewall_simulation::scenario::read;
 use rosewall_simulation::simulation::{Trace, play};
 use std::ops::Range;
 
-/// Plays a planned scenario under each seed, requires that no rule is violated, and returns the tallies.
+/// Runs a planned scenario under each seed, asserts that no rule is violated, and returns the
+/// request counts.
 pub fn run_without_violations(text: &str, seeds: Range<u64>) -> Vec<RequestCounts> {
     let planned = read(text).unwrap();
     seeds
