--- a/crates/simulation/src/checker/tests.rs
+++ b/crates/simulation/src/checker/tests.rs
@@ -122,7 +122,7 @@
 #[test_case(Idempotency::IdempotentWithKey, RetryScope::All, &[]; "with a key that all workers know")]
 #[test_case(Idempotency::IdempotentWithKey, RetryScope::Zone, &[Rule::Idempotency]; "with a key that some workers know")]
 #[test_case(Idempotency::NonIdempotent, RetryScope::All, &[Rule::Idempotency]; "a non-idempotent request")]
-fn rejects_only_requests_that_are_safe_to_repeat(
+fn a_rejection_is_a_violation_unless_repeating_is_safe(
     idempotency: Idempotency,
     retry_scope: RetryScope,
     rules: &[Rule],
--- a/crates/simulation/tests/drawn_simulations.rs
+++ b/crates/simulation/tests/drawn_simulations.rs
@@ -58,7 +58,7 @@
 /// its budget. The case names say which input caused the overestimate. Found among 30,000 seeds.
 #[test_case(9_890; "starts of requests that never ended")]
 #[test_case(1_005_010; "starts reported before the ends that preceded them")]
-#[test_case(1_015_281; "likewise, and workers with different slots")]
+#[test_case(1_015_281; "starts reported before preceding ends, with workers of different sizes")]
 fn overestimated_slots_overload_no_warming_worker(seed: u64) {
     let report = play(&scenario_for_seed(seed, None), Trace::Off);
 
--- a/crates/simulation/tests/planned_scenarios.rs
+++ b/crates/simulation/tests/planned_scenarios.rs
@@ -36,7 +36,7 @@
 #[test_case(include_str!("../scenarios/small-join.toml"), 0.045; "most workers are replaced")]
 #[test_case(include_str!("../scenarios/small-zone.toml"), 0.02; "a zone is lost and warms up again")]
 #[test_case(include_str!("../scenarios/small-herd.toml"), 0.02; "most dispatchers are killed in a release")]
-#[test_case(include_str!("../scenarios/small-odd.toml"), 0.1; "wrong lists, and workers that flap, are unresponsive or at capacity")]
+#[test_case(include_str!("../scenarios/small-odd.toml"), 0.1; "faulty lists, and workers that flap, are unresponsive or at capacity")]
 fn a_large_fleet_serves_most_requests_under_faults(text: &str, max_missed: f64) {
     let all_counts = run_without_violations(text, 0..8);
 
@@ -77,7 +77,7 @@
 /// Runs large fleets at full size: faulty lists and workers violate no rule with a hundred
 /// dispatchers. Under seed 3, a lost host returned while an attempt to it was still unwritten, and
 /// the attempt was sent long after the list had removed the host.
-#[test_case(include_str!("../scenarios/vast-odd.toml"), 1; "wrong lists, and workers that flap, are unresponsive or at capacity")]
+#[test_case(include_str!("../scenarios/vast-odd.toml"), 1; "faulty lists, and workers that flap, are unresponsive or at capacity")]
 #[test_case(include_str!("../scenarios/vast-zone.toml"), 3; "found: an attempt was sent to a removed host after its return")]
 fn a_hundred_dispatchers_violate_no_rule(text: &str, seed: u64) {
     let all_counts = run_without_violations(text, seed..seed + 1);
