--- a/crates/simulation/src/commands.rs
+++ b/crates/simulation/src/commands.rs
@@ -7,7 +7,7 @@
 use rosewall_simulation::explore::{explore_with, scenario_for_seed, scenario_with_dispatchers};
 use rosewall_simulation::scenario::{self, Scenario, ScenarioError};
 use rosewall_simulation::shrink::shrink;
-use rosewall_simulation::simulation::{Trace, play};
+use rosewall_simulation::simulation::{Trace, run_scenario};
 use serde::Serialize;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -118,7 +118,7 @@
 
 fn run_replay(selection: &Selection, trace: bool, json: bool) -> Result<Verdict, CommandError> {
     let trace = if trace { Trace::On } else { Trace::Off };
-    let report = play(&selected_scenario(selection)?, trace);
+    let report = run_scenario(&selected_scenario(selection)?, trace);
     if json {
         print_json(&report)?;
     } else {
@@ -133,7 +133,7 @@
     json: bool,
 ) -> Result<Verdict, CommandError> {
     let scenario = selected_scenario(selection)?;
-    let report = play(&scenario, Trace::Off);
+    let report = run_scenario(&scenario, Trace::Off);
     let violation = report.violations.first().ok_or(CommandError::NoViolation)?;
     let smallest = shrink(&scenario, violation.rule, print_shrinking_progress);
     let text = render_scenario(&smallest, json)?;
--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -3,7 +3,7 @@
 use crate::generate::generate;
 use crate::hex_digest;
 use crate::scenario::Scenario;
-use crate::simulation::{Report, Trace, play};
+use crate::simulation::{Report, Trace, run_scenario};
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -146,7 +146,8 @@
             scope.spawn(move || {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if !seeds.contains(&seed) || sender.send(play(&make(seed), Trace::Off)).is_err()
+                    if !seeds.contains(&seed)
+                        || sender.send(run_scenario(&make(seed), Trace::Off)).is_err()
                     {
                         return;
                     }
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -2,7 +2,7 @@
 //! dispatcher.
 use crate::checker::Rule;
 use crate::generate::generate;
-use crate::simulation::{Trace, play};
+use crate::simulation::{Trace, run_scenario};
 use rosewall::mutation::{DISPATCHER, Mutation, activate};
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -36,7 +36,7 @@
         };
     };
     activate(Some(mutation));
-    let violations = play(&generate(seed), Trace::Off).violations;
+    let violations = run_scenario(&generate(seed), Trace::Off).violations;
     activate(None);
     let violation = violations.first();
     MutationResult {
@@ -63,7 +63,10 @@
                     if seed >= first + limit || seed >= lowest.load(Ordering::Relaxed) {
                         return;
                     }
-                    if !play(&generate(seed), Trace::Off).violations.is_empty() {
+                    if !run_scenario(&generate(seed), Trace::Off)
+                        .violations
+                        .is_empty()
+                    {
                         lowest.fetch_min(seed, Ordering::Relaxed);
                     }
                 }
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,7 +1,7 @@
 //! Reduces a scenario that violates a rule to the parts that the violation needs.
 use crate::checker::Rule;
 use crate::scenario::Scenario;
-use crate::simulation::{Trace, play};
+use crate::simulation::{Trace, run_scenario};
 
 /// Maximum number of times that one simplification is applied per round.
 const MAX_REPEATS: usize = 6;
@@ -58,7 +58,7 @@
 
 impl<F: FnMut(&Scenario)> Shrinker<F> {
     fn violates(&self, scenario: &Scenario) -> bool {
-        play(scenario, Trace::Off)
+        run_scenario(scenario, Trace::Off)
             .violations
             .iter()
             .any(|violation| violation.rule == self.rule)
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -71,7 +71,7 @@
 }
 
 /// Plays a scenario.
-pub fn play(scenario: &Scenario, trace: Trace) -> Report {
+pub fn run_scenario(scenario: &Scenario, trace: Trace) -> Report {
     Simulation::new(scenario, trace).run()
 }
 
--- a/crates/simulation/tests/drawn_simulations.rs
+++ b/crates/simulation/tests/drawn_simulations.rs
@@ -3,7 +3,7 @@
 use rosewall_simulation::explore::{
     explore, explore_with, scenario_for_seed, scenario_with_dispatchers,
 };
-use rosewall_simulation::simulation::{Trace, play};
+use rosewall_simulation::simulation::{Trace, run_scenario};
 use test_case::test_case;
 
 fn cores() -> usize {
@@ -45,8 +45,8 @@
 fn a_timeline_is_the_same_with_and_without_a_trace() {
     let scenario = scenario_for_seed(7, None);
 
-    let traced = play(&scenario, Trace::On);
-    let untraced = play(&scenario, Trace::Off);
+    let traced = run_scenario(&scenario, Trace::On);
+    let untraced = run_scenario(&scenario, Trace::Off);
 
     assert_eq!(
         (traced.digest, traced.trace.is_empty()),
@@ -60,7 +60,7 @@
 #[test_case(1_005_010; "starts reported before the ends that preceded them")]
 #[test_case(1_015_281; "starts reported before preceding ends, with workers of different sizes")]
 fn overestimated_slots_overload_no_warming_worker(seed: u64) {
-    let report = play(&scenario_for_seed(seed, None), Trace::Off);
+    let report = run_scenario(&scenario_for_seed(seed, None), Trace::Off);
 
     assert_eq!(report.violations, Vec::new());
 }
@@ -71,7 +71,7 @@
 /// seeds.
 #[test]
 fn a_warming_worker_with_less_capacity_than_its_type_is_not_overloaded() {
-    let report = play(&scenario_for_seed(1_006_095, None), Trace::Off);
+    let report = run_scenario(&scenario_for_seed(1_006_095, None), Trace::Off);
 
     assert_eq!(report.violations, Vec::new());
 }
--- a/crates/simulation/tests/exploration_lock.rs
+++ b/crates/simulation/tests/exploration_lock.rs
@@ -1,6 +1,6 @@
 //! Locks the behaviour of generated simulations: a refactoring must not change any step of them.
 use rosewall_simulation::explore::scenario_for_seed;
-use rosewall_simulation::simulation::{Trace, play};
+use rosewall_simulation::simulation::{Trace, run_scenario};
 
 #[test]
 fn sixty_generated_simulations_take_exactly_the_recorded_steps() {
@@ -8,7 +8,7 @@
     let mut digest = 0xcbf2_9ce4_8422_2325_u64;
 
     for seed in 0..60 {
-        let report = play(&scenario_for_seed(seed, None), Trace::Off);
+        let report = run_scenario(&scenario_for_seed(seed, None), Trace::Off);
         let counts = [
             report.steps,
             report.counts.requests,
--- a/crates/simulation/tests/json_output.rs
+++ b/crates/simulation/tests/json_output.rs
@@ -3,7 +3,7 @@
 use rosewall_simulation::checker::Rule;
 use rosewall_simulation::explore::explore;
 use rosewall_simulation::explore::scenario_for_seed;
-use rosewall_simulation::simulation::{Trace, play};
+use rosewall_simulation::simulation::{Trace, run_scenario};
 use serde_json::Value;
 use test_case::test_case;
 
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_json_keys_of_a_report_are_stable() {
-    let report = play(&scenario_for_seed(0, None), Trace::Off);
+    let report = run_scenario(&scenario_for_seed(0, None), Trace::Off);
     let report = serde_json::to_value(report).unwrap();
 
     assert_eq!(
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -2,7 +2,7 @@
 use rosewall_simulation::checker::RequestCounts;
 use rosewall_simulation::explore::scenario_for_seed;
 use rosewall_simulation::scenario::read;
-use rosewall_simulation::simulation::{Trace, play};
+use rosewall_simulation::simulation::{Trace, run_scenario};
 use std::ops::Range;
 
 /// Runs a planned scenario under each seed, asserts that no rule is violated, and returns the
@@ -11,7 +11,7 @@
     let planned = read(text).unwrap();
     seeds
         .map(|seed| {
-            let report = play(&scenario_for_seed(seed, Some(&planned)), Trace::Off);
+            let report = run_scenario(&scenario_for_seed(seed, Some(&planned)), Trace::Off);
             assert_eq!(report.violations, Vec::new(), "seed {seed}");
             report.counts
         })
