--- a/crates/simulation/src/checker/tests.rs
+++ b/crates/simulation/src/checker/tests.rs
@@ -1,4 +1,4 @@
-//! What violates each rule, and what comes close to it and does not.
+//! For each rule, events that violate it and events just within it that do not.
 use super::*;
 use crate::network::DirectionCounters;
 use crate::scenario::{Idempotency, RetryScope, read};
@@ -12,7 +12,7 @@
 const WORK: Nanos = 10 * MS;
 const DEADLINE: Nanos = START + 500 * MS;
 
-/// A checker for one class and a worker that a dispatcher knows as ready.
+/// Returns a checker with one class and one worker that was published to the dispatcher as ready.
 fn checker(idempotency: Idempotency, retry_scope: RetryScope) -> Checker {
     let mut scenario =
         read("seed = 1\nlength_ms = 1\n[[scheme]]\neffect = \"repeatable\"\nsla_ms = 1\nexpiry_ms = 1\n[[worker]]\nslots = 1\n")
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_result_that_a_worker_produced_in_time_violates_nothing() {
+fn a_result_that_a_worker_produced_in_time_violates_no_rule() {
     let mut checker = checker(Idempotency::NonIdempotent, RetryScope::All);
     let request = sent_request(&mut checker);
     attempt(&mut checker, START, request, 0);
@@ -73,14 +73,17 @@
     checker.finish(DEADLINE);
 
     assert_eq!(violated(&checker), []);
-    assert_eq!((checker.tally().succeeded, checker.tally().in_time), (1, 1));
+    assert_eq!(
+        (checker.counts().succeeded, checker.counts().in_time),
+        (1, 1)
+    );
 }
 
 #[test_case(DEADLINE, b"made 0 6", &[Rule::Answer]; "a result that no worker produced")]
 #[test_case(DEADLINE, b"made 1 5", &[Rule::Answer]; "the result of another request")]
 #[test_case(DEADLINE + SLACK, b"made 0 5", &[]; "a result within the slack")]
 #[test_case(DEADLINE + SLACK + 1, b"made 0 5", &[Rule::Answer]; "a result after the deadline")]
-fn a_response_is_true_and_in_time(at: Nanos, body: &[u8], rules: &[Rule]) {
+fn a_response_must_be_correct_and_in_time(at: Nanos, body: &[u8], rules: &[Rule]) {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
     let request = sent_request(&mut checker);
     checker.result_produced(request, 5);
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn a_request_without_a_response_violates_the_answer_rule_unless_its_dispatcher_was_killed() {
+fn a_missing_response_violates_the_answer_rule_unless_the_dispatcher_was_killed() {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
     sent_request(&mut checker);
     checker.finish(DEADLINE);
@@ -112,14 +115,14 @@
     checker.dispatcher_killed(DISPATCHER);
     checker.finish(DEADLINE);
     assert_eq!(violated(&checker), [Rule::Answer]);
-    assert_eq!(checker.tally().exempted, 2);
+    assert_eq!(checker.counts().exempted, 2);
 }
 
 #[test_case(Idempotency::Idempotent, RetryScope::Zone, &[]; "an idempotent request")]
 #[test_case(Idempotency::IdempotentWithKey, RetryScope::All, &[]; "with a key that all workers know")]
 #[test_case(Idempotency::IdempotentWithKey, RetryScope::Zone, &[Rule::Idempotency]; "with a key that some workers know")]
 #[test_case(Idempotency::NonIdempotent, RetryScope::All, &[Rule::Idempotency]; "a non-idempotent request")]
-fn a_rejection_promises_that_repeating_does_no_harm(
+fn a_rejection_is_a_violation_unless_repeating_is_safe(
     idempotency: Idempotency,
     retry_scope: RetryScope,
     rules: &[Rule],
@@ -134,12 +137,12 @@
 }
 
 #[test]
-fn a_non_idempotent_request_is_sent_again_once_the_rejection_was_read() {
+fn a_non_idempotent_request_may_be_resent_after_the_rejection_was_read() {
     let mut checker = checker(Idempotency::NonIdempotent, RetryScope::All);
     let request = sent_request(&mut checker);
     let first = attempt(&mut checker, START, request, 0);
 
-    // The promise ends at offset 0, so that it counts as read.
+    // A rejection that ends at offset 0 counts as read.
     let counters = Rc::new(DirectionCounters::default());
     checker.attempt_rejected(request, first, 0, counters);
     attempt(&mut checker, START, request, 0);
@@ -150,9 +153,9 @@
 }
 
 #[test_case(0, 100 * MS + SLACK, &[]; "within scope and window")]
-#[test_case(1, 0, &[Rule::Idempotency]; "out of its scope")]
-#[test_case(0, 100 * MS + SLACK + 1, &[Rule::Idempotency]; "out of its window")]
-fn a_key_allows_a_retry(zone: usize, after: Nanos, rules: &[Rule]) {
+#[test_case(1, 0, &[Rule::Idempotency]; "outside its scope")]
+#[test_case(0, 100 * MS + SLACK + 1, &[Rule::Idempotency]; "outside its window")]
+fn a_key_allows_a_retry_within_its_scope_and_window(zone: usize, after: Nanos, rules: &[Rule]) {
     let mut checker = checker(Idempotency::IdempotentWithKey, RetryScope::Zone);
     let request = sent_request(&mut checker);
     attempt(&mut checker, START, request, 0);
@@ -173,9 +176,9 @@
     assert_eq!(violated(&checker), [Rule::Idempotency]);
 }
 
-#[test_case(0, &[]; "within the grace")]
-#[test_case(1, &[Rule::Drain]; "after the grace")]
-fn a_draining_worker_gets_requests_only_within_the_grace(late: Nanos, rules: &[Rule]) {
+#[test_case(0, &[]; "within the grace period")]
+#[test_case(1, &[Rule::Drain]; "after the grace period")]
+fn a_draining_worker_gets_requests_only_within_the_grace_period(late: Nanos, rules: &[Rule]) {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
     publish(&mut checker, START, EndpointState::Draining);
     let request = checker.request_created(0, WORK, None);
@@ -219,7 +222,7 @@
         version: 2,
     };
     checker.endpoint_published(START, DISPATCHER, WORKER, published);
-    // 4 times a capacity of 0.2 within 2 s.
+    // 4 times the initial capacity of 0.2 over a window of 2 s.
     let budget = 4.0 * 0.2 * (2_000 * MS) as f64;
     let mut arrives = |work: f64| {
         let arrival = WorkArrival {
@@ -235,5 +238,5 @@
     assert!(arrives(budget));
 
     assert_eq!(violated(&checker), [Rule::SlowStart]);
-    assert_eq!(checker.tally().overloaded_by_root, 1);
+    assert_eq!(checker.counts().overloaded_workers, 1);
 }
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -5,7 +5,7 @@
 mod faults;
 mod runtime;
 
-use crate::checker::{Rule, Tally, Violation};
+use crate::checker::{RequestCounts, Rule, Violation};
 use crate::client::Clients;
 use crate::context::Context;
 use crate::hex_digest;
@@ -49,7 +49,8 @@
     /// The detected violations of the rules.
     pub violations: Vec<Violation>,
     /// Counts of requests by outcome.
-    pub tally: Tally,
+    #[serde(rename = "tally")]
+    pub counts: RequestCounts,
     /// The number of steps; events of one instant that are processed together count as one.
     pub steps: u64,
     /// The elapsed virtual time, in seconds.
@@ -150,7 +151,7 @@
         Report {
             seed,
             violations: checker.violations().to_vec(),
-            tally: checker.tally().clone(),
+            counts: checker.counts().clone(),
             steps: self.steps,
             virtual_s: since_start_ms(kernel.now()) / 1e3,
             digest: kernel.digest(),
--- a/crates/simulation/tests/exploration_lock.rs
+++ b/crates/simulation/tests/exploration_lock.rs
@@ -1,20 +1,19 @@
-//! Locks what drawn simulations do: a refactoring must not change a single step of them.
+//! Locks the behaviour of generated simulations: a refactoring must not change any step of them.
 use rosewall_simulation::explore::scenario_for_seed;
 use rosewall_simulation::simulation::{Trace, run_scenario};
 
 #[test]
-fn sixty_drawn_simulations_take_exactly_the_recorded_steps() {
+fn sixty_generated_simulations_take_exactly_the_recorded_steps() {
     let mut total = [0_u64; 4];
     let mut digest = 0xcbf2_9ce4_8422_2325_u64;
 
     for seed in 0..60 {
         let report = run_scenario(&scenario_for_seed(seed, None), Trace::Off);
-        let tally = &report.tally;
         let counts = [
             report.steps,
-            tally.requests,
-            tally.attempts,
-            tally.succeeded,
+            report.counts.requests,
+            report.counts.attempts,
+            report.counts.succeeded,
         ];
         for (total, count) in total.iter_mut().zip(counts) {
             *total += count;
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files are read, written and checked.
+//! Scenario files: reading, writing, validation and the stability of the stored form.
 use rosewall_simulation::explore::scenario_for_seed;
 use rosewall_simulation::scenario::{read, write};
 use std::path::Path;
@@ -23,16 +23,17 @@
 }
 
 #[test]
-fn a_scenario_is_read_as_it_was_written() {
+fn a_written_scenario_is_read_back_unchanged() {
     for seed in 0..50 {
-        let drawn = scenario_for_seed(seed, None);
-        assert_eq!(read(&write(&drawn).unwrap()).unwrap(), drawn);
+        let generated = scenario_for_seed(seed, None);
+        assert_eq!(read(&write(&generated).unwrap()).unwrap(), generated);
     }
 }
 
-/// Stored scenarios are read by later versions: what is written must not change with the names in the code.
+/// Later versions read stored scenarios, so renaming a field in the code must not change the
+/// written text.
 #[test]
-fn the_keys_and_words_of_drawn_scenario_files_stay_as_they_are() {
+fn the_text_of_generated_scenario_files_is_stable() {
     let mut digest = 0xcbf2_9ce4_8422_2325_u64;
 
     for seed in 0..500 {
@@ -46,9 +47,9 @@
 
 #[test_case("kind = \"drain\"", "kind = \"drian\"", "line 40"; "an unknown kind of fault")]
 #[test_case("length_ms", "lenght_ms", "line 4"; "an unknown key")]
-#[test_case("target = 0", "target = 9", "line 38: there is no such worker"; "an unknown worker")]
-#[test_case("dispatchers = 2", "dispatchers = 0", "line 5: 1 to 4096 dispatchers"; "no dispatcher")]
-#[test_case("work_ms = [10.0, 30.0]", "work_ms = [30.0, 10.0]", "line 32: work"; "work that ends before it begins")]
+#[test_case("target = 0", "target = 9", "line 38: there is no worker with this index"; "an unknown worker")]
+#[test_case("dispatchers = 2", "dispatchers = 0", "line 5: the number of dispatchers must be from 1 to 4096"; "no dispatcher")]
+#[test_case("work_ms = [10.0, 30.0]", "work_ms = [30.0, 10.0]", "line 32: work_ms must be greater than 0"; "work that ends before it begins")]
 fn an_invalid_scenario_is_reported_with_its_line(from: &str, to: &str, message: &str) {
     let error = read(&VALID.replacen(from, to, 1)).unwrap_err().to_string();
 
