--- a/crates/cluster-testbed/src/checker.rs
+++ b/crates/cluster-testbed/src/checker.rs
@@ -18,7 +18,7 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(550);
 
 /// All that the rules are checked against.
-pub struct Evidence<'a> {
+pub struct Observations<'a> {
     /// When the clients started.
     pub begin: Instant,
     /// When they stopped.
@@ -41,7 +41,7 @@
     number.parse().ok()
 }
 
-impl Evidence<'_> {
+impl Observations<'_> {
     /// All violations, by rule.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
--- a/crates/cluster-testbed/src/checker/balance.rs
+++ b/crates/cluster-testbed/src/checker/balance.rs
@@ -1,5 +1,5 @@
 //! How evenly work went to the workers. No rule depends on it.
-use super::Evidence;
+use super::Observations;
 use crate::worker::Worker;
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
     work_s / worker.slots as f64
 }
 
-impl Evidence<'_> {
+impl Observations<'_> {
     /// The most work a slot that any of the workers received in a span, over their mean.
     pub fn imbalance(&self, from: Instant, to: Instant, includes: impl Fn(usize) -> bool) -> f64 {
         let workers = self.workers.iter().enumerate();
--- a/crates/cluster-testbed/src/checker/slow_start.rs
+++ b/crates/cluster-testbed/src/checker/slow_start.rs
@@ -1,5 +1,5 @@
 //! The rule on workers that warm up: how much work they receive in any window.
-use super::{Evidence, SlowStartUse};
+use super::{Observations, SlowStartUse};
 use crate::worker::{ReceivedRequest, Worker};
 use std::time::Instant;
 
@@ -45,7 +45,7 @@
     worst
 }
 
-impl Evidence<'_> {
+impl Observations<'_> {
     /// What a worker received while it warmed up; none for one that started warm.
     pub(super) fn slow_start(&self, number: usize, worker: &Worker) -> Option<SlowStartFinding> {
         let started = worker.started_cold?;
@@ -84,7 +84,7 @@
     }
 
     /// What each worker that started cold received while it warmed up.
-    pub fn slow_start_uses(&self) -> Vec<SlowStartUse> {
+    pub fn slow_start_usage(&self) -> Vec<SlowStartUse> {
         let workers = self.workers.iter().enumerate();
         workers
             .filter_map(|(number, worker)| self.slow_start(number, worker))
--- a/crates/cluster-testbed/src/process.rs
+++ b/crates/cluster-testbed/src/process.rs
@@ -95,7 +95,7 @@
     }
 
     /// The first line of its log that contains `text`, waited for.
-    pub fn line(&self, text: &str, timeout: Duration) -> Option<String> {
+    pub fn wait_for_line(&self, text: &str, timeout: Duration) -> Option<String> {
         let deadline = Instant::now() + timeout;
         let mut lines = self.log.lines();
         loop {
--- a/crates/cluster-testbed/src/scale/fleet/lifecycle.rs
+++ b/crates/cluster-testbed/src/scale/fleet/lifecycle.rs
@@ -45,7 +45,7 @@
 
 /// Where a process serves, once its log says so.
 fn service_address(process: &Process) -> Option<String> {
-    let line = process.line("listening on ", Duration::ZERO)?;
+    let line = process.wait_for_line("listening on ", Duration::ZERO)?;
     line.rsplit(' ').next().map(str::to_string)
 }
 
--- a/crates/cluster-testbed/src/testbed/dispatchers.rs
+++ b/crates/cluster-testbed/src/testbed/dispatchers.rs
@@ -60,7 +60,7 @@
 /// Waits until a process serves; its address.
 fn wait_for_service(number: usize, process: &Process) -> Result<String, TestbedError> {
     let line = process
-        .line("listening on ", READY_TIMEOUT)
+        .wait_for_line("listening on ", READY_TIMEOUT)
         .ok_or_else(|| not_ready(number, last_log_line(process)))?;
     let address = line.rsplit(' ').next().unwrap_or_default().to_string();
     let deadline = Instant::now() + READY_TIMEOUT;
--- a/crates/cluster-testbed/src/testbed/report.rs
+++ b/crates/cluster-testbed/src/testbed/report.rs
@@ -1,6 +1,6 @@
 //! The end of a scenario and its report.
 use super::Testbed;
-use crate::checker::{ClientRequest, Evidence, SlowStartUse, Violation};
+use crate::checker::{ClientRequest, Observations, SlowStartUse, Violation};
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -52,7 +52,7 @@
 impl Testbed {
     /// The most work a slot that any worker received in a span, over their mean.
     pub fn work_imbalance(&self, from: Instant, to: Instant) -> f64 {
-        self.evidence(to, &[]).imbalance(from, to, |_| true)
+        self.observations(to, &[]).imbalance(from, to, |_| true)
     }
 
     /// Stops the clients and checks the rules.
@@ -74,8 +74,8 @@
         }
     }
 
-    fn evidence<'a>(&'a self, end: Instant, requests: &'a [ClientRequest]) -> Evidence<'a> {
-        Evidence {
+    fn observations<'a>(&'a self, end: Instant, requests: &'a [ClientRequest]) -> Observations<'a> {
+        Observations {
             begin: self.begin,
             end,
             timeout: Duration::from_millis(self.scenario.load.expiry_ms),
@@ -87,7 +87,7 @@
     }
 
     fn report(&self, end: Instant, requests: &[ClientRequest]) -> Report {
-        let evidence = self.evidence(end, requests);
+        let observations = self.observations(end, requests);
         let duration = end - self.begin;
         let succeeded = count_status(requests, 200);
         let traffic = self.relay.totals();
@@ -95,14 +95,15 @@
         Report {
             name: self.scenario.name.clone(),
             seed: self.scenario.seed,
-            violations: evidence.violations(),
+            violations: observations.violations(),
             requests: requests.len(),
             succeeded,
             rejected: count_status(requests, 503),
             failed: count_status(requests, 502),
             unsuccessful_share: 1.0 - succeeded as f64 / requests.len().max(1) as f64,
-            slow_start: evidence.slow_start_uses(),
-            imbalance: evidence.imbalance(end - duration / 3, end, |worker| self.is_warm(worker)),
+            slow_start: observations.slow_start_usage(),
+            imbalance: observations
+                .imbalance(end - duration / 3, end, |worker| self.is_warm(worker)),
             datagrams: traffic.forwarded.datagrams,
             lost: traffic.lost,
             bytes_per_second: traffic.forwarded.bytes as f64 / dispatcher_seconds.max(1e-9),
--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -281,7 +281,7 @@
         .expect("the dispatcher is not ready");
     let process = testbed.process(3).expect("dispatcher 3 is not running");
     let line = process
-        .line("RW-CLUSTER-TWICE", Duration::from_secs(5))
+        .wait_for_line("RW-CLUSTER-TWICE", Duration::from_secs(5))
         .expect("the older process did not report the duplicate name");
     assert!(
         line.contains("n3") && line.contains("give one of the two another name"),
