--- a/crates/cluster-testbed/src/checker.rs
+++ b/crates/cluster-testbed/src/checker.rs
@@ -131,9 +131,9 @@
             let received = self.workers[drain.worker].read(|record| record.received.clone());
             for request in received.iter().filter(|request| request.at > latest) {
                 // A dispatcher that was down in between may have learned of the drain later.
-                let knew = dispatcher_of(&request.id)
+                let was_notified = dispatcher_of(&request.id)
                     .is_some_and(|dispatcher| !self.was_down(dispatcher, drain.at, request.at));
-                if knew {
+                if was_notified {
                     let description =
                         format!("worker {} drains and was sent {}", drain.worker, request.id);
                     violations.push(self.violation(Rule::Drain, request.at, description));
--- a/crates/cluster-testbed/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -107,11 +107,11 @@
     },
     /// A run would take more of this machine than is allowed.
     #[error(
-        "RW-RIG-LARGE: {what} is {value}, and no more than {limit} are allowed on this machine; play a smaller size"
+        "RW-RIG-LARGE: {quantity} is {value}, and no more than {limit} are allowed on this machine; play a smaller size"
     )]
     TooLarge {
         /// What is too large.
-        what: &'static str,
+        quantity: &'static str,
         /// Its value.
         value: u64,
         /// The limit.
@@ -119,12 +119,12 @@
     },
     /// The members of the cluster did not agree on who they are.
     #[error(
-        "RW-RIG-VIEW: the members had not come to one view within {seconds} s: {seen}; play a smaller size, or look at loss"
+        "RW-RIG-VIEW: the members had not come to one view within {seconds} s: {observed}; play a smaller size, or look at loss"
     )]
     NoCommonView {
         /// How long they had.
         seconds: u64,
         /// What they know instead.
-        seen: String,
+        observed: String,
     },
 }
--- a/crates/cluster-testbed/src/explore.rs
+++ b/crates/cluster-testbed/src/explore.rs
@@ -11,7 +11,7 @@
 
 /// What came of the scenarios that have ended.
 #[derive(Default)]
-struct Tally {
+struct Totals {
     with_violations: u64,
     error: Option<TestbedError>,
 }
@@ -22,7 +22,7 @@
     end_seed: u64,
     next_seed: AtomicU64,
     ended: AtomicU64,
-    tally: Mutex<Tally>,
+    totals: Mutex<Totals>,
     json: bool,
 }
 
@@ -34,7 +34,7 @@
             end_seed: first_seed + count,
             next_seed: AtomicU64::new(first_seed),
             ended: AtomicU64::new(0),
-            tally: Mutex::default(),
+            totals: Mutex::default(),
             json,
         }
     }
@@ -47,15 +47,15 @@
                 scope.spawn(|| self.run_remaining());
             }
         });
-        let tally = self.tally.into_inner().unwrap_or_default();
-        if let Some(error) = tally.error {
+        let totals = self.totals.into_inner().unwrap_or_default();
+        if let Some(error) = totals.error {
             return Err(error);
         }
         eprintln!(
             "{} played, {} broke a rule",
-            self.count, tally.with_violations
+            self.count, totals.with_violations
         );
-        Ok((tally.with_violations == 0).into())
+        Ok((totals.with_violations == 0).into())
     }
 
     fn run_remaining(&self) {
@@ -74,21 +74,21 @@
     /// Counts a result and shows it; `None` where another thread has panicked.
     fn record(&self, result: Result<Report, TestbedError>) -> Option<()> {
         let ended = self.ended.fetch_add(1, Ordering::SeqCst) + 1;
-        let mut tally = self.tally.lock().ok()?;
+        let mut totals = self.totals.lock().ok()?;
         match result {
             Ok(report) => {
                 let passed = report.violations.is_empty();
-                tally.with_violations += u64::from(!passed);
+                totals.with_violations += u64::from(!passed);
                 if self.json || !passed {
                     print_report(&report, self.json);
                 }
             }
-            Err(error) => tally.error = Some(error),
+            Err(error) => totals.error = Some(error),
         }
         if std::io::stderr().is_terminal() {
             eprint!(
                 "\r{ended} of {}, {} broke a rule ",
-                self.count, tally.with_violations
+                self.count, totals.with_violations
             );
         }
         Some(())
--- a/crates/cluster-testbed/src/process.rs
+++ b/crates/cluster-testbed/src/process.rs
@@ -25,15 +25,16 @@
 
 /// A shell that runs `prelude` and then becomes the program under test.
 pub fn command(prelude: &str) -> Command {
-    tethered_command(prelude, &program())
+    child_command(prelude, &program())
 }
 
 /// A shell that runs `prelude` and then becomes a program; arguments that are added go to that. Where the system has
 /// `setpriv`, the kernel kills the program once the thread that started it is gone, so that no process outlives a
 /// testbed that was killed.
-pub fn tethered_command(prelude: &str, program: &Path) -> Command {
-    let tether = "tie=; command -v setpriv >/dev/null 2>&1 && tie='setpriv --pdeathsig KILL --'";
-    let script = format!("{prelude}\n{tether}\nexec $tie \"$0\" \"$@\"");
+pub fn child_command(prelude: &str, program: &Path) -> Command {
+    let setpriv =
+        "setpriv=; command -v setpriv >/dev/null 2>&1 && setpriv='setpriv --pdeathsig KILL --'";
+    let script = format!("{prelude}\n{setpriv}\nexec $setpriv \"$0\" \"$@\"");
     let mut command = Command::new("/bin/sh");
     command.args(["-c", &script, &program.to_string_lossy()]);
     command
--- a/crates/cluster-testbed/src/relay.rs
+++ b/crates/cluster-testbed/src/relay.rs
@@ -104,20 +104,20 @@
 }
 
 /// How a datagram that is not lost goes on.
-struct Passage {
+struct Forwarding {
     conditions: LinkConditions,
     zone_latency: Duration,
 }
 
 impl Links {
     /// Counts a datagram and draws whether it is lost.
-    fn admit(
+    fn on_datagram(
         &mut self,
         from: SocketAddr,
         to: SocketAddr,
         bytes: u64,
         rng: &mut Pcg,
-    ) -> Option<Passage> {
+    ) -> Option<Forwarding> {
         let sender = self.dispatchers.get(&from).copied();
         let pair = sender.zip(self.dispatchers.get(&to).copied());
         let conditions = pair
@@ -134,7 +134,7 @@
             .zip(self.zone_latencies)
             .map(|((from, to), latencies)| latencies.between(from, to))
             .unwrap_or_default();
-        (!lost).then_some(Passage {
+        (!lost).then_some(Forwarding {
             conditions,
             zone_latency,
         })
@@ -162,8 +162,8 @@
 }
 
 impl Shared {
-    fn with_links<T>(&self, act: impl FnOnce(&mut Links) -> T) -> T {
-        act(&mut self.links.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_links<T>(&self, apply: impl FnOnce(&mut Links) -> T) -> T {
+        apply(&mut self.links.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
--- a/crates/cluster-testbed/src/relay/forwarder.rs
+++ b/crates/cluster-testbed/src/relay/forwarder.rs
@@ -110,16 +110,16 @@
         write_prefix(from, &mut self.buffer);
         let payload = (length - ADDRESS_PREFIX_LENGTH) as u64;
         let rng = &mut self.rng;
-        let passage = self
+        let forwarding = self
             .shared
-            .with_links(|links| links.admit(from, to, payload, rng));
-        let Some(passage) = passage else { return };
-        let conditions = passage.conditions;
+            .with_links(|links| links.on_datagram(from, to, payload, rng));
+        let Some(forwarding) = forwarding else { return };
+        let conditions = forwarding.conditions;
         let copies = 1 + u64::from(self.rng.unit() < conditions.duplicate);
         for _ in 0..copies {
             let delay_ms =
                 conditions.delay_ms as f64 + self.rng.unit() * conditions.jitter_ms as f64;
-            let delay = passage.zone_latency + Duration::from_secs_f64(delay_ms / 1e3);
+            let delay = forwarding.zone_latency + Duration::from_secs_f64(delay_ms / 1e3);
             self.send_after(delay, length, to);
         }
     }
--- a/crates/cluster-testbed/src/scale/command.rs
+++ b/crates/cluster-testbed/src/scale/command.rs
@@ -1,6 +1,6 @@
 //! The command `scale`: one run or a sweep of sizes, as a table or as lines of JSON, and bounds that end it with a failure.
-use super::figures::figure;
-use super::fit::{Line, Prediction, line, predicted};
+use super::fit::{Line, Prediction, fit_line, predict_largest};
+use super::metrics::metric;
 use super::plan::Plan;
 use super::{Measurement, output, run_plan};
 use crate::error::TestbedError;
@@ -63,7 +63,7 @@
     let (name, max) = text
         .split_once('=')
         .ok_or_else(|| ArgumentError::malformed(text, "NAME=NUMBER"))?;
-    figure(name)?;
+    metric(name)?;
     Ok(Bound {
         name: name.to_string(),
         max: max
@@ -85,8 +85,8 @@
     })
 }
 
-fn parse_figure_name(text: &str) -> Result<String, ArgumentError> {
-    figure(text)?;
+fn parse_metric_name(text: &str) -> Result<String, ArgumentError> {
+    metric(text)?;
     Ok(text.to_string())
 }
 
@@ -106,7 +106,7 @@
     #[arg(long, default_value_t = 1)]
     repeats: u64,
     /// What is fitted against the sizes, by the names of bounds
-    #[arg(long = "slope", value_name = "NAME", value_parser = parse_figure_name)]
+    #[arg(long = "slope", value_name = "NAME", value_parser = parse_metric_name)]
     slopes: Vec<String>,
 }
 
@@ -114,7 +114,7 @@
 #[derive(Serialize)]
 pub(super) struct FittedSlope<'a> {
     #[serde(rename = "slope_of")]
-    pub(super) figure: &'a str,
+    pub(super) metric: &'a str,
     #[serde(rename = "against")]
     pub(super) parameter: &'a str,
     pub(super) points: Vec<(f64, f64)>,
@@ -167,7 +167,7 @@
     fn is_within_bounds(&self, measurement: &Measurement) -> Result<bool, TestbedError> {
         let mut within = true;
         for Bound { name, max } in &self.bounds {
-            let value = figure(name)?(measurement);
+            let value = metric(name)?(measurement);
             if value > *max {
                 within = false;
                 eprintln!("  PASSED: {name} is {value:.3}, at most {max} was allowed");
@@ -181,17 +181,17 @@
         name: &'a str,
         measurements: &[SizedMeasurement],
     ) -> Result<FittedSlope<'a>, TestbedError> {
-        let figure = figure(name)?;
+        let metric = metric(name)?;
         let points = measurements
             .iter()
-            .map(|sized| (sized.size, figure(&sized.measurement)));
+            .map(|sized| (sized.size, metric(&sized.measurement)));
         let points: Vec<(f64, f64)> = points.collect();
         let parameter = self.sweep.as_ref().map(|sweep| sweep.parameter.as_str());
         Ok(FittedSlope {
-            figure: name,
+            metric: name,
             parameter: parameter.unwrap_or_default(),
-            line: line(&points),
-            prediction: predicted(&points),
+            line: fit_line(&points),
+            prediction: predict_largest(&points),
             points,
         })
     }
--- a/crates/cluster-testbed/src/scale/control.rs
+++ b/crates/cluster-testbed/src/scale/control.rs
@@ -1,7 +1,7 @@
 //! Processes of the testbed itself that each stand for many peers: controlled by lines on standard input, each answered
 //! by one line of JSON.
 use crate::error::TestbedError;
-use crate::process::tethered_command;
+use crate::process::child_command;
 use async_channel::Receiver;
 use rosewall_runtime::node::StartError;
 use rosewalld::config_file::ConfigFileError;
@@ -158,7 +158,7 @@
             source,
         };
         let program = std::env::current_exe().map_err(failed)?;
-        let mut child = tethered_command("", &program)
+        let mut child = child_command("", &program)
             .arg("hollow")
             .args(arguments)
             .stdin(Stdio::piped())
--- a/crates/cluster-testbed/src/scale/discovery.rs
+++ b/crates/cluster-testbed/src/scale/discovery.rs
@@ -59,7 +59,7 @@
             let wait_ms = query_number(&message, "wait=").unwrap_or(DEFAULT_WAIT_MS);
             self.list.borrow_mut().record_watch(follower, version);
             let deadline = Instant::now() + Duration::from_millis(wait_ms);
-            let body = self.wait_for_news(version, deadline).await?;
+            let body = self.wait_for_update(version, deadline).await?;
             let length = body.len();
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
             self.list.borrow_mut().report.bytes_out += text.len() as u64;
@@ -68,7 +68,7 @@
     }
 
     /// What a watch is answered; `None` once the service is down.
-    async fn wait_for_news(&self, version: Option<u64>, deadline: Instant) -> Option<String> {
+    async fn wait_for_update(&self, version: Option<u64>, deadline: Instant) -> Option<String> {
         loop {
             let (notify, notified) = async_channel::bounded(1);
             let state = if Instant::now() >= deadline {
@@ -87,10 +87,10 @@
             let expired = async {
                 Timer::at(deadline).await;
             };
-            let news = async {
+            let update = async {
                 let _ = notified.recv().await;
             };
-            news.or(expired).await;
+            update.or(expired).await;
         }
     }
 
@@ -103,7 +103,7 @@
                 let endpoints: Vec<Value> = serde_json::from_str(&command.text())?;
                 list.change(&endpoints);
             }
-            "gone" => list.forget(command.number(0).unwrap_or(usize::MAX)),
+            "gone" => list.remove_follower(command.number(0).unwrap_or(usize::MAX)),
             "down" => {
                 self.down.set(true);
                 list.watches.clear();
--- a/crates/cluster-testbed/src/scale/discovery/list.rs
+++ b/crates/cluster-testbed/src/scale/discovery/list.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// How many versions are remembered for followers that were away; for older ones they get the full list.
-const MAX_REMEMBERED_VERSIONS: usize = 4_096;
+const MAX_RETAINED_VERSIONS: usize = 4_096;
 
 /// What discovery did in the measured time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -89,7 +89,7 @@
 
     /// What a watch from this version on is answered; none while there is no news.
     pub(super) fn answer(&mut self, version: Option<u64>, state: WatchState) -> Option<String> {
-        match version.filter(|version| self.remembers(*version)) {
+        match version.filter(|version| self.has_history_since(*version)) {
             Some(version) if version == self.version && state == WatchState::Waiting => None,
             Some(version) => Some(self.changes_since(version)),
             None => {
@@ -102,7 +102,7 @@
     }
 
     /// Whether all changes after this version are known.
-    fn remembers(&self, version: u64) -> bool {
+    fn has_history_since(&self, version: u64) -> bool {
         let oldest = self.history.front();
         version == self.version
             || oldest.is_some_and(|oldest| version + 1 >= oldest.number && version < self.version)
@@ -173,7 +173,7 @@
             number: self.version,
             changed,
         });
-        if self.history.len() > MAX_REMEMBERED_VERSIONS {
+        if self.history.len() > MAX_RETAINED_VERSIONS {
             self.history.pop_front();
         }
         let published = PendingVersion {
@@ -188,7 +188,7 @@
     }
 
     /// Forgets a follower that is gone, so that changes do not wait for it.
-    pub(super) fn forget(&mut self, follower: usize) {
+    pub(super) fn remove_follower(&mut self, follower: usize) {
         if let Some(version) = self.follower_versions.get_mut(follower) {
             *version = None;
         }
--- a/crates/cluster-testbed/src/scale/fit.rs
+++ b/crates/cluster-testbed/src/scale/fit.rs
@@ -27,7 +27,7 @@
 }
 
 /// Least squares; none where there are fewer than three points or all are of one size.
-pub fn line(points: &[(f64, f64)]) -> Option<Line> {
+pub fn fit_line(points: &[(f64, f64)]) -> Option<Line> {
     if points.len() < 3 {
         return None;
     }
@@ -67,14 +67,14 @@
 }
 
 /// The largest size, which matters most, predicted from all others.
-pub fn predicted(points: &[(f64, f64)]) -> Option<Prediction> {
+pub fn predict_largest(points: &[(f64, f64)]) -> Option<Prediction> {
     let sizes = points.iter().map(|(size, _)| *size);
     let largest = sizes.fold(f64::NEG_INFINITY, f64::max);
     let (of_largest, others): (Vec<_>, Vec<_>) = points
         .iter()
         .copied()
         .partition(|(size, _)| *size == largest);
-    let line = line(&others)?;
+    let line = fit_line(&others)?;
     let measured = of_largest.iter().map(|(_, value)| value).sum::<f64>() / of_largest.len() as f64;
     let predicted = line.intercept + line.slope * largest;
     Some(Prediction {
--- a/crates/cluster-testbed/src/scale/fleet.rs
+++ b/crates/cluster-testbed/src/scale/fleet.rs
@@ -54,7 +54,7 @@
     real: Vec<Option<Process>>,
     simulated: Vec<SimulatedDispatchers>,
     /// Whether each dispatcher is meant to run.
-    up: Vec<bool>,
+    should_run: Vec<bool>,
     client_addresses: ClientAddresses,
     /// The workers as discovery publishes them.
     endpoints: Vec<Value>,
--- a/crates/cluster-testbed/src/scale/fleet/agreement.rs
+++ b/crates/cluster-testbed/src/scale/fleet/agreement.rs
@@ -35,7 +35,9 @@
     let others = views.iter().filter(|view| view.members != running).count();
     TestbedError::NoCommonView {
         seconds: AGREEMENT_TIMEOUT.as_secs(),
-        seen: format!("{others} of {running} hold another number for it, or ranks are held twice"),
+        observed: format!(
+            "{others} of {running} hold another number for it, or ranks are held twice"
+        ),
     }
 }
 
@@ -53,7 +55,7 @@
     /// Seconds from a moment until all that run knew just each other, each with a rank of its own.
     pub(super) fn wait_for_agreement(&mut self, from: Instant) -> Result<f64, TestbedError> {
         let deadline = Instant::now() + AGREEMENT_TIMEOUT;
-        let running = self.up.iter().filter(|up| **up).count();
+        let running = self.should_run.iter().filter(|up| **up).count();
         let mut agreed_since = None;
         loop {
             let now = Instant::now();
--- a/crates/cluster-testbed/src/scale/fleet/events.rs
+++ b/crates/cluster-testbed/src/scale/fleet/events.rs
@@ -19,7 +19,7 @@
 
 /// Dispatchers and workers that are lost together, by their numbers.
 #[derive(Clone)]
-struct Casualties {
+struct AffectedPeers {
     dispatchers: Vec<usize>,
     workers: Vec<usize>,
 }
@@ -30,8 +30,8 @@
     ReplaceWorker(usize),
     /// Changes what the list says of a worker.
     ChangeEndpoint(usize),
-    Lose(Casualties),
-    Recover(Casualties),
+    Lose(AffectedPeers),
+    Recover(AffectedPeers),
     BeginPartition,
     HealPartition,
     DiscoveryDown,
@@ -87,16 +87,18 @@
 }
 
 /// What a loss that hits all that run in a place comes to.
-fn loss(plan: &Plan, fault: &Fault, is_hit: impl Fn(usize) -> bool) -> Vec<TimedEvent> {
-    let casualties = Casualties {
+fn loss(plan: &Plan, fault: &Fault, is_affected: impl Fn(usize) -> bool) -> Vec<TimedEvent> {
+    let affected = AffectedPeers {
         dispatchers: (0..plan.all_dispatchers())
-            .filter(|number| is_hit(*number))
+            .filter(|number| is_affected(*number))
+            .collect(),
+        workers: (0..plan.workers)
+            .filter(|number| is_affected(*number))
             .collect(),
-        workers: (0..plan.workers).filter(|number| is_hit(*number)).collect(),
     };
     vec![
-        at(fault.at_s, Event::Lose(casualties.clone())),
-        at(fault.at_s + fault.duration_s, Event::Recover(casualties)),
+        at(fault.at_s, Event::Lose(affected.clone())),
+        at(fault.at_s + fault.duration_s, Event::Recover(affected)),
     ]
 }
 
@@ -104,7 +106,7 @@
 fn restarts(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
     let quorum = plan.quorum_members();
     let others = (0..plan.all_dispatchers()).filter(|number| !quorum.contains(number));
-    let targets = others.take(fault.figure as usize).enumerate();
+    let targets = others.take(fault.value as usize).enumerate();
     targets
         .map(|(n, number)| {
             let at_s = fault.at_s + RESTART_INTERVAL_S * n as f64;
@@ -117,14 +119,14 @@
     let all = plan.all_dispatchers();
     (0..all)
         .map(|number| {
-            let at_s = fault.at_s + fault.figure * number as f64 / all as f64;
+            let at_s = fault.at_s + fault.value * number as f64 / all as f64;
             at(at_s, Event::RestartDispatcher(number))
         })
         .collect()
 }
 
 fn replacements(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
-    (0..(fault.figure as usize).min(plan.workers))
+    (0..(fault.value as usize).min(plan.workers))
         .map(|worker| {
             let at_s = fault.at_s + REPLACE_INTERVAL_S * worker as f64;
             at(at_s, Event::ReplaceWorker(worker))
@@ -136,7 +138,7 @@
     let members = plan.quorum_members().into_iter().enumerate();
     members
         .map(|(n, number)| {
-            let at_s = fault.at_s + fault.figure * n as f64;
+            let at_s = fault.at_s + fault.value * n as f64;
             at(at_s, Event::KillDispatcher(number))
         })
         .collect()
@@ -144,7 +146,7 @@
 
 /// What a fault comes to.
 fn fault_events(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
-    let place = fault.figure as usize;
+    let place = fault.value as usize;
     let end_s = fault.at_s + fault.duration_s;
     match fault.kind {
         FaultKind::Restart => restarts(plan, fault),
@@ -209,8 +211,8 @@
                 *share = if *share == 1.0 { CHANGED_SHARE } else { 1.0 }.into();
                 self.publish(&[worker])
             }
-            Event::Lose(casualties) => self.lose(&casualties),
-            Event::Recover(casualties) => self.recover(&casualties),
+            Event::Lose(affected) => self.lose(&affected),
+            Event::Recover(affected) => self.recover(&affected),
             Event::BeginPartition => {
                 self.relay.partition_regions(Some(PARTITION));
                 let Partition { one, other } = PARTITION;
@@ -244,23 +246,23 @@
         Ok(())
     }
 
-    fn lose(&mut self, casualties: &Casualties) -> Result<(), TestbedError> {
-        for number in &casualties.dispatchers {
+    fn lose(&mut self, affected: &AffectedPeers) -> Result<(), TestbedError> {
+        for number in &affected.dispatchers {
             self.kill(*number)?;
         }
-        for worker in &casualties.workers {
+        for worker in &affected.workers {
             self.workers.send(&format!("lose {worker}"))?;
             self.endpoints[*worker]["health"] = "gone".into();
         }
-        self.publish(&casualties.workers)
+        self.publish(&affected.workers)
     }
 
-    fn recover(&mut self, casualties: &Casualties) -> Result<(), TestbedError> {
-        for worker in &casualties.workers {
+    fn recover(&mut self, affected: &AffectedPeers) -> Result<(), TestbedError> {
+        for worker in &affected.workers {
             self.replace_worker(*worker)?;
         }
-        self.publish(&casualties.workers)?;
-        let mut dispatchers = casualties.dispatchers.iter();
+        self.publish(&affected.workers)?;
+        let mut dispatchers = affected.dispatchers.iter();
         dispatchers.try_for_each(|number| self.start_again(*number))
     }
 }
--- a/crates/cluster-testbed/src/scale/fleet/files.rs
+++ b/crates/cluster-testbed/src/scale/fleet/files.rs
@@ -12,7 +12,7 @@
 /// When urgent work is to have started.
 const URGENT_START_NS: u64 = 3_200_000_000;
 /// When other work is to have started.
-const USUAL_START_NS: u64 = 10_000_000_000;
+const NON_URGENT_START_NS: u64 = 10_000_000_000;
 const URGENT_VALUE: f64 = 5.0;
 
 impl Fleet {
@@ -45,14 +45,14 @@
             EndpointLists::Pushed => "pushed",
         };
         let zones: Vec<String> = (0..ZONES).map(|zone| format!("z{zone}")).collect();
-        let teams: Vec<Value> = (0..plan.teams)
-            .map(|team| json!({"Name": format!("t{team}")}))
+        let tenants: Vec<Value> = (0..plan.tenants)
+            .map(|tenant| json!({"Name": format!("t{tenant}")}))
             .collect();
         settings["Me"] = number.into();
         settings["Siblings"] = plan.all_dispatchers().into();
         settings["RegistryMode"] = registry_mode.into();
         settings["Zones"] = zones.into();
-        settings["Parties"] = teams.into();
+        settings["Parties"] = tenants.into();
         settings["Bounds"]["Peers"] = plan.peer_load.into();
         settings["Contract"] = json!({
             "ColdFrom": SLOW_START.initial_share, "ColdNs": SLOW_START.duration.as_nanos() as u64,
@@ -72,12 +72,12 @@
         urgent["Name"] = "urgent".into();
         urgent["Value"] = URGENT_VALUE.into();
         classes.push(urgent);
-        let task_ns = (self.plan.task_s * 1e9) as u64;
+        let task_ns = (self.plan.service_time_s * 1e9) as u64;
         for class in classes {
             let start_ns = if class["Name"] == "urgent" {
                 URGENT_START_NS
             } else {
-                USUAL_START_NS
+                NON_URGENT_START_NS
             };
             class["SlaTimeNs"] = start_ns.into();
             class["ExpiryNs"] = (3 * task_ns + 2 * start_ns).into();
--- a/crates/cluster-testbed/src/scale/fleet/lifecycle.rs
+++ b/crates/cluster-testbed/src/scale/fleet/lifecycle.rs
@@ -58,7 +58,7 @@
     pub(super) fn start_real(&mut self, number: usize) -> Result<(), TestbedError> {
         let configuration = self.folder.join(format!("n{number}.json"));
         self.real[number] = Some(Process::start(number, &configuration, &[])?);
-        self.up[number] = true;
+        self.should_run[number] = true;
         self.transitions
             .push(Transition::new(number, Phase::Starting));
         Ok(())
@@ -128,7 +128,7 @@
 
     /// Kills a dispatcher.
     pub(super) fn kill(&mut self, number: usize) -> Result<(), TestbedError> {
-        self.up[number] = false;
+        self.should_run[number] = false;
         if self.is_real(number) {
             if let Some(mut process) = self.real[number].take() {
                 process.kill();
@@ -151,7 +151,7 @@
 
     /// Restarts a dispatcher that is meant to run.
     pub(super) fn restart(&mut self, number: usize) -> Result<(), TestbedError> {
-        if !self.up[number] {
+        if !self.should_run[number] {
             return Ok(());
         }
         if !self.is_real(number) {
@@ -171,13 +171,13 @@
 
     /// Starts a dispatcher again that was killed.
     pub(super) fn start_again(&mut self, number: usize) -> Result<(), TestbedError> {
-        if self.up[number] {
+        if self.should_run[number] {
             return Ok(());
         }
         if self.is_real(number) {
             return self.start_real(number);
         }
-        self.up[number] = true;
+        self.should_run[number] = true;
         self.send_to_simulated("start", number)
     }
 }
--- a/crates/cluster-testbed/src/scale/fleet/limits.rs
+++ b/crates/cluster-testbed/src/scale/fleet/limits.rs
@@ -58,14 +58,14 @@
         let max_bytes = MAX_RESIDENT_BYTES.min(machine_memory_bytes() / 2);
         if bytes > max_bytes {
             return Err(TestbedError::TooLarge {
-                what: "resident memory",
+                quantity: "resident memory",
                 value: bytes,
                 limit: max_bytes,
             });
         }
         if pids.len() > MAX_PROCESSES {
             return Err(TestbedError::TooLarge {
-                what: "the number of processes",
+                quantity: "the number of processes",
                 value: pids.len() as u64,
                 limit: MAX_PROCESSES as u64,
             });
--- a/crates/cluster-testbed/src/scale/fleet/measure.rs
+++ b/crates/cluster-testbed/src/scale/fleet/measure.rs
@@ -5,7 +5,7 @@
 use crate::error::TestbedError;
 use crate::scale::Measurement;
 use crate::scale::discovery::DiscoveryReport;
-use crate::scale::load::{self, LoadConfig, LoadTally};
+use crate::scale::load::{self, LoadConfig, LoadTotals};
 use crate::scale::plan::Plan;
 use crate::scale::workers::WorkersReport;
 use std::sync::Arc;
@@ -23,19 +23,19 @@
 
 fn load_config(plan: &Plan) -> LoadConfig {
     let fill_s = if plan.starts > 0.0 {
-        (plan.task_s / 2.0).min(MAX_FILL_S)
+        (plan.service_time_s / 2.0).min(MAX_FILL_S)
     } else {
         0.0
     };
     LoadConfig {
-        starts_per_second: plan.starts,
-        task_duration: Duration::from_secs_f64(plan.task_s),
-        teams: plan.teams,
+        requests_per_second: plan.starts,
+        service_time: Duration::from_secs_f64(plan.service_time_s),
+        tenants: plan.tenants,
         urgent_share: plan.urgent_share,
-        initial_tasks: plan.initial_tasks(),
+        initial_requests: plan.initial_requests(),
         fill: Duration::from_secs_f64(fill_s),
         measured: Duration::from_secs_f64(plan.seconds),
-        timeout: Duration::from_secs_f64(3.0 * plan.task_s + 20.0),
+        timeout: Duration::from_secs_f64(3.0 * plan.service_time_s + 20.0),
         seed: plan.seed,
     }
 }
@@ -55,13 +55,13 @@
             + self.quorum_member.cpu_percent * self.quorum_member.count as f64;
         self.cpu_us_per_start =
             real_percent / 100.0 * seconds * 1e6 / (report.started as f64).max(1.0);
-        self.usual = report.usual;
+        self.non_urgent = report.non_urgent;
         self.urgent = report.urgent;
         self.started = report.started;
         self.running = report.running;
         self.connects = report.connects;
-        self.worst_cold_window = report.worst_cold_window;
-        self.cold_workers = report.cold_workers;
+        self.worst_warm_up_window = report.worst_warm_up_window;
+        self.replaced_workers = report.replaced_workers;
     }
 
     /// Sets what discovery reported; the costs are set before.
@@ -123,7 +123,7 @@
     }
 
     /// Starts the load and waits until its measured time begins.
-    fn start_load(&self) -> thread::JoinHandle<LoadTally> {
+    fn start_load(&self) -> thread::JoinHandle<LoadTotals> {
         let config = load_config(&self.plan);
         let addresses = self.client_addresses.clone();
         let measured = Arc::new(AtomicBool::new(false));
--- a/crates/cluster-testbed/src/scale/fleet/setup.rs
+++ b/crates/cluster-testbed/src/scale/fleet/setup.rs
@@ -91,7 +91,7 @@
             discovery,
             real: (0..plan.dispatchers).map(|_| None).collect(),
             simulated: Vec::new(),
-            up: vec![true; plan.all_dispatchers()],
+            should_run: vec![true; plan.all_dispatchers()],
             client_addresses: Arc::new(Mutex::new(vec![None; plan.dispatchers])),
             endpoints,
             transitions: Vec::new(),
--- a/crates/cluster-testbed/src/scale/load.rs
+++ b/crates/cluster-testbed/src/scale/load.rs
@@ -16,15 +16,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LoadConfig {
     /// Task starts a second, over all dispatchers.
-    pub starts_per_second: f64,
+    pub requests_per_second: f64,
     /// The mean duration of a task.
-    pub task_duration: Duration,
+    pub service_time: Duration,
     /// How many teams send requests.
-    pub teams: usize,
+    pub tenants: usize,
     /// The share of the requests that is urgent.
     pub urgent_share: f64,
     /// Tasks that run from the start, each with what is left of it.
-    pub initial_tasks: usize,
+    pub initial_requests: usize,
     /// The time within which those are sent.
     pub fill: Duration,
     /// The measured time, after that.
@@ -37,7 +37,7 @@
 
 /// How the requests that were meant to begin in the measured time ended. What has not ended by then is cut off.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct LoadTally {
+pub struct LoadTotals {
     /// Requests that were sent.
     #[serde(rename = "asked")]
     pub requests: u64,
@@ -68,7 +68,7 @@
     config: LoadConfig,
     addresses: &ClientAddresses,
     on_measured: impl FnOnce(),
-) -> LoadTally {
+) -> LoadTotals {
     let dispatchers = addresses
         .lock()
         .map(|addresses| addresses.len())
@@ -76,7 +76,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let clients = Rc::new(Clients::new(addresses.clone(), dispatchers, config.timeout));
     let begin = Instant::now();
-    let schedule = Schedule::draw(&config, dispatchers);
+    let schedule = Schedule::generate(&config, dispatchers);
     let sending = send_all(schedule.requests, begin, clients.clone(), executor.clone());
     let timing = async {
         Timer::at(begin + schedule.measured_from).await;
@@ -84,10 +84,10 @@
         Timer::at(begin + schedule.end).await;
     };
     async_io::block_on(executor.run(timing.or(sending)));
-    let tally = clients.tally();
+    let totals = clients.totals();
     // Tasks hold the clients; they end with the executor.
     drop(executor);
-    tally
+    totals
 }
 
 async fn send_all(
--- a/crates/cluster-testbed/src/scale/load/client.rs
+++ b/crates/cluster-testbed/src/scale/load/client.rs
@@ -1,5 +1,5 @@
 //! Sends requests over connections that are kept, and counts how they end.
-use super::LoadTally;
+use super::LoadTotals;
 use super::schedule::PlannedRequest;
 use crate::scale::http::{MessageReader, unix_nanos};
 use crate::stand::request;
@@ -14,7 +14,7 @@
 pub type ClientAddresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
 /// The classes that requests which are not urgent take in turn.
-const USUAL_CLASSES: [&str; 3] = ["thumb", "invoice", "charge"];
+const NON_URGENT_CLASSES: [&str; 3] = ["thumb", "invoice", "charge"];
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     addresses: ClientAddresses,
     /// By the number of the dispatcher.
     idle: RefCell<Vec<Vec<IdleConnection>>>,
-    tally: RefCell<LoadTally>,
+    totals: RefCell<LoadTotals>,
     timeout: Duration,
 }
 
@@ -49,13 +49,13 @@
         Clients {
             addresses,
             idle: RefCell::new((0..dispatchers).map(|_| Vec::new()).collect()),
-            tally: RefCell::default(),
+            totals: RefCell::default(),
             timeout,
         }
     }
 
-    pub(super) fn tally(&self) -> LoadTally {
-        *self.tally.borrow()
+    pub(super) fn totals(&self) -> LoadTotals {
+        *self.totals.borrow()
     }
 
     /// Sends a request and waits for what comes of it.
@@ -95,7 +95,7 @@
         let class = if planned.urgent {
             "urgent"
         } else {
-            USUAL_CLASSES[planned.serial as usize % USUAL_CLASSES.len()]
+            NON_URGENT_CLASSES[planned.serial as usize % NON_URGENT_CLASSES.len()]
         };
         let urgency = if planned.urgent { "urgent" } else { "usual" };
         let work_us = planned.work.as_micros();
@@ -103,32 +103,32 @@
         let id = format!("d{}-{}", planned.dispatcher, planned.serial);
         let headers = format!("Work-Hint: {work_us}\r\n");
         let text = request(&id, class, self.timeout.as_secs_f64(), &headers, &body);
-        text.replacen("Tenant: acme", &format!("Tenant: t{}", planned.team), 1)
+        text.replacen("Tenant: acme", &format!("Tenant: t{}", planned.tenant), 1)
     }
 
     pub(super) fn count_sent(&self, planned: &PlannedRequest) {
         if planned.measured {
-            self.tally.borrow_mut().requests += 1;
+            self.totals.borrow_mut().requests += 1;
         }
     }
 
     pub(super) fn count_outcome(&self, planned: &PlannedRequest, outcome: Outcome) {
-        let mut tally = self.tally.borrow_mut();
+        let mut totals = self.totals.borrow_mut();
         if outcome == Outcome::Response(200) {
-            tally.all_succeeded += 1;
+            totals.all_succeeded += 1;
         } else {
-            tally.all_failed += 1;
+            totals.all_failed += 1;
         }
         if !planned.measured {
             return;
         }
         match outcome {
-            Outcome::Response(200) => tally.succeeded += 1,
-            Outcome::Response(503 | 429) => tally.rejected += 1,
-            Outcome::Response(502 | 504) => tally.failed += 1,
-            Outcome::Response(_) => tally.other += 1,
-            Outcome::DispatcherDown => tally.down += 1,
-            Outcome::Lost => tally.lost += 1,
+            Outcome::Response(200) => totals.succeeded += 1,
+            Outcome::Response(503 | 429) => totals.rejected += 1,
+            Outcome::Response(502 | 504) => totals.failed += 1,
+            Outcome::Response(_) => totals.other += 1,
+            Outcome::DispatcherDown => totals.down += 1,
+            Outcome::Lost => totals.lost += 1,
         }
     }
 }
--- a/crates/cluster-testbed/src/scale/load/schedule.rs
+++ b/crates/cluster-testbed/src/scale/load/schedule.rs
@@ -12,7 +12,7 @@
     pub(super) dispatcher: usize,
     pub(super) serial: u64,
     pub(super) urgent: bool,
-    pub(super) team: usize,
+    pub(super) tenant: usize,
     pub(super) work: Duration,
     /// Whether it is meant to begin in the measured time.
     pub(super) measured: bool,
@@ -25,14 +25,14 @@
 }
 
 /// What is drawn for a request before all else.
-struct Start {
+struct Arrival {
     at: Duration,
     /// Its work, as a share of the mean duration of a task.
     work_share: f64,
     measured: bool,
 }
 
-struct Draw<'a> {
+struct ScheduleBuilder<'a> {
     config: &'a LoadConfig,
     dispatchers: usize,
     rng: Pcg,
@@ -40,10 +40,10 @@
 }
 
 /// Draws a team; the `n`th has a share like 1 over n.
-fn draw_team(rng: &mut Pcg, teams: usize) -> usize {
-    let total: f64 = (1..=teams).map(|n| 1.0 / n as f64).sum();
+fn pick_tenant(rng: &mut Pcg, tenants: usize) -> usize {
+    let total: f64 = (1..=tenants).map(|n| 1.0 / n as f64).sum();
     let mut remaining = rng.unit() * total;
-    for n in 1..=teams {
+    for n in 1..=tenants {
         remaining -= 1.0 / n as f64;
         if remaining <= 0.0 {
             return n - 1;
@@ -52,29 +52,29 @@
     0
 }
 
-impl Draw<'_> {
-    fn add(&mut self, start: Start) {
+impl ScheduleBuilder<'_> {
+    fn add(&mut self, arrival: Arrival) {
         let urgent = self.rng.unit() < self.config.urgent_share;
         let dispatcher = (self.rng.unit() * self.dispatchers as f64) as usize;
-        let team = draw_team(&mut self.rng, self.config.teams.max(1));
+        let tenant = pick_tenant(&mut self.rng, self.config.tenants.max(1));
         self.requests.push(PlannedRequest {
-            at: start.at,
+            at: arrival.at,
             dispatcher: dispatcher.min(self.dispatchers.saturating_sub(1)),
             serial: self.requests.len() as u64 + 1,
             urgent,
-            team,
-            work: self.config.task_duration.mul_f64(start.work_share),
-            measured: start.measured,
+            tenant,
+            work: self.config.service_time.mul_f64(arrival.work_share),
+            measured: arrival.measured,
         });
     }
 
     /// The tasks that run from the start. What is left of a task that runs at a random time is even over its duration.
-    fn add_initial_tasks(&mut self) {
-        let count = self.config.initial_tasks;
+    fn add_initial_requests(&mut self) {
+        let count = self.config.initial_requests;
         for n in 0..count {
             let at = self.config.fill.mul_f64(n as f64 / count as f64);
             let work_share = self.rng.unit().max(MIN_REMAINING_SHARE);
-            self.add(Start {
+            self.add(Arrival {
                 at,
                 work_share,
                 measured: false,
@@ -84,17 +84,17 @@
 
     /// The requests of the measured time, with exponential intervals.
     fn add_measured(&mut self, from_s: f64, end_s: f64) {
-        if self.config.starts_per_second <= 0.0 {
+        if self.config.requests_per_second <= 0.0 {
             return;
         }
         let mut at_s = from_s;
         loop {
-            at_s += -(1.0 - self.rng.unit()).ln() / self.config.starts_per_second;
+            at_s += -(1.0 - self.rng.unit()).ln() / self.config.requests_per_second;
             if at_s >= end_s {
                 return;
             }
             let work_share = 0.5 + self.rng.unit();
-            self.add(Start {
+            self.add(Arrival {
                 at: Duration::from_secs_f64(at_s),
                 work_share,
                 measured: true,
@@ -104,23 +104,23 @@
 }
 
 impl Schedule {
-    pub(super) fn draw(config: &LoadConfig, dispatchers: usize) -> Schedule {
-        let mut draw = Draw {
+    pub(super) fn generate(config: &LoadConfig, dispatchers: usize) -> Schedule {
+        let mut builder = ScheduleBuilder {
             config,
             dispatchers,
             rng: Pcg::new(config.seed),
             requests: Vec::new(),
         };
-        draw.add_initial_tasks();
-        let measured_from_s = if config.initial_tasks > 0 {
+        builder.add_initial_requests();
+        let measured_from_s = if config.initial_requests > 0 {
             config.fill.as_secs_f64()
         } else {
             0.0
         };
         let end_s = measured_from_s + config.measured.as_secs_f64();
-        draw.add_measured(measured_from_s, end_s);
+        builder.add_measured(measured_from_s, end_s);
         Schedule {
-            requests: draw.requests,
+            requests: builder.requests,
             measured_from: Duration::from_secs_f64(measured_from_s),
             end: Duration::from_secs_f64(end_s),
         }
--- a/crates/cluster-testbed/src/scale/measurement.rs
+++ b/crates/cluster-testbed/src/scale/measurement.rs
@@ -1,5 +1,5 @@
 //! What a run of a large fleet measures.
-use super::load::LoadTally;
+use super::load::LoadTotals;
 use super::plan::Plan;
 use super::workers::StartTimes;
 use serde::Serialize;
@@ -83,9 +83,10 @@
     pub restarts: usize,
     /// How requests ended.
     #[serde(rename = "asked")]
-    pub load: LoadTally,
+    pub load: LoadTotals,
     /// Start times of work that is not urgent.
-    pub usual: StartTimes,
+    #[serde(rename = "usual")]
+    pub non_urgent: StartTimes,
     /// Start times of urgent work.
     pub urgent: StartTimes,
     /// Tasks that started.
@@ -99,10 +100,10 @@
     pub cpu_us_per_start: f64,
     /// The most work of any window of a cold worker, over what it bears in it.
     #[serde(rename = "cold_worst")]
-    pub worst_cold_window: f64,
+    pub worst_warm_up_window: f64,
     /// Workers that were replaced by cold ones.
     #[serde(rename = "cold")]
-    pub cold_workers: u64,
+    pub replaced_workers: u64,
     /// Processes at the end.
     pub processes: usize,
     /// The most resident memory of all processes together.
--- a/crates/cluster-testbed/src/scale/figures.rs
+++ b/crates/cluster-testbed/src/scale/metrics.rs
@@ -3,9 +3,9 @@
 use super::{Measurement, RoleCost};
 
 /// How a figure is read from a measurement.
-pub type Figure = fn(&Measurement) -> f64;
+pub type Metric = fn(&Measurement) -> f64;
 
-const FIGURES: &[(&str, Figure)] = &[
+const METRICS: &[(&str, Metric)] = &[
     ("view_s", |m| m.agreement_s),
     ("healed_s", |m| m.recovery_s),
     ("change_s", |m| m.change_max_s),
@@ -29,9 +29,9 @@
     ("keeper_bytes", |m| role_bytes(&m.quorum_member)),
     ("discovery_cpu_percent", |m| m.discovery.cpu_percent),
     ("urgent_p99_ms", |m| m.urgent.p99),
-    ("usual_p99_ms", |m| m.usual.p99),
+    ("usual_p99_ms", |m| m.non_urgent.p99),
     ("failed", |m| unsuccessful_share(m)),
-    ("cold_worst", |m| m.worst_cold_window),
+    ("cold_worst", |m| m.worst_warm_up_window),
     ("memory_mb", |m| m.memory_mb),
 ];
 
@@ -56,10 +56,10 @@
 }
 
 /// The figure with this name.
-pub fn figure(name: &str) -> Result<Figure, ArgumentError> {
-    let found = FIGURES.iter().find(|(known, _)| *known == name);
-    let known = || FIGURES.iter().map(|(name, _)| *name).collect::<Vec<_>>();
+pub fn metric(name: &str) -> Result<Metric, ArgumentError> {
+    let found = METRICS.iter().find(|(known, _)| *known == name);
+    let known = || METRICS.iter().map(|(name, _)| *name).collect::<Vec<_>>();
     found
-        .map(|(_, figure)| *figure)
+        .map(|(_, metric)| *metric)
         .ok_or_else(|| ArgumentError::unknown_name(name, &known()))
 }
--- a/crates/cluster-testbed/src/scale/output.rs
+++ b/crates/cluster-testbed/src/scale/output.rs
@@ -16,10 +16,10 @@
     if measurement.plan.starts > 0.0 {
         print_load(measurement);
     }
-    if measurement.cold_workers > 0 {
+    if measurement.replaced_workers > 0 {
         println!(
             "  {} cold workers, the worst window {:.2} of what one bears",
-            measurement.cold_workers, measurement.worst_cold_window
+            measurement.replaced_workers, measurement.worst_warm_up_window
         );
     }
     println!(
@@ -37,22 +37,22 @@
         plan.workers,
         plan.slots,
         plan.starts,
-        plan.task_s,
-        plan.teams,
+        plan.service_time_s,
+        plan.tenants,
         plan.changes,
         plan.seconds
     );
     if plan.starts > 0.0 {
         println!(
             "  it began in the steady state: {} tasks were running, each with what was left of it",
-            plan.initial_tasks()
+            plan.initial_requests()
         );
     }
     let mut faults = plan.faults.iter();
     if let Some(fault) = faults.find(|fault| fault.kind == FaultKind::Release) {
         println!(
             "  the release of the whole fleet, ten minutes in the plan, took {} s here",
-            fault.figure
+            fault.value
         );
     }
 }
@@ -129,7 +129,7 @@
         measurement.cpu_us_per_start
     );
     print_start_times("urgent", &measurement.urgent);
-    print_start_times("usual", &measurement.usual);
+    print_start_times("usual", &measurement.non_urgent);
 }
 
 fn print_start_times(class: &str, times: &StartTimes) {
@@ -146,7 +146,7 @@
     } else if let (Some(line), Some(prediction)) = (slope.line, slope.prediction) {
         println!(
             "{} = {:.4} + {:.6} (+- {:.6}) x {}; {} left out: {:.4} measured, {:.4} predicted, {:+.0}% off",
-            slope.figure,
+            slope.metric,
             line.intercept,
             line.slope,
             line.slope_margin,
--- a/crates/cluster-testbed/src/scale/plan.rs
+++ b/crates/cluster-testbed/src/scale/plan.rs
@@ -64,11 +64,13 @@
     #[arg(long, default_value_t = 0.0)]
     pub starts: f64,
     /// How long a task runs in the mean, in seconds; what runs at the beginning is starts times this
-    #[arg(long, default_value_t = 10.2)]
-    pub task_s: f64,
+    #[arg(long = "task-s", value_name = "TASK_S", default_value_t = 10.2)]
+    #[serde(rename = "task_s")]
+    pub service_time_s: f64,
     /// Teams, the nth with a part like 1/n
-    #[arg(long, default_value_t = 150)]
-    pub teams: usize,
+    #[arg(long = "teams", value_name = "TEAMS", default_value_t = 150)]
+    #[serde(rename = "teams")]
+    pub tenants: usize,
     /// The part of the txns that is of the urgent class
     #[arg(long = "urgent", value_name = "URGENT", default_value_t = 0.05)]
     #[serde(rename = "urgent")]
@@ -188,8 +190,8 @@
     }
 
     /// How many tasks run as the measured time begins.
-    pub fn initial_tasks(&self) -> usize {
-        (self.starts * self.task_s) as usize
+    pub fn initial_requests(&self) -> usize {
+        (self.starts * self.service_time_s) as usize
     }
 
     /// The members of the quorum, by their numbers: five, or one where there are too few real dispatchers.
@@ -210,7 +212,7 @@
         let processes = self.processes();
         if processes > MAX_PROCESSES {
             return Err(TestbedError::TooLarge {
-                what: "the number of processes",
+                quantity: "the number of processes",
                 value: processes as u64,
                 limit: MAX_PROCESSES as u64,
             });
@@ -233,8 +235,8 @@
             range("workers", self.workers as f64, 1.0, 4_000.0, "1 to 4000"),
             range("seats", self.slots as f64, 1.0, 64.0, "1 to 64"),
             range("starts", self.starts, 0.0, 5_000.0, "0 to 5000 a second"),
-            range("task_s", self.task_s, 0.001, 60.0, "0.001 to 60"),
-            range("teams", self.teams as f64, 1.0, 10_000.0, "1 to 10000"),
+            range("task_s", self.service_time_s, 0.001, 60.0, "0.001 to 60"),
+            range("teams", self.tenants as f64, 1.0, 10_000.0, "1 to 10000"),
             range("urgent", self.urgent_share, 0.0, 1.0, "0 to 1"),
             range("changes", self.changes, 0.0, 100.0, "0 to 100 a second"),
             range("seconds", self.seconds, 0.5, 600.0, "0.5 to 600"),
@@ -257,8 +259,8 @@
             }
             "workers" => self.workers = count,
             "starts" => self.starts = value,
-            "task_s" => self.task_s = value,
-            "teams" => self.teams = count,
+            "task_s" => self.service_time_s = value,
+            "teams" => self.tenants = count,
             "changes" => self.changes = value,
             other => return Err(ArgumentError::unknown_name(other, &PARAMETERS)),
         }
--- a/crates/cluster-testbed/src/scale/plan/fault.rs
+++ b/crates/cluster-testbed/src/scale/plan/fault.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 const FORM: &str = "KIND@SECOND[:FIGURE[:SECONDS]], such as zone@2:8:5";
-const MAX_FIGURES: usize = 3;
+const MAX_NUMBERS: usize = 3;
 const MAX_VALUE: f64 = 100_000.0;
 
 /// A fault, written as `KIND@SECOND[:FIGURE[:SECONDS]]`.
@@ -16,7 +16,8 @@
     /// When it begins.
     pub at_s: f64,
     /// How many, how long or which, by its kind.
-    pub figure: f64,
+    #[serde(rename = "figure")]
+    pub value: f64,
     /// How long it is active.
     #[serde(rename = "lasts_s")]
     pub duration_s: f64,
@@ -66,20 +67,20 @@
 
     fn from_str(text: &str) -> Result<Fault, ArgumentError> {
         let malformed = || ArgumentError::malformed(text, FORM);
-        let (kind, figures) = text.split_once('@').ok_or_else(malformed)?;
+        let (kind, numbers) = text.split_once('@').ok_or_else(malformed)?;
         let kind = parse_kind(kind)?;
-        let figures: Result<Vec<f64>, _> = figures.split(':').map(str::parse).collect();
-        let figures = figures.map_err(|_| malformed())?;
+        let numbers: Result<Vec<f64>, _> = numbers.split(':').map(str::parse).collect();
+        let numbers = numbers.map_err(|_| malformed())?;
         let is_valid = |value: &f64| value.is_finite() && (0.0..=MAX_VALUE).contains(value);
-        if figures.len() > MAX_FIGURES || !figures.iter().all(is_valid) {
+        if numbers.len() > MAX_NUMBERS || !numbers.iter().all(is_valid) {
             return Err(malformed());
         }
-        let figure_or = |index: usize, default| figures.get(index).copied().unwrap_or(default);
+        let value_or = |index: usize, default| numbers.get(index).copied().unwrap_or(default);
         Ok(Fault {
             kind,
-            at_s: figure_or(0, 0.0),
-            figure: figure_or(1, 1.0),
-            duration_s: figure_or(2, 3.0),
+            at_s: value_or(0, 0.0),
+            value: value_or(1, 1.0),
+            duration_s: value_or(2, 3.0),
         })
     }
 }
--- a/crates/cluster-testbed/src/scale/workers.rs
+++ b/crates/cluster-testbed/src/scale/workers.rs
@@ -49,8 +49,8 @@
     number: usize,
     free_slots: Receiver<()>,
     release_slot: Sender<()>,
-    started_cold: Cell<Option<Instant>>,
-    received_cold: RefCell<Vec<ReceivedWork>>,
+    warm_up_started: Cell<Option<Instant>>,
+    received_during_warm_up: RefCell<Vec<ReceivedWork>>,
     lost: Cell<bool>,
 }
 
@@ -64,22 +64,22 @@
             number,
             free_slots,
             release_slot,
-            started_cold: Cell::default(),
-            received_cold: RefCell::default(),
+            warm_up_started: Cell::default(),
+            received_during_warm_up: RefCell::default(),
             lost: Cell::default(),
         }
     }
 
     /// Starts again, cold, at the same address.
     fn replace(&self) {
-        self.started_cold.set(Some(Instant::now()));
-        self.received_cold.borrow_mut().clear();
+        self.warm_up_started.set(Some(Instant::now()));
+        self.received_during_warm_up.borrow_mut().clear();
         self.lost.set(false);
     }
 
     /// The most work of any window over what the worker bears in it.
-    fn worst_cold_window(&self, config: &WorkersConfig) -> f64 {
-        let Some(started) = self.started_cold.get() else {
+    fn worst_warm_up_window(&self, config: &WorkersConfig) -> f64 {
+        let Some(started) = self.warm_up_started.get() else {
             return 0.0;
         };
         let slow_start = &config.slow_start;
@@ -88,7 +88,7 @@
             let age = at.saturating_duration_since(started);
             warm_rate * slow_start.capacity_share(age) * slow_start.window.as_secs_f64()
         };
-        let received = self.received_cold.borrow();
+        let received = self.received_during_warm_up.borrow();
         let window_share = |at: Instant| {
             let within = received
                 .iter()
@@ -211,11 +211,14 @@
         worker: &'a Worker,
         request: &Request,
     ) -> Option<OccupiedSlot<'a>> {
-        if worker.started_cold.get().is_some() {
-            worker.received_cold.borrow_mut().push(ReceivedWork {
-                at: Instant::now(),
-                work_s: request.work.as_secs_f64(),
-            });
+        if worker.warm_up_started.get().is_some() {
+            worker
+                .received_during_warm_up
+                .borrow_mut()
+                .push(ReceivedWork {
+                    at: Instant::now(),
+                    work_s: request.work.as_secs_f64(),
+                });
         }
         self.recorder.change(|report| report.waiting += 1);
         let free = worker.free_slots.recv().await;
@@ -224,7 +227,7 @@
         self.recorder.change(|report| {
             report.started += 1;
             report.running += 1;
-            report.most_running = report.most_running.max(report.running);
+            report.max_running = report.max_running.max(report.running);
         });
         Some(OccupiedSlot {
             release: &worker.release_slot,
@@ -233,7 +236,7 @@
     }
 
     fn run_duration(&self, worker: &Worker, request: &Request) -> Duration {
-        let capacity_share = worker.started_cold.get().map_or(1.0, |started| {
+        let capacity_share = worker.warm_up_started.get().map_or(1.0, |started| {
             self.config.slow_start.capacity_share(started.elapsed())
         });
         Duration::from_secs_f64(request.work.as_secs_f64() / capacity_share)
@@ -268,14 +271,14 @@
         let worst = self
             .workers
             .iter()
-            .map(|worker| worker.worst_cold_window(&self.config));
+            .map(|worker| worker.worst_warm_up_window(&self.config));
         let cold = self
             .workers
             .iter()
-            .filter(|worker| worker.started_cold.get().is_some());
+            .filter(|worker| worker.warm_up_started.get().is_some());
         WorkersReport {
-            worst_cold_window: worst.fold(0.0, f64::max),
-            cold_workers: cold.count() as u64,
+            worst_warm_up_window: worst.fold(0.0, f64::max),
+            replaced_workers: cold.count() as u64,
             ..self.recorder.report()
         }
     }
--- a/crates/cluster-testbed/src/scale/workers/report.rs
+++ b/crates/cluster-testbed/src/scale/workers/report.rs
@@ -43,7 +43,8 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WorkersReport {
     /// Start times of work that is not urgent.
-    pub usual: StartTimes,
+    #[serde(rename = "usual")]
+    pub non_urgent: StartTimes,
     /// Start times of urgent work.
     pub urgent: StartTimes,
     /// Requests that began to run.
@@ -53,7 +54,8 @@
     /// Requests that run now.
     pub running: u64,
     /// The most requests that ran at once.
-    pub most_running: u64,
+    #[serde(rename = "most_running")]
+    pub max_running: u64,
     /// Requests that are queued now.
     pub waiting: u64,
     /// Connections that are open now.
@@ -66,10 +68,10 @@
     pub bytes_out: u64,
     /// The most work in a window of any cold worker, over what it bears in it.
     #[serde(rename = "cold_worst")]
-    pub worst_cold_window: f64,
+    pub worst_warm_up_window: f64,
     /// How many workers were replaced by cold ones.
     #[serde(rename = "cold")]
-    pub cold_workers: u64,
+    pub replaced_workers: u64,
 }
 
 fn histogram() -> Result<Histogram<u64>, SimulationError> {
@@ -81,7 +83,7 @@
 }
 
 pub(super) struct Recorder {
-    usual: RefCell<Histogram<u64>>,
+    non_urgent: RefCell<Histogram<u64>>,
     urgent: RefCell<Histogram<u64>>,
     report: RefCell<WorkersReport>,
 }
@@ -89,7 +91,7 @@
 impl Recorder {
     pub(super) fn new() -> Result<Recorder, SimulationError> {
         Ok(Recorder {
-            usual: RefCell::new(histogram()?),
+            non_urgent: RefCell::new(histogram()?),
             urgent: RefCell::new(histogram()?),
             report: RefCell::default(),
         })
@@ -100,18 +102,22 @@
     }
 
     pub(super) fn record_start(&self, urgent: bool, late_us: u64) {
-        let starts = if urgent { &self.urgent } else { &self.usual };
+        let starts = if urgent {
+            &self.urgent
+        } else {
+            &self.non_urgent
+        };
         starts.borrow_mut().saturating_record(late_us.max(1));
     }
 
     /// Starts the measured time: only what goes on now is kept.
     pub(super) fn reset(&self) -> Result<(), SimulationError> {
-        *self.usual.borrow_mut() = histogram()?;
+        *self.non_urgent.borrow_mut() = histogram()?;
         *self.urgent.borrow_mut() = histogram()?;
         self.change(|report| {
             *report = WorkersReport {
                 running: report.running,
-                most_running: report.running,
+                max_running: report.running,
                 waiting: report.waiting,
                 connections: report.connections,
                 ..WorkersReport::default()
@@ -122,7 +128,7 @@
 
     pub(super) fn report(&self) -> WorkersReport {
         WorkersReport {
-            usual: StartTimes::from(&*self.usual.borrow()),
+            non_urgent: StartTimes::from(&*self.non_urgent.borrow()),
             urgent: StartTimes::from(&*self.urgent.borrow()),
             ..self.report.borrow().clone()
         }
--- a/crates/cluster-testbed/src/simulated.rs
+++ b/crates/cluster-testbed/src/simulated.rs
@@ -15,7 +15,8 @@
 pub enum SimulatedProcess {
     Workers {
         count: usize,
-        seats: usize,
+        #[arg(value_name = "SEATS")]
+        slots: usize,
         zone_ms: f64,
         zones_ms: f64,
         regions_ms: f64,
@@ -27,7 +28,8 @@
         folder: PathBuf,
         first: usize,
         last: usize,
-        apart_ms: u64,
+        #[arg(value_name = "APART_MS")]
+        start_interval_ms: u64,
     },
 }
 
@@ -46,13 +48,13 @@
         match self {
             SimulatedProcess::Workers {
                 count,
-                seats,
+                slots,
                 zone_ms,
                 zones_ms,
                 regions_ms,
             } => scale::workers::run(WorkersConfig {
                 count: *count,
-                slots: *seats,
+                slots: *slots,
                 latencies: Latencies {
                     within_zone: latency(*zone_ms),
                     between_zones: latency(*zones_ms),
@@ -65,10 +67,10 @@
                 folder,
                 first,
                 last,
-                apart_ms,
+                start_interval_ms,
             } => {
                 let numbers: Vec<usize> = (*first..=*last).collect();
-                let interval = Duration::from_millis(*apart_ms);
+                let interval = Duration::from_millis(*start_interval_ms);
                 scale::dispatchers::run(folder, &numbers, interval)
             }
         }
--- a/crates/cluster-testbed/tests/scale.rs
+++ b/crates/cluster-testbed/tests/scale.rs
@@ -1,5 +1,5 @@
 //! The command `scale`: its verdicts, and what hollow processes are worth.
-use rosewall_cluster_testbed::scale::fit::{line, predicted};
+use rosewall_cluster_testbed::scale::fit::{fit_line, predict_largest};
 use rosewall_cluster_testbed::scale::plan::{Fault, Plan};
 use rosewall_cluster_testbed::scale::topology::{Latencies, Partition};
 use serde_json::Value;
@@ -107,7 +107,7 @@
 #[test_case(&[(1.0, 5.0), (2.0, 7.0)] => None; "two points are no fit")]
 fn a_fit_finds_the_line(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
     let round = |value: f64| (value * 1e6).round() / 1e6;
-    line(points).map(|line| {
+    fit_line(points).map(|line| {
         (
             round(line.intercept),
             round(line.slope),
@@ -120,7 +120,7 @@
 #[test]
 fn a_curve_shows_in_the_size_that_is_left_out() {
     let points: Vec<(f64, f64)> = [1.0, 2.0, 3.0, 10.0].map(|x: f64| (x, x * x)).to_vec();
-    let left_out = predicted(&points).unwrap();
+    let left_out = predict_largest(&points).unwrap();
     assert_eq!((left_out.size, left_out.measured), (10.0, 100.0));
     assert!(left_out.relative_error < -0.5, "{left_out:?}");
 }
@@ -155,7 +155,7 @@
 fn how_a_fault_is_written(text: &str) -> Option<(f64, f64, f64)> {
     text.parse::<Fault>()
         .ok()
-        .map(|fault| (fault.at_s, fault.figure, fault.duration_s))
+        .map(|fault| (fault.at_s, fault.value, fault.duration_s))
 }
 
 #[test_case(30 => vec![0, 3, 6, 1, 4]; "five, of which no region has more than two")]
