--- a/crates/cluster-testbed/tests/ends.rs
+++ b/crates/cluster-testbed/tests/ends.rs
@@ -1,50 +1,59 @@
-//! The command itself.
+//! The command `rosewall-testbed`: no process outlives it, and an invalid scenario is reported with a remedy.
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The processes that were started with a folder of this rig.
-fn of(rig: u32) -> Vec<u32> {
-    let mark = format!("rosewall-testbed-{rig}-");
+/// Returns the processes whose environment names a folder of this testbed process.
+fn processes_of(testbed: u32) -> Vec<u32> {
+    let mark = format!("rosewall-testbed-{testbed}-");
     let pids = std::fs::read_dir("/proc").unwrap().flatten();
     let pids = pids.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
-    let has = |pid: &u32| {
+    let has_mark = |pid: &u32| {
         let environment = std::fs::read(format!("/proc/{pid}/environ")).unwrap_or_default();
         environment
             .windows(mark.len())
             .any(|part| part == mark.as_bytes())
     };
-    pids.filter(has).collect()
+    pids.filter(has_mark).collect()
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
+fn wait_until(holds: impl Fn() -> bool, failure: &str) {
     let end = Instant::now() + Duration::from_secs(10);
     while !holds() {
-        assert!(Instant::now() < end, "{what}");
+        assert!(Instant::now() < end, "{failure}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Guards against processes that outlive a rig that was killed outright.
+/// Guards against processes that outlive a testbed killed by SIGKILL, which cannot clean up.
 #[test]
-fn processes_end_with_the_rig_that_was_killed() {
-    let mut rig = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed"))
+fn processes_end_when_the_testbed_is_killed() {
+    let mut testbed = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed"))
         .args(["replay", "1"])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    until("no process was started", || of(rig.id()).len() >= 5);
+    wait_until(
+        || processes_of(testbed.id()).len() >= 5,
+        "fewer than 5 processes were started",
+    );
     std::thread::sleep(Duration::from_millis(500));
-    assert!(of(rig.id()).len() >= 5, "they ended by themselves");
-    rig.kill().unwrap();
-    rig.wait().unwrap();
-    until("some live on", || of(rig.id()).is_empty());
+    assert!(
+        processes_of(testbed.id()).len() >= 5,
+        "processes ended before the testbed"
+    );
+    testbed.kill().unwrap();
+    testbed.wait().unwrap();
+    wait_until(
+        || processes_of(testbed.id()).is_empty(),
+        "processes outlived the testbed",
+    );
 }
 
 #[test]
-fn a_fault_in_a_scenario_is_told_with_what_to_do() {
+fn rejects_a_scenario_with_an_unknown_key_and_says_how_to_get_a_valid_one() {
     let path = std::env::temp_dir().join(format!(
-        "rosewall-testbed-fault-{}.toml",
+        "rosewall-testbed-invalid-{}.toml",
         std::process::id()
     ));
     std::fs::write(&path, "secondz = 3\n").unwrap();
@@ -54,10 +63,12 @@
         .output()
         .unwrap();
     std::fs::remove_file(&path).unwrap();
-    let told = String::from_utf8_lossy(&run.stderr).to_string();
+    let stderr = String::from_utf8_lossy(&run.stderr).to_string();
     assert_eq!(run.status.code(), Some(2));
     assert!(
-        told.contains("RW-RIG-SCENARIO") && told.contains("secondz") && told.contains("draw 1"),
-        "{told}"
+        stderr.contains("RW-RIG-SCENARIO")
+            && stderr.contains("secondz")
+            && stderr.contains("draw 1"),
+        "{stderr}"
     );
 }
--- a/crates/cluster-testbed/tests/json_output.rs
+++ b/crates/cluster-testbed/tests/json_output.rs
@@ -1,4 +1,4 @@
-//! Reports as JSON keep the keys that scripts read.
+//! JSON reports: the keys and rule numbers that scripts read stay the same.
 use rosewall_cluster_testbed::checker::{Rule, SlowStartUse, Violation};
 use rosewall_cluster_testbed::scale::measurement::Measurement;
 use rosewall_cluster_testbed::testbed::Report;
@@ -71,7 +71,7 @@
     assert_eq!(written, expected);
 }
 
-/// The paths of all keys of an object, with those of the objects in it.
+/// Collects the paths of all keys of an object and of the objects in it.
 fn key_paths(value: &Value, prefix: &str, paths: &mut BTreeSet<String>) {
     for (key, inner) in value.as_object().into_iter().flatten() {
         let path = format!("{prefix}/{key}");
@@ -81,13 +81,13 @@
 }
 
 #[test]
-fn a_measurement_has_the_keys_of_the_stored_capacity_measurements() {
+fn measurement_has_all_keys_of_the_stored_capacity_measurements() {
     let stored = include_str!("../../../docs/capacity/fleet.jsonl");
     let current = serde_json::to_value(Measurement::default()).unwrap();
     let mut written = BTreeSet::new();
     key_paths(&current, "", &mut written);
 
-    // A sweep ends with lines of another form, the fitted slopes.
+    // A sweep also has lines of another form: the fitted slopes at its end.
     let measurements = stored.lines().filter(|line| line.starts_with(r#"{"plan""#));
     for line in measurements {
         let mut expected = BTreeSet::new();
--- a/crates/cluster-testbed/tests/scale.rs
+++ b/crates/cluster-testbed/tests/scale.rs
@@ -1,4 +1,5 @@
-//! The command `scale`: its verdicts, and what hollow processes are worth.
+//! The command `scale`: bounds and exit codes, the accuracy of simulated dispatchers, and the parts it is made of: fits,
+//! latencies, partitions, faults and quorum members.
 use rosewall_cluster_testbed::scale::fit::{fit_line, predict_largest};
 use rosewall_cluster_testbed::scale::plan::{Fault, Plan};
 use rosewall_cluster_testbed::scale::topology::{Latencies, Partition};
@@ -8,86 +9,95 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Plays that start processes go one after the other, as each measures.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes the runs of the command, as each measures CPU time and memory.
+static ONE_RUN_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-/// The exit code of the command, and what it printed.
-fn scale(words: &str) -> (Option<i32>, String, String) {
-    let _alone = ALONE.lock().unwrap_or_else(|held| held.into_inner());
+/// Runs the command; returns its exit code, standard output and standard error.
+fn scale(arguments: &str) -> (Option<i32>, String, String) {
+    let _guard = ONE_RUN_AT_A_TIME
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     let mut command = Command::new(env!("CARGO_BIN_EXE_rosewall-testbed"));
-    let out = command
+    let output = command
         .arg("scale")
-        .args(words.split_whitespace())
+        .args(arguments.split_whitespace())
         .output()
         .unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (out.status.code(), text(&out.stdout), text(&out.stderr))
+    (
+        output.status.code(),
+        text(&output.stdout),
+        text(&output.stderr),
+    )
 }
 
-/// Whether the program under test is built; `cargo test -p rosewall-testbed` alone does not build it.
-fn built() -> bool {
-    let there = rosewall_cluster_testbed::process::program().exists();
-    if !there {
+/// Whether the program under test is built. `cargo test -p rosewall-cluster-testbed` alone does not build it.
+fn program_is_built() -> bool {
+    let exists = rosewall_cluster_testbed::process::program().exists();
+    if !exists {
         println!("rosewalld is not built: cargo build -p rosewalld");
     }
-    there
+    exists
 }
 
-/// The small form of the run at full size: restarts under load, changes of the list, and a fleet that is whole again.
+/// A small version of the run at full size: restarts under load, list changes, and recovery of the fleet.
 #[test]
-fn a_small_fleet_keeps_its_bounds() {
-    assert!(built());
-    let (code, out, told) = scale(
+fn small_fleet_stays_within_its_bounds() {
+    assert!(program_is_built());
+    let (code, stdout, stderr) = scale(
         "--dispatchers 9 --hollow 60 --workers 300 --starts 60 --task-s 1 --changes 2 --seconds 6 --regions-ms 20 \
          --fault restart@1:2 --fault replace@2:10 --most view_s=30 --most healed_s=30 --most change_s=2 --most changes_open=0 \
          --most ready_s=10 --most failed=0.05 --most cold_worst=1 --most cpu_percent=50 --most resident_mb=128 --most bytes=21000",
     );
-    assert_eq!(code, Some(0), "{out}{told}");
+    assert_eq!(code, Some(0), "{stdout}{stderr}");
     assert!(
-        out.contains("it began in the steady state: 60 tasks"),
-        "{out}"
+        stdout.contains("it began in the steady state: 60 tasks"),
+        "{stdout}"
+    );
+    assert!(
+        stdout.contains("restarted, nine in ten ready within"),
+        "{stdout}"
     );
-    assert!(out.contains("restarted, nine in ten ready within"), "{out}");
 }
 
 #[test]
-fn a_bound_that_is_passed_is_told_and_ends_it_with_one() {
-    assert!(built());
-    let (code, _, told) =
+fn exceeded_bound_is_reported_with_exit_code_1() {
+    assert!(program_is_built());
+    let (code, _, stderr) =
         scale("--dispatchers 3 --hollow 2 --workers 8 --seconds 1 --most resident_mb=0.1");
-    assert_eq!(code, Some(1), "{told}");
-    assert!(told.contains("PASSED: resident_mb"), "{told}");
+    assert_eq!(code, Some(1), "{stderr}");
+    assert!(stderr.contains("PASSED: resident_mb"), "{stderr}");
 }
 
 #[test_case("--dispatchers 280 --hollow 1500", "RW-RIG-LARGE"; "more processes than are allowed")]
-#[test_case("--workers 9000", "RW-RIG-RANGE"; "more workers than are played")]
-#[test_case("--fault quake@2", "none of restart, release"; "a fault that there is not")]
-#[test_case("--most speed=2", "none of view_s"; "a bound that there is not")]
-fn what_cannot_be_played_ends_with_two_and_says_why(words: &str, why: &str) {
-    let (code, _, told) = scale(words);
-    assert_eq!(code, Some(2), "{told}");
-    assert!(told.contains(why), "{told}");
+#[test_case("--workers 9000", "RW-RIG-RANGE"; "more workers than are allowed")]
+#[test_case("--fault quake@2", "none of restart, release"; "an unknown fault")]
+#[test_case("--most speed=2", "none of view_s"; "a bound on an unknown metric")]
+fn invalid_plan_is_rejected_with_exit_code_2(arguments: &str, expected: &str) {
+    let (code, _, stderr) = scale(arguments);
+    assert_eq!(code, Some(2), "{stderr}");
+    assert!(stderr.contains(expected), "{stderr}");
 }
 
-/// What a hollow dispatcher sends is what a real idle one sends, within a quarter. It costs a fifth of the CPU at least and no
-/// more than the whole, as those of one process wake together; and less memory, as they share the program.
+/// A simulated dispatcher has the traffic of a real idle one, within 25%. It uses 20% to 100% of the CPU time, as those of
+/// one process wake up together, and less memory, as they share the program.
 #[test]
-fn hollow_ones_send_what_real_idle_ones_send() {
-    assert!(built());
-    let (code, out, told) = scale(
+fn simulated_dispatchers_have_the_traffic_of_real_idle_ones() {
+    assert!(program_is_built());
+    let (code, stdout, stderr) = scale(
         "--dispatchers 12 --hollow 24 --workers 60 --seconds 8 --changes 1 --regions-ms 5 --json",
     );
-    assert_eq!(code, Some(0), "{told}");
-    let measured: Value = serde_json::from_str(out.lines().next().unwrap()).unwrap();
-    let ratio = |figure: &str| {
-        let of = |role: &str| measured[role][figure].as_f64().unwrap();
+    assert_eq!(code, Some(0), "{stderr}");
+    let measured: Value = serde_json::from_str(stdout.lines().next().unwrap()).unwrap();
+    let ratio = |metric: &str| {
+        let of = |role: &str| measured[role][metric].as_f64().unwrap();
         of("hollow") / of("dispatcher")
     };
-    for figure in ["datagrams_out", "datagrams_in", "bytes_out", "bytes_in"] {
+    for metric in ["datagrams_out", "datagrams_in", "bytes_out", "bytes_in"] {
         assert!(
-            (0.75..1.25).contains(&ratio(figure)),
-            "{figure}: {} of a real one's",
-            ratio(figure)
+            (0.75..1.25).contains(&ratio(metric)),
+            "{metric}: {} of a real one's",
+            ratio(metric)
         );
     }
     assert!(
@@ -103,9 +113,9 @@
 }
 
 #[test_case(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)] => Some((3.0, 2.0, 0.0)); "a straight line")]
-#[test_case(&[(1.0, 5.0), (1.0, 6.0), (1.0, 7.0)] => None; "one size is no slope")]
-#[test_case(&[(1.0, 5.0), (2.0, 7.0)] => None; "two points are no fit")]
-fn a_fit_finds_the_line(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
+#[test_case(&[(1.0, 5.0), (1.0, 6.0), (1.0, 7.0)] => None; "points of one size")]
+#[test_case(&[(1.0, 5.0), (2.0, 7.0)] => None; "two points")]
+fn fits_a_line(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
     let round = |value: f64| (value * 1e6).round() / 1e6;
     fit_line(points).map(|line| {
         (
@@ -116,19 +126,19 @@
     })
 }
 
-/// Guards against a slope that is told as straight and is not.
+/// Guards against a curve that is reported as a line.
 #[test]
-fn a_curve_shows_in_the_size_that_is_left_out() {
+fn prediction_of_a_curve_has_a_large_error() {
     let points: Vec<(f64, f64)> = [1.0, 2.0, 3.0, 10.0].map(|x: f64| (x, x * x)).to_vec();
-    let left_out = predict_largest(&points).unwrap();
-    assert_eq!((left_out.size, left_out.measured), (10.0, 100.0));
-    assert!(left_out.relative_error < -0.5, "{left_out:?}");
+    let prediction = predict_largest(&points).unwrap();
+    assert_eq!((prediction.size, prediction.measured), (10.0, 100.0));
+    assert!(prediction.relative_error < -0.5, "{prediction:?}");
 }
 
 #[test_case(0, 0 => 250; "one zone")]
 #[test_case(0, 2 => 1_000; "two zones of a region")]
 #[test_case(2, 3 => 40_000; "two regions")]
-fn how_far_zones_lie_apart(one: usize, other: usize) -> u128 {
+fn latency_between_zones_in_us(one: usize, other: usize) -> u128 {
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
     Latencies {
         within_zone: ms(0.25),
@@ -139,29 +149,29 @@
     .as_micros()
 }
 
-#[test_case(0, 3 => true; "between the two")]
-#[test_case(5, 1 => true; "the other way")]
-#[test_case(0, 2 => false; "inside one")]
-#[test_case(0, 6 => false; "to a third")]
-fn what_a_cut_parts(one: usize, other: usize) -> bool {
+#[test_case(0, 3 => true; "from the first region to the second")]
+#[test_case(5, 1 => true; "from the second region to the first")]
+#[test_case(0, 2 => false; "within a region")]
+#[test_case(0, 6 => false; "to a third region")]
+fn partition_separates_its_two_regions(one: usize, other: usize) -> bool {
     Partition { one: 0, other: 1 }.separates(one, other)
 }
 
-#[test_case("zone@2:8:5" => Some((2.0, 8.0, 5.0)); "whole")]
-#[test_case("cut@1" => Some((1.0, 1.0, 3.0)); "with what is usual")]
-#[test_case("zone" => None; "no moment")]
-#[test_case("zone@x" => None; "a moment that is none")]
-#[test_case("zone@1:2:3:4" => None; "too much")]
-fn how_a_fault_is_written(text: &str) -> Option<(f64, f64, f64)> {
+#[test_case("zone@2:8:5" => Some((2.0, 8.0, 5.0)); "all values")]
+#[test_case("cut@1" => Some((1.0, 1.0, 3.0)); "default values")]
+#[test_case("zone" => None; "no start")]
+#[test_case("zone@x" => None; "a start that is not a number")]
+#[test_case("zone@1:2:3:4" => None; "too many values")]
+fn parses_a_fault(text: &str) -> Option<(f64, f64, f64)> {
     text.parse::<Fault>()
         .ok()
         .map(|fault| (fault.at_s, fault.value, fault.duration_s))
 }
 
-#[test_case(30 => vec![0, 3, 6, 1, 4]; "five, of which no region has more than two")]
-#[test_case(7 => vec![0, 3, 6, 1, 4]; "just as many as that takes")]
-#[test_case(4 => vec![0]; "one where there are too few")]
-fn who_are_control_machines(dispatchers: usize) -> Vec<usize> {
+#[test_case(30 => vec![0, 3, 6, 1, 4]; "five, with at most two per region")]
+#[test_case(7 => vec![0, 3, 6, 1, 4]; "the smallest fleet with five")]
+#[test_case(4 => vec![0]; "one in a smaller fleet")]
+fn quorum_members_of_a_fleet(dispatchers: usize) -> Vec<usize> {
     Plan {
         dispatchers,
         ..Plan::default()
--- a/crates/cluster-testbed/tests/scenario_files.rs
+++ b/crates/cluster-testbed/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files that operators have written stay readable, and a seed stays the same scenario.
+//! Compatibility of scenario files: existing files stay readable, and a seed keeps generating the same scenario.
 use rosewall_cluster_testbed::scenario::Scenario;
 use std::path::{Path, PathBuf};
 use test_case::test_case;
@@ -10,7 +10,7 @@
 
 #[test_case(7)]
 #[test_case(19)]
-fn file_of_a_drawn_scenario_still_reads_as_that_scenario(seed: u64) {
+fn stored_file_of_a_seed_reads_as_its_generated_scenario(seed: u64) {
     let scenario = Scenario::load(&file(seed)).unwrap();
 
     assert_eq!(scenario, Scenario::drawn(seed));
@@ -18,14 +18,14 @@
 
 #[test_case(7)]
 #[test_case(19)]
-fn drawn_scenario_is_still_written_with_the_same_keys_and_values(seed: u64) {
+fn generated_scenario_is_written_as_the_stored_file_of_its_seed(seed: u64) {
     let text = toml::to_string(&Scenario::drawn(seed)).unwrap();
 
     assert_eq!(text, std::fs::read_to_string(file(seed)).unwrap());
 }
 
 #[test]
-fn file_with_every_key_still_reads() {
+fn file_with_every_key_is_read_and_written_unchanged() {
     let scenario = Scenario::load(&file_with_every_key()).unwrap();
 
     let text = toml::to_string(&scenario).unwrap();
