--- a/crates/cluster-testbed/src/checker.rs
+++ b/crates/cluster-testbed/src/checker.rs
@@ -1,5 +1,5 @@
-//! The checker of the four rules. It goes by what workers received and ran and by what clients were answered, and reads
-//! no counter of the program.
+//! The checker of the four rules. Reads only the records of workers and clients, and no counter of the program under
+//! test.
 mod balance;
 mod record;
 mod slow_start;
@@ -11,38 +11,38 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How much later than in the rules' figures an event may be: the time that sockets take.
+/// Tolerance on the times in the rules, for the delay of sockets.
 const SLACK: Duration = Duration::from_millis(50);
-/// How long after a drain was published requests may still arrive: the time that the endpoint list takes and the grace
-/// of the settings.
+/// Time after the publication of a drain in which requests may still arrive: the propagation of the endpoint list plus
+/// the grace period of the settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(550);
 
-/// All that the rules are checked against.
+/// Records of one run that the rules are checked against.
 pub struct Observations<'a> {
-    /// When the clients started.
+    /// Start of the clients.
     pub begin: Instant,
-    /// When they stopped.
+    /// End of the clients.
     pub end: Instant,
-    /// The deadline of a request, from when it was sent.
+    /// Deadline of each request, measured from when it was sent.
     pub timeout: Duration,
-    /// All workers, by their numbers.
+    /// All workers, indexed by number.
     pub workers: &'a [Arc<Worker>],
     /// All requests of the clients.
     pub requests: &'a [ClientRequest],
-    /// When dispatchers were not running.
+    /// Times in which dispatchers were not running.
     pub outages: &'a [Outage],
-    /// When workers were published as draining.
+    /// Publications of workers as draining.
     pub drains: &'a [Drain],
 }
 
-/// The dispatcher to which the client of this request sent it, by the name of the client.
+/// Returns the number of the dispatcher that a request was sent to, which is part of the request id.
 fn dispatcher_of(request_id: &str) -> Option<usize> {
     let number = request_id.strip_prefix('d')?.split('-').next()?;
     number.parse().ok()
 }
 
 impl Observations<'_> {
-    /// All violations, by rule.
+    /// Returns all violations, ordered by rule.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         self.check_responses(&mut violations);
@@ -61,14 +61,14 @@
         }
     }
 
-    /// Whether a dispatcher was not running at some moment of a span.
+    /// Whether a dispatcher was not running at some moment of a time span.
     fn was_down(&self, dispatcher: usize, from: Instant, to: Instant) -> bool {
         self.outages
             .iter()
             .any(|outage| outage.overlaps(dispatcher, from, to))
     }
 
-    /// Each request to a running dispatcher gets a response before its deadline.
+    /// Checks that each request to a running dispatcher gets a response before its deadline.
     fn check_responses(&self, violations: &mut Vec<Violation>) {
         for request in self.requests {
             let until = request
@@ -79,7 +79,7 @@
             }
             let latest = request.sent_at + self.timeout + SLACK;
             let description = match request.response {
-                None => format!("{} got no answer", request.id),
+                None => format!("{} was not answered", request.id),
                 Some(response) if response.at > latest => {
                     let late_ms = (response.at - latest).as_millis();
                     format!(
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A request that is not idempotent runs at most once, and not at all if it was rejected.
+    /// Checks that a non-idempotent request runs at most once, and not at all if it was rejected.
     fn check_idempotency(&self, violations: &mut Vec<Violation>) {
         let executions = self.executions();
         let mut runs_by_id: HashMap<&str, Vec<Instant>> = HashMap::new();
@@ -112,37 +112,39 @@
                 violations.push(self.violation(Rule::Idempotency, request.sent_at, description));
             }
             if let (true, Some(first_run)) = (request.was_rejected(), runs.first()) {
-                let description = format!("{} was declined and ran", request.id);
+                let description = format!("{} was rejected but ran", request.id);
                 violations.push(self.violation(Rule::Idempotency, *first_run, description));
             }
         }
     }
 
-    /// The runs of all workers, worker by worker.
+    /// Returns the executions of all workers, grouped by worker.
     fn executions(&self) -> Vec<Execution> {
         let of_worker = |worker: &Arc<Worker>| worker.read(|record| record.executions.clone());
         self.workers.iter().flat_map(of_worker).collect()
     }
 
-    /// A draining worker receives no new request.
+    /// Checks that a draining worker receives no new request.
     fn check_drains(&self, violations: &mut Vec<Violation>) {
         for drain in self.drains {
             let latest = drain.at + DRAIN_GRACE;
             let received = self.workers[drain.worker].read(|record| record.received.clone());
             for request in received.iter().filter(|request| request.at > latest) {
-                // A dispatcher that was down in between may have learned of the drain later.
+                // A dispatcher that was down in the meantime may have been notified of the drain later.
                 let was_notified = dispatcher_of(&request.id)
                     .is_some_and(|dispatcher| !self.was_down(dispatcher, drain.at, request.at));
                 if was_notified {
-                    let description =
-                        format!("worker {} drains and was sent {}", drain.worker, request.id);
+                    let description = format!(
+                        "worker {} was draining and received {}",
+                        drain.worker, request.id
+                    );
                     violations.push(self.violation(Rule::Drain, request.at, description));
                 }
             }
         }
     }
 
-    /// No worker is overloaded while it warms up.
+    /// Checks that no worker is overloaded while it warms up.
     fn check_slow_start(&self, violations: &mut Vec<Violation>) {
         for (number, worker) in self.workers.iter().enumerate() {
             let overload = self
@@ -150,8 +152,9 @@
                 .and_then(|finding| finding.overload);
             if let Some(window) = overload {
                 let share = window.share_of_limit;
-                let description =
-                    format!("worker {number} is cold and was sent {share:.2} of what it bears");
+                let description = format!(
+                    "worker {number} received {share:.2} of its overload limit while warming up"
+                );
                 violations.push(self.violation(Rule::SlowStart, window.from, description));
             }
         }
--- a/crates/cluster-testbed/src/checker/balance.rs
+++ b/crates/cluster-testbed/src/checker/balance.rs
@@ -1,9 +1,9 @@
-//! How evenly work went to the workers. No rule depends on it.
+//! Balance of the work between workers, which is reported but belongs to no rule.
 use super::Observations;
 use crate::worker::Worker;
 use std::time::Instant;
 
-/// The work a slot that a worker received in a span.
+/// Seconds of work per concurrency slot that a worker received in a time span.
 fn work_per_slot(worker: &Worker, from: Instant, to: Instant) -> f64 {
     let work_s = worker.read(|record| {
         let received = record.received.iter();
@@ -16,7 +16,8 @@
 }
 
 impl Observations<'_> {
-    /// The most work a slot that any of the workers received in a span, over their mean.
+    /// Work per concurrency slot of the worker that received most in a time span, divided by the mean over all included
+    /// workers. 1 means perfect balance.
     pub fn imbalance(&self, from: Instant, to: Instant, includes: impl Fn(usize) -> bool) -> f64 {
         let workers = self.workers.iter().enumerate();
         let loads: Vec<f64> = workers
--- a/crates/cluster-testbed/src/checker/record.rs
+++ b/crates/cluster-testbed/src/checker/record.rs
@@ -1,89 +1,89 @@
-//! What the checker goes by, and what it finds.
+//! Records that the checker reads, and the violations and statistics that it reports.
 use serde::Serialize;
 use std::time::Instant;
 
-/// A response that a client got.
+/// A response that a client received.
 #[derive(Clone, Copy, Debug)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// When it was complete.
+    /// Time at which it was complete.
     pub at: Instant,
 }
 
-/// One request as its client saw it.
+/// One request as its client recorded it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its id, which begins with the number of the dispatcher.
+    /// Request id, `dN-...`, with the number of the dispatcher.
     pub id: String,
-    /// The dispatcher it was sent to.
+    /// Number of the dispatcher it was sent to.
     pub dispatcher: usize,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent_at: Instant,
-    /// None where the connection ended without a response.
+    /// Response, or `None` if the connection ended without one.
     pub response: Option<Response>,
-    /// When the client gave up or saw the connection end.
+    /// Time at which the client timed out or the connection ended.
     pub ended_at: Instant,
 }
 
 impl ClientRequest {
-    /// Whether its response has this status.
+    /// Whether the response has this status.
     pub fn has_status(&self, status: u16) -> bool {
         self.response
             .is_some_and(|response| response.status == status)
     }
 
-    /// Whether the dispatcher said that it was not run.
+    /// Whether the dispatcher rejected the request, which promises that it did not run.
     pub fn was_rejected(&self) -> bool {
         self.has_status(503)
     }
 }
 
-/// When a dispatcher was not running: killed, paused, or shutting down.
+/// Time in which a dispatcher was not running: killed, paused or shutting down.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// The dispatcher.
+    /// Number of the dispatcher.
     pub dispatcher: usize,
-    /// When it stopped.
+    /// Time at which it stopped.
     pub from: Instant,
-    /// When it ran again.
+    /// Time at which it ran again, or `None` if it has not.
     pub to: Option<Instant>,
 }
 
 impl Outage {
-    /// Whether this dispatcher was down at any moment of a span.
+    /// Whether this outage is of `dispatcher` and overlaps a time span.
     pub(super) fn overlaps(&self, dispatcher: usize, from: Instant, to: Instant) -> bool {
         self.dispatcher == dispatcher && self.from <= to && self.to.is_none_or(|end| end >= from)
     }
 }
 
-/// When a worker was published as draining.
+/// Publication of a worker as draining.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
-    /// The worker.
+    /// Number of the worker.
     pub worker: usize,
-    /// When it was published.
+    /// Time of the publication.
     pub at: Instant,
 }
 
-/// A rule that must hold.
+/// A rule that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "u8")]
 pub enum Rule {
-    /// Every request to a running dispatcher gets one response in time.
+    /// Every request to a running dispatcher gets one response before its deadline.
     Response,
-    /// No non-idempotent request runs twice, or runs and is rejected.
+    /// No non-idempotent request runs twice, or runs although it was rejected.
     Idempotency,
-    /// A draining worker gets no new request.
+    /// A draining worker receives no new request.
     Drain,
-    /// No warming worker is overloaded.
+    /// No worker is overloaded while it warms up.
     SlowStart,
 }
 
 impl From<Rule> for u8 {
-    /// The number of the rule in reports.
+    /// Returns the number of the rule in reports.
     fn from(rule: Rule) -> u8 {
         match rule {
             Rule::Response => 1,
@@ -94,32 +94,32 @@
     }
 }
 
-/// A rule that did not hold.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// Violated rule.
     pub rule: Rule,
-    /// When, from the start of the clients.
+    /// Milliseconds from the start of the clients.
     pub at_ms: u64,
-    /// What happened.
+    /// Description of the violation.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// What a worker received while it warmed up.
+/// Work that a worker received while it warmed up.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlowStartUse {
-    /// The worker.
+    /// Number of the worker.
     pub worker: usize,
-    /// How many requests it received.
+    /// Requests that it received.
     #[serde(rename = "postings")]
     pub requests: usize,
-    /// Their work in seconds.
+    /// Work of these requests, in seconds.
     pub work_s: f64,
-    /// Their work over half of what the rule allows in that time.
+    /// Work of these requests, divided by half of what the rule allows in that time.
     #[serde(rename = "of_half")]
     pub share_of_half: f64,
-    /// The most work of any window over what the rule allows in it: above 1 the rule is broken.
+    /// Largest ratio over all windows of the work received to the work that the rule allows; above 1 is a violation.
     #[serde(rename = "worst")]
     pub worst_window: f64,
 }
--- a/crates/cluster-testbed/src/checker/slow_start.rs
+++ b/crates/cluster-testbed/src/checker/slow_start.rs
@@ -1,22 +1,22 @@
-//! The rule on workers that warm up: how much work they receive in any window.
+//! The slow start rule: limits the work that a worker receives in any window while it warms up.
 use super::{Observations, SlowStartUse};
 use crate::worker::{ReceivedRequest, Worker};
 use std::time::Instant;
 
-/// A window that begins with a request, and its work over what the worker bears in it.
+/// A window that begins with a request, with the work received as a share of the overload limit.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Window {
     pub(super) from: Instant,
     pub(super) share_of_limit: f64,
 }
 
-/// What a worker received while it warmed up, and its worst window where that is an overload.
+/// Work that a worker received while it warmed up, and the worst window if it is an overload.
 pub(super) struct SlowStartFinding {
     pub(super) usage: SlowStartUse,
     pub(super) overload: Option<Window>,
 }
 
-/// The window with the most work over what the worker bears in it.
+/// Returns the window with the largest share of the overload limit.
 fn worst_window(
     worker: &Worker,
     started: Instant,
@@ -46,7 +46,7 @@
 }
 
 impl Observations<'_> {
-    /// What a worker received while it warmed up; none for one that started warm.
+    /// Evaluates the warm-up of a worker; `None` for one that started warm.
     pub(super) fn slow_start(&self, number: usize, worker: &Worker) -> Option<SlowStartFinding> {
         let started = worker.started_cold?;
         let warm_at = started + worker.slow_start.duration;
@@ -68,7 +68,7 @@
         Some(SlowStartFinding { usage, overload })
     }
 
-    /// Half of the work that the rule allows while the worker warmed up, as far as the run saw it.
+    /// Returns half of the work in seconds that the rule allows during the warm-up, up to the end of the run.
     fn half_allowance_s(&self, worker: &Worker, started: Instant) -> f64 {
         let slow_start = worker.slow_start;
         let warm_at = started + slow_start.duration;
@@ -83,7 +83,7 @@
         0.5 * slow_start.overload_multiple * worker.slots as f64 * mean_share * observed_s
     }
 
-    /// What each worker that started cold received while it warmed up.
+    /// Returns the warm-up statistics of each worker that did not start warm.
     pub fn slow_start_usage(&self) -> Vec<SlowStartUse> {
         let workers = self.workers.iter().enumerate();
         workers
--- a/crates/cluster-testbed/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -1,30 +1,30 @@
-//! What can go wrong in the testbed itself, each with what to do about it.
+//! Errors of the testbed itself, each with a remedy in its text.
 use crate::scale::command::ArgumentError;
 use crate::scale::control::SimulationError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why the testbed could not run.
+/// Failure that prevents or aborts a run of the testbed.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
-    /// The program under test is not built.
+    /// The program under test does not exist.
     #[error(
-        "RW-RIG-PROGRAM: {path} is not there; build it first (cargo build -p rosewalld) or name it in ROSEWALL_PROGRAM"
+        "RW-RIG-PROGRAM: {path} does not exist; build it first (cargo build -p rosewalld) or set ROSEWALL_PROGRAM to its path"
     )]
     ProgramMissing {
-        /// Where it was looked for.
+        /// Expected path of the program.
         path: PathBuf,
     },
     /// A dispatcher did not become ready.
     #[error(
-        "RW-RIG-START: dispatcher {dispatcher} was not ready within {seconds} s; its log ends with {last_line:?}; run fewer processes, or look at that line"
+        "RW-RIG-START: dispatcher {dispatcher} was not ready within {seconds} s; its log ends with {last_line:?}; run fewer processes or fix the reported error"
     )]
     NotReady {
-        /// Its number.
+        /// Number of the dispatcher.
         dispatcher: usize,
-        /// How long it was waited for.
+        /// Time-out in seconds.
         seconds: u64,
-        /// The last line of its log.
+        /// Last line of the dispatcher's log, empty where it logged nothing.
         last_line: String,
     },
     /// A dispatcher could not be started.
@@ -32,99 +32,101 @@
         "RW-RIG-SPAWN: dispatcher {dispatcher} could not be started; raise the limits on processes and descriptors"
     )]
     Spawn {
-        /// Its number.
+        /// Number of the dispatcher.
         dispatcher: usize,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// There is no loopback socket.
+    /// A loopback socket could not be opened.
     #[error(
-        "RW-RIG-SOCKET: no loopback socket; raise the limit on descriptors (ulimit -n) or run fewer processes"
+        "RW-RIG-SOCKET: a loopback socket could not be opened; raise the limit on descriptors (ulimit -n) or run fewer processes"
     )]
     Socket(#[source] io::Error),
     /// A file or folder could not be written.
-    #[error("RW-RIG-FOLDER: {path} cannot be written; free the disk or point TMPDIR elsewhere")]
+    #[error(
+        "RW-RIG-FOLDER: {path} cannot be written; free disk space or set TMPDIR to another folder"
+    )]
     Write {
-        /// The file or folder.
+        /// File or folder.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A file could not be read.
     #[error("RW-RIG-READ: {path} cannot be read; check the path")]
     Read {
-        /// The file.
+        /// File to read.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file is not a scenario.
+    /// A file is not a valid scenario.
     #[error(
-        "RW-RIG-SCENARIO: {path} is no scenario: {source}; `rosewall-testbed draw 1` prints one to start from"
+        "RW-RIG-SCENARIO: {path} is not a valid scenario: {source}; `rosewall-testbed draw 1` prints an example"
     )]
     Scenario {
-        /// The file.
+        /// Scenario file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// Parse error with its position in the file.
         source: toml::de::Error,
     },
-    /// A value of a scenario is out of its range.
-    #[error("RW-RIG-RANGE: {key} is {value}, allowed is {allowed}; change it in the scenario")]
+    /// A value of a scenario or plan is out of range.
+    #[error("RW-RIG-RANGE: {key} must be {allowed}, got {value}; change it in the scenario")]
     OutOfRange {
-        /// The key of the value.
+        /// Key of the value in the scenario or plan.
         key: &'static str,
-        /// The value.
+        /// Rejected value, as a whole number, with 0 for negative values.
         value: u64,
-        /// The range.
+        /// Allowed range, as text.
         allowed: &'static str,
     },
-    /// A sweep names something that does not exist.
+    /// An argument names an unknown parameter or metric, or is malformed.
     #[error("RW-RIG-SWEEP: {0}; `rosewall-testbed scale --help` lists the names")]
     Sweep(#[from] ArgumentError),
     /// A process of simulated peers could not be started or reached.
     #[error(
-        "RW-RIG-HOLLOW: the process of hollow ones could not be started or asked ({arguments}); raise the limits on processes"
+        "RW-RIG-HOLLOW: the process of simulated peers could not be started or sent a command ({arguments}); raise the limits on processes"
     )]
     SimulatedProcess {
-        /// Its arguments, or the request to it.
+        /// Arguments of the process, or the command sent to it.
         arguments: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// This process of simulated peers cannot go on.
-    #[error("RW-RIG-CHILD: a process of hollow ones ended: {source}")]
+    /// This process of simulated peers failed.
+    #[error("RW-RIG-CHILD: a process of simulated peers failed: {source}")]
     SimulatedProcessEnded {
-        /// Why.
+        /// Cause of the failure.
         source: SimulationError,
     },
-    /// A process of simulated peers does not answer.
+    /// A process of simulated peers ended, or did not answer in time.
     #[error(
-        "RW-RIG-SILENT: the process {pid} of hollow ones has ended or says nothing; its last words are above"
+        "RW-RIG-SILENT: process {pid} of simulated peers ended or did not answer; its error output is above"
     )]
     SimulatedProcessSilent {
-        /// Its process id.
+        /// Process id.
         pid: u32,
     },
-    /// A run would take more of this machine than is allowed.
+    /// A run needs more of this machine than is allowed.
     #[error(
-        "RW-RIG-LARGE: {quantity} is {value}, and no more than {limit} are allowed on this machine; play a smaller size"
+        "RW-RIG-LARGE: {quantity} must be at most {limit} on this machine, got {value}; run a smaller fleet"
     )]
     TooLarge {
-        /// What is too large.
+        /// Limited quantity, as text.
         quantity: &'static str,
-        /// Its value.
+        /// Value of the quantity.
         value: u64,
-        /// The limit.
+        /// Largest allowed value.
         limit: u64,
     },
-    /// The members of the cluster did not agree on who they are.
+    /// The members of the cluster did not agree on one membership view.
     #[error(
-        "RW-RIG-VIEW: the members had not come to one view within {seconds} s: {observed}; play a smaller size, or look at loss"
+        "RW-RIG-VIEW: the members did not agree on one membership view within {seconds} s: {observed}; run a smaller fleet or check for datagram loss"
     )]
     NoCommonView {
-        /// How long they had.
+        /// Time-out in seconds.
         seconds: u64,
-        /// What they know instead.
+        /// Differing views, as text.
         observed: String,
     },
 }
--- a/crates/cluster-testbed/src/explore.rs
+++ b/crates/cluster-testbed/src/explore.rs
@@ -1,4 +1,4 @@
-//! Runs the drawn scenarios of many seeds side by side.
+//! Runs the generated scenarios of many seeds in parallel.
 use crate::Outcome;
 use crate::output::print_report;
 use rosewall_cluster_testbed::error::TestbedError;
@@ -9,14 +9,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-/// What came of the scenarios that have ended.
+/// Totals over the scenarios that have ended.
 #[derive(Default)]
 struct Totals {
     with_violations: u64,
     error: Option<TestbedError>,
 }
 
-/// The scenarios of consecutive seeds.
+/// A run of the generated scenarios of consecutive seeds.
 pub struct Exploration {
     count: u64,
     end_seed: u64,
@@ -27,7 +27,7 @@
 }
 
 impl Exploration {
-    /// The scenarios of `count` seeds from the first on.
+    /// Prepares the scenarios of `count` seeds from `first_seed` on.
     pub fn new(first_seed: u64, count: u64, json: bool) -> Self {
         Exploration {
             count,
@@ -39,9 +39,9 @@
         }
     }
 
-    /// Runs all of them in this many threads.
+    /// Runs all scenarios in `jobs` threads, at least one.
     pub fn run(self, jobs: usize) -> Result<Outcome, TestbedError> {
-        // Processes end with the thread that started them, which lasts as long as its scenarios.
+        // A process is killed when the thread that started it ends, so each thread runs its scenarios to their end.
         thread::scope(|scope| {
             for _ in 0..jobs.max(1) {
                 scope.spawn(|| self.run_remaining());
@@ -52,7 +52,7 @@
             return Err(error);
         }
         eprintln!(
-            "{} played, {} broke a rule",
+            "{} scenarios run, {} violated a rule",
             self.count, totals.with_violations
         );
         Ok((totals.with_violations == 0).into())
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Counts a result and shows it; `None` where another thread has panicked.
+    /// Counts a result and prints it; `None` if another thread has panicked.
     fn record(&self, result: Result<Report, TestbedError>) -> Option<()> {
         let ended = self.ended.fetch_add(1, Ordering::SeqCst) + 1;
         let mut totals = self.totals.lock().ok()?;
@@ -87,7 +87,7 @@
         }
         if std::io::stderr().is_terminal() {
             eprint!(
-                "\r{ended} of {}, {} broke a rule ",
+                "\r{ended} of {}, {} violated a rule ",
                 self.count, totals.with_violations
             );
         }
--- a/crates/cluster-testbed/src/lib.rs
+++ b/crates/cluster-testbed/src/lib.rs
@@ -1,6 +1,6 @@
-//! A testbed for clusters: many processes of the real program on loopback, with simulated clients, workers and
-//! discovery, a relay for datagrams between dispatchers, and faults. The checker of the rules reads only what workers
-//! and clients recorded. The daemon does not link this crate.
+//! A testbed for clusters: many processes of rosewalld on loopback, with simulated clients, workers and discovery, a
+//! relay for datagrams between dispatchers, and injected faults. The checker reads only what workers and clients
+//! recorded, no state of the program under test. The daemon does not link this crate.
 
 pub mod checker;
 pub mod error;
--- a/crates/cluster-testbed/src/main.rs
+++ b/crates/cluster-testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! The command `rosewall-testbed`: runs scenarios on real processes, one, or many drawn ones side by side.
+//! The command `rosewall-testbed`: runs one scenario, many generated scenarios in parallel, or a large fleet, all on
+//! real processes.
 mod explore;
 mod output;
 mod simulated;
@@ -17,57 +18,59 @@
 #[command(
     name = "rosewall-testbed",
     version,
-    about = "Plays processes of rosewalld on loopback, with faults between them, and judges them by the four rules",
-    after_help = "Exit codes: 0 no rule broken and no bound passed, 1 one was, 2 the rig could not play.\n\
-                  The program is the rosewalld beside this one, or what ROSEWALL_PROGRAM names."
+    about = "Runs processes of rosewalld on loopback with injected faults and checks the four rules",
+    after_help = "Exit codes: 0 no rule violated and no bound exceeded, 1 a rule violated or a bound exceeded, 2 the testbed could not run.\n\
+                  The program under test is the rosewalld in the folder of this program, or the one that ROSEWALL_PROGRAM names."
 )]
 struct Cli {
     #[command(subcommand)]
     command: Command,
-    /// Print JSON, a line for each play
+    /// Print JSON, one line per run
     #[arg(long, global = true)]
     json: bool,
-    /// Write the logs of all processes, with their counters, into this folder (`run` and `replay`)
+    /// Write the logs of all processes, with their counters, to this folder (`run` and `replay`)
     #[arg(long, global = true, value_name = "FOLDER")]
     logs: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario file
+    /// Run a scenario file
     Run {
         file: PathBuf,
-        /// Another seed than the file's
+        /// Seed that replaces the one in the file
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Play drawn scenarios
+    /// Run generated scenarios
     Explore {
+        /// Number of scenarios, one per seed
         #[arg(long, default_value_t = 20)]
         seeds: u64,
+        /// First seed
         #[arg(long, default_value_t = 0)]
         first: u64,
-        /// How many side by side; each has some ten processes
+        /// Scenarios that run in parallel; each starts about ten processes
         #[arg(long, default_value_t = 2)]
         jobs: usize,
     },
-    /// Play the drawn scenario of one seed again
+    /// Run the generated scenario of one seed
     Replay { seed: u64 },
-    /// Print the drawn scenario of a seed
+    /// Print the generated scenario of a seed
     Draw { seed: u64 },
-    /// Play a large fleet, real processes beside hollow ones, and measure what each role costs
+    /// Run a large fleet of real and simulated dispatchers, and measure the cost of each role
     Scale(Box<Scale>),
-    /// A process of hollow ones, which `scale` starts
+    /// Simulated workers, discovery or dispatchers in one process, started by `scale`
     #[command(subcommand, hide = true, name = "hollow")]
     Simulated(SimulatedProcess),
 }
 
-/// How a command ended that could be carried out.
+/// Result of a command that ran to its end.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Outcome {
-    /// No rule was broken and no bound was passed.
+    /// No rule was violated and no bound was exceeded.
     Passed,
-    /// One was.
+    /// A rule was violated or a bound was exceeded.
     Failed,
 }
 
--- a/crates/cluster-testbed/src/output.rs
+++ b/crates/cluster-testbed/src/output.rs
@@ -1,13 +1,13 @@
-//! What commands print.
+//! Output of the commands that run or print scenarios.
 use rosewall_cluster_testbed::scenario::Scenario;
 use rosewall_cluster_testbed::testbed::Report;
 
-/// Prints a scenario as its file would have it.
+/// Prints a scenario in the format of scenario files.
 pub fn print_scenario(scenario: &Scenario) {
     print!("{}", toml::to_string(scenario).unwrap_or_default());
 }
 
-/// Prints a report for a reader, or as one line of JSON.
+/// Prints a report as text, or as one line of JSON.
 pub fn print_report(report: &Report, json: bool) {
     if json {
         println!("{}", serde_json::to_string(report).unwrap_or_default());
--- a/crates/cluster-testbed/src/process.rs
+++ b/crates/cluster-testbed/src/process.rs
@@ -1,4 +1,5 @@
-//! One process of the real program: started, signalled, ended. It ends with the testbed, also where that is killed.
+//! Processes of the program under test: start, log, signals and termination. They end with the testbed, even if it is
+//! killed.
 use crate::error::TestbedError;
 use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
@@ -7,7 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The program under test: what ROSEWALL_PROGRAM names, otherwise the one built beside the caller.
+/// Path of the program under test: the value of ROSEWALL_PROGRAM, or else `rosewalld` of the build that the caller
+/// belongs to.
 pub fn program() -> PathBuf {
     match std::env::var_os("ROSEWALL_PROGRAM") {
         Some(path) => PathBuf::from(path),
@@ -15,7 +17,7 @@
     }
 }
 
-/// The folder of the programs of this build; those of tests are in its subfolder `deps`.
+/// Folder of the programs of this build. Test programs are in its subfolder `deps`.
 fn build_folder() -> PathBuf {
     let executable = std::env::current_exe().unwrap_or_default();
     let folder = executable.parent().unwrap_or(Path::new("."));
@@ -23,14 +25,14 @@
     parent.unwrap_or(folder).to_path_buf()
 }
 
-/// A shell that runs `prelude` and then becomes the program under test.
+/// Returns a command whose shell runs `prelude` and then executes the program under test in its place.
 pub fn command(prelude: &str) -> Command {
     child_command(prelude, &program())
 }
 
-/// A shell that runs `prelude` and then becomes a program; arguments that are added go to that. Where the system has
-/// `setpriv`, the kernel kills the program once the thread that started it is gone, so that no process outlives a
-/// testbed that was killed.
+/// Returns a command whose shell runs `prelude` and then executes `program` in its place; arguments added to the command
+/// are passed to the program. Where the system has `setpriv`, the kernel kills the program once the thread that
+/// started it has ended, so that no process outlives a testbed that was killed.
 pub fn child_command(prelude: &str, program: &Path) -> Command {
     let setpriv =
         "setpriv=; command -v setpriv >/dev/null 2>&1 && setpriv='setpriv --pdeathsig KILL --'";
@@ -40,7 +42,7 @@
     command
 }
 
-/// The lines that a process has logged so far.
+/// Lines that a process has logged so far.
 #[derive(Default)]
 struct Log {
     lines: Mutex<Vec<String>>,
@@ -52,7 +54,7 @@
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads to the end.
+    /// Appends all lines of `source` until it ends.
     fn read_from(&self, source: impl Read) {
         for line in BufReader::new(source).lines().map_while(Result::ok) {
             self.lines().push(line);
@@ -61,14 +63,14 @@
     }
 }
 
-/// A running process of the program. It is killed when this is dropped.
+/// A running process of the program under test, which is killed on drop.
 pub struct Process {
     child: Child,
     log: Arc<Log>,
 }
 
 impl Process {
-    /// Starts a dispatcher with its configuration file; `environment` is added to that of the testbed.
+    /// Starts a dispatcher with its configuration file. The variables of `environment` are added to the testbed's own.
     pub fn start(
         dispatcher: usize,
         configuration: &Path,
@@ -95,7 +97,7 @@
         Ok(Process { child, log })
     }
 
-    /// The first line of its log that contains `text`, waited for.
+    /// Waits for a log line that contains `text` and returns the first one; `None` after the time-out.
     pub fn wait_for_line(&self, text: &str, timeout: Duration) -> Option<String> {
         let deadline = Instant::now() + timeout;
         let mut lines = self.log.lines();
@@ -108,23 +110,23 @@
         }
     }
 
-    /// The newest line of its log that contains `text`.
+    /// Returns the newest log line that contains `text`.
     pub fn last_line(&self, text: &str) -> Option<String> {
         let lines = self.log.lines();
         lines.iter().rfind(|line| line.contains(text)).cloned()
     }
 
-    /// Its log so far.
+    /// Returns all log lines so far.
     pub fn lines(&self) -> Vec<String> {
         self.log.lines().clone()
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it the signal of this name, such as `TERM`.
+    /// Sends the signal with this name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let _ = Command::new("kill")
@@ -133,12 +135,12 @@
             .status();
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().ok().flatten().is_some()
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/cluster-testbed/src/relay.rs
+++ b/crates/cluster-testbed/src/relay.rs
@@ -1,5 +1,5 @@
-//! The relay of datagrams between dispatchers. Each datagram carries the address it is for as a prefix, and is forwarded
-//! with the address it came from in its place. So every directed link can lose, delay, duplicate and reorder datagrams.
+//! The relay of datagrams between dispatchers, which can lose, delay, duplicate and reorder them on each directed link.
+//! A datagram has its destination address as a prefix; the relay forwards it with the source address in that place.
 mod forwarder;
 
 use crate::error::TestbedError;
@@ -15,29 +15,29 @@
 use std::thread;
 use std::time::Duration;
 
-/// What happens to each datagram of a directed link.
+/// Network conditions of a directed link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkConditions {
-    /// The share that is lost.
+    /// Fraction of datagrams that is lost, 0 to 1.
     pub loss: f64,
-    /// The share that is duplicated.
+    /// Fraction of datagrams that is duplicated, 0 to 1.
     #[serde(rename = "twice")]
     pub duplicate: f64,
-    /// The lowest delay.
+    /// Minimum delay in milliseconds.
     pub delay_ms: u64,
-    /// How much longer than the lowest delay a datagram may take, which also changes their order.
+    /// Maximum random addition to the delay in milliseconds, which also reorders datagrams.
     pub jitter_ms: u64,
-    /// Whether nothing passes.
+    /// Whether all datagrams are lost.
     pub cut: bool,
 }
 
-/// Datagrams and their bytes, without the address prefix.
+/// Number of datagrams and their bytes, without the address prefix.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DatagramCount {
-    /// How many datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Payload bytes.
     pub bytes: u64,
 }
 
@@ -47,7 +47,7 @@
         self.bytes += bytes;
     }
 
-    /// What has come since an earlier count.
+    /// Returns the difference to an earlier count.
     pub fn since(self, earlier: DatagramCount) -> DatagramCount {
         DatagramCount {
             datagrams: self.datagrams.saturating_sub(earlier.datagrams),
@@ -63,12 +63,12 @@
     }
 }
 
-/// What one dispatcher has sent, and what was forwarded to it.
+/// Traffic of one dispatcher.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// What it has sent, with what was lost after it.
+    /// Datagrams sent, including those that the relay lost.
     pub sent: DatagramCount,
-    /// What was forwarded to it.
+    /// Datagrams forwarded to the dispatcher.
     pub received: DatagramCount,
 }
 
@@ -79,38 +79,38 @@
     }
 }
 
-/// What the relay has done with all datagrams.
+/// Totals over all datagrams of the relay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayTotals {
-    /// What was forwarded.
+    /// Datagrams that were forwarded.
     pub forwarded: DatagramCount,
-    /// How many datagrams were lost.
+    /// Datagrams that were lost.
     pub lost: u64,
 }
 
-/// The conditions of all links, and the counts.
+/// Conditions of all links, and traffic counts.
 #[derive(Default)]
 struct Links {
     default: LinkConditions,
-    /// By the numbers of sender and receiver.
+    /// Conditions of single links, by the numbers of sender and receiver.
     overrides: HashMap<(usize, usize), LinkConditions>,
     dispatchers: HashMap<SocketAddr, usize>,
-    /// Latencies between zones, where they are simulated.
+    /// Latencies between zones, or `None` if they are not simulated.
     zone_latencies: Option<Latencies>,
-    /// Two regions that are partitioned from each other.
+    /// Active partition between two regions.
     partition: Option<Partition>,
     traffic: HashMap<usize, Traffic>,
     totals: RelayTotals,
 }
 
-/// How a datagram that is not lost goes on.
+/// Conditions under which a datagram is forwarded.
 struct Forwarding {
     conditions: LinkConditions,
     zone_latency: Duration,
 }
 
 impl Links {
-    /// Counts a datagram and draws whether it is lost.
+    /// Counts a datagram and decides at random whether it is lost, for which it returns `None`.
     fn on_datagram(
         &mut self,
         from: SocketAddr,
@@ -167,9 +167,9 @@
     }
 }
 
-/// A relay; its thread ends once this is dropped.
+/// A running relay, whose thread ends on drop.
 pub struct Relay {
-    /// Where dispatchers send their datagrams.
+    /// Address that dispatchers send their datagrams to.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -181,7 +181,7 @@
 }
 
 impl Relay {
-    /// Starts a relay whose losses and delays are drawn from a seed.
+    /// Starts a relay whose random losses and delays follow from a seed.
     pub fn start(seed: u64) -> Result<Relay, TestbedError> {
         let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0)).map_err(TestbedError::Socket)?;
         let address = socket
@@ -194,13 +194,13 @@
         Ok(Relay { address, shared })
     }
 
-    /// Registers the dispatcher that sends from an address.
+    /// Registers the number of the dispatcher that sends from an address.
     pub fn register(&self, address: SocketAddr, dispatcher: usize) {
         self.shared
             .with_links(|links| links.dispatchers.insert(address, dispatcher));
     }
 
-    /// Sets the conditions of all links that have none of their own.
+    /// Sets the conditions of all links without conditions of their own.
     pub fn set_default(&self, conditions: LinkConditions) {
         self.shared.with_links(|links| links.default = conditions);
     }
@@ -224,13 +224,13 @@
         self.shared.with_links(|links| links.partition = partition);
     }
 
-    /// What one dispatcher has sent and received so far.
+    /// Returns the traffic of one dispatcher so far.
     pub fn traffic(&self, dispatcher: usize) -> Traffic {
         self.shared
             .with_links(|links| links.traffic.get(&dispatcher).copied().unwrap_or_default())
     }
 
-    /// What the relay has forwarded and lost so far.
+    /// Returns the totals over all datagrams so far.
     pub fn totals(&self) -> RelayTotals {
         self.shared.with_links(|links| links.totals)
     }
--- a/crates/cluster-testbed/src/relay/forwarder.rs
+++ b/crates/cluster-testbed/src/relay/forwarder.rs
@@ -1,4 +1,4 @@
-//! The thread of the relay: receives datagrams and forwards them once their delay has passed.
+//! The thread of the relay, which receives datagrams and forwards them after their delay.
 use super::Shared;
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
@@ -10,10 +10,10 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// The bytes of the address before a datagram: an IPv4 address and a port.
+/// Bytes of the address prefix of a datagram: an IPv4 address and a port.
 const ADDRESS_PREFIX_LENGTH: usize = 6;
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// How often it looks whether it is to stop.
+/// Interval between checks whether the relay has been stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 fn read_prefix(datagram: &[u8]) -> Option<SocketAddr> {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A datagram that waits; ordered by when it is due, then by arrival.
+/// A delayed datagram, ordered by due time, then by arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Delayed {
     due: Instant,
@@ -82,19 +82,19 @@
         }
     }
 
-    /// A datagram may be lost, so an error of the socket is one more loss.
+    /// Sends a datagram. Datagrams may be lost, so a socket error counts as one more loss.
     fn send(&self, bytes: &[u8], to: SocketAddr) {
         let _ = self.socket.get_ref().send_to(bytes, to);
     }
 
-    /// Receives a datagram, or returns once the next delayed one is due.
+    /// Receives a datagram; `None` once the next delayed one is due or the stop flag is to be checked.
     async fn receive_until_due(&mut self) -> Option<(usize, SocketAddr)> {
         let stop_check = Instant::now() + STOP_CHECK_INTERVAL;
         let wake = self
             .delayed
             .peek()
             .map_or(stop_check, |Reverse(next)| stop_check.min(next.due));
-        // An error reports that an earlier datagram found no receiver; the socket goes on.
+        // An error means that an earlier datagram had no receiver; the socket stays usable.
         let received = async { self.socket.recv_from(&mut self.buffer).await.ok() };
         let timeout = async {
             Timer::at(wake).await;
--- a/crates/cluster-testbed/src/scale.rs
+++ b/crates/cluster-testbed/src/scale.rs
@@ -1,4 +1,4 @@
-//! Runs of large fleets on one machine: real processes of the program, simulated peers beside them, and what both cost.
+//! Runs of large fleets on one machine: real dispatcher processes and simulated peers, with measurements of their cost.
 pub mod command;
 pub mod control;
 pub mod discovery;
@@ -22,7 +22,7 @@
 use fleet::Fleet;
 use plan::Plan;
 
-/// Runs one plan.
+/// Checks a plan, runs it and returns the measurement.
 pub fn run_plan(plan: &Plan) -> Result<Measurement, TestbedError> {
     plan.check()?;
     Fleet::start(plan)?.measure()
--- a/crates/cluster-testbed/src/scale/command.rs
+++ b/crates/cluster-testbed/src/scale/command.rs
@@ -1,4 +1,5 @@
-//! The command `scale`: one run or a sweep of sizes, as a table or as lines of JSON, and bounds that end it with a failure.
+//! The command `scale`: one run or a sweep of sizes, reported as text or as lines of JSON, with bounds whose violation
+//! makes the command fail.
 use super::fit::{Line, Prediction, fit_line, predict_largest};
 use super::metrics::metric;
 use super::plan::Plan;
@@ -7,23 +8,23 @@
 use clap::Args;
 use serde::Serialize;
 
-/// Why an argument cannot be used.
+/// Error in an argument of the command.
 #[derive(Debug, thiserror::Error)]
 pub enum ArgumentError {
-    /// A name is not known.
+    /// A name is unknown.
     #[error("{name:?} is none of {known}")]
     UnknownName {
-        /// The name.
+        /// Unknown name.
         name: String,
-        /// All that are known.
+        /// Known names, separated by commas.
         known: String,
     },
-    /// An argument does not have the form it should have.
-    #[error("{text:?} is no {form}")]
+    /// An argument is malformed.
+    #[error("{text:?} does not have the form {form}")]
     Malformed {
-        /// The argument.
+        /// Malformed argument.
         text: String,
-        /// The form.
+        /// Expected form.
         form: &'static str,
     },
 }
@@ -44,14 +45,14 @@
     }
 }
 
-/// The most that a figure may be.
+/// Largest value that a metric may have.
 #[derive(Clone, Debug)]
 struct Bound {
     name: String,
     max: f64,
 }
 
-/// Sizes of one parameter of the plan.
+/// Values of one plan parameter, each of which is run.
 #[derive(Clone, Debug)]
 struct Sweep {
     parameter: String,
@@ -68,7 +69,7 @@
         name: name.to_string(),
         max: max
             .parse()
-            .map_err(|_| ArgumentError::malformed(max, "number"))?,
+            .map_err(|_| ArgumentError::malformed(max, "NUMBER"))?,
     })
 }
 
@@ -90,27 +91,27 @@
     Ok(text.to_string())
 }
 
-/// The arguments of the command `scale`.
+/// Arguments of the command `scale`.
 #[derive(Args)]
 pub struct Scale {
     #[command(flatten)]
     plan: Plan,
-    /// A bound, NAME=NUMBER, again for each; exit code 1 where a play passes one. Names: view_s, healed_s, change_s, ready_s,
-    /// cpu_percent, resident_mb, bytes, urgent_p99_ms, failed, cold_worst and others that a wrong one lists
+    /// Upper bound on a metric, NAME=NUMBER, repeatable; exit code 1 if a run exceeds one. Metrics: view_s, healed_s, change_s,
+    /// ready_s, cpu_percent, resident_mb, bytes, urgent_p99_ms, failed, cold_worst and others, listed after an unknown name
     #[arg(long = "most", value_name = "BOUND", value_parser = parse_bound)]
     bounds: Vec<Bound>,
-    /// Sizes to play instead of one, NAME=NUMBER,NUMBER,...; each `--slope` is fitted through them
+    /// Values of a plan parameter to run one after the other, NAME=NUMBER,NUMBER,...; each `--slope` is fitted over them
     #[arg(long, value_name = "SIZES", value_parser = parse_sweep)]
     sweep: Option<Sweep>,
-    /// How often each size is played
+    /// Runs of each size, each with the next seed
     #[arg(long, default_value_t = 1)]
     repeats: u64,
-    /// What is fitted against the sizes, by the names of bounds
+    /// Metric to fit against the sizes, repeatable; same names as for `--most`
     #[arg(long = "slope", value_name = "NAME", value_parser = parse_metric_name)]
     slopes: Vec<String>,
 }
 
-/// A line through what was measured at several sizes.
+/// A line fitted to one metric over several sizes.
 #[derive(Serialize)]
 pub(super) struct FittedSlope<'a> {
     #[serde(rename = "slope_of")]
@@ -123,14 +124,14 @@
     pub(super) prediction: Option<Prediction>,
 }
 
-/// What was measured at one size.
+/// The measurement of one run of a size.
 struct SizedMeasurement {
     size: f64,
     measurement: Measurement,
 }
 
 impl Scale {
-    /// Runs all sizes, and says whether all bounds were kept.
+    /// Runs all sizes and returns whether all metrics are within their bounds.
     pub fn run(&self, json: bool) -> Result<bool, TestbedError> {
         let mut within_bounds = true;
         let mut measurements = Vec::new();
@@ -149,7 +150,7 @@
         Ok(within_bounds)
     }
 
-    /// The plan of each size; that of the arguments alone where there is no sweep.
+    /// Returns the plan of each size, or the plan of the arguments if there is no sweep.
     fn plans(&self) -> Result<Vec<(f64, Plan)>, TestbedError> {
         let Some(sweep) = &self.sweep else {
             return Ok(vec![(0.0, self.plan.clone())]);
@@ -163,14 +164,14 @@
         Ok(plans)
     }
 
-    /// Whether a measurement keeps all bounds; says which it does not.
+    /// Whether all metrics of a measurement are within their bounds; prints those that are not.
     fn is_within_bounds(&self, measurement: &Measurement) -> Result<bool, TestbedError> {
         let mut within = true;
         for Bound { name, max } in &self.bounds {
             let value = metric(name)?(measurement);
             if value > *max {
                 within = false;
-                eprintln!("  PASSED: {name} is {value:.3}, at most {max} was allowed");
+                eprintln!("  PASSED: {name} is {value:.3}, must be at most {max}");
             }
         }
         Ok(within)
--- a/crates/cluster-testbed/src/scale/control.rs
+++ b/crates/cluster-testbed/src/scale/control.rs
@@ -1,5 +1,5 @@
-//! Processes of the testbed itself that each stand for many peers: controlled by lines on standard input, each answered
-//! by one line of JSON.
+//! Control of the testbed processes that each simulate many peers: commands are lines on standard input, each answered by
+//! one line of JSON on standard output.
 use crate::error::TestbedError;
 use crate::process::child_command;
 use async_channel::Receiver;
@@ -12,83 +12,83 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// A process that does not answer within this time has failed.
+/// Time after which a process that has not answered counts as failed.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
-/// How much of a command an error shows.
+/// Characters of a command that an error shows.
 const MAX_SHOWN_COMMAND: usize = 80;
-/// The answer to a command that asks for nothing.
+/// Answer to a command that returns no data.
 const DONE: &str = "{}";
 
-/// Why a process that stands for many peers cannot go on.
+/// Failure that ends a process of simulated peers.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulationError {
-    /// There is no socket.
+    /// A socket could not be opened.
     #[error(transparent)]
     Socket(#[from] std::io::Error),
-    /// A command or an answer is not JSON.
+    /// A command or an answer is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A histogram has no valid bounds.
+    /// The bounds of a histogram are invalid.
     #[error(transparent)]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// The configuration of a dispatcher is not valid.
+    /// The configuration of a dispatcher is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigFileError),
-    /// A dispatcher cannot start.
+    /// A dispatcher could not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A command is not known.
-    #[error("no such word: {0}")]
+    /// A command is unknown.
+    #[error("unknown command: {0}")]
     UnknownCommand(String),
 }
 
-/// One command: a word and its arguments.
+/// A command: a name and its arguments.
 pub struct Command<'a> {
     words: Vec<&'a str>,
 }
 
 impl<'a> Command<'a> {
-    /// The word.
+    /// Name of the command.
     pub fn name(&self) -> &'a str {
         self.words[0]
     }
 
-    /// An argument that is a number, from 0 on.
+    /// Returns the argument at an index, from 0 on, as a number; `None` if it is missing or not a number.
     pub fn number(&self, index: usize) -> Option<usize> {
         self.words.get(index + 1)?.parse().ok()
     }
 
-    /// All arguments, without the blanks between them.
+    /// Returns all arguments, joined without spaces.
     pub fn text(&self) -> String {
         self.words[1..].concat()
     }
 
-    /// The error for a command that is not known.
+    /// Returns the error for an unknown command.
     pub fn unknown(&self) -> SimulationError {
         SimulationError::UnknownCommand(self.name().to_string())
     }
 }
 
-/// What a command is answered with.
+/// Answer to a command.
 pub enum Answer {
-    /// It has been carried out.
+    /// The command has been executed and returns no data.
     Done,
-    /// What it asked for, as JSON.
+    /// The requested data as JSON.
     Report(String),
 }
 
 impl Answer {
-    /// A report as JSON.
+    /// Serializes a report as JSON.
     pub fn report(report: &impl Serialize) -> Result<Answer, SimulationError> {
         Ok(Answer::Report(serde_json::to_string(report)?))
     }
 }
 
-/// The commands that this process gets.
+/// Commands that this process receives.
 pub struct Commands(Receiver<String>);
 
 impl Commands {
-    /// Reads them in a thread of its own.
+    /// Reads commands from standard input in a separate thread.
     pub fn from_stdin() -> Commands {
         let (sender, receiver) = async_channel::unbounded();
         std::thread::spawn(move || {
@@ -101,7 +101,7 @@
         Commands(receiver)
     }
 
-    /// Answers each until there are no more.
+    /// Answers each command until standard input ends.
     pub async fn answer_all(
         &self,
         answer: impl Fn(&Command) -> Result<Answer, SimulationError>,
@@ -120,24 +120,24 @@
     }
 }
 
-/// Says that this process has started what needs no ports.
+/// Reports to the parent that this process has started; for processes without listening ports.
 pub fn announce_started() {
     println!("{DONE}");
 }
 
-/// Says that this process has started, and at which ports it listens.
+/// Reports to the parent that this process has started and listens on these ports.
 pub fn announce_ports(ports: &[u16]) {
     println!("{}", serde_json::json!({ "ports": ports }));
 }
 
-/// A process that stands for many peers, as its parent sees it. It is killed when this is dropped.
+/// Handle of the parent on a process of simulated peers, which is killed on drop.
 pub struct SimulatedProcess {
     child: Child,
     commands: ChildStdin,
     answers: mpsc::Receiver<String>,
 }
 
-/// Passes on each line of the output, in a thread of its own.
+/// Forwards each line of the output to a channel, in a separate thread.
 fn read_answers(output: ChildStdout) -> mpsc::Receiver<String> {
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
@@ -151,7 +151,7 @@
 }
 
 impl SimulatedProcess {
-    /// Starts this program with the arguments of a hidden command.
+    /// Starts this program with the hidden command and these arguments.
     pub fn start(arguments: &[String]) -> Result<SimulatedProcess, TestbedError> {
         let failed = |source| TestbedError::SimulatedProcess {
             arguments: arguments.join(" "),
@@ -175,19 +175,19 @@
         })
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// The next answer.
+    /// Waits for the next answer.
     pub fn receive<T: DeserializeOwned>(&self) -> Result<T, TestbedError> {
         let silent = || TestbedError::SimulatedProcessSilent { pid: self.pid() };
         let line = self.answers.recv_timeout(ANSWER_TIMEOUT);
         serde_json::from_str(&line.map_err(|_| silent())?).map_err(|_| silent())
     }
 
-    /// Sends a command; its answer.
+    /// Sends a command and returns its answer.
     pub fn request<T: DeserializeOwned>(&mut self, command: &str) -> Result<T, TestbedError> {
         writeln!(self.commands, "{command}").map_err(|source| TestbedError::SimulatedProcess {
             arguments: command.chars().take(MAX_SHOWN_COMMAND).collect(),
@@ -196,7 +196,7 @@
         self.receive()
     }
 
-    /// Sends a command and waits until it has been carried out.
+    /// Sends a command and waits until it has been executed.
     pub fn send(&mut self, command: &str) -> Result<(), TestbedError> {
         self.request::<serde_json::Value>(command).map(drop)
     }
--- a/crates/cluster-testbed/src/scale/discovery.rs
+++ b/crates/cluster-testbed/src/scale/discovery.rs
@@ -1,7 +1,7 @@
-//! A simulated discovery service: one endpoint list, and an address of its own for each dispatcher that follows it, as an
-//! agent beside each dispatcher has. A watch is answered with all that changed since the version it names. When a follower
-//! has applied a change shows by its next watch, which names the new version: from outside, and the same for real and
-//! simulated dispatchers.
+//! A simulated discovery service: one endpoint list, served at a separate address for each dispatcher (follower), as by an
+//! agent beside each dispatcher. A watch is answered with all changes since the version it names. A follower's next watch
+//! names the version that it has applied, which measures propagation from outside, for real and simulated dispatchers
+//! alike.
 mod list;
 
 use super::control::{Answer, Command, Commands, SimulationError, announce_ports};
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a watch waits for news that names no time.
+/// Time that a watch without a `wait` parameter waits for a change.
 const DEFAULT_WAIT_MS: u64 = 60_000;
 
 struct Service {
@@ -26,7 +26,7 @@
     down: Cell<bool>,
 }
 
-/// The number after a name in the query of a request.
+/// Returns the number after a parameter name in the query of a request.
 fn query_number(message: &str, name: &str) -> Option<u64> {
     let (_, rest) = message.split_once(name)?;
     rest.split(['&', ' ']).next()?.parse().ok()
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Serves a connection until it ends.
+    /// Serves a connection until it is closed.
     async fn serve(&self, follower: usize, mut stream: Async<TcpStream>) -> Option<()> {
         let mut reader = MessageReader::default();
         let count_read = |count| self.list.borrow_mut().report.bytes_in += count as u64;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What a watch is answered; `None` once the service is down.
+    /// Waits for a change or the deadline and returns the answer to a watch; `None` once the service is down.
     async fn wait_for_update(&self, version: Option<u64>, deadline: Instant) -> Option<String> {
         loop {
             let (notify, notified) = async_channel::bounded(1);
@@ -115,7 +115,7 @@
     }
 }
 
-/// Runs the service until standard input ends. The first line of output has the followers' ports.
+/// Runs the service until standard input ends. The first line on standard output reports the port of each follower.
 pub fn run(followers: usize) -> Result<(), SimulationError> {
     let executor = Rc::new(LocalExecutor::new());
     let service = Rc::new(Service {
--- a/crates/cluster-testbed/src/scale/discovery/list.rs
+++ b/crates/cluster-testbed/src/scale/discovery/list.rs
@@ -1,23 +1,23 @@
-//! The endpoint list with its versions, and which follower has applied which.
+//! The versioned endpoint list, and the version that each follower has applied.
 use async_channel::Sender;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// How many versions are remembered for followers that were away; for older ones they get the full list.
+/// Versions retained for followers that reconnect. A follower with an older version gets the full list.
 const MAX_RETAINED_VERSIONS: usize = 4_096;
 
-/// What discovery did in the measured time.
+/// Statistics of discovery over the measured time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DiscoveryReport {
-    /// Watches.
+    /// Watches received.
     #[serde(rename = "calls")]
     pub watches: u64,
     /// Watches that were answered with the full list.
     #[serde(rename = "whole")]
     pub full_lists: u64,
-    /// The bytes of the full lists.
+    /// Bytes of the full lists.
     #[serde(rename = "whole_bytes")]
     pub full_list_bytes: u64,
     /// Bytes received.
@@ -26,12 +26,12 @@
     pub bytes_out: u64,
     /// Changes of the list.
     pub changes: u64,
-    /// How many followers have called at all.
+    /// Followers that have sent a watch.
     pub followers: u64,
-    /// The mean over all changes of the time until the last follower had applied it.
+    /// Milliseconds from a change until the last follower had applied it, mean over all changes.
     #[serde(rename = "taken_mean_ms")]
     pub applied_mean_ms: f64,
-    /// The longest of these times.
+    /// Maximum of these times.
     #[serde(rename = "taken_most_ms")]
     pub applied_max_ms: f64,
     /// Changes that some followers have not applied yet.
@@ -39,14 +39,14 @@
     pub pending_changes: u64,
 }
 
-/// Whether a watch may still wait for news.
+/// Whether a watch may still wait for a change.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchState {
     Waiting,
     Expired,
 }
 
-/// The endpoints that a version changed.
+/// A version and the names of the endpoints that it changed.
 struct Version {
     number: u64,
     changed: Vec<String>,
@@ -55,20 +55,20 @@
 /// A version that not all followers have applied.
 struct PendingVersion {
     published: Instant,
-    /// From then until the newest follower had applied it.
+    /// Time from publication until the most recent follower applied it.
     applied_after: Duration,
 }
 
 pub(super) struct EndpointList {
     version: u64,
     endpoints: BTreeMap<String, String>,
-    /// The newest last.
+    /// Retained versions, oldest first.
     history: VecDeque<Version>,
     pending: BTreeMap<u64, PendingVersion>,
     applied_ms: Vec<f64>,
-    /// The version that each follower has, once it called.
+    /// Version that each follower has applied, or `None` before its first watch.
     follower_versions: Vec<Option<u64>>,
-    /// Those to be notified of the next change.
+    /// Senders that are notified of the next change.
     pub(super) watches: Vec<Sender<()>>,
     pub(super) report: DiscoveryReport,
 }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// What a watch from this version on is answered; none while there is no news.
+    /// Returns the answer to a watch from a version on; `None` while there is no change and the watch can wait.
     pub(super) fn answer(&mut self, version: Option<u64>, state: WatchState) -> Option<String> {
         match version.filter(|version| self.has_history_since(*version)) {
             Some(version) if version == self.version && state == WatchState::Waiting => None,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Whether all changes after this version are known.
+    /// Whether all changes after this version are retained.
     fn has_history_since(&self, version: u64) -> bool {
         let oldest = self.history.front();
         version == self.version
@@ -128,7 +128,7 @@
         format!("{{\"seq\":{version},\"whole\":{whole},\"hosts\":[{hosts}]}}")
     }
 
-    /// Records that a follower watches from a version on, and so has applied all up to it.
+    /// Records a watch from a version on, which shows that the follower has applied all versions up to it.
     pub(super) fn record_watch(&mut self, follower: usize, version: Option<u64>) {
         self.report.watches += 1;
         let Some(version) = version else { return };
@@ -144,7 +144,7 @@
         self.complete_applied_versions();
     }
 
-    /// Completes the versions that all followers have applied.
+    /// Completes the versions that every follower has applied.
     fn complete_applied_versions(&mut self) {
         let oldest = self.follower_versions.iter().flatten().min();
         let oldest = oldest.copied().unwrap_or(0);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Publishes changed endpoints as a new version.
+    /// Publishes changed endpoints as a new version and notifies all watches.
     pub(super) fn change(&mut self, endpoints: &[Value]) {
         self.version += 1;
         let mut changed = Vec::new();
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Forgets a follower that is gone, so that changes do not wait for it.
+    /// Removes a follower that is no longer running, so that changes do not stay pending for it.
     pub(super) fn remove_follower(&mut self, follower: usize) {
         if let Some(version) = self.follower_versions.get_mut(follower) {
             *version = None;
--- a/crates/cluster-testbed/src/scale/dispatchers.rs
+++ b/crates/cluster-testbed/src/scale/dispatchers.rs
@@ -1,6 +1,5 @@
-//! Simulated dispatchers: many in one process, each with the decisions, the state machines and the drivers of the program
-//! as they are, a port for datagrams and a watch on discovery. They have no process, log and executor of their own, and
-//! no clients.
+//! Simulated dispatchers: many in one process, each with the unchanged decisions, state machines and drivers of the program,
+//! a datagram port and a watch on discovery. They share a process, log and executor, and have no clients.
 use super::control::{Answer, Command, Commands, SimulationError, announce_started};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -13,13 +12,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a dispatcher knows of the members of its cluster.
+/// Membership view of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "(usize, usize)", from = "(usize, usize)")]
 pub struct MembershipView {
-    /// Its own rank.
+    /// Rank of the dispatcher.
     pub rank: usize,
-    /// How many members it knows, itself included.
+    /// Number of known members, including the dispatcher.
     pub members: usize,
 }
 
@@ -35,25 +34,25 @@
     }
 }
 
-/// What the dispatchers of a process know of their cluster.
+/// Membership views of the dispatchers of a process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Views {
-    /// That of each that runs.
+    /// View of each running dispatcher.
     pub views: Vec<MembershipView>,
-    /// How many have an endpoint list.
+    /// Number of dispatchers that have an endpoint list.
     pub ready: usize,
-    /// Bytes that they sent to each other.
+    /// Bytes that the dispatchers sent to other members.
     pub bytes: u64,
 }
 
 struct Dispatchers {
     executor: Rc<LocalExecutor<'static>>,
     configurations: Vec<PathBuf>,
-    /// Those that run, by their place in this process.
+    /// Running dispatchers, by their index in this process.
     nodes: RefCell<Vec<Option<Node<Sockets>>>>,
 }
 
-/// The number after a prefix in the description of a cluster, or 0.
+/// Returns the number after a prefix in the description of a cluster, or 0.
 fn number_in<T: std::str::FromStr + Default>(description: &str, prefix: &str) -> T {
     let mut words = description.split(' ');
     let number = words.find_map(|word| word.strip_prefix(prefix));
@@ -75,7 +74,7 @@
             .filter(|index| *index < self.configurations.len());
         match (command.name(), index) {
             ("views", _) => return Answer::report(&self.views()),
-            // Its port closes and its tasks end where they are.
+            // Dropping a node closes its port and cancels its tasks.
             ("kill", Some(index)) => drop(self.nodes.borrow_mut()[index].take()),
             ("start", Some(index)) => self.start(index)?,
             _ => return Err(command.unknown()),
@@ -99,8 +98,8 @@
     }
 }
 
-/// Runs the dispatchers with these numbers until standard input ends. Their files are in the folder; `interval` lies
-/// between their starts.
+/// Runs the dispatchers with these numbers until standard input ends, started one per `interval`. Their configuration files
+/// are in `folder`.
 pub fn run(folder: &Path, numbers: &[usize], interval: Duration) -> Result<(), SimulationError> {
     let executor = Rc::new(LocalExecutor::new());
     let configurations = numbers
--- a/crates/cluster-testbed/src/scale/fit.rs
+++ b/crates/cluster-testbed/src/scale/fit.rs
@@ -1,32 +1,32 @@
-//! Straight lines through measurements: the slope with its confidence interval, and the largest size predicted from the
+//! Linear fits of measurements: the slope with its confidence interval, and a prediction of the largest size from the
 //! others.
 use serde::Serialize;
 
 /// A fitted line.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Its value at size 0.
+    /// Value at size 0.
     #[serde(rename = "at_zero")]
     pub intercept: f64,
-    /// Its slope.
+    /// Change of the value per unit of size.
     pub slope: f64,
-    /// Half of the 95% confidence interval of the slope.
+    /// Half the width of the 95% confidence interval of the slope.
     #[serde(rename = "within")]
     pub slope_margin: f64,
 }
 
-/// Two-sided 95% quantiles of Student's t by degrees of freedom, 1 to 10.
+/// Two-sided 95% quantiles of Student's t-distribution, for 1 to 10 degrees of freedom.
 const STUDENT_T: [f64; 10] = [
     12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
 ];
 
-/// The same quantile for any degrees of freedom; above 10 an approximation from above.
+/// Returns the same quantile for any degrees of freedom, above 10 as an approximation from above.
 fn student_t(degrees_of_freedom: usize) -> f64 {
     let known = STUDENT_T.get(degrees_of_freedom - 1).copied();
     known.unwrap_or(2.0 + 2.3 / degrees_of_freedom as f64)
 }
 
-/// Least squares; none where there are fewer than three points or all are of one size.
+/// Fits a line by least squares; `None` if there are fewer than three points or all have the same size.
 pub fn fit_line(points: &[(f64, f64)]) -> Option<Line> {
     if points.len() < 3 {
         return None;
@@ -52,21 +52,21 @@
     })
 }
 
-/// The largest size, left out of the fit and predicted by it.
+/// A prediction for the largest size, which is left out of the fit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Prediction {
-    /// The size.
+    /// Largest size.
     pub size: f64,
-    /// The mean of what was measured.
+    /// Mean of the values measured at this size.
     pub measured: f64,
-    /// What the fit of the others gives.
+    /// Value predicted by the fit of the other sizes.
     pub predicted: f64,
-    /// The difference, as a share of what was measured.
+    /// Difference of prediction and measurement, as a fraction of the measurement.
     #[serde(rename = "off")]
     pub relative_error: f64,
 }
 
-/// The largest size, which matters most, predicted from all others.
+/// Predicts the value at the largest size from a fit of all other sizes.
 pub fn predict_largest(points: &[(f64, f64)]) -> Option<Prediction> {
     let sizes = points.iter().map(|(size, _)| *size);
     let largest = sizes.fold(f64::NEG_INFINITY, f64::max);
--- a/crates/cluster-testbed/src/scale/fleet.rs
+++ b/crates/cluster-testbed/src/scale/fleet.rs
@@ -1,4 +1,5 @@
-//! A large fleet: real and simulated dispatchers, simulated workers and discovery, and a relay between dispatchers.
+//! State of a large fleet: real and simulated dispatchers, simulated workers and discovery, and a relay between
+//! dispatchers.
 mod agreement;
 mod costs;
 mod events;
@@ -21,15 +22,15 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The port of datagrams; each dispatcher has a loopback address of its own.
+/// Port for datagrams, the same for all dispatchers, as each has a separate loopback address.
 const DATAGRAM_PORT: u16 = 7946;
-/// How many dispatchers have addresses that differ only in the last byte.
+/// Dispatchers whose addresses differ only in the last byte.
 const ADDRESSES_PER_SUBNET: usize = 250;
-/// How often transitions are looked at where nothing else goes on.
+/// Interval between checks of transitions while waiting for them.
 const TRANSITION_POLL: Duration = Duration::from_millis(5);
 
-/// How new workers warm up: a fifth of their capacity at first, all of it after 20 s; they are overloaded at four times
-/// what they can do in a second.
+/// Slow start of new workers: their capacity grows from a fifth to all of it within 20 s. A worker is overloaded if the
+/// work received in one second exceeds four times its capacity.
 pub const SLOW_START: SlowStart = SlowStart {
     initial_share: 0.2,
     duration: Duration::from_secs(20),
@@ -37,34 +38,35 @@
     window: Duration::from_secs(1),
 };
 
-/// A process with many simulated dispatchers.
+/// A process with many simulated dispatchers, and their numbers.
 struct SimulatedDispatchers {
     process: SimulatedProcess,
     numbers: Vec<usize>,
 }
 
-/// All that runs for one plan. Its processes end with it.
+/// A running fleet. Its processes are killed on drop.
 pub(super) struct Fleet {
     plan: Plan,
     folder: PathBuf,
     relay: Relay,
     workers: SimulatedProcess,
     discovery: SimulatedProcess,
-    /// Real dispatchers, by their numbers.
+    /// Real dispatchers by number; `None` for those that are not running.
     real: Vec<Option<Process>>,
     simulated: Vec<SimulatedDispatchers>,
-    /// Whether each dispatcher is meant to run.
+    /// Whether each dispatcher is expected to run, by number.
     should_run: Vec<bool>,
     client_addresses: ClientAddresses,
-    /// The workers as discovery publishes them.
+    /// Endpoints of the workers as published by discovery.
     endpoints: Vec<Value>,
+    /// Dispatchers that are starting or shutting down.
     transitions: Vec<Transition>,
-    /// Seconds from the start of a process until it was ready.
+    /// Seconds from each start of a real dispatcher until it was ready.
     ready_s: Vec<f64>,
-    /// The second byte of the loopback addresses of its dispatchers.
+    /// Second byte of the loopback addresses of the dispatchers.
     subnet: u8,
     resources: ResourceWatch,
-    /// Seconds from the last start until all members agreed on who they are.
+    /// Seconds from the last start until all members agreed on one membership view.
     agreement_s: f64,
 }
 
@@ -77,14 +79,14 @@
 }
 
 impl Fleet {
-    /// Where a dispatcher gets its datagrams.
+    /// Returns the address at which a dispatcher receives datagrams.
     fn datagram_address(&self, number: usize) -> SocketAddr {
         let third = (number / ADDRESSES_PER_SUBNET) as u8;
         let fourth = (number % ADDRESSES_PER_SUBNET + 1) as u8;
         ([127, self.subnet, third, fourth], DATAGRAM_PORT).into()
     }
 
-    /// Whether a dispatcher is a process of its own.
+    /// Whether a dispatcher is a real process, not a simulated one.
     fn is_real(&self, number: usize) -> bool {
         number < self.plan.dispatchers
     }
--- a/crates/cluster-testbed/src/scale/fleet/agreement.rs
+++ b/crates/cluster-testbed/src/scale/fleet/agreement.rs
@@ -1,4 +1,4 @@
-//! Whether all members agree on who they are.
+//! Detects when all members agree on one membership view.
 use super::Fleet;
 use crate::error::TestbedError;
 use crate::process::Process;
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(120);
-/// How long members must go on to agree; claims of ranks change for a second after the last member came.
+/// Time for which members must agree without a break; ranks still change for a second after the last member has joined.
 const STABLE_FOR: Duration = Duration::from_millis(2_500);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The newest view in the log of a process.
+/// Returns the newest membership view in the log of a process, or rank 0 of 0 members if there is none.
 fn view_in_log(process: &Process) -> MembershipView {
     let line = process.last_line("cluster view ").unwrap_or_default();
     let number = |prefix: &str| {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Whether each knows this many members and has a rank of its own.
+/// Whether each view has this many members and a unique rank.
 fn all_agree(mut views: Vec<MembershipView>, members: usize) -> bool {
     views.sort_unstable();
     let mut ranked = views.iter().enumerate();
@@ -36,13 +36,13 @@
     TestbedError::NoCommonView {
         seconds: AGREEMENT_TIMEOUT.as_secs(),
         observed: format!(
-            "{others} of {running} hold another number for it, or ranks are held twice"
+            "{others} of {running} members see another number of members, or ranks are duplicated"
         ),
     }
 }
 
 impl Fleet {
-    /// The view of each dispatcher that runs.
+    /// Returns the membership view of each running dispatcher.
     fn views(&mut self) -> Result<Vec<MembershipView>, TestbedError> {
         let mut views: Vec<MembershipView> = self.real.iter().flatten().map(view_in_log).collect();
         for simulated in &mut self.simulated {
@@ -52,7 +52,8 @@
         Ok(views)
     }
 
-    /// Seconds from a moment until all that run knew just each other, each with a rank of its own.
+    /// Waits until all running dispatchers see exactly each other, with unique ranks; returns the seconds from `from` to
+    /// the first moment of stable agreement.
     pub(super) fn wait_for_agreement(&mut self, from: Instant) -> Result<f64, TestbedError> {
         let deadline = Instant::now() + AGREEMENT_TIMEOUT;
         let running = self.should_run.iter().filter(|up| **up).count();
--- a/crates/cluster-testbed/src/scale/fleet/costs.rs
+++ b/crates/cluster-testbed/src/scale/fleet/costs.rs
@@ -1,19 +1,19 @@
-//! What processes of each role cost over the measured time.
+//! Cost of the processes of each role over the measured time.
 use super::Fleet;
 use crate::relay::Traffic;
 use crate::scale::RoleCost;
 use crate::scale::system::{cpu_time_ns, resident_bytes};
 
-/// A process, and what it had cost as the measured time began.
+/// A process with its counters at the start of the measured time.
 struct TrackedProcess {
     pid: u32,
-    /// The dispatchers that it stands for; none for workers and discovery.
+    /// Numbers of the dispatchers that run in it; empty for workers and discovery.
     dispatchers: Vec<usize>,
     cpu_time_ns: u64,
     traffic: Traffic,
 }
 
-/// The processes of each role.
+/// Tracked processes of each role.
 pub(super) struct TrackedRoles {
     dispatchers: Vec<TrackedProcess>,
     quorum_members: Vec<TrackedProcess>,
@@ -22,7 +22,7 @@
     discovery: Vec<TrackedProcess>,
 }
 
-/// What each role costs.
+/// Cost of each role.
 pub(super) struct RoleCosts {
     pub(super) dispatcher: RoleCost,
     pub(super) quorum_member: RoleCost,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Notes what all processes have cost so far.
+    /// Records the counters of all processes as the baseline for `role_costs`.
     pub(super) fn track_roles(&self) -> TrackedRoles {
         let quorum = self.plan.quorum_members();
         let mut dispatchers = Vec::new();
@@ -75,7 +75,7 @@
         }
     }
 
-    /// What all roles have cost since.
+    /// Returns the cost of all roles since they were tracked, `seconds` ago.
     pub(super) fn role_costs(&self, tracked: &TrackedRoles, seconds: f64) -> RoleCosts {
         RoleCosts {
             dispatcher: self.role_cost(&tracked.dispatchers, seconds),
@@ -107,7 +107,7 @@
 
     fn add_cost(&self, role: &mut RoleCost, process: &TrackedProcess, seconds: f64) {
         let resident = resident_bytes(process.pid);
-        // One that restarted meanwhile can no longer be measured.
+        // A process that has restarted in the meantime cannot be measured.
         if resident == 0 {
             return;
         }
--- a/crates/cluster-testbed/src/scale/fleet/events.rs
+++ b/crates/cluster-testbed/src/scale/fleet/events.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet in the measured time: faults, and changes of the endpoint list.
+//! Events of the measured time: faults and changes of the endpoint list.
 use super::Fleet;
 use crate::error::TestbedError;
 use crate::scale::http::unix_nanos;
@@ -6,18 +6,18 @@
 use crate::scale::topology::{Partition, region, zone};
 use serde_json::Value;
 
-/// Between the restarts of dispatchers of one fault.
+/// Interval between the dispatcher restarts of one fault.
 const RESTART_INTERVAL_S: f64 = 0.02;
-/// Between the replacements of workers of one fault.
+/// Interval between the worker replacements of one fault.
 const REPLACE_INTERVAL_S: f64 = 0.01;
-/// Spreads the changes of the list over workers.
+/// Step between the workers of consecutive list changes, which spreads the changes over workers.
 const CHANGE_STRIDE: usize = 7;
-/// What a change of the list sets the share of a worker to, and back to 1 after that: no decision depends on it.
+/// Share of a worker after a list change; the next change sets it back to 1. The difference affects no decision.
 const CHANGED_SHARE: f64 = 1.001;
-/// The regions that a partition separates.
+/// Regions that the fault `cut` separates.
 const PARTITION: Partition = Partition { one: 0, other: 1 };
 
-/// Dispatchers and workers that are lost together, by their numbers.
+/// Numbers of the dispatchers and workers that one fault removes together.
 #[derive(Clone)]
 struct AffectedPeers {
     dispatchers: Vec<usize>,
@@ -28,7 +28,7 @@
     RestartDispatcher(usize),
     KillDispatcher(usize),
     ReplaceWorker(usize),
-    /// Changes what the list says of a worker.
+    /// Changes the published endpoint of a worker.
     ChangeEndpoint(usize),
     Lose(AffectedPeers),
     Recover(AffectedPeers),
@@ -47,7 +47,7 @@
     TimedEvent { at_s, event }
 }
 
-/// All events of a run that have not happened, the next at the end.
+/// Pending events of a run, sorted with the next one last.
 pub(super) struct EventQueue {
     events: Vec<TimedEvent>,
     last_fault_s: f64,
@@ -71,12 +71,12 @@
         }
     }
 
-    /// When the last event of a fault happens.
+    /// Time of the last event of any fault, in seconds from the start of the measured time.
     pub(super) fn last_fault_s(&self) -> f64 {
         self.last_fault_s
     }
 
-    /// When the next event happens.
+    /// Time of the next event, in seconds from the start of the measured time.
     pub(super) fn next_s(&self) -> Option<f64> {
         self.events.last().map(|event| event.at_s)
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// What a loss that hits all that run in a place comes to.
+/// Returns the events of a fault that removes all dispatchers and workers in a place for a time.
 fn loss(plan: &Plan, fault: &Fault, is_affected: impl Fn(usize) -> bool) -> Vec<TimedEvent> {
     let affected = AffectedPeers {
         dispatchers: (0..plan.all_dispatchers())
@@ -102,7 +102,7 @@
     ]
 }
 
-/// Restarts of dispatchers that are no members of the quorum, first real ones.
+/// Returns restarts of dispatchers that are not quorum members, real ones first.
 fn restarts(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
     let quorum = plan.quorum_members();
     let others = (0..plan.all_dispatchers()).filter(|number| !quorum.contains(number));
@@ -144,7 +144,7 @@
         .collect()
 }
 
-/// What a fault comes to.
+/// Returns the events of a fault.
 fn fault_events(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
     let place = fault.value as usize;
     let end_s = fault.at_s + fault.duration_s;
@@ -171,7 +171,7 @@
 }
 
 impl Fleet {
-    /// Carries out all events up to this second.
+    /// Applies all events that are due.
     pub(super) fn apply_due(
         &mut self,
         queue: &mut EventQueue,
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    /// Carries out what faults were to do after the measured time, so that the fleet becomes complete again.
+    /// Applies the fault events that are due after the measured time, so that the fleet becomes complete again.
     pub(super) fn apply_remaining_faults(
         &mut self,
         queue: &mut EventQueue,
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Publishes what is now known of these workers.
+    /// Publishes the current endpoints of these workers.
     fn publish(&mut self, workers: &[usize]) -> Result<(), TestbedError> {
         let changed: Vec<Value> = workers
             .iter()
@@ -237,7 +237,7 @@
             .send(&format!("change {}", Value::from(changed)))
     }
 
-    /// Replaces a worker by a cold one, and does not publish it.
+    /// Replaces a worker by a new one that has to warm up, without publishing it.
     fn replace_worker(&mut self, worker: usize) -> Result<(), TestbedError> {
         self.workers.send(&format!("replace {worker}"))?;
         let endpoint = &mut self.endpoints[worker];
--- a/crates/cluster-testbed/src/scale/fleet/files.rs
+++ b/crates/cluster-testbed/src/scale/fleet/files.rs
@@ -1,4 +1,4 @@
-//! The files of dispatchers, as an operator would write them.
+//! Writes the configuration files of dispatchers, in the form that operators use.
 use super::{Fleet, SLOW_START};
 use crate::error::TestbedError;
 use crate::scale::plan::EndpointLists;
@@ -7,16 +7,16 @@
 use serde_json::{Value, json};
 
 const MAX_SOCKETS: usize = 4_096;
-/// How many dispatchers the files name as seeds.
+/// Dispatchers that the cluster files name as seeds.
 const SEEDS: usize = 3;
-/// When urgent work is to have started.
+/// Latency objective of urgent requests: time until the start of execution.
 const URGENT_START_NS: u64 = 3_200_000_000;
-/// When other work is to have started.
+/// Latency objective of other requests.
 const NON_URGENT_START_NS: u64 = 10_000_000_000;
 const URGENT_VALUE: f64 = 5.0;
 
 impl Fleet {
-    /// Writes the files of one dispatcher, whose discovery is at this port.
+    /// Writes the files of one dispatcher, whose discovery listens on this loopback port.
     pub(super) fn write_files(
         &self,
         number: usize,
@@ -63,7 +63,7 @@
         });
     }
 
-    /// Adds the urgent class, and sets the times of all.
+    /// Adds the urgent class, and sets the latency objectives and deadlines of all classes.
     fn apply_classes(&self, classes: &mut Value) {
         let Some(classes) = classes.as_array_mut() else {
             return;
--- a/crates/cluster-testbed/src/scale/fleet/lifecycle.rs
+++ b/crates/cluster-testbed/src/scale/fleet/lifecycle.rs
@@ -1,31 +1,31 @@
-//! Dispatchers on their way down and up.
+//! Starts, restarts and kills of dispatchers during a run.
 use super::{Fleet, SimulatedDispatchers};
 use crate::error::TestbedError;
 use crate::process::Process;
 use crate::testbed::request_status;
 use std::time::{Duration, Instant};
 
-/// A process that is not ready by then counts as failed.
+/// Time within which a started process must be ready; otherwise the run fails.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a process has to end after SIGTERM; then it is killed, as the platform does.
+/// Time within which a process must end after SIGTERM; otherwise it is killed, as a deployment platform does.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long after its end a simulated dispatcher starts again, so that its port is free.
+/// Time between the end of a simulated dispatcher and its next start, so that its port is free.
 const SIMULATED_RESTART_DELAY: Duration = Duration::from_millis(100);
 const HEALTH_REQUEST: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a dispatcher waits for.
+/// Phase of a transition.
 #[derive(Clone, Copy)]
 enum Phase {
-    /// A real one ends after SIGTERM.
+    /// A real dispatcher has been sent SIGTERM and has not ended.
     ShuttingDown,
-    /// A real one has been started and is not ready.
+    /// A real dispatcher has been started and is not ready.
     Starting,
-    /// A simulated one has been killed and is to start again.
+    /// A simulated dispatcher has been killed and will start again.
     WaitingToRestart,
 }
 
-/// A dispatcher on its way down or up.
+/// A dispatcher that is starting or shutting down.
 #[derive(Clone, Copy)]
 pub(super) struct Transition {
     number: usize,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Where a process serves, once its log says so.
+/// Returns the listening address of a process, once its log has it.
 fn service_address(process: &Process) -> Option<String> {
     let line = process.wait_for_line("listening on ", Duration::ZERO)?;
     line.rsplit(' ').next().map(str::to_string)
@@ -54,7 +54,7 @@
 }
 
 impl Fleet {
-    /// Starts a real dispatcher, and does not wait for it.
+    /// Starts a real dispatcher without waiting until it is ready.
     pub(super) fn start_real(&mut self, number: usize) -> Result<(), TestbedError> {
         let configuration = self.folder.join(format!("n{number}.json"));
         self.real[number] = Some(Process::start(number, &configuration, &[])?);
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Looks at each dispatcher that is on its way down or up.
+    /// Advances each dispatcher that is starting or shutting down.
     pub(super) fn advance_transitions(&mut self) -> Result<(), TestbedError> {
         for transition in std::mem::take(&mut self.transitions) {
             match transition.phase {
@@ -114,13 +114,14 @@
         Ok(())
     }
 
-    /// Sets where clients reach a real dispatcher.
+    /// Sets the address at which clients reach a real dispatcher; `None` while it is not running.
     fn set_client_address(&self, number: usize, address: Option<&str>) {
         if let Ok(mut addresses) = self.client_addresses.lock() {
             addresses[number] = address.and_then(|address| address.parse().ok());
         }
     }
 
+    /// Returns the process that simulates a dispatcher.
     fn simulated_with(&mut self, number: usize) -> Option<&mut SimulatedDispatchers> {
         let mut simulated = self.simulated.iter_mut();
         simulated.find(|simulated| simulated.numbers.contains(&number))
@@ -149,7 +150,7 @@
         simulated.process.send(&format!("{command} {index}"))
     }
 
-    /// Restarts a dispatcher that is meant to run.
+    /// Restarts a dispatcher, unless it has been killed.
     pub(super) fn restart(&mut self, number: usize) -> Result<(), TestbedError> {
         if !self.should_run[number] {
             return Ok(());
@@ -169,7 +170,7 @@
         self.discovery.send(&format!("gone {number}"))
     }
 
-    /// Starts a dispatcher again that was killed.
+    /// Starts a killed dispatcher again.
     pub(super) fn start_again(&mut self, number: usize) -> Result<(), TestbedError> {
         if self.should_run[number] {
             return Ok(());
--- a/crates/cluster-testbed/src/scale/fleet/limits.rs
+++ b/crates/cluster-testbed/src/scale/fleet/limits.rs
@@ -1,4 +1,4 @@
-//! Ends a run that takes more of the machine than is allowed.
+//! Aborts a run that exceeds the limits on processes and memory of this machine.
 use super::Fleet;
 use crate::error::TestbedError;
 use crate::process::Process;
@@ -8,7 +8,7 @@
 
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When resources were checked, and the most that was found.
+/// Time of the last resource check, and the maximum found so far.
 pub(super) struct ResourceWatch {
     checked: Instant,
     max_resident_bytes: u64,
@@ -24,7 +24,7 @@
 }
 
 impl Fleet {
-    /// All processes, with this one.
+    /// Returns the ids of all processes, including this one.
     fn pids(&self) -> Vec<u32> {
         let real = self.real.iter().flatten().map(Process::pid);
         let simulated = self.simulated.iter().map(|group| group.process.pid());
@@ -36,12 +36,12 @@
         self.pids().len()
     }
 
-    /// The most resident memory of all processes together so far.
+    /// Maximum resident memory of all processes together so far, in megabytes.
     pub(super) fn max_resident_mb(&self) -> f64 {
         self.resources.max_resident_bytes as f64 / 1e6
     }
 
-    /// Checks resources, if the last check was a while ago.
+    /// Checks resources if the last check is older than `CHECK_INTERVAL`.
     pub(super) fn check_resources(&mut self) -> Result<(), TestbedError> {
         if self.resources.checked.elapsed() < CHECK_INTERVAL {
             return Ok(());
--- a/crates/cluster-testbed/src/scale/fleet/measure.rs
+++ b/crates/cluster-testbed/src/scale/fleet/measure.rs
@@ -1,4 +1,4 @@
-//! The measured time of a fleet: load, changes and faults, and what came of them.
+//! Runs the measured time of a fleet with load, list changes and faults, and collects the measurement.
 use super::Fleet;
 use super::costs::RoleCosts;
 use super::events::EventQueue;
@@ -13,12 +13,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest time within which the tasks that run at the start are sent.
+/// Maximum time over which the requests that run from the start are sent.
 const MAX_FILL_S: f64 = 4.0;
 const START_POLL: Duration = Duration::from_millis(2);
-/// How often the fleet is looked at while no dispatcher is on its way down or up.
+/// Poll interval while no dispatcher is starting or shutting down.
 const IDLE_POLL: Duration = Duration::from_millis(200);
-/// How often it is looked at otherwise.
+/// Poll interval otherwise.
 const TRANSITION_POLL: Duration = Duration::from_millis(10);
 
 fn load_config(plan: &Plan) -> LoadConfig {
@@ -49,7 +49,7 @@
         self.discovery = costs.discovery;
     }
 
-    /// Sets what workers reported; the costs are set before.
+    /// Sets the results of workers. Requires that the costs have been set.
     fn set_workers_report(&mut self, report: &WorkersReport, seconds: f64) {
         let real_percent = self.dispatcher.cpu_percent * self.dispatcher.count as f64
             + self.quorum_member.cpu_percent * self.quorum_member.count as f64;
@@ -64,7 +64,7 @@
         self.replaced_workers = report.replaced_workers;
     }
 
-    /// Sets what discovery reported; the costs are set before.
+    /// Sets the results of discovery. Requires that the costs have been set.
     fn set_discovery_report(&mut self, report: &DiscoveryReport, dispatchers: usize, seconds: f64) {
         let bytes = (report.bytes_in + report.bytes_out) as f64;
         let bytes_per_dispatcher = bytes / dispatchers as f64 / seconds;
@@ -91,7 +91,7 @@
 }
 
 impl Fleet {
-    /// Runs the measured time, and says what came of it.
+    /// Runs the measured time and the recovery after it, and returns the measurement.
     pub(in crate::scale) fn measure(&mut self) -> Result<Measurement, TestbedError> {
         let load = self.start_load();
         self.workers.send("begin")?;
@@ -122,7 +122,7 @@
         Ok(measurement)
     }
 
-    /// Starts the load and waits until its measured time begins.
+    /// Starts the load and waits until the measured time begins.
     fn start_load(&self) -> thread::JoinHandle<LoadTotals> {
         let config = load_config(&self.plan);
         let addresses = self.client_addresses.clone();
@@ -157,8 +157,8 @@
         Ok(())
     }
 
-    /// Waits until the fleet is complete again. Seconds from the last fault until all members agreed, where there are
-    /// faults and a cluster, otherwise 0.
+    /// Waits until the fleet is complete again. Returns the seconds from the last fault until all members agreed, or 0
+    /// without faults or without a cluster.
     fn wait_for_recovery(
         &mut self,
         queue: &mut EventQueue,
--- a/crates/cluster-testbed/src/scale/fleet/setup.rs
+++ b/crates/cluster-testbed/src/scale/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! Starts the processes of a plan and waits until all dispatchers agree on who they are.
+//! Starts the processes of a plan and waits until all dispatchers agree on one membership view.
 use super::limits::ResourceWatch;
 use super::{Fleet, SimulatedDispatchers, TRANSITION_POLL};
 use crate::error::TestbedError;
@@ -14,10 +14,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Tells the fleets of one process apart.
+/// Serial number of the next fleet of this process, which makes folders and addresses unique.
 static NEXT_SERIAL: AtomicU32 = AtomicU32::new(0);
 
-/// What a simulated process answers first.
+/// First answer of a process of simulated workers or discovery.
 #[derive(Deserialize)]
 struct Ports {
     ports: Vec<u16>,
@@ -43,7 +43,7 @@
     })
 }
 
-/// Starts the workers; their endpoints.
+/// Starts the workers and returns their process and endpoints.
 fn start_workers(plan: &Plan) -> Result<(SimulatedProcess, Vec<Value>), TestbedError> {
     let process = SimulatedProcess::start(&arguments(&[
         &"workers",
@@ -61,7 +61,7 @@
     Ok((process, endpoints.collect()))
 }
 
-/// Starts discovery with its list; the port of each dispatcher.
+/// Starts discovery with an initial list and returns its process and the port for each dispatcher.
 fn start_discovery(
     plan: &Plan,
     endpoints: &[Value],
@@ -74,7 +74,7 @@
 }
 
 impl Fleet {
-    /// Starts all processes of a plan.
+    /// Starts all processes of a plan and waits until they are ready and agree.
     pub(in crate::scale) fn start(plan: &Plan) -> Result<Fleet, TestbedError> {
         let pid = std::process::id();
         let serial = NEXT_SERIAL.fetch_add(1, Ordering::SeqCst);
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Waits until no dispatcher is on its way down or up.
+    /// Waits until no dispatcher is starting or shutting down.
     pub(super) fn finish_transitions(&mut self) -> Result<(), TestbedError> {
         while !self.transitions.is_empty() {
             self.advance_transitions()?;
--- a/crates/cluster-testbed/src/scale/http.rs
+++ b/crates/cluster-testbed/src/scale/http.rs
@@ -1,11 +1,11 @@
-//! The HTTP of simulated peers: messages whose body has a length.
+//! Minimal HTTP for simulated peers: messages with a `Content-Length`, or without a body.
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use std::net::{TcpListener, TcpStream};
 
 const READ_BUFFER_BYTES: usize = 2048;
 
-/// Where the first message with a head and a body ends in these bytes, once it is complete.
+/// Returns the end of the first message in these bytes, head and body, once it is complete.
 pub fn message_end(bytes: &[u8]) -> Option<usize> {
     let head_end = bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
     let head = std::str::from_utf8(&bytes[..head_end]).ok()?;
@@ -22,7 +22,7 @@
 }
 
 impl MessageReader {
-    /// The next message; `None` once the connection has ended. `on_read` gets the number of bytes of each read.
+    /// Reads the next message; `None` once the connection is closed. `on_read` is called with the bytes of each read.
     pub async fn next(
         &mut self,
         stream: &mut Async<TcpStream>,
@@ -46,14 +46,14 @@
     }
 }
 
-/// A listener on a free loopback port, and the port.
+/// Opens a listener on a free loopback port and returns it with the port.
 pub fn listen() -> std::io::Result<(Async<TcpListener>, u16)> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
     let port = listener.get_ref().local_addr()?.port();
     Ok((listener, port))
 }
 
-/// Nanoseconds since the Unix epoch.
+/// Returns the nanoseconds since the Unix epoch.
 pub fn unix_nanos() -> u64 {
     let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_nanos() as u64
--- a/crates/cluster-testbed/src/scale/load.rs
+++ b/crates/cluster-testbed/src/scale/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop clients: each request is sent at a time that was fixed before, whatever came of those before it.
+//! Open-loop clients: each request is sent at a scheduled time, independent of the outcome of earlier requests.
 mod client;
 mod schedule;
 
@@ -12,58 +12,59 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What is asked of the fleet.
+/// Load on the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadConfig {
-    /// Task starts a second, over all dispatchers.
+    /// Requests sent per second, over all dispatchers.
     pub requests_per_second: f64,
-    /// The mean duration of a task.
+    /// Mean service time of a request.
     pub service_time: Duration,
-    /// How many teams send requests.
+    /// Number of tenants that send requests.
     pub tenants: usize,
-    /// The share of the requests that is urgent.
+    /// Fraction of requests that are urgent, 0 to 1.
     pub urgent_share: f64,
-    /// Tasks that run from the start, each with what is left of it.
+    /// Requests that run from the start, each with a random remainder of its service time.
     pub initial_requests: usize,
-    /// The time within which those are sent.
+    /// Time over which the initial requests are sent.
     pub fill: Duration,
-    /// The measured time, after that.
+    /// Measured time, which follows.
     pub measured: Duration,
-    /// The deadline of a request, from when it is sent.
+    /// Deadline of a request, measured from when it is sent.
     pub timeout: Duration,
-    /// The seed of all that is random.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// How the requests that were meant to begin in the measured time ended. What has not ended by then is cut off.
+/// Outcomes of the requests scheduled in the measured time. Requests without an outcome by its end are cancelled and
+/// counted only as sent.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LoadTotals {
-    /// Requests that were sent.
+    /// Requests sent.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Responses 200.
+    /// Responses with status 200.
     #[serde(rename = "settled")]
     pub succeeded: u64,
-    /// Responses 503 and 429.
+    /// Responses with status 503 or 429.
     #[serde(rename = "declined")]
     pub rejected: u64,
-    /// Responses 502 and 504.
+    /// Responses with status 502 or 504.
     #[serde(rename = "reversed")]
     pub failed: u64,
-    /// Other responses.
+    /// Responses with any other status.
     pub other: u64,
-    /// No connection, or one that ended without a response.
+    /// Requests without a connection, or whose connection ended without a response.
     pub lost: u64,
-    /// Meant for a dispatcher that was not running: the client has to wait.
+    /// Requests to a dispatcher that was not running, which its client could not send.
     pub down: u64,
-    /// Of all requests from the start on, those that succeeded.
+    /// Requests that succeeded, including those from before the measured time.
     #[serde(rename = "all_settled")]
     pub all_succeeded: u64,
-    /// Of all requests from the start on, those that ended otherwise.
+    /// Requests that ended otherwise, including those from before the measured time.
     pub all_failed: u64,
 }
 
-/// Sends the load up to the end of the measured time. `on_measured` is called when that begins.
+/// Sends the load until the end of the measured time. `on_measured` is called when the measured time begins.
 pub fn run(
     config: LoadConfig,
     addresses: &ClientAddresses,
@@ -85,7 +86,7 @@
     };
     async_io::block_on(executor.run(timing.or(sending)));
     let totals = clients.totals();
-    // Tasks hold the clients; they end with the executor.
+    // Tasks of the executor hold references to the clients, and are cancelled with it.
     drop(executor);
     totals
 }
@@ -106,6 +107,6 @@
         };
         executor.spawn(sending).detach();
     }
-    // The requests that are out go on until the end.
+    // Never returns, so that requests in flight continue until the end of the measured time.
     std::future::pending::<()>().await;
 }
--- a/crates/cluster-testbed/src/scale/load/client.rs
+++ b/crates/cluster-testbed/src/scale/load/client.rs
@@ -1,4 +1,4 @@
-//! Sends requests over connections that are kept, and counts how they end.
+//! Sends requests over reused connections and counts their outcomes.
 use super::LoadTotals;
 use super::schedule::PlannedRequest;
 use crate::scale::http::{MessageReader, unix_nanos};
@@ -10,23 +10,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Where clients reach each dispatcher, while it runs.
+/// Address of each dispatcher for clients, or `None` while it is not running.
 pub type ClientAddresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
-/// The classes that requests which are not urgent take in turn.
+/// Classes of non-urgent requests, assigned round robin.
 const NON_URGENT_CLASSES: [&str; 3] = ["thumb", "invoice", "charge"];
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
+    /// HTTP status of the response.
     Response(u16),
-    /// No connection, or one that ended without a response.
+    /// There was no connection, or it ended without a response.
     Lost,
-    /// Its dispatcher was not running.
+    /// The dispatcher was not running.
     DispatcherDown,
 }
 
-/// A connection whose last request has been answered.
+/// A reusable connection, whose last request has been answered.
 struct IdleConnection {
     address: SocketAddr,
     stream: Async<TcpStream>,
@@ -34,7 +35,7 @@
 
 pub(super) struct Clients {
     addresses: ClientAddresses,
-    /// By the number of the dispatcher.
+    /// Idle connections, by the number of the dispatcher.
     idle: RefCell<Vec<Vec<IdleConnection>>>,
     totals: RefCell<LoadTotals>,
     timeout: Duration,
@@ -58,7 +59,7 @@
         *self.totals.borrow()
     }
 
-    /// Sends a request and waits for what comes of it.
+    /// Sends a request and waits for its outcome.
     pub(super) async fn send(&self, planned: &PlannedRequest) -> Outcome {
         let address = match self.addresses.lock() {
             Ok(addresses) => addresses.get(planned.dispatcher).copied().flatten(),
--- a/crates/cluster-testbed/src/scale/load/schedule.rs
+++ b/crates/cluster-testbed/src/scale/load/schedule.rs
@@ -1,20 +1,20 @@
-//! Which requests are sent when, drawn before the first is sent.
+//! The schedule of requests, generated before the first one is sent.
 use super::LoadConfig;
 use rosewall::pcg::Pcg;
 use std::time::Duration;
 
-/// The least that is left of a task that runs at the start, as a share of its duration.
+/// Minimum remainder of an initial request, as a fraction of its service time.
 const MIN_REMAINING_SHARE: f64 = 0.01;
 
 pub(super) struct PlannedRequest {
-    /// When it is sent, from the start of the load.
+    /// Send time, from the start of the load.
     pub(super) at: Duration,
     pub(super) dispatcher: usize,
     pub(super) serial: u64,
     pub(super) urgent: bool,
     pub(super) tenant: usize,
     pub(super) work: Duration,
-    /// Whether it is meant to begin in the measured time.
+    /// Whether the send time is within the measured time.
     pub(super) measured: bool,
 }
 
@@ -24,10 +24,10 @@
     pub(super) end: Duration,
 }
 
-/// What is drawn for a request before all else.
+/// Arrival of a request, before its other properties are generated.
 struct Arrival {
     at: Duration,
-    /// Its work, as a share of the mean duration of a task.
+    /// Work, as a fraction of the mean service time.
     work_share: f64,
     measured: bool,
 }
@@ -39,7 +39,7 @@
     requests: Vec<PlannedRequest>,
 }
 
-/// Draws a team; the `n`th has a share like 1 over n.
+/// Picks a random tenant; the probability of the `n`th is proportional to 1/n.
 fn pick_tenant(rng: &mut Pcg, tenants: usize) -> usize {
     let total: f64 = (1..=tenants).map(|n| 1.0 / n as f64).sum();
     let mut remaining = rng.unit() * total;
@@ -68,7 +68,8 @@
         });
     }
 
-    /// The tasks that run from the start. What is left of a task that runs at a random time is even over its duration.
+    /// Adds the requests that run from the start. The remainder of a request at a random time is uniformly distributed
+    /// over its service time.
     fn add_initial_requests(&mut self) {
         let count = self.config.initial_requests;
         for n in 0..count {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The requests of the measured time, with exponential intervals.
+    /// Adds the requests of the measured time, with exponentially distributed intervals.
     fn add_measured(&mut self, from_s: f64, end_s: f64) {
         if self.config.requests_per_second <= 0.0 {
             return;
--- a/crates/cluster-testbed/src/scale/metrics.rs
+++ b/crates/cluster-testbed/src/scale/metrics.rs
@@ -1,8 +1,8 @@
-//! Figures of a measurement by name: what can be bounded or fitted.
+//! Metrics of a measurement by name, for bounds and fits.
 use super::command::ArgumentError;
 use super::{Measurement, RoleCost};
 
-/// How a figure is read from a measurement.
+/// A function that reads a metric from a measurement.
 pub type Metric = fn(&Measurement) -> f64;
 
 const METRICS: &[(&str, Metric)] = &[
@@ -39,7 +39,7 @@
     role.bytes_out + role.bytes_in + role.discovery_bytes
 }
 
-/// The mean over all dispatchers that are no members of the quorum, real or simulated.
+/// Mean over all real and simulated dispatchers that are not quorum members.
 fn per_dispatcher(measurement: &Measurement, of: impl Fn(&RoleCost) -> f64) -> f64 {
     let real = &measurement.dispatcher;
     let simulated = &measurement.simulated_dispatcher;
@@ -48,14 +48,14 @@
     total / count.max(1) as f64
 }
 
-/// Requests of the measured time that ended and did not succeed, over all that were sent then.
+/// Fraction of the requests sent in the measured time that ended without success.
 fn unsuccessful_share(measurement: &Measurement) -> f64 {
     let load = &measurement.load;
     let unsuccessful = load.rejected + load.failed + load.other + load.lost;
     unsuccessful as f64 / load.requests.max(1) as f64
 }
 
-/// The figure with this name.
+/// Returns the metric with this name.
 pub fn metric(name: &str) -> Result<Metric, ArgumentError> {
     let found = METRICS.iter().find(|(known, _)| *known == name);
     let known = || METRICS.iter().map(|(name, _)| *name).collect::<Vec<_>>();
--- a/crates/cluster-testbed/src/scale/output.rs
+++ b/crates/cluster-testbed/src/scale/output.rs
@@ -1,10 +1,10 @@
-//! What the command `scale` prints.
+//! Output of the command `scale`.
 use super::command::FittedSlope;
 use super::plan::FaultKind;
 use super::workers::StartTimes;
 use super::{Measurement, RoleCost};
 
-/// Prints a measurement for a reader, or as one line of JSON.
+/// Prints a measurement as text, or as one line of JSON.
 pub fn print_measurement(measurement: &Measurement, json: bool) {
     if json {
         println!("{}", serde_json::to_string(measurement).unwrap_or_default());
@@ -18,7 +18,7 @@
     }
     if measurement.replaced_workers > 0 {
         println!(
-            "  {} cold workers, the worst window {:.2} of what one bears",
+            "  {} workers replaced; while warming up, the worst window had {:.2} of the overload limit",
             measurement.replaced_workers, measurement.worst_warm_up_window
         );
     }
@@ -31,7 +31,7 @@
 fn print_plan(measurement: &Measurement) {
     let plan = &measurement.plan;
     println!(
-        "{} real and {} hollow dispatchers, {} workers of {} seats, {} starts/s of {} s, {} teams, {} changes/s, {} s measured",
+        "{} real and {} simulated dispatchers, {} workers of {} concurrency slots, {} requests/s of {} s, {} tenants, {} list changes/s, {} s measured",
         plan.dispatchers,
         plan.simulated_dispatchers,
         plan.workers,
@@ -44,14 +44,14 @@
     );
     if plan.starts > 0.0 {
         println!(
-            "  it began in the steady state: {} tasks were running, each with what was left of it",
+            "  it began in the steady state: {} tasks were running, each with a random remainder of its service time",
             plan.initial_requests()
         );
     }
     let mut faults = plan.faults.iter();
     if let Some(fault) = faults.find(|fault| fault.kind == FaultKind::Release) {
         println!(
-            "  the release of the whole fleet, ten minutes in the plan, took {} s here",
+            "  the release of the whole fleet, planned for ten minutes, took {} s here",
             fault.value
         );
     }
@@ -59,11 +59,11 @@
 
 fn print_roles(measurement: &Measurement) {
     println!(
-        "  role        count  cpu of a core              resident                      datagrams out, in/s   bytes out, in/s  list B/s"
+        "  role        count  CPU of a core              resident                      datagrams out, in/s   bytes out, in/s  list B/s"
     );
     print_role("dispatcher", &measurement.dispatcher);
-    print_role("keeper", &measurement.quorum_member);
-    print_role("hollow", &measurement.simulated_dispatcher);
+    print_role("quorum", &measurement.quorum_member);
+    print_role("simulated", &measurement.simulated_dispatcher);
     print_role("workers", &measurement.workers);
     print_role("discovery", &measurement.discovery);
 }
@@ -73,7 +73,7 @@
         return;
     }
     println!(
-        "  {name:<11} {:>5}  {:>8.3}% (most {:>7.3}%)  {:>7.2} MB (most {:>7.2})  {:>7.1} {:>7.1}  {:>8.0} {:>8.0}  {:>8.0}",
+        "  {name:<11} {:>5}  {:>8.3}% (max {:>8.3}%)  {:>7.2} MB (max {:>8.2})  {:>7.1} {:>7.1}  {:>8.0} {:>8.0}  {:>8.0}",
         role.count,
         role.cpu_percent,
         role.cpu_percent_max,
@@ -89,8 +89,8 @@
 
 fn print_cluster(measurement: &Measurement) {
     println!(
-        "  one view {:.1} s; after the faults {:.1} s; a change taken by the last in {:.3} s (mean {:.3}), {} changes, {} open; \
-         {} calls for lists, {} of them for the whole ({:.1} MB)",
+        "  agreement after {:.1} s; after the faults {:.1} s; change applied by the last dispatcher within {:.3} s (mean {:.3}), {} changes, {} pending; \
+         {} watches, {} of them answered with the full list ({:.1} MB)",
         measurement.agreement_s,
         measurement.recovery_s,
         measurement.change_max_s,
@@ -103,7 +103,7 @@
     );
     if measurement.restarts > 0 {
         println!(
-            "  {} real ones restarted, nine in ten ready within {:.2} s, all within {:.2} s",
+            "  {} real dispatchers restarted, nine in ten ready within {:.2} s, all within {:.2} s",
             measurement.restarts, measurement.ready_p90_s, measurement.ready_max_s
         );
     }
@@ -112,8 +112,8 @@
 fn print_load(measurement: &Measurement) {
     let load = &measurement.load;
     println!(
-        "  {} asked: {} settled, {} declined, {} reversed, {} other, {} lost, {} of a dispatcher that was down, the rest still out; from the beginning {} settled, \
-         {} not; {} started, {} running, {} new connections, {:.1} us of CPU a start",
+        "  {} requests: {} succeeded, {} rejected, {} failed, {} other, {} lost, {} to a dispatcher that was not running, the rest in flight; with the initial requests {} succeeded, \
+         {} did not; {} started, {} running, {} new connections, {:.1} us of CPU per start",
         load.requests,
         load.succeeded,
         load.rejected,
@@ -129,23 +129,23 @@
         measurement.cpu_us_per_start
     );
     print_start_times("urgent", &measurement.urgent);
-    print_start_times("usual", &measurement.non_urgent);
+    print_start_times("non-urgent", &measurement.non_urgent);
 }
 
 fn print_start_times(class: &str, times: &StartTimes) {
     println!(
-        "  {class} work started after ms, from the intended moment: p50 {:.1}, p90 {:.1}, p99 {:.1}, p99.9 {:.1}, most {:.1} ({})",
+        "  {class} requests, ms from sending to the start: p50 {:.1}, p90 {:.1}, p99 {:.1}, p99.9 {:.1}, max {:.1} ({})",
         times.p50, times.p90, times.p99, times.p999, times.max, times.count
     );
 }
 
-/// Prints a fitted slope for a reader, or as one line of JSON.
+/// Prints a fitted slope as text, or as one line of JSON.
 pub fn print_slope(slope: &FittedSlope, json: bool) {
     if json {
         println!("{}", serde_json::to_string(slope).unwrap_or_default());
     } else if let (Some(line), Some(prediction)) = (slope.line, slope.prediction) {
         println!(
-            "{} = {:.4} + {:.6} (+- {:.6}) x {}; {} left out: {:.4} measured, {:.4} predicted, {:+.0}% off",
+            "{} = {:.4} + {:.6} (+- {:.6}) x {}; {} left out: {:.4} measured, {:.4} predicted, error {:+.0}%",
             slope.metric,
             line.intercept,
             line.slope,
--- a/crates/cluster-testbed/src/scale/plan.rs
+++ b/crates/cluster-testbed/src/scale/plan.rs
@@ -1,4 +1,4 @@
-//! What is run: sizes, latencies, load and faults, as the command takes them.
+//! The plan of a run: sizes, latencies, load and faults, as given on the command line.
 mod fault;
 
 pub use fault::{Fault, FaultKind};
@@ -10,15 +10,15 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The most processes that may run on this machine at once.
+/// Maximum number of processes on this machine at once.
 pub const MAX_PROCESSES: usize = 299;
-/// The most memory that they may have.
+/// Maximum resident memory of these processes together, in bytes.
 pub const MAX_RESIDENT_BYTES: u64 = 12 << 30;
-/// How many simulated dispatchers share a process.
+/// Simulated dispatchers per process.
 pub const DISPATCHERS_PER_PROCESS: usize = 50;
-/// Processes beside dispatchers: workers, discovery and the command itself.
+/// Processes other than dispatchers: workers, discovery and the command itself.
 const OTHER_PROCESSES: usize = 3;
-/// What a sweep may set.
+/// Parameters that a sweep may set.
 const PARAMETERS: [&str; 8] = [
     "dispatchers",
     "hollow",
@@ -30,86 +30,86 @@
     "changes",
 ];
 
-/// How dispatchers get endpoint lists.
+/// Mode in which dispatchers get endpoint lists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointLists {
-    /// An agent beside each dispatcher knows the list; calls cost nothing.
+    /// An agent beside each dispatcher has the list; watches put no load on the service.
     #[default]
     Pushed,
-    /// Each call costs the service.
+    /// Each watch puts load on the service.
     #[serde(rename = "asked")]
     #[value(name = "asked")]
     OnRequest,
 }
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Args, Clone, Debug, Serialize)]
 pub struct Plan {
-    /// Real processes of the program; with 7 or more, five of them are control machines (keepers)
+    /// Real dispatcher processes; with 7 or more, five of them are quorum members
     #[arg(long, default_value_t = 8)]
     pub dispatchers: usize,
-    /// Hollow dispatchers beside them, without clients
+    /// Simulated dispatchers in addition, without clients
     #[arg(long = "hollow", value_name = "HOLLOW", default_value_t = 60)]
     #[serde(rename = "hollow")]
     pub simulated_dispatchers: usize,
-    /// Hollow workers, all in one process
+    /// Simulated workers, all in one process
     #[arg(long, default_value_t = 300)]
     pub workers: usize,
-    /// Seats of a worker
+    /// Concurrency slots per worker
     #[arg(long = "seats", value_name = "SEATS", default_value_t = 5)]
     #[serde(rename = "seats")]
     pub slots: usize,
-    /// Task starts a second, over all real dispatchers, open loop; 0 for an idle fleet
+    /// Requests per second over all real dispatchers, open loop; 0 for an idle fleet
     #[arg(long, default_value_t = 0.0)]
     pub starts: f64,
-    /// How long a task runs in the mean, in seconds; what runs at the beginning is starts times this
+    /// Mean service time of a request, in seconds; the run begins with `starts` times this many requests running
     #[arg(long = "task-s", value_name = "TASK_S", default_value_t = 10.2)]
     #[serde(rename = "task_s")]
     pub service_time_s: f64,
-    /// Teams, the nth with a part like 1/n
+    /// Tenants; the share of the nth is proportional to 1/n
     #[arg(long = "teams", value_name = "TEAMS", default_value_t = 150)]
     #[serde(rename = "teams")]
     pub tenants: usize,
-    /// The part of the txns that is of the urgent class
+    /// Fraction of requests that are of the urgent class
     #[arg(long = "urgent", value_name = "URGENT", default_value_t = 0.05)]
     #[serde(rename = "urgent")]
     pub urgent_share: f64,
-    /// Changes of the list a second
+    /// Changes of the endpoint list per second
     #[arg(long, default_value_t = 0.0)]
     pub changes: f64,
-    /// How long is measured
+    /// Measured time, in seconds
     #[arg(long, default_value_t = 10.0)]
     pub seconds: f64,
-    /// Dispatchers do not know each other
+    /// Run dispatchers without a cluster
     #[arg(long = "apart")]
     #[serde(rename = "apart")]
     pub without_cluster: bool,
-    /// Dispatchers tell each other what they have out (`Peers` in the settings)
+    /// Dispatchers report their load to each other (`Peers` in the settings)
     #[arg(long = "peers")]
     #[serde(rename = "peers")]
     pub peer_load: bool,
-    /// How dispatchers get lists of workers
+    /// Mode in which dispatchers get endpoint lists
     #[arg(long = "lists", value_name = "LISTS", value_enum, default_value_t = EndpointLists::Pushed)]
     #[serde(rename = "lists")]
     pub endpoint_lists: EndpointLists,
-    /// One way inside a zone, between zones of a region, and between regions, in ms
+    /// One-way latency within a zone, in ms
     #[arg(long, default_value_t = 0.25)]
     pub zone_ms: f64,
-    /// One way between zones of a region, in ms
+    /// One-way latency between zones of a region, in ms
     #[arg(long, default_value_t = 1.0)]
     pub zones_ms: f64,
-    /// One way between regions, in ms
+    /// One-way latency between regions, in ms
     #[arg(long, default_value_t = 40.0)]
     pub regions_ms: f64,
-    /// Faults, each with its moment and, by its kind, a figure and a duration.
+    /// Faults, each with its start and, depending on its kind, a value and a duration.
     #[arg(
         long = "fault",
         value_name = "FAULT",
-        help = "KIND@SECOND[:FIGURE[:SECONDS]], again for each; kinds: restart, release, replace, rack, zone, region, cut, keepers, discovery"
+        help = "Fault to inject, KIND@SECOND[:VALUE[:SECONDS]], repeatable; kinds: restart, release, replace, rack, zone, region, cut, keepers, discovery"
     )]
     pub faults: Vec<Fault>,
-    /// Starts of processes lie so far apart, in ms
+    /// Interval between the starts of processes, in ms
     #[arg(
         long = "starts-apart-ms",
         value_name = "STARTS_APART_MS",
@@ -117,13 +117,13 @@
     )]
     #[serde(rename = "starts_apart_ms")]
     pub start_interval_ms: u64,
-    /// The seed of all that is random
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
 impl Default for Plan {
-    /// The plan of a command without arguments.
+    /// Returns the plan of a command without arguments.
     fn default() -> Self {
         #[derive(clap::Parser)]
         struct PlanOnly {
@@ -134,7 +134,7 @@
     }
 }
 
-/// A number of a plan, and what it may be.
+/// A number of a plan and its allowed range.
 struct Range {
     key: &'static str,
     value: f64,
@@ -156,7 +156,7 @@
     }
 }
 
-/// A range from its key, value, least, most and the text for errors.
+/// Creates a range; `allowed` is its text in errors.
 const fn range(key: &'static str, value: f64, min: f64, max: f64, allowed: &'static str) -> Range {
     Range {
         key,
@@ -168,18 +168,18 @@
 }
 
 impl Plan {
-    /// All dispatchers, real and simulated.
+    /// Number of all dispatchers, real and simulated.
     pub fn all_dispatchers(&self) -> usize {
         self.dispatchers + self.simulated_dispatchers
     }
 
-    /// How many processes it takes.
+    /// Number of processes that the plan needs.
     pub fn processes(&self) -> usize {
         let simulated = self.simulated_dispatchers.div_ceil(DISPATCHERS_PER_PROCESS);
         self.dispatchers + simulated + OTHER_PROCESSES
     }
 
-    /// The latencies between zones.
+    /// Returns the latencies within and between zones and regions.
     pub fn latencies(&self) -> Latencies {
         let latency = |ms: f64| Duration::from_secs_f64(ms / 1e3);
         Latencies {
@@ -189,12 +189,12 @@
         }
     }
 
-    /// How many tasks run as the measured time begins.
+    /// Number of requests that run as the measured time begins: the steady state of the load.
     pub fn initial_requests(&self) -> usize {
         (self.starts * self.service_time_s) as usize
     }
 
-    /// The members of the quorum, by their numbers: five, or one where there are too few real dispatchers.
+    /// Returns the numbers of the quorum members: five, or one if there are too few real dispatchers.
     pub fn quorum_members(&self) -> Vec<usize> {
         let real = QUORUM_MEMBERS
             .into_iter()
@@ -206,7 +206,7 @@
         members
     }
 
-    /// Checks that it can run here, in bounded time.
+    /// Checks that the plan can run on this machine, in bounded time.
     pub fn check(&self) -> Result<(), TestbedError> {
         self.ranges().iter().try_for_each(Range::check)?;
         let processes = self.processes();
@@ -222,7 +222,7 @@
 
     fn ranges(&self) -> [Range; 13] {
         let simulated = self.simulated_dispatchers as f64;
-        let latency = |ms| range("a way", ms, 0.0, 2_000.0, "0 to 2000 ms");
+        let latency = |ms| range("a latency", ms, 0.0, 2_000.0, "0 to 2000 ms");
         [
             range(
                 "dispatchers",
@@ -246,13 +246,13 @@
         ]
     }
 
-    /// Sets one parameter by its name, for a sweep.
+    /// Sets one parameter by its name on the command line, for a sweep.
     pub fn set(&mut self, name: &str, value: f64) -> Result<(), ArgumentError> {
         let count = value.max(0.0) as usize;
         match name {
             "dispatchers" => self.dispatchers = count,
             "hollow" => self.simulated_dispatchers = count,
-            // As many as may be real, the rest simulated.
+            // At most `dispatchers` of them are real, the rest simulated.
             "fleet" => {
                 self.dispatchers = count.min(self.dispatchers);
                 self.simulated_dispatchers = count - self.dispatchers;
--- a/crates/cluster-testbed/src/scale/plan/fault.rs
+++ b/crates/cluster-testbed/src/scale/plan/fault.rs
@@ -1,53 +1,53 @@
-//! The faults of a plan, as the command takes them.
+//! The faults of a plan, and their form on the command line.
 use crate::scale::command::ArgumentError;
 use clap::ValueEnum;
 use serde::Serialize;
 use std::str::FromStr;
 
-const FORM: &str = "KIND@SECOND[:FIGURE[:SECONDS]], such as zone@2:8:5";
+const FORM: &str = "KIND@SECOND[:VALUE[:SECONDS]], such as zone@2:8:5";
 const MAX_NUMBERS: usize = 3;
 const MAX_VALUE: f64 = 100_000.0;
 
-/// A fault, written as `KIND@SECOND[:FIGURE[:SECONDS]]`.
+/// A fault, written as `KIND@SECOND[:VALUE[:SECONDS]]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fault {
-    /// What it does.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// Start, in seconds from the start of the measured time; default 0.
     pub at_s: f64,
-    /// How many, how long or which, by its kind.
+    /// Count, duration or place, depending on the kind; default 1.
     #[serde(rename = "figure")]
     pub value: f64,
-    /// How long it is active.
+    /// Duration in seconds, for kinds that end; default 3.
     #[serde(rename = "lasts_s")]
     pub duration_s: f64,
 }
 
-/// What a fault does.
+/// Kind of a fault; VALUE is the second number of the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// This many dispatchers restart (SIGTERM; simulated ones just end).
+    /// VALUE dispatchers restart (by SIGTERM; simulated ones without a shutdown).
     Restart,
-    /// All dispatchers restart one after the other, within this many seconds.
+    /// All dispatchers restart one after the other, within VALUE seconds.
     Release,
-    /// This many workers are replaced by cold ones.
+    /// VALUE workers are replaced by new ones that have to warm up.
     Replace,
-    /// One of this many machines is lost, with all that runs on it, for a time.
+    /// One of VALUE machines is lost for a time, with all dispatchers and workers on it.
     Rack,
-    /// This zone is lost for a time.
+    /// Zone number VALUE is lost for a time.
     Zone,
-    /// This region is lost for a time.
+    /// Region number VALUE is lost for a time.
     Region,
-    /// Nothing passes between the first two regions for a time.
+    /// The first two regions are partitioned from each other for a time.
     #[serde(rename = "cut")]
     #[value(name = "cut")]
     Partition,
-    /// The members of the quorum are killed for good, one each so many seconds.
+    /// The quorum members are killed for good, one every VALUE seconds.
     #[serde(rename = "keepers")]
     #[value(name = "keepers")]
     KillQuorum,
-    /// Discovery is down for a time.
+    /// Discovery is not available for a time.
     Discovery,
 }
 
--- a/crates/cluster-testbed/src/scale/system.rs
+++ b/crates/cluster-testbed/src/scale/system.rs
@@ -1,10 +1,10 @@
-//! What the system says of processes: processor time and memory.
+//! CPU time and memory of processes, read from `/proc`.
 use std::fs;
 use std::path::Path;
 
 const BYTES_PER_KB: u64 = 1024;
 
-/// Nanoseconds that all threads of a process have run; what ended threads ran is not included.
+/// Returns the CPU time of all live threads of a process in nanoseconds. Threads that have ended are not included.
 pub fn cpu_time_ns(pid: u32) -> u64 {
     let threads = fs::read_dir(format!("/proc/{pid}/task"));
     let threads = threads.into_iter().flatten().flatten();
@@ -18,7 +18,7 @@
     text.split(' ').next()?.parse().ok()
 }
 
-/// A line of a file of `/proc` whose value is in kB, in bytes; 0 where there is none.
+/// Returns the value in bytes of a line in a `/proc` file that has it in kB; 0 if the line is missing.
 fn bytes_in(file: &str, name: &str) -> u64 {
     let text = fs::read_to_string(file).unwrap_or_default();
     let mut lines = text.lines();
@@ -27,12 +27,12 @@
     kb.unwrap_or(0) * BYTES_PER_KB
 }
 
-/// Resident memory of a process.
+/// Returns the resident memory of a process, or 0 if it is not running.
 pub fn resident_bytes(pid: u32) -> u64 {
     bytes_in(&format!("/proc/{pid}/status"), "VmRSS")
 }
 
-/// The memory of the machine.
+/// Returns the total memory of the machine.
 pub fn machine_memory_bytes() -> u64 {
     bytes_in("/proc/meminfo", "MemTotal")
 }
--- a/crates/cluster-testbed/src/scale/workers.rs
+++ b/crates/cluster-testbed/src/scale/workers.rs
@@ -1,6 +1,7 @@
-//! Simulated workers: any number of addresses in one process, each with slots, one queue in the order of arrival, and a
-//! slow start where it is new. The body of a request says how long it runs and when its client meant it to begin, as
-//! `MICROSECONDS UNIX_NANOSECONDS CLASS`. Its id begins with the number of the dispatcher, `dN-`, which gives the latency.
+//! Simulated workers: many in one process, each with a separate address, concurrency slots, one queue in order of arrival,
+//! and a slow start after a replacement. The body of a request has its service time, the time it was sent and its urgency, as
+//! `MICROSECONDS UNIX_NANOSECONDS URGENCY`. Its id begins with the number of the dispatcher, `dN-`, which determines the
+//! latency.
 mod report;
 mod request;
 
@@ -21,21 +22,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often a request that a partition holds back looks whether it has healed.
+/// Poll interval of a message that waits for the end of a partition.
 const PARTITION_POLL: Duration = Duration::from_millis(50);
-/// How often a connection looks whether its worker has been lost.
+/// Poll interval of a connection for the loss of its worker.
 const LOSS_POLL: Duration = Duration::from_millis(200);
 
-/// What the workers of a process are like.
+/// Configuration of the workers of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkersConfig {
-    /// How many workers.
+    /// Number of workers.
     pub count: usize,
-    /// How many requests each runs at once.
+    /// Concurrency slots per worker.
     pub slots: usize,
-    /// The latencies between zones.
+    /// Latencies between the zones of dispatchers and workers.
     pub latencies: Latencies,
-    /// How a new worker warms up.
+    /// Slow start of replaced workers.
     pub slow_start: SlowStart,
 }
 
@@ -70,14 +71,15 @@
         }
     }
 
-    /// Starts again, cold, at the same address.
+    /// Replaces the worker by a new one at the same address, which has to warm up.
     fn replace(&self) {
         self.warm_up_started.set(Some(Instant::now()));
         self.received_during_warm_up.borrow_mut().clear();
         self.lost.set(false);
     }
 
-    /// The most work of any window over what the worker bears in it.
+    /// Returns the largest ratio over all windows of the work received to the overload limit; 0 for a worker that was not
+    /// replaced.
     fn worst_warm_up_window(&self, config: &WorkersConfig) -> f64 {
         let Some(started) = self.warm_up_started.get() else {
             return 0.0;
@@ -100,7 +102,7 @@
     }
 }
 
-/// A slot that a request has; free again when this is dropped.
+/// A concurrency slot in use by a request, which is released on drop.
 struct OccupiedSlot<'a> {
     release: &'a Sender<()>,
     recorder: &'a Recorder,
@@ -151,7 +153,7 @@
         self.recorder.change(|report| report.connections -= 1);
     }
 
-    /// Serves a connection until it ends.
+    /// Serves a connection until it is closed.
     async fn serve(&self, worker: &Worker, mut stream: Async<TcpStream>) -> Option<()> {
         let mut reader = MessageReader::default();
         let count_read = |count| {
@@ -181,7 +183,7 @@
         let late_us = unix_nanos().saturating_sub(request.intended_start_unix_ns) / 1_000;
         self.recorder.record_start(request.urgent, late_us);
         let duration = self.run_duration(worker, request);
-        // The dispatcher learns of the start one latency later.
+        // The response that reports the start arrives after the latency.
         Timer::after(latency.min(duration)).await;
         self.write(stream, &request.started_response()).await?;
         Timer::after(duration.saturating_sub(latency)).await;
@@ -191,8 +193,8 @@
         self.write(stream, &request.done_response()).await
     }
 
-    /// Waits for the latency, and for as long as a partition holds messages back, as a network does that heals later.
-    /// `None` where the worker is lost by then.
+    /// Waits for the latency, and until no partition separates the two zones, as retransmission delays messages until a
+    /// partition heals. `None` if the worker has been lost by then.
     async fn travel(&self, worker: &Worker, request: &Request, latency: Duration) -> Option<()> {
         Timer::after(latency).await;
         let (from, to) = (zone(request.dispatcher), zone(worker.number));
@@ -284,7 +286,7 @@
     }
 }
 
-/// Runs workers until standard input ends. The first line of output has their ports.
+/// Runs workers until standard input ends. The first line on standard output reports the port of each worker.
 pub fn run(config: WorkersConfig) -> Result<(), SimulationError> {
     let executor = Rc::new(LocalExecutor::new());
     let workers = Rc::new(Workers {
--- a/crates/cluster-testbed/src/scale/workers/report.rs
+++ b/crates/cluster-testbed/src/scale/workers/report.rs
@@ -1,26 +1,27 @@
-//! What the workers of a process count and measure.
+//! Counts and start times that the workers of a process record.
 use crate::scale::control::SimulationError;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 
+/// Upper bound of the histogram of start times: ten minutes.
 const MAX_LATE_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Times to start of one class of work, in ms, from the moment at which its client meant it to begin.
+/// Times from the sending of a request by its client until its start, in milliseconds, over urgent or non-urgent requests.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct StartTimes {
-    /// How many started.
+    /// Number of requests that started.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50: f64,
-    /// The 90th percentile.
+    /// 90th percentile.
     pub p90: f64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99: f64,
-    /// The 99.9th percentile.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// Maximum.
     #[serde(rename = "most")]
     pub max: f64,
 }
@@ -39,21 +40,21 @@
     }
 }
 
-/// What the workers of a process did in the measured time.
+/// Statistics of the workers of a process over the measured time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WorkersReport {
-    /// Start times of work that is not urgent.
+    /// Times to start of non-urgent requests.
     #[serde(rename = "usual")]
     pub non_urgent: StartTimes,
-    /// Start times of urgent work.
+    /// Times to start of urgent requests.
     pub urgent: StartTimes,
-    /// Requests that began to run.
+    /// Requests that started.
     pub started: u64,
-    /// Requests that ran to their end.
+    /// Requests that completed.
     pub ended: u64,
-    /// Requests that run now.
+    /// Requests that are running now.
     pub running: u64,
-    /// The most requests that ran at once.
+    /// Maximum number of requests running at once.
     #[serde(rename = "most_running")]
     pub max_running: u64,
     /// Requests that are queued now.
@@ -66,10 +67,10 @@
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
-    /// The most work in a window of any cold worker, over what it bears in it.
+    /// Largest ratio over all windows of a worker that warms up of the work received to the overload limit.
     #[serde(rename = "cold_worst")]
     pub worst_warm_up_window: f64,
-    /// How many workers were replaced by cold ones.
+    /// Workers that were replaced and had to warm up.
     #[serde(rename = "cold")]
     pub replaced_workers: u64,
 }
@@ -110,7 +111,7 @@
         starts.borrow_mut().saturating_record(late_us.max(1));
     }
 
-    /// Starts the measured time: only what goes on now is kept.
+    /// Starts the measured time: resets all statistics except the current state.
     pub(super) fn reset(&self) -> Result<(), SimulationError> {
         *self.non_urgent.borrow_mut() = histogram()?;
         *self.urgent.borrow_mut() = histogram()?;
--- a/crates/cluster-testbed/src/scale/workers/request.rs
+++ b/crates/cluster-testbed/src/scale/workers/request.rs
@@ -1,4 +1,4 @@
-//! What workers read of a request, and their responses.
+//! Parsing of requests by workers, and their responses.
 use crate::stand::field;
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 pub(super) struct Request {
     id: String,
     pub(super) dispatcher: usize,
-    /// How long it runs in one slot of a warm worker.
+    /// Service time in one slot of a worker that has warmed up.
     pub(super) work: Duration,
-    /// When its client meant it to begin.
+    /// Time at which the client sent the request.
     pub(super) intended_start_unix_ns: u64,
     pub(super) urgent: bool,
 }
--- a/crates/cluster-testbed/src/simulated.rs
+++ b/crates/cluster-testbed/src/simulated.rs
@@ -1,4 +1,4 @@
-//! The hidden commands of `scale`: processes that each stand for many peers.
+//! The hidden commands that `scale` starts: processes that each simulate many peers.
 use clap::Subcommand;
 use rosewall_cluster_testbed::error::TestbedError;
 use rosewall_cluster_testbed::scale;
@@ -10,7 +10,7 @@
 
 const MAX_LATENCY_MS: f64 = 10_000.0;
 
-/// What a process of simulated peers stands for.
+/// Role that a process of simulated peers has.
 #[derive(Subcommand)]
 pub enum SimulatedProcess {
     Workers {
@@ -38,7 +38,7 @@
 }
 
 impl SimulatedProcess {
-    /// Runs until the process that started this one ends it.
+    /// Runs until the parent process ends this one.
     pub fn run(&self) -> Result<(), TestbedError> {
         self.serve()
             .map_err(|source| TestbedError::SimulatedProcessEnded { source })
