--- a/crates/cluster-testbed/src/scale/fleet/files.rs
+++ b/crates/cluster-testbed/src/scale/fleet/files.rs
@@ -72,7 +72,7 @@
         urgent["Name"] = "urgent".into();
         urgent["Value"] = URGENT_VALUE.into();
         classes.push(urgent);
-        let task_ns = (self.plan.service_time_s * 1e9) as u64;
+        let service_time_ns = (self.plan.service_time_s * 1e9) as u64;
         for class in classes {
             let start_ns = if class["Name"] == "urgent" {
                 URGENT_START_NS
@@ -80,7 +80,7 @@
                 NON_URGENT_START_NS
             };
             class["SlaTimeNs"] = start_ns.into();
-            class["ExpiryNs"] = (3 * task_ns + 2 * start_ns).into();
+            class["ExpiryNs"] = (3 * service_time_ns + 2 * start_ns).into();
         }
     }
 
--- a/crates/cluster-testbed/src/scale/workers.rs
+++ b/crates/cluster-testbed/src/scale/workers.rs
@@ -180,8 +180,8 @@
             .between(zone(request.dispatcher), zone(worker.number));
         self.travel(worker, request, latency).await?;
         let slot = self.wait_for_slot(worker, request).await?;
-        let late_us = unix_nanos().saturating_sub(request.intended_start_unix_ns) / 1_000;
-        self.recorder.record_start(request.urgent, late_us);
+        let start_delay_us = unix_nanos().saturating_sub(request.sent_unix_ns) / 1_000;
+        self.recorder.record_start(request.urgent, start_delay_us);
         let duration = self.run_duration(worker, request);
         // The response that reports the start arrives after the latency.
         Timer::after(latency.min(duration)).await;
--- a/crates/cluster-testbed/src/scale/workers/report.rs
+++ b/crates/cluster-testbed/src/scale/workers/report.rs
@@ -5,7 +5,7 @@
 use std::cell::RefCell;
 
 /// Upper bound of the histogram of start times: ten minutes.
-const MAX_LATE_US: u64 = 600_000_000;
+const MAX_START_DELAY_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Times from the sending of a request by its client until its start, in milliseconds, over urgent or non-urgent requests.
@@ -78,7 +78,7 @@
 fn histogram() -> Result<Histogram<u64>, SimulationError> {
     Ok(Histogram::new_with_bounds(
         1,
-        MAX_LATE_US,
+        MAX_START_DELAY_US,
         SIGNIFICANT_DIGITS,
     )?)
 }
@@ -102,13 +102,13 @@
         change(&mut self.report.borrow_mut());
     }
 
-    pub(super) fn record_start(&self, urgent: bool, late_us: u64) {
+    pub(super) fn record_start(&self, urgent: bool, start_delay_us: u64) {
         let starts = if urgent {
             &self.urgent
         } else {
             &self.non_urgent
         };
-        starts.borrow_mut().saturating_record(late_us.max(1));
+        starts.borrow_mut().saturating_record(start_delay_us.max(1));
     }
 
     /// Starts the measured time: resets all statistics except the current state.
--- a/crates/cluster-testbed/src/scale/workers/request.rs
+++ b/crates/cluster-testbed/src/scale/workers/request.rs
@@ -10,7 +10,7 @@
     /// Service time in one slot of a worker that has warmed up.
     pub(super) work: Duration,
     /// Time at which the client sent the request.
-    pub(super) intended_start_unix_ns: u64,
+    pub(super) sent_unix_ns: u64,
     pub(super) urgent: bool,
 }
 
@@ -21,12 +21,12 @@
         let dispatcher = id.strip_prefix('d')?.split_once('-')?.0.parse().ok()?;
         let mut words = body.split(' ');
         let work = Duration::from_micros(words.next()?.parse().ok()?);
-        let intended_start_unix_ns = words.next()?.parse().ok()?;
+        let sent_unix_ns = words.next()?.parse().ok()?;
         Some(Request {
             id,
             dispatcher,
             work,
-            intended_start_unix_ns,
+            sent_unix_ns,
             urgent: words.next()? == "urgent",
         })
     }
