--- a/crates/cluster-testbed/src/explore.rs
+++ b/crates/cluster-testbed/src/explore.rs
@@ -1,4 +1,4 @@
-//! Runs the drawn scenarios of many seeds side by side.
+//! Runs the generated scenarios of many seeds in parallel.
 use crate::Outcome;
 use crate::output::print_report;
 use rosewall_cluster_testbed::error::TestbedError;
@@ -9,53 +9,53 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-/// What came of the scenarios that have ended.
+/// Totals over the scenarios that have ended.
 #[derive(Default)]
-struct Tally {
+struct Totals {
     with_violations: u64,
     error: Option<TestbedError>,
 }
 
-/// The scenarios of consecutive seeds.
+/// A run of the generated scenarios of consecutive seeds.
 pub struct Exploration {
     count: u64,
     end_seed: u64,
     next_seed: AtomicU64,
     ended: AtomicU64,
-    tally: Mutex<Tally>,
+    totals: Mutex<Totals>,
     json: bool,
 }
 
 impl Exploration {
-    /// The scenarios of `count` seeds from the first on.
+    /// Prepares the scenarios of `count` seeds from `first_seed` on.
     pub fn new(first_seed: u64, count: u64, json: bool) -> Self {
         Exploration {
             count,
             end_seed: first_seed + count,
             next_seed: AtomicU64::new(first_seed),
             ended: AtomicU64::new(0),
-            tally: Mutex::default(),
+            totals: Mutex::default(),
             json,
         }
     }
 
-    /// Runs all of them in this many threads.
+    /// Runs all scenarios in `jobs` threads, at least one.
     pub fn run(self, jobs: usize) -> Result<Outcome, TestbedError> {
-        // Processes end with the thread that started them, which lasts as long as its scenarios.
+        // A process is killed when the thread that started it ends, so each thread runs its scenarios to their end.
         thread::scope(|scope| {
             for _ in 0..jobs.max(1) {
                 scope.spawn(|| self.run_remaining());
             }
         });
-        let tally = self.tally.into_inner().unwrap_or_default();
-        if let Some(error) = tally.error {
+        let totals = self.totals.into_inner().unwrap_or_default();
+        if let Some(error) = totals.error {
             return Err(error);
         }
         eprintln!(
-            "{} played, {} broke a rule",
-            self.count, tally.with_violations
+            "{} scenarios run, {} violated a rule",
+            self.count, totals.with_violations
         );
-        Ok((tally.with_violations == 0).into())
+        Ok((totals.with_violations == 0).into())
     }
 
     fn run_remaining(&self) {
@@ -71,24 +71,24 @@
         }
     }
 
-    /// Counts a result and shows it; `None` where another thread has panicked.
+    /// Counts a result and prints it; `None` if another thread has panicked.
     fn record(&self, result: Result<Report, TestbedError>) -> Option<()> {
         let ended = self.ended.fetch_add(1, Ordering::SeqCst) + 1;
-        let mut tally = self.tally.lock().ok()?;
+        let mut totals = self.totals.lock().ok()?;
         match result {
             Ok(report) => {
                 let passed = report.violations.is_empty();
-                tally.with_violations += u64::from(!passed);
+                totals.with_violations += u64::from(!passed);
                 if self.json || !passed {
                     print_report(&report, self.json);
                 }
             }
-            Err(error) => tally.error = Some(error),
+            Err(error) => totals.error = Some(error),
         }
         if std::io::stderr().is_terminal() {
             eprint!(
-                "\r{ended} of {}, {} broke a rule ",
-                self.count, tally.with_violations
+                "\r{ended} of {}, {} violated a rule ",
+                self.count, totals.with_violations
             );
         }
         Some(())
--- a/crates/cluster-testbed/src/scale/discovery.rs
+++ b/crates/cluster-testbed/src/scale/discovery.rs
@@ -1,7 +1,7 @@
-//! A simulated discovery service: one endpoint list, and an address of its own for each dispatcher that follows it, as an
-//! agent beside each dispatcher has. A watch is answered with all that changed since the version it names. When a follower
-//! has applied a change shows by its next watch, which names the new version: from outside, and the same for real and
-//! simulated dispatchers.
+//! A simulated discovery service: one endpoint list, served at a separate address for each dispatcher (follower), as by an
+//! agent beside each dispatcher. A watch is answered with all changes since the version it names. A follower's next watch
+//! names the version that it has applied, which measures propagation from outside, for real and simulated dispatchers
+//! alike.
 mod list;
 
 use super::control::{Answer, Command, Commands, SimulationError, announce_ports};
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a watch waits for news that names no time.
+/// Time that a watch without a `wait` parameter waits for a change.
 const DEFAULT_WAIT_MS: u64 = 60_000;
 
 struct Service {
@@ -26,7 +26,7 @@
     down: Cell<bool>,
 }
 
-/// The number after a name in the query of a request.
+/// Returns the number after a parameter name in the query of a request.
 fn query_number(message: &str, name: &str) -> Option<u64> {
     let (_, rest) = message.split_once(name)?;
     rest.split(['&', ' ']).next()?.parse().ok()
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Serves a connection until it ends.
+    /// Serves a connection until it is closed.
     async fn serve(&self, follower: usize, mut stream: Async<TcpStream>) -> Option<()> {
         let mut reader = MessageReader::default();
         let count_read = |count| self.list.borrow_mut().report.bytes_in += count as u64;
@@ -59,7 +59,7 @@
             let wait_ms = query_number(&message, "wait=").unwrap_or(DEFAULT_WAIT_MS);
             self.list.borrow_mut().record_watch(follower, version);
             let deadline = Instant::now() + Duration::from_millis(wait_ms);
-            let body = self.wait_for_news(version, deadline).await?;
+            let body = self.wait_for_update(version, deadline).await?;
             let length = body.len();
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
             self.list.borrow_mut().report.bytes_out += text.len() as u64;
@@ -67,8 +67,8 @@
         }
     }
 
-    /// What a watch is answered; `None` once the service is down.
-    async fn wait_for_news(&self, version: Option<u64>, deadline: Instant) -> Option<String> {
+    /// Waits for a change or the deadline and returns the answer to a watch; `None` once the service is down.
+    async fn wait_for_update(&self, version: Option<u64>, deadline: Instant) -> Option<String> {
         loop {
             let (notify, notified) = async_channel::bounded(1);
             let state = if Instant::now() >= deadline {
@@ -87,10 +87,10 @@
             let expired = async {
                 Timer::at(deadline).await;
             };
-            let news = async {
+            let update = async {
                 let _ = notified.recv().await;
             };
-            news.or(expired).await;
+            update.or(expired).await;
         }
     }
 
@@ -103,7 +103,7 @@
                 let endpoints: Vec<Value> = serde_json::from_str(&command.text())?;
                 list.change(&endpoints);
             }
-            "gone" => list.forget(command.number(0).unwrap_or(usize::MAX)),
+            "gone" => list.remove_follower(command.number(0).unwrap_or(usize::MAX)),
             "down" => {
                 self.down.set(true);
                 list.watches.clear();
@@ -115,7 +115,7 @@
     }
 }
 
-/// Runs the service until standard input ends. The first line of output has the followers' ports.
+/// Runs the service until standard input ends. The first line on standard output reports the port of each follower.
 pub fn run(followers: usize) -> Result<(), SimulationError> {
     let executor = Rc::new(LocalExecutor::new());
     let service = Rc::new(Service {
--- a/crates/cluster-testbed/src/scale/fleet/events.rs
+++ b/crates/cluster-testbed/src/scale/fleet/events.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet in the measured time: faults, and changes of the endpoint list.
+//! Events of the measured time: faults and changes of the endpoint list.
 use super::Fleet;
 use crate::error::TestbedError;
 use crate::scale::http::unix_nanos;
@@ -6,20 +6,20 @@
 use crate::scale::topology::{Partition, region, zone};
 use serde_json::Value;
 
-/// Between the restarts of dispatchers of one fault.
+/// Interval between the dispatcher restarts of one fault.
 const RESTART_INTERVAL_S: f64 = 0.02;
-/// Between the replacements of workers of one fault.
+/// Interval between the worker replacements of one fault.
 const REPLACE_INTERVAL_S: f64 = 0.01;
-/// Spreads the changes of the list over workers.
+/// Step between the workers of consecutive list changes, which spreads the changes over workers.
 const CHANGE_STRIDE: usize = 7;
-/// What a change of the list sets the share of a worker to, and back to 1 after that: no decision depends on it.
+/// Share of a worker after a list change; the next change sets it back to 1. The difference affects no decision.
 const CHANGED_SHARE: f64 = 1.001;
-/// The regions that a partition separates.
+/// Regions that the fault `cut` separates.
 const PARTITION: Partition = Partition { one: 0, other: 1 };
 
-/// Dispatchers and workers that are lost together, by their numbers.
+/// Numbers of the dispatchers and workers that one fault removes together.
 #[derive(Clone)]
-struct Casualties {
+struct AffectedPeers {
     dispatchers: Vec<usize>,
     workers: Vec<usize>,
 }
@@ -28,10 +28,10 @@
     RestartDispatcher(usize),
     KillDispatcher(usize),
     ReplaceWorker(usize),
-    /// Changes what the list says of a worker.
+    /// Changes the published endpoint of a worker.
     ChangeEndpoint(usize),
-    Lose(Casualties),
-    Recover(Casualties),
+    Lose(AffectedPeers),
+    Recover(AffectedPeers),
     BeginPartition,
     HealPartition,
     DiscoveryDown,
@@ -47,7 +47,7 @@
     TimedEvent { at_s, event }
 }
 
-/// All events of a run that have not happened, the next at the end.
+/// Pending events of a run, sorted with the next one last.
 pub(super) struct EventQueue {
     events: Vec<TimedEvent>,
     last_fault_s: f64,
@@ -71,12 +71,12 @@
         }
     }
 
-    /// When the last event of a fault happens.
+    /// Time of the last event of any fault, in seconds from the start of the measured time.
     pub(super) fn last_fault_s(&self) -> f64 {
         self.last_fault_s
     }
 
-    /// When the next event happens.
+    /// Time of the next event, in seconds from the start of the measured time.
     pub(super) fn next_s(&self) -> Option<f64> {
         self.events.last().map(|event| event.at_s)
     }
@@ -86,25 +86,27 @@
     }
 }
 
-/// What a loss that hits all that run in a place comes to.
-fn loss(plan: &Plan, fault: &Fault, is_hit: impl Fn(usize) -> bool) -> Vec<TimedEvent> {
-    let casualties = Casualties {
+/// Returns the events of a fault that removes all dispatchers and workers in a place for a time.
+fn loss(plan: &Plan, fault: &Fault, is_affected: impl Fn(usize) -> bool) -> Vec<TimedEvent> {
+    let affected = AffectedPeers {
         dispatchers: (0..plan.all_dispatchers())
-            .filter(|number| is_hit(*number))
+            .filter(|number| is_affected(*number))
+            .collect(),
+        workers: (0..plan.workers)
+            .filter(|number| is_affected(*number))
             .collect(),
-        workers: (0..plan.workers).filter(|number| is_hit(*number)).collect(),
     };
     vec![
-        at(fault.at_s, Event::Lose(casualties.clone())),
-        at(fault.at_s + fault.duration_s, Event::Recover(casualties)),
+        at(fault.at_s, Event::Lose(affected.clone())),
+        at(fault.at_s + fault.duration_s, Event::Recover(affected)),
     ]
 }
 
-/// Restarts of dispatchers that are no members of the quorum, first real ones.
+/// Returns restarts of dispatchers that are not quorum members, real ones first.
 fn restarts(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
     let quorum = plan.quorum_members();
     let others = (0..plan.all_dispatchers()).filter(|number| !quorum.contains(number));
-    let targets = others.take(fault.figure as usize).enumerate();
+    let targets = others.take(fault.value as usize).enumerate();
     targets
         .map(|(n, number)| {
             let at_s = fault.at_s + RESTART_INTERVAL_S * n as f64;
@@ -117,14 +119,14 @@
     let all = plan.all_dispatchers();
     (0..all)
         .map(|number| {
-            let at_s = fault.at_s + fault.figure * number as f64 / all as f64;
+            let at_s = fault.at_s + fault.value * number as f64 / all as f64;
             at(at_s, Event::RestartDispatcher(number))
         })
         .collect()
 }
 
 fn replacements(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
-    (0..(fault.figure as usize).min(plan.workers))
+    (0..(fault.value as usize).min(plan.workers))
         .map(|worker| {
             let at_s = fault.at_s + REPLACE_INTERVAL_S * worker as f64;
             at(at_s, Event::ReplaceWorker(worker))
@@ -136,15 +138,15 @@
     let members = plan.quorum_members().into_iter().enumerate();
     members
         .map(|(n, number)| {
-            let at_s = fault.at_s + fault.figure * n as f64;
+            let at_s = fault.at_s + fault.value * n as f64;
             at(at_s, Event::KillDispatcher(number))
         })
         .collect()
 }
 
-/// What a fault comes to.
+/// Returns the events of a fault.
 fn fault_events(plan: &Plan, fault: &Fault) -> Vec<TimedEvent> {
-    let place = fault.figure as usize;
+    let place = fault.value as usize;
     let end_s = fault.at_s + fault.duration_s;
     match fault.kind {
         FaultKind::Restart => restarts(plan, fault),
@@ -169,7 +171,7 @@
 }
 
 impl Fleet {
-    /// Carries out all events up to this second.
+    /// Applies all events that are due.
     pub(super) fn apply_due(
         &mut self,
         queue: &mut EventQueue,
@@ -183,7 +185,7 @@
         Ok(())
     }
 
-    /// Carries out what faults were to do after the measured time, so that the fleet becomes complete again.
+    /// Applies the fault events that are due after the measured time, so that the fleet becomes complete again.
     pub(super) fn apply_remaining_faults(
         &mut self,
         queue: &mut EventQueue,
@@ -209,8 +211,8 @@
                 *share = if *share == 1.0 { CHANGED_SHARE } else { 1.0 }.into();
                 self.publish(&[worker])
             }
-            Event::Lose(casualties) => self.lose(&casualties),
-            Event::Recover(casualties) => self.recover(&casualties),
+            Event::Lose(affected) => self.lose(&affected),
+            Event::Recover(affected) => self.recover(&affected),
             Event::BeginPartition => {
                 self.relay.partition_regions(Some(PARTITION));
                 let Partition { one, other } = PARTITION;
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Publishes what is now known of these workers.
+    /// Publishes the current endpoints of these workers.
     fn publish(&mut self, workers: &[usize]) -> Result<(), TestbedError> {
         let changed: Vec<Value> = workers
             .iter()
@@ -235,7 +237,7 @@
             .send(&format!("change {}", Value::from(changed)))
     }
 
-    /// Replaces a worker by a cold one, and does not publish it.
+    /// Replaces a worker by a new one that has to warm up, without publishing it.
     fn replace_worker(&mut self, worker: usize) -> Result<(), TestbedError> {
         self.workers.send(&format!("replace {worker}"))?;
         let endpoint = &mut self.endpoints[worker];
@@ -244,23 +246,23 @@
         Ok(())
     }
 
-    fn lose(&mut self, casualties: &Casualties) -> Result<(), TestbedError> {
-        for number in &casualties.dispatchers {
+    fn lose(&mut self, affected: &AffectedPeers) -> Result<(), TestbedError> {
+        for number in &affected.dispatchers {
             self.kill(*number)?;
         }
-        for worker in &casualties.workers {
+        for worker in &affected.workers {
             self.workers.send(&format!("lose {worker}"))?;
             self.endpoints[*worker]["health"] = "gone".into();
         }
-        self.publish(&casualties.workers)
+        self.publish(&affected.workers)
     }
 
-    fn recover(&mut self, casualties: &Casualties) -> Result<(), TestbedError> {
-        for worker in &casualties.workers {
+    fn recover(&mut self, affected: &AffectedPeers) -> Result<(), TestbedError> {
+        for worker in &affected.workers {
             self.replace_worker(*worker)?;
         }
-        self.publish(&casualties.workers)?;
-        let mut dispatchers = casualties.dispatchers.iter();
+        self.publish(&affected.workers)?;
+        let mut dispatchers = affected.dispatchers.iter();
         dispatchers.try_for_each(|number| self.start_again(*number))
     }
 }
--- a/crates/cluster-testbed/src/scale/fleet/files.rs
+++ b/crates/cluster-testbed/src/scale/fleet/files.rs
@@ -1,4 +1,4 @@
-//! The files of dispatchers, as an operator would write them.
+//! Writes the configuration files of dispatchers, in the form that operators use.
 use super::{Fleet, SLOW_START};
 use crate::error::TestbedError;
 use crate::scale::plan::EndpointLists;
@@ -7,16 +7,16 @@
 use serde_json::{Value, json};
 
 const MAX_SOCKETS: usize = 4_096;
-/// How many dispatchers the files name as seeds.
+/// Dispatchers that the cluster files name as seeds.
 const SEEDS: usize = 3;
-/// When urgent work is to have started.
+/// Latency objective of urgent requests: time until the start of execution.
 const URGENT_START_NS: u64 = 3_200_000_000;
-/// When other work is to have started.
-const USUAL_START_NS: u64 = 10_000_000_000;
+/// Latency objective of other requests.
+const NON_URGENT_START_NS: u64 = 10_000_000_000;
 const URGENT_VALUE: f64 = 5.0;
 
 impl Fleet {
-    /// Writes the files of one dispatcher, whose discovery is at this port.
+    /// Writes the files of one dispatcher, whose discovery listens on this loopback port.
     pub(super) fn write_files(
         &self,
         number: usize,
@@ -45,14 +45,14 @@
             EndpointLists::Pushed => "pushed",
         };
         let zones: Vec<String> = (0..ZONES).map(|zone| format!("z{zone}")).collect();
-        let teams: Vec<Value> = (0..plan.teams)
-            .map(|team| json!({"Name": format!("t{team}")}))
+        let tenants: Vec<Value> = (0..plan.tenants)
+            .map(|tenant| json!({"Name": format!("t{tenant}")}))
             .collect();
         settings["Me"] = number.into();
         settings["Siblings"] = plan.all_dispatchers().into();
         settings["RegistryMode"] = registry_mode.into();
         settings["Zones"] = zones.into();
-        settings["Parties"] = teams.into();
+        settings["Parties"] = tenants.into();
         settings["Bounds"]["Peers"] = plan.peer_load.into();
         settings["Contract"] = json!({
             "ColdFrom": SLOW_START.initial_share, "ColdNs": SLOW_START.duration.as_nanos() as u64,
@@ -63,7 +63,7 @@
         });
     }
 
-    /// Adds the urgent class, and sets the times of all.
+    /// Adds the urgent class, and sets the latency objectives and deadlines of all classes.
     fn apply_classes(&self, classes: &mut Value) {
         let Some(classes) = classes.as_array_mut() else {
             return;
@@ -72,15 +72,15 @@
         urgent["Name"] = "urgent".into();
         urgent["Value"] = URGENT_VALUE.into();
         classes.push(urgent);
-        let task_ns = (self.plan.task_s * 1e9) as u64;
+        let service_time_ns = (self.plan.service_time_s * 1e9) as u64;
         for class in classes {
             let start_ns = if class["Name"] == "urgent" {
                 URGENT_START_NS
             } else {
-                USUAL_START_NS
+                NON_URGENT_START_NS
             };
             class["SlaTimeNs"] = start_ns.into();
-            class["ExpiryNs"] = (3 * task_ns + 2 * start_ns).into();
+            class["ExpiryNs"] = (3 * service_time_ns + 2 * start_ns).into();
         }
     }
 
--- a/crates/cluster-testbed/src/scale/fleet/measure.rs
+++ b/crates/cluster-testbed/src/scale/fleet/measure.rs
@@ -1,11 +1,11 @@
-//! The measured time of a fleet: load, changes and faults, and what came of them.
+//! Runs the measured time of a fleet with load, list changes and faults, and collects the measurement.
 use super::Fleet;
 use super::costs::RoleCosts;
 use super::events::EventQueue;
 use crate::error::TestbedError;
 use crate::scale::Measurement;
 use crate::scale::discovery::DiscoveryReport;
-use crate::scale::load::{self, LoadConfig, LoadTally};
+use crate::scale::load::{self, LoadConfig, LoadTotals};
 use crate::scale::plan::Plan;
 use crate::scale::workers::WorkersReport;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest time within which the tasks that run at the start are sent.
+/// Maximum time over which the requests that run from the start are sent.
 const MAX_FILL_S: f64 = 4.0;
 const START_POLL: Duration = Duration::from_millis(2);
-/// How often the fleet is looked at while no dispatcher is on its way down or up.
+/// Poll interval while no dispatcher is starting or shutting down.
 const IDLE_POLL: Duration = Duration::from_millis(200);
-/// How often it is looked at otherwise.
+/// Poll interval otherwise.
 const TRANSITION_POLL: Duration = Duration::from_millis(10);
 
 fn load_config(plan: &Plan) -> LoadConfig {
     let fill_s = if plan.starts > 0.0 {
-        (plan.task_s / 2.0).min(MAX_FILL_S)
+        (plan.service_time_s / 2.0).min(MAX_FILL_S)
     } else {
         0.0
     };
     LoadConfig {
-        starts_per_second: plan.starts,
-        task_duration: Duration::from_secs_f64(plan.task_s),
-        teams: plan.teams,
+        requests_per_second: plan.starts,
+        service_time: Duration::from_secs_f64(plan.service_time_s),
+        tenants: plan.tenants,
         urgent_share: plan.urgent_share,
-        initial_tasks: plan.initial_tasks(),
+        initial_requests: plan.initial_requests(),
         fill: Duration::from_secs_f64(fill_s),
         measured: Duration::from_secs_f64(plan.seconds),
-        timeout: Duration::from_secs_f64(3.0 * plan.task_s + 20.0),
+        timeout: Duration::from_secs_f64(3.0 * plan.service_time_s + 20.0),
         seed: plan.seed,
     }
 }
@@ -49,22 +49,22 @@
         self.discovery = costs.discovery;
     }
 
-    /// Sets what workers reported; the costs are set before.
+    /// Sets the results of workers. Requires that the costs have been set.
     fn set_workers_report(&mut self, report: &WorkersReport, seconds: f64) {
         let real_percent = self.dispatcher.cpu_percent * self.dispatcher.count as f64
             + self.quorum_member.cpu_percent * self.quorum_member.count as f64;
         self.cpu_us_per_start =
             real_percent / 100.0 * seconds * 1e6 / (report.started as f64).max(1.0);
-        self.usual = report.usual;
+        self.non_urgent = report.non_urgent;
         self.urgent = report.urgent;
         self.started = report.started;
         self.running = report.running;
         self.connects = report.connects;
-        self.worst_cold_window = report.worst_cold_window;
-        self.cold_workers = report.cold_workers;
+        self.worst_warm_up_window = report.worst_warm_up_window;
+        self.replaced_workers = report.replaced_workers;
     }
 
-    /// Sets what discovery reported; the costs are set before.
+    /// Sets the results of discovery. Requires that the costs have been set.
     fn set_discovery_report(&mut self, report: &DiscoveryReport, dispatchers: usize, seconds: f64) {
         let bytes = (report.bytes_in + report.bytes_out) as f64;
         let bytes_per_dispatcher = bytes / dispatchers as f64 / seconds;
@@ -91,7 +91,7 @@
 }
 
 impl Fleet {
-    /// Runs the measured time, and says what came of it.
+    /// Runs the measured time and the recovery after it, and returns the measurement.
     pub(in crate::scale) fn measure(&mut self) -> Result<Measurement, TestbedError> {
         let load = self.start_load();
         self.workers.send("begin")?;
@@ -122,8 +122,8 @@
         Ok(measurement)
     }
 
-    /// Starts the load and waits until its measured time begins.
-    fn start_load(&self) -> thread::JoinHandle<LoadTally> {
+    /// Starts the load and waits until the measured time begins.
+    fn start_load(&self) -> thread::JoinHandle<LoadTotals> {
         let config = load_config(&self.plan);
         let addresses = self.client_addresses.clone();
         let measured = Arc::new(AtomicBool::new(false));
@@ -157,8 +157,8 @@
         Ok(())
     }
 
-    /// Waits until the fleet is complete again. Seconds from the last fault until all members agreed, where there are
-    /// faults and a cluster, otherwise 0.
+    /// Waits until the fleet is complete again. Returns the seconds from the last fault until all members agreed, or 0
+    /// without faults or without a cluster.
     fn wait_for_recovery(
         &mut self,
         queue: &mut EventQueue,
--- a/crates/cluster-testbed/src/scale/load/client.rs
+++ b/crates/cluster-testbed/src/scale/load/client.rs
@@ -1,5 +1,5 @@
-//! Sends requests over connections that are kept, and counts how they end.
-use super::LoadTally;
+//! Sends requests over reused connections and counts their outcomes.
+use super::LoadTotals;
 use super::schedule::PlannedRequest;
 use crate::scale::http::{MessageReader, unix_nanos};
 use crate::stubs::request;
@@ -10,23 +10,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Where clients reach each dispatcher, while it runs.
+/// Address of each dispatcher for clients, or `None` while it is not running.
 pub type ClientAddresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
-/// The classes that requests which are not urgent take in turn.
-const USUAL_CLASSES: [&str; 3] = ["thumb", "invoice", "charge"];
+/// Classes of non-urgent requests, assigned round robin.
+const NON_URGENT_CLASSES: [&str; 3] = ["thumb", "invoice", "charge"];
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
+    /// HTTP status of the response.
     Response(u16),
-    /// No connection, or one that ended without a response.
+    /// There was no connection, or it ended without a response.
     Lost,
-    /// Its dispatcher was not running.
+    /// The dispatcher was not running.
     DispatcherDown,
 }
 
-/// A connection whose last request has been answered.
+/// A reusable connection, whose last request has been answered.
 struct IdleConnection {
     address: SocketAddr,
     stream: Async<TcpStream>,
@@ -34,9 +35,9 @@
 
 pub(super) struct Clients {
     addresses: ClientAddresses,
-    /// By the number of the dispatcher.
+    /// Idle connections, by the number of the dispatcher.
     idle: RefCell<Vec<Vec<IdleConnection>>>,
-    tally: RefCell<LoadTally>,
+    totals: RefCell<LoadTotals>,
     timeout: Duration,
 }
 
@@ -49,16 +50,16 @@
         Clients {
             addresses,
             idle: RefCell::new((0..dispatchers).map(|_| Vec::new()).collect()),
-            tally: RefCell::default(),
+            totals: RefCell::default(),
             timeout,
         }
     }
 
-    pub(super) fn tally(&self) -> LoadTally {
-        *self.tally.borrow()
+    pub(super) fn totals(&self) -> LoadTotals {
+        *self.totals.borrow()
     }
 
-    /// Sends a request and waits for what comes of it.
+    /// Sends a request and waits for its outcome.
     pub(super) async fn send(&self, planned: &PlannedRequest) -> Outcome {
         let address = match self.addresses.lock() {
             Ok(addresses) => addresses.get(planned.dispatcher).copied().flatten(),
@@ -95,7 +96,7 @@
         let class = if planned.urgent {
             "urgent"
         } else {
-            USUAL_CLASSES[planned.serial as usize % USUAL_CLASSES.len()]
+            NON_URGENT_CLASSES[planned.serial as usize % NON_URGENT_CLASSES.len()]
         };
         let urgency = if planned.urgent { "urgent" } else { "usual" };
         let work_us = planned.work.as_micros();
@@ -103,32 +104,32 @@
         let id = format!("d{}-{}", planned.dispatcher, planned.serial);
         let headers = format!("Work-Hint: {work_us}\r\n");
         let text = request(&id, class, self.timeout.as_secs_f64(), &headers, &body);
-        text.replacen("Tenant: acme", &format!("Tenant: t{}", planned.team), 1)
+        text.replacen("Tenant: acme", &format!("Tenant: t{}", planned.tenant), 1)
     }
 
     pub(super) fn count_sent(&self, planned: &PlannedRequest) {
         if planned.measured {
-            self.tally.borrow_mut().requests += 1;
+            self.totals.borrow_mut().requests += 1;
         }
     }
 
     pub(super) fn count_outcome(&self, planned: &PlannedRequest, outcome: Outcome) {
-        let mut tally = self.tally.borrow_mut();
+        let mut totals = self.totals.borrow_mut();
         if outcome == Outcome::Response(200) {
-            tally.all_succeeded += 1;
+            totals.all_succeeded += 1;
         } else {
-            tally.all_failed += 1;
+            totals.all_failed += 1;
         }
         if !planned.measured {
             return;
         }
         match outcome {
-            Outcome::Response(200) => tally.succeeded += 1,
-            Outcome::Response(503 | 429) => tally.rejected += 1,
-            Outcome::Response(502 | 504) => tally.failed += 1,
-            Outcome::Response(_) => tally.other += 1,
-            Outcome::DispatcherDown => tally.down += 1,
-            Outcome::Lost => tally.lost += 1,
+            Outcome::Response(200) => totals.succeeded += 1,
+            Outcome::Response(503 | 429) => totals.rejected += 1,
+            Outcome::Response(502 | 504) => totals.failed += 1,
+            Outcome::Response(_) => totals.other += 1,
+            Outcome::DispatcherDown => totals.down += 1,
+            Outcome::Lost => totals.lost += 1,
         }
     }
 }
--- a/crates/cluster-testbed/src/scale/workers.rs
+++ b/crates/cluster-testbed/src/scale/workers.rs
@@ -1,6 +1,7 @@
-//! Simulated workers: any number of addresses in one process, each with slots, one queue in the order of arrival, and a
-//! slow start where it is new. The body of a request says how long it runs and when its client meant it to begin, as
-//! `MICROSECONDS UNIX_NANOSECONDS CLASS`. Its id begins with the number of the dispatcher, `dN-`, which gives the latency.
+//! Simulated workers: many in one process, each with a separate address, concurrency slots, one queue in order of arrival,
+//! and a slow start after a replacement. The body of a request has its service time, the time it was sent and its urgency, as
+//! `MICROSECONDS UNIX_NANOSECONDS URGENCY`. Its id begins with the number of the dispatcher, `dN-`, which determines the
+//! latency.
 mod report;
 mod request;
 
@@ -21,21 +22,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often a request that a partition holds back looks whether it has healed.
+/// Poll interval of a message that waits for the end of a partition.
 const PARTITION_POLL: Duration = Duration::from_millis(50);
-/// How often a connection looks whether its worker has been lost.
+/// Poll interval of a connection for the loss of its worker.
 const LOSS_POLL: Duration = Duration::from_millis(200);
 
-/// What the workers of a process are like.
+/// Configuration of the workers of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkersConfig {
-    /// How many workers.
+    /// Number of workers.
     pub count: usize,
-    /// How many requests each runs at once.
+    /// Concurrency slots per worker.
     pub slots: usize,
-    /// The latencies between zones.
+    /// Latencies between the zones of dispatchers and workers.
     pub latencies: Latencies,
-    /// How a new worker warms up.
+    /// Slow start of replaced workers.
     pub slow_start: SlowStart,
 }
 
@@ -49,8 +50,8 @@
     number: usize,
     free_slots: Receiver<()>,
     release_slot: Sender<()>,
-    started_cold: Cell<Option<Instant>>,
-    received_cold: RefCell<Vec<ReceivedWork>>,
+    warm_up_started: Cell<Option<Instant>>,
+    received_during_warm_up: RefCell<Vec<ReceivedWork>>,
     lost: Cell<bool>,
 }
 
@@ -64,22 +65,23 @@
             number,
             free_slots,
             release_slot,
-            started_cold: Cell::default(),
-            received_cold: RefCell::default(),
+            warm_up_started: Cell::default(),
+            received_during_warm_up: RefCell::default(),
             lost: Cell::default(),
         }
     }
 
-    /// Starts again, cold, at the same address.
+    /// Replaces the worker by a new one at the same address, which has to warm up.
     fn replace(&self) {
-        self.started_cold.set(Some(Instant::now()));
-        self.received_cold.borrow_mut().clear();
+        self.warm_up_started.set(Some(Instant::now()));
+        self.received_during_warm_up.borrow_mut().clear();
         self.lost.set(false);
     }
 
-    /// The most work of any window over what the worker bears in it.
-    fn worst_cold_window(&self, config: &WorkersConfig) -> f64 {
-        let Some(started) = self.started_cold.get() else {
+    /// Returns the largest ratio over all windows of the work received to the overload limit; 0 for a worker that was not
+    /// replaced.
+    fn worst_warm_up_window(&self, config: &WorkersConfig) -> f64 {
+        let Some(started) = self.warm_up_started.get() else {
             return 0.0;
         };
         let slow_start = &config.slow_start;
@@ -88,7 +90,7 @@
             let age = at.saturating_duration_since(started);
             warm_rate * slow_start.capacity_share(age) * slow_start.window.as_secs_f64()
         };
-        let received = self.received_cold.borrow();
+        let received = self.received_during_warm_up.borrow();
         let window_share = |at: Instant| {
             let within = received
                 .iter()
@@ -100,7 +102,7 @@
     }
 }
 
-/// A slot that a request has; free again when this is dropped.
+/// A concurrency slot in use by a request, which is released on drop.
 struct OccupiedSlot<'a> {
     release: &'a Sender<()>,
     recorder: &'a Recorder,
@@ -151,7 +153,7 @@
         self.recorder.change(|report| report.connections -= 1);
     }
 
-    /// Serves a connection until it ends.
+    /// Serves a connection until it is closed.
     async fn serve(&self, worker: &Worker, mut stream: Async<TcpStream>) -> Option<()> {
         let mut reader = MessageReader::default();
         let count_read = |count| {
@@ -178,10 +180,10 @@
             .between(zone(request.dispatcher), zone(worker.number));
         self.travel(worker, request, latency).await?;
         let slot = self.wait_for_slot(worker, request).await?;
-        let late_us = unix_nanos().saturating_sub(request.intended_start_unix_ns) / 1_000;
-        self.recorder.record_start(request.urgent, late_us);
+        let start_delay_us = unix_nanos().saturating_sub(request.sent_unix_ns) / 1_000;
+        self.recorder.record_start(request.urgent, start_delay_us);
         let duration = self.run_duration(worker, request);
-        // The dispatcher learns of the start one latency later.
+        // The response that reports the start arrives after the latency.
         Timer::after(latency.min(duration)).await;
         self.write(stream, &request.started_response()).await?;
         Timer::after(duration.saturating_sub(latency)).await;
@@ -191,8 +193,8 @@
         self.write(stream, &request.done_response()).await
     }
 
-    /// Waits for the latency, and for as long as a partition holds messages back, as a network does that heals later.
-    /// `None` where the worker is lost by then.
+    /// Waits for the latency, and until no partition separates the two zones, as retransmission delays messages until a
+    /// partition heals. `None` if the worker has been lost by then.
     async fn travel(&self, worker: &Worker, request: &Request, latency: Duration) -> Option<()> {
         Timer::after(latency).await;
         let (from, to) = (zone(request.dispatcher), zone(worker.number));
@@ -211,11 +213,14 @@
         worker: &'a Worker,
         request: &Request,
     ) -> Option<OccupiedSlot<'a>> {
-        if worker.started_cold.get().is_some() {
-            worker.received_cold.borrow_mut().push(ReceivedWork {
-                at: Instant::now(),
-                work_s: request.work.as_secs_f64(),
-            });
+        if worker.warm_up_started.get().is_some() {
+            worker
+                .received_during_warm_up
+                .borrow_mut()
+                .push(ReceivedWork {
+                    at: Instant::now(),
+                    work_s: request.work.as_secs_f64(),
+                });
         }
         self.recorder.change(|report| report.waiting += 1);
         let free = worker.free_slots.recv().await;
@@ -224,7 +229,7 @@
         self.recorder.change(|report| {
             report.started += 1;
             report.running += 1;
-            report.most_running = report.most_running.max(report.running);
+            report.max_running = report.max_running.max(report.running);
         });
         Some(OccupiedSlot {
             release: &worker.release_slot,
@@ -233,7 +238,7 @@
     }
 
     fn run_duration(&self, worker: &Worker, request: &Request) -> Duration {
-        let capacity_share = worker.started_cold.get().map_or(1.0, |started| {
+        let capacity_share = worker.warm_up_started.get().map_or(1.0, |started| {
             self.config.slow_start.capacity_share(started.elapsed())
         });
         Duration::from_secs_f64(request.work.as_secs_f64() / capacity_share)
@@ -268,20 +273,20 @@
         let worst = self
             .workers
             .iter()
-            .map(|worker| worker.worst_cold_window(&self.config));
+            .map(|worker| worker.worst_warm_up_window(&self.config));
         let cold = self
             .workers
             .iter()
-            .filter(|worker| worker.started_cold.get().is_some());
+            .filter(|worker| worker.warm_up_started.get().is_some());
         WorkersReport {
-            worst_cold_window: worst.fold(0.0, f64::max),
-            cold_workers: cold.count() as u64,
+            worst_warm_up_window: worst.fold(0.0, f64::max),
+            replaced_workers: cold.count() as u64,
             ..self.recorder.report()
         }
     }
 }
 
-/// Runs workers until standard input ends. The first line of output has their ports.
+/// Runs workers until standard input ends. The first line on standard output reports the port of each worker.
 pub fn run(config: WorkersConfig) -> Result<(), SimulationError> {
     let executor = Rc::new(LocalExecutor::new());
     let workers = Rc::new(Workers {
--- a/crates/cluster-testbed/src/scale/workers/report.rs
+++ b/crates/cluster-testbed/src/scale/workers/report.rs
@@ -1,26 +1,27 @@
-//! What the workers of a process count and measure.
+//! Counts and start times that the workers of a process record.
 use crate::scale::control::SimulationError;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 
-const MAX_LATE_US: u64 = 600_000_000;
+/// Upper bound of the histogram of start times: ten minutes.
+const MAX_START_DELAY_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Times to start of one class of work, in ms, from the moment at which its client meant it to begin.
+/// Times from the sending of a request by its client until its start, in milliseconds, over urgent or non-urgent requests.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct StartTimes {
-    /// How many started.
+    /// Number of requests that started.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50: f64,
-    /// The 90th percentile.
+    /// 90th percentile.
     pub p90: f64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99: f64,
-    /// The 99.9th percentile.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// Maximum.
     #[serde(rename = "most")]
     pub max: f64,
 }
@@ -39,21 +40,23 @@
     }
 }
 
-/// What the workers of a process did in the measured time.
+/// Statistics of the workers of a process over the measured time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WorkersReport {
-    /// Start times of work that is not urgent.
-    pub usual: StartTimes,
-    /// Start times of urgent work.
+    /// Times to start of non-urgent requests.
+    #[serde(rename = "usual")]
+    pub non_urgent: StartTimes,
+    /// Times to start of urgent requests.
     pub urgent: StartTimes,
-    /// Requests that began to run.
+    /// Requests that started.
     pub started: u64,
-    /// Requests that ran to their end.
+    /// Requests that completed.
     pub ended: u64,
-    /// Requests that run now.
+    /// Requests that are running now.
     pub running: u64,
-    /// The most requests that ran at once.
-    pub most_running: u64,
+    /// Maximum number of requests running at once.
+    #[serde(rename = "most_running")]
+    pub max_running: u64,
     /// Requests that are queued now.
     pub waiting: u64,
     /// Connections that are open now.
@@ -64,24 +67,24 @@
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
-    /// The most work in a window of any cold worker, over what it bears in it.
+    /// Largest ratio over all windows of a worker that warms up of the work received to the overload limit.
     #[serde(rename = "cold_worst")]
-    pub worst_cold_window: f64,
-    /// How many workers were replaced by cold ones.
+    pub worst_warm_up_window: f64,
+    /// Workers that were replaced and had to warm up.
     #[serde(rename = "cold")]
-    pub cold_workers: u64,
+    pub replaced_workers: u64,
 }
 
 fn histogram() -> Result<Histogram<u64>, SimulationError> {
     Ok(Histogram::new_with_bounds(
         1,
-        MAX_LATE_US,
+        MAX_START_DELAY_US,
         SIGNIFICANT_DIGITS,
     )?)
 }
 
 pub(super) struct Recorder {
-    usual: RefCell<Histogram<u64>>,
+    non_urgent: RefCell<Histogram<u64>>,
     urgent: RefCell<Histogram<u64>>,
     report: RefCell<WorkersReport>,
 }
@@ -89,7 +92,7 @@
 impl Recorder {
     pub(super) fn new() -> Result<Recorder, SimulationError> {
         Ok(Recorder {
-            usual: RefCell::new(histogram()?),
+            non_urgent: RefCell::new(histogram()?),
             urgent: RefCell::new(histogram()?),
             report: RefCell::default(),
         })
@@ -99,19 +102,23 @@
         change(&mut self.report.borrow_mut());
     }
 
-    pub(super) fn record_start(&self, urgent: bool, late_us: u64) {
-        let starts = if urgent { &self.urgent } else { &self.usual };
-        starts.borrow_mut().saturating_record(late_us.max(1));
+    pub(super) fn record_start(&self, urgent: bool, start_delay_us: u64) {
+        let starts = if urgent {
+            &self.urgent
+        } else {
+            &self.non_urgent
+        };
+        starts.borrow_mut().saturating_record(start_delay_us.max(1));
     }
 
-    /// Starts the measured time: only what goes on now is kept.
+    /// Starts the measured time: resets all statistics except the current state.
     pub(super) fn reset(&self) -> Result<(), SimulationError> {
-        *self.usual.borrow_mut() = histogram()?;
+        *self.non_urgent.borrow_mut() = histogram()?;
         *self.urgent.borrow_mut() = histogram()?;
         self.change(|report| {
             *report = WorkersReport {
                 running: report.running,
-                most_running: report.running,
+                max_running: report.running,
                 waiting: report.waiting,
                 connections: report.connections,
                 ..WorkersReport::default()
@@ -122,7 +129,7 @@
 
     pub(super) fn report(&self) -> WorkersReport {
         WorkersReport {
-            usual: StartTimes::from(&*self.usual.borrow()),
+            non_urgent: StartTimes::from(&*self.non_urgent.borrow()),
             urgent: StartTimes::from(&*self.urgent.borrow()),
             ..self.report.borrow().clone()
         }
--- a/crates/cluster-testbed/src/scale/workers/request.rs
+++ b/crates/cluster-testbed/src/scale/workers/request.rs
@@ -1,4 +1,4 @@
-//! What workers read of a request, and their responses.
+//! Parsing of requests by workers, and their responses.
 use crate::stubs::header_field;
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 pub(super) struct Request {
     id: String,
     pub(super) dispatcher: usize,
-    /// How long it runs in one slot of a warm worker.
+    /// Service time in one slot of a worker that has warmed up.
     pub(super) work: Duration,
-    /// When its client meant it to begin.
-    pub(super) intended_start_unix_ns: u64,
+    /// Time at which the client sent the request.
+    pub(super) sent_unix_ns: u64,
     pub(super) urgent: bool,
 }
 
@@ -21,12 +21,12 @@
         let dispatcher = id.strip_prefix('d')?.split_once('-')?.0.parse().ok()?;
         let mut words = body.split(' ');
         let work = Duration::from_micros(words.next()?.parse().ok()?);
-        let intended_start_unix_ns = words.next()?.parse().ok()?;
+        let sent_unix_ns = words.next()?.parse().ok()?;
         Some(Request {
             id,
             dispatcher,
             work,
-            intended_start_unix_ns,
+            sent_unix_ns,
             urgent: words.next()? == "urgent",
         })
     }
--- a/crates/cluster-testbed/src/simulated.rs
+++ b/crates/cluster-testbed/src/simulated.rs
@@ -1,4 +1,4 @@
-//! The hidden commands of `scale`: processes that each stand for many peers.
+//! The hidden commands that `scale` starts: processes that each simulate many peers.
 use clap::Subcommand;
 use rosewall_cluster_testbed::error::TestbedError;
 use rosewall_cluster_testbed::scale;
@@ -10,12 +10,13 @@
 
 const MAX_LATENCY_MS: f64 = 10_000.0;
 
-/// What a process of simulated peers stands for.
+/// Role that a process of simulated peers has.
 #[derive(Subcommand)]
 pub enum SimulatedProcess {
     Workers {
         count: usize,
-        seats: usize,
+        #[arg(value_name = "SEATS")]
+        slots: usize,
         zone_ms: f64,
         zones_ms: f64,
         regions_ms: f64,
@@ -27,7 +28,8 @@
         folder: PathBuf,
         first: usize,
         last: usize,
-        apart_ms: u64,
+        #[arg(value_name = "APART_MS")]
+        start_interval_ms: u64,
     },
 }
 
@@ -36,7 +38,7 @@
 }
 
 impl SimulatedProcess {
-    /// Runs until the process that started this one ends it.
+    /// Runs until the parent process ends this one.
     pub fn run(&self) -> Result<(), TestbedError> {
         self.serve()
             .map_err(|source| TestbedError::SimulatedProcessEnded { source })
@@ -46,13 +48,13 @@
         match self {
             SimulatedProcess::Workers {
                 count,
-                seats,
+                slots,
                 zone_ms,
                 zones_ms,
                 regions_ms,
             } => scale::workers::run(WorkersConfig {
                 count: *count,
-                slots: *seats,
+                slots: *slots,
                 latencies: Latencies {
                     within_zone: latency(*zone_ms),
                     between_zones: latency(*zones_ms),
@@ -65,10 +67,10 @@
                 folder,
                 first,
                 last,
-                apart_ms,
+                start_interval_ms,
             } => {
                 let numbers: Vec<usize> = (*first..=*last).collect();
-                let interval = Duration::from_millis(*apart_ms);
+                let interval = Duration::from_millis(*start_interval_ms);
                 scale::dispatchers::run(folder, &numbers, interval)
             }
         }
