--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -33,16 +33,16 @@
     host: String,
     address: Option<SocketAddr>,
     /// Start time of the process as listed. Distinguishes a process from its predecessor.
-    born: Nanos,
+    started_at: Nanos,
     /// Start time of the process for slow start, by this dispatcher's clock.
-    started: Nanos,
+    slow_start_since: Nanos,
     state: EndpointState,
 }
 
 /// Address and state in a list entry, or the result of merging them with the known ones.
 struct EntryState {
     address: Option<SocketAddr>,
-    born: Nanos,
+    started_at: Nanos,
     state: EndpointState,
 }
 
@@ -50,10 +50,10 @@
     /// Merges an entry with the known state. An entry of an old list cannot replace the state of a
     /// process from a newer list by a less strict one.
     fn merge(&self, entry: EntryState, list_is_old: bool) -> EntryState {
-        if list_is_old && entry.born <= self.born {
+        if list_is_old && entry.started_at <= self.started_at {
             EntryState {
                 address: self.address.or(entry.address),
-                born: self.born,
+                started_at: self.started_at,
                 state: stricter(entry.state, self.state),
             }
         } else {
@@ -66,15 +66,15 @@
 
     /// Applies a merged entry. Returns true if idle connections may lead to a process that no
     /// longer runs.
-    fn update(&mut self, entry: EntryState, started: Nanos) -> bool {
-        let restarted = self.born != entry.born;
+    fn update(&mut self, entry: EntryState, slow_start_since: Nanos) -> bool {
+        let restarted = self.started_at != entry.started_at;
         let connections_are_stale =
             restarted || self.address != entry.address || entry.state == EndpointState::Removed;
         if restarted {
-            self.started = started;
+            self.slow_start_since = slow_start_since;
         }
         self.address = entry.address;
-        self.born = entry.born;
+        self.started_at = entry.started_at;
         self.state = entry.state;
         connections_are_stale
     }
@@ -172,12 +172,12 @@
         list_is_old: bool,
         update: &mut ListUpdate,
     ) -> bool {
-        let started = self.started(now, entry.started_at);
+        let slow_start_since = self.slow_start_since(now, entry.started_at);
         let known = self.workers.entry(worker).or_insert_with(|| KnownWorker {
             host: entry.host.clone(),
             address: entry.address,
-            born: entry.started_at,
-            started,
+            started_at: entry.started_at,
+            slow_start_since,
             state: entry.state,
         });
         if known.host != entry.host {
@@ -186,18 +186,18 @@
         }
         let listed = EntryState {
             address: entry.address,
-            born: entry.started_at,
+            started_at: entry.started_at,
             state: entry.state,
         };
         let merged = known.merge(listed, list_is_old);
-        if known.update(merged, started) {
+        if known.update(merged, slow_start_since) {
             update.stale_connections.push(worker);
         }
         log::debug!(
             "at={now} host={} listed {:?} born={}",
             known.host,
             known.state,
-            known.born
+            known.started_at
         );
         update.endpoints.push(Endpoint {
             worker,
@@ -205,7 +205,7 @@
             zone: entry.zone,
             worker_type: entry.worker_type,
             size: entry.size,
-            started: known.started,
+            started: known.slow_start_since,
             group: entry.group,
         });
         true
@@ -222,10 +222,10 @@
     /// Returns the start time for slow start of a process that is listed now. Where wall clocks
     /// differ, a clock that is ahead would end slow start too early. A process that may still be
     /// warming up therefore counts as started now.
-    fn started(&self, now: Nanos, born: Nanos) -> Nanos {
+    fn slow_start_since(&self, now: Nanos, started_at: Nanos) -> Nanos {
         match self.slow_start_over_after {
-            Some(over_after) if born > 0 && born + over_after > now => now,
-            _ => born,
+            Some(over_after) if started_at > 0 && started_at + over_after > now => now,
+            _ => started_at,
         }
     }
 
--- a/crates/engine/src/endpoints/tests.rs
+++ b/crates/engine/src/endpoints/tests.rs
@@ -6,7 +6,7 @@
 
 const SECOND: Nanos = 1_000_000_000;
 
-fn endpoint(host: &str, port: u16, state: EndpointState, born: Nanos) -> DiscoveredEndpoint {
+fn endpoint(host: &str, port: u16, state: EndpointState, started_at: Nanos) -> DiscoveredEndpoint {
     DiscoveredEndpoint {
         host: host.into(),
         address: Some(([127, 0, 0, 1], port).into()),
@@ -15,7 +15,7 @@
         worker_type: 0,
         group: 0,
         size: 1.0,
-        started_at: born,
+        started_at,
     }
 }
 
@@ -96,14 +96,14 @@
 #[test_case(EndpointState::Draining, 0, 61 => EndpointState::Ready; "lower versions are accepted after a minute")]
 fn an_old_list_does_not_make_a_draining_or_removed_worker_ready(
     known: EndpointState,
-    born: Nanos,
+    started_at: Nanos,
     after_seconds: u64,
 ) -> EndpointState {
     let mut table = EndpointTable::default();
     table.apply(0, delta(9, vec![endpoint("a", 1, known, 0)]));
     table.apply(SECOND, delta(3, Vec::new()));
 
-    let old_list = delta(4, vec![endpoint("a", 1, EndpointState::Ready, born)]);
+    let old_list = delta(4, vec![endpoint("a", 1, EndpointState::Ready, started_at)]);
     let update = table.apply(after_seconds * SECOND, old_list);
 
     update.endpoints[0].state
@@ -112,7 +112,7 @@
 #[test]
 fn an_old_list_does_not_restore_the_address_of_an_earlier_process() {
     let mut table = EndpointTable::default();
-    let ready = |port, born| vec![endpoint("a", port, EndpointState::Ready, born)];
+    let ready = |port, started_at| vec![endpoint("a", port, EndpointState::Ready, started_at)];
 
     table.apply(0, delta(9, ready(2, 5)));
     table.apply(0, delta(3, ready(1, 0)));
--- a/crates/engine/tests/behaviour_lock.rs
+++ b/crates/engine/tests/behaviour_lock.rs
@@ -456,7 +456,7 @@
                 2 => "unwell",
                 _ => "ready",
             };
-            let born = if self.below(9) == 0 {
+            let started_at_ms = if self.below(9) == 0 {
                 self.now / MILLISECOND
             } else {
                 0
@@ -464,7 +464,7 @@
             let (site, class) = (["a", "b", "c", "d"][at % 4], ["m1", "m2"][at % 2]);
             hosts.push(format!(
                 "{{\"host\":\"w{at}\",\"dial\":\"127.0.0.1:{}\",\"site\":\"{site}\",\"class\":\"{class}\",\
-                 \"block\":{},\"health\":\"{health}\",\"share\":{},\"born_ms\":{born}}}",
+                 \"block\":{},\"health\":\"{health}\",\"share\":{},\"born_ms\":{started_at_ms}}}",
                 9_000 + at,
                 at % 5,
                 1 + at % 3,
--- a/crates/runtime/src/worker/attempt.rs
+++ b/crates/runtime/src/worker/attempt.rs
@@ -170,10 +170,14 @@
     }
     let became_readable = async { stream.readable().await.is_ok() };
     let wait_elapsed = async {
-        let rest = idle_since.map_or(0, |since| {
+        let remaining_delay = idle_since.map_or(0, |since| {
             (since + REUSE_DELAY).saturating_sub(runtime.now())
         });
-        sleep(runtime, RESET_WAIT.max(Duration::from_nanos(rest))).await;
+        sleep(
+            runtime,
+            RESET_WAIT.max(Duration::from_nanos(remaining_delay)),
+        )
+        .await;
         false
     };
     // A worker answers only after the last byte. Anything readable earlier is the end of the
