--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -148,8 +148,8 @@
     ///
     /// # Errors
     ///
-    /// If a setting is missing, cannot be read or contradicts another. The error names the first one
-    /// found.
+    /// If a setting is missing, cannot be read or contradicts another. The error names the first
+    /// one found.
     pub fn validate(&self) -> Result<(), ConfigError> {
         Dispatcher::start(0, self.seed, &self.settings)?;
         self.validate_deadlines()?;
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -219,9 +219,10 @@
         }
     }
 
-    /// Returns the start time for slow start of a process that is listed now. Where wall clocks
-    /// differ, a clock that is ahead would end slow start too early. A process that may still be
-    /// warming up therefore counts as started now.
+    /// Returns the start time for slow start of a process that is listed now. If wall clocks
+    /// differ, a dispatcher whose clock is ahead would end slow start too early. A process that may
+    /// still be warming up therefore counts as started now: it is only known to have started before
+    /// it was listed.
     fn slow_start_since(&self, now: Nanos, started_at: Nanos) -> Nanos {
         match self.slow_start_over_after {
             Some(over_after) if started_at > 0 && started_at + over_after > now => now,
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -64,7 +64,8 @@
     }
 
     /// Handles a worker's progress report on an attempt. Ignores reports on attempts that are no
-    /// longer in flight.
+    /// longer in flight: an attempt may have been ended here, for example at its deadline, shortly
+    /// before its report arrives.
     pub(super) fn attempt_progressed(
         &mut self,
         now: Nanos,
@@ -150,7 +151,7 @@
             worker,
             address,
             host: host.to_string(),
-            // Connecting and answering may each take `connect_timeout`.
+            // `connect_timeout` for connecting and the same time for the answer.
             timeout: 2 * self.connect_timeout,
         });
     }
--- a/crates/engine/src/engine/interface.rs
+++ b/crates/engine/src/engine/interface.rs
@@ -5,7 +5,7 @@
 use rosewall_protocol::worker::AttemptProgress;
 use std::net::SocketAddr;
 
-/// Event outside the engine that it must handle.
+/// Event from outside the engine.
 pub enum Input {
     /// A complete request was read from a client.
     RequestArrived {
@@ -49,7 +49,7 @@
     },
     /// An endpoint list was received from discovery.
     EndpointList(EndpointList),
-    /// A watch on the endpoint list failed.
+    /// A watch on a polled endpoint list failed.
     EndpointListFailed,
     /// The program is shutting down; all requests must be answered by this time.
     ShutDown(Nanos),
@@ -101,7 +101,8 @@
         /// Index of the attempt within the request, from 0.
         attempt_index: u8,
     },
-    /// Release the connection of an ended attempt, which may be read until it can be reused.
+    /// Release the connection of an ended attempt. The rest of the answer may be read, which makes
+    /// the connection reusable.
     Finished {
         /// Request that the attempt belongs to.
         request_id: RequestId,
--- a/crates/log-stats/src/line.rs
+++ b/crates/log-stats/src/line.rs
@@ -1,5 +1,5 @@
-//! Parsing of the lines that the engine logs at debug level. Lines of versions up to 0.1 use other words, which only
-//! this module handles.
+//! Parsing of the lines that the engine logs at debug level. Lines of versions up to 0.1 use other
+//! words, which only this module handles.
 #[cfg(test)]
 mod tests;
 
--- a/crates/log-stats/src/main.rs
+++ b/crates/log-stats/src/main.rs
@@ -1,4 +1,5 @@
-//! Command line: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug` and prints statistics over them.
+//! Command line: reads the logs of a fleet that ran with `ROSEWALL_LOG=debug` and prints statistics
+//! over them.
 use clap::Parser;
 use rosewall_log_stats::Statistics;
 use std::path::PathBuf;
--- a/crates/log-stats/src/statistics.rs
+++ b/crates/log-stats/src/statistics.rs
@@ -22,7 +22,8 @@
     started_at: UnixNanos,
 }
 
-/// Totals over the debug logs of many dispatchers. Displays as one table by second and one by worker.
+/// Totals over the debug logs of many dispatchers. Displays as one table by second and one by
+/// worker.
 #[derive(Default)]
 pub struct Statistics {
     warm_up_nanos: UnixNanos,
--- a/crates/protocol/src/worker/health_check.rs
+++ b/crates/protocol/src/worker/health_check.rs
@@ -24,7 +24,7 @@
 /// Result of a health check.
 #[derive(Debug)]
 pub struct HealthCheckResult {
-    /// Outcome according to the status of the answer.
+    /// Outcome according to the status of the answer; `ConnectionLost` if the answer is malformed.
     pub outcome: Outcome,
     /// Load report; empty if the worker sent none or an incomplete one.
     pub report: Report,
--- a/crates/rosewalld/src/config_file.rs
+++ b/crates/rosewalld/src/config_file.rs
@@ -30,8 +30,8 @@
     Cluster(#[from] ClusterError),
 }
 
-/// Loads and validates the configuration file and the cluster file that it names. The limit on descriptors is the
-/// configured one or that of the system, whichever is lower.
+/// Loads and validates the configuration file and the cluster file that it names. The limit on
+/// descriptors is the configured one or that of the system, whichever is lower.
 ///
 /// # Errors
 /// Returns an error if a file cannot be read, or if a dispatcher could not start with its values.
--- a/crates/rosewalld/src/lib.rs
+++ b/crates/rosewalld/src/lib.rs
@@ -1,5 +1,5 @@
-//! Dispatcher daemon over TCP and UDP sockets. A library as well as a program, so that the testbed can run
-//! many dispatchers in one process.
+//! Dispatcher daemon over TCP and UDP sockets. A library as well as a program, so that the testbed
+//! can run many dispatchers in one process.
 //!
 //! - [`daemon`]: program start, signal handling and shutdown.
 //! - [`config_file`]: loading of the configuration file.
--- a/crates/rosewalld/src/logger.rs
+++ b/crates/rosewalld/src/logger.rs
@@ -1,5 +1,5 @@
-//! Logging to standard error. Each message is one line: seconds since program start, level and text. A separate
-//! thread writes the lines, so that a blocked standard error delays no request.
+//! Logging to standard error. Each message is one line: seconds since program start, level and
+//! text. A separate thread writes the lines, so that a blocked standard error delays no request.
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,7 +8,8 @@
 
 /// Environment variable that sets the log level.
 const LEVEL_VARIABLE: &str = "ROSEWALL_LOG";
-/// Maximum number of lines queued for the writer thread: more than a busy second produces, and under 100 KB.
+/// Maximum number of lines queued for the writer thread: more than a busy second produces, and
+/// under 100 KB.
 const MAX_QUEUED_LINES: usize = 512;
 /// Maximum wait at program end for the queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
@@ -34,8 +35,8 @@
         metadata.level() <= log::max_level()
     }
 
-    /// Queues a line without blocking. When the queue is full, the line is dropped and counted; the count is logged
-    /// ahead of the next line that can be queued.
+    /// Queues a line without blocking. When the queue is full, the line is dropped and counted; the
+    /// count is logged ahead of the next line that can be queued.
     fn log(&self, record: &Record) {
         if !self.enabled(record.metadata()) {
             return;
@@ -81,8 +82,8 @@
     }
 }
 
-/// Installs the logger at the level named by `ROSEWALL_LOG`, or at `info` if that is unset or invalid. Nothing is
-/// logged if the writer thread cannot be started.
+/// Installs the logger at the level named by `ROSEWALL_LOG`, or at `info` if that is unset or
+/// invalid. Nothing is logged if the writer thread cannot be started.
 pub fn start() {
     let (messages, queue) = sync_channel(MAX_QUEUED_LINES);
     let writer = std::thread::Builder::new()
--- a/crates/rosewalld/src/sockets.rs
+++ b/crates/rosewalld/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Runtime over sockets: async-io's reactor, an executor of one thread, and the system's monotonic clock, anchored
-//! to Unix time at program start.
+//! Runtime over sockets: async-io's reactor, an executor of one thread, and the system's monotonic
+//! clock, anchored to Unix time at program start.
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -86,8 +86,8 @@
 /// UDP socket that sends and receives datagrams, directly or through a relay.
 pub struct Datagrams {
     socket: Async<UdpSocket>,
-    /// Relay that forwards all datagrams; `None` for direct exchange. Each relayed datagram is prefixed with the
-    /// address of the remote side, in both directions.
+    /// Relay that forwards all datagrams; `None` for direct exchange. Each relayed datagram is
+    /// prefixed with the address of the remote side, in both directions.
     relay: Option<SocketAddr>,
 }
 
--- a/crates/runtime/src/client/connection.rs
+++ b/crates/runtime/src/client/connection.rs
@@ -34,7 +34,8 @@
 const LINGER_LIMIT: Duration = Duration::from_millis(500);
 /// The same limit for a rejected client, whose slot other clients wait for.
 const REJECTED_LINGER_LIMIT: Duration = Duration::from_millis(50);
-/// Maximum number of bytes that are read after the last answer: twice the size of a request.
+/// Maximum number of bytes that are read after the last answer: twice the maximum size of a
+/// request.
 const LINGER_MAX_BYTES: usize = 160 * 1024;
 /// Number of bytes beyond the buffers that are discarded before each pause: enough to detect within
 /// 0.3 s that a client with several MB in transit has disconnected, and so few that a client that
@@ -299,8 +300,9 @@
         Ok(())
     }
 
-    /// Acquires a slot for a client that has sent a request, if necessary from a client that has
-    /// sent none. Returns false if no slot becomes free in time.
+    /// Acquires a slot for a client that has sent a request. If necessary, closes an idle
+    /// connection, such as that of a client without a request past its grace time. Returns false if
+    /// no slot becomes free in time.
     async fn acquire_slot(&mut self) -> bool {
         let deadline = self.now() + nanos(SLOT_WAIT_LIMIT);
         loop {
@@ -364,9 +366,9 @@
         with_timeout(&self.context.runtime, WRITE_TIMEOUT, write).await
     }
 
-    /// Closes the connection after an answer. Bytes of the client are read for a moment longer,
-    /// unless the descriptor is needed: closing with unread bytes would send a reset, which may
-    /// overtake the answer.
+    /// Closes the connection after an answer. Reads and discards bytes of the client for a limited
+    /// time before, unless the descriptor is needed: closing with unread bytes would send a reset,
+    /// which may overtake the answer.
     async fn close_gracefully(&mut self) -> io::Result<()> {
         self.stream.shutdown_write()?;
         let (_registration, close) = self
--- a/crates/runtime/src/cluster.rs
+++ b/crates/runtime/src/cluster.rs
@@ -83,8 +83,8 @@
         self.with_cluster(|cluster, effects| cluster.request_grant(now, worker, work, effects));
     }
 
-    /// Sets the work that all dispatchers together may send to a worker that is warming up, per
-    /// window. Both are in nanoseconds, the work of one slot.
+    /// Sets the work that all dispatchers together may send to a worker that is warming up within
+    /// one `window`. `work` is in nanoseconds of one slot.
     pub fn set_warm_up_budget(&self, worker: WorkerId, work: Nanos, window: Nanos) {
         log::debug!("warm-up budget: worker={worker} work={work} window={window}");
         self.with_cluster(|cluster, _| cluster.set_warm_up_budget(worker, work, window));
--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -9,9 +9,9 @@
 
 /// Time limits for the steps of a watch, after which the path to the list counts as broken.
 ///
-/// The time from the moment at which a watch stops responding to the list that a new watch delivers
-/// must be less than 6 s, or less than 2 s past the wait of the request if that is later. After
-/// that time, this dispatcher is accountable for the changes that it missed.
+/// A new watch must deliver a list less than 6 s after the previous one stopped responding, or less
+/// than 2 s after the wait of that watch's request if that is later. After that time, this
+/// dispatcher is accountable for the changes that it missed.
 struct Timing {
     /// Maximum time that the service may wait for a change before it answers a watch, in
     /// milliseconds.
--- a/crates/runtime/src/event.rs
+++ b/crates/runtime/src/event.rs
@@ -60,7 +60,7 @@
     },
     /// The discovery service sent a snapshot or a delta of the endpoint list.
     EndpointList(EndpointList),
-    /// The watch on the endpoint list failed.
+    /// A watch on a polled endpoint list failed.
     WatchFailed,
     /// The dispatcher shuts down: all requests must be answered by this time.
     ShutDown(Nanos),
--- a/crates/runtime/src/peer_load.rs
+++ b/crates/runtime/src/peer_load.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 /// Maximum rate of datagrams in each direction; excess datagrams are dropped and counted. Ten times
-/// the load of a busy fleet of a hundred dispatchers.
+/// the rate of the busiest dispatcher in a fleet of a hundred.
 const MAX_DATAGRAMS_PER_SECOND: u64 = 5_000;
 
 /// Socket, peers and rate limit of one dispatcher.
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -18,7 +18,7 @@
 pub fn write(action: &Action, reply: &mut Reply) {
     match action {
         Action::SendAttempt { request_id, worker } => send_attempt(*request_id, *worker, reply),
-        // Defined by the protocol, although the decisions request no health checks.
+        // Defined by the protocol, although the policy requests no health checks.
         Action::CheckHealth { worker } => reply.record(
             action::CHECK_HEALTH,
             &[&worker.addr, &worker.port.to_le_bytes()],
@@ -33,7 +33,8 @@
         Action::Fail { request_id } => reply.record(action::FAIL, &[&request_id.to_le_bytes()]),
         Action::WatchEndpoints => reply.record(action::WATCH_ENDPOINTS, &[&[WATCH]]),
         Action::SendPeerLoad { to, load } => send_peer_load(*to, load, reply),
-        // The simulator's dispatchers are not members of a cluster, so these actions have no recipient.
+        // The simulator's dispatchers are not members of a cluster, so these actions have no
+        // recipient.
         Action::RequestWarmUpGrant { .. } | Action::SetWarmUpBudget { .. } => {}
         Action::SetTimer { at, token } => reply.record(
             action::SET_TIMER,
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -72,13 +72,15 @@
     }
 }
 
-/// Reads one batch into `buffer`. Returns `false` if the input ends before the first byte of a batch.
+/// Reads one batch into `buffer`. Returns `false` if the input ends before the first byte of a
+/// batch.
 pub fn read_batch(input: &mut impl Read, buffer: &mut Vec<u8>) -> Result<bool, AdapterError> {
     let Some(length) = read_length(input)? else {
         return Ok(false);
     };
     buffer.clear();
-    // The length is untrusted, so the buffer grows with the bytes received and is not reserved in advance.
+    // The length is untrusted, so the buffer grows with the bytes received and is not reserved in
+    // advance.
     let read = input
         .take(length.into())
         .read_to_end(buffer)
@@ -105,7 +107,8 @@
     Ok(Some(u32::from_le_bytes(bytes)))
 }
 
-/// Length in bytes of a reply's header: the number of records and the length of the remaining bytes.
+/// Length in bytes of a reply's header: the number of records and the length of the remaining
+/// bytes.
 const HEADER_LENGTH: usize = 8;
 
 /// Reply under construction. Its buffer is reused for the next reply.
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,5 +1,5 @@
-//! Record codes of the simulator's protocol. Events and actions use separate codes; each comment gives the name of the
-//! record in the protocol.
+//! Record codes of the simulator's protocol. Events and actions use separate codes; each comment
+//! gives the name of the record in the protocol.
 
 /// Codes of the records of a batch.
 pub mod event {
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -22,14 +22,14 @@
     Start {
         /// Seed of the instance's random numbers.
         seed: u64,
-        /// Settings of the instance, under the names that the decisions use.
+        /// Settings of the instance, under their internal names.
         settings: SettingsMap,
     },
     /// Stops the instance.
     Stop,
     /// Event for the instance.
     Event(Event),
-    /// Record of another protocol version, or without relevance to the decisions.
+    /// Record of another protocol version, or without relevance to the policy.
     Ignored,
 }
 
@@ -217,7 +217,8 @@
     }))
 }
 
-/// Decodes a message from a peer. Returns `None` for a message of another length, which comes from another version.
+/// Decodes a message from a peer. Returns `None` for a message of another length, which comes from
+/// another version.
 fn peer_load(fields: &mut Fields<'_>) -> Result<Option<Event>, FieldError> {
     let from = fields.u16()?;
     if fields.u16()? != PEER_LOAD_LENGTH {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs many dispatchers behind the simulator's binary protocol: reads batches of events from standard input and writes
-//! replies with the resulting actions to standard output. Makes no decisions of its own.
+//! Runs many dispatchers behind the simulator's binary protocol: reads batches of events from
+//! standard input and writes replies with the resulting actions to standard output. Contains no
+//! policy of its own.
 mod actions;
 mod codec;
 mod codes;
