--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -53,7 +53,7 @@
     clients_rejected,
     /// Complete requests accepted.
     requests,
-    /// Requests refused as malformed.
+    /// Requests refused as malformed or beyond a limit on size or memory.
     requests_malformed,
     /// Requests aborted because they were not complete in time.
     requests_incomplete,
@@ -71,9 +71,10 @@
     answers_undelivered,
     /// Attempts sent to workers.
     attempts,
-    /// Attempts written to a new connection.
+    /// Attempts for which the pool had no connection.
     attempts_on_new_connection,
-    /// Attempts written to a connection from the pool.
+    /// Attempts that started on a connection from the pool. If it fails before the last byte, a new
+    /// one replaces it.
     attempts_on_reused_connection,
     /// Attempts that the worker reported as started.
     attempts_started,
@@ -121,7 +122,7 @@
     member_datagrams_sent,
     /// Datagrams received from other members of the cluster.
     member_datagrams_received,
-    /// Datagrams to other members that could not be sent or exceeded the rate limit.
+    /// Datagrams to other members that could not be sent, and received ones beyond the rate limit.
     member_datagrams_lost,
     /// Warm-up grants requested.
     warm_up_grants_requested,
@@ -129,7 +130,8 @@
     warm_up_grants_received,
     /// Endpoint lists received and passed to the engine.
     lists,
-    /// Watches on the endpoint list that failed.
+    /// Watches on the endpoint list that failed, except time-outs after which the watch was reopened
+    /// at once.
     watches_failed,
     /// Endpoint lists ignored as malformed.
     lists_malformed,
