--- a/crates/cluster/src/peer_load.rs
+++ b/crates/cluster/src/peer_load.rs
@@ -1,7 +1,7 @@
 //! Reports between members on their load at each worker.
 //!
 //! Reports are batched for some ms, many to a datagram, each with its age. One member's reports that
-//! workers are silent count for a limited number of workers only.
+//! workers are unresponsive count for a limited number of workers only.
 use crate::datagram::Part;
 use crate::member::Name;
 use crate::quota::PerSecondQuota;
@@ -21,12 +21,11 @@
 const WORK_UNIT: Nanos = 16 * MILLISECOND;
 /// The maximum number of reports that one process sends per second: some 65 KB.
 const MAX_REPORTS_PER_SECOND: u64 = 5_000;
-/// The number of workers for which one member's reports of silence always count; more are allowed by
-/// [`MAX_SILENT_DIVISOR`]. A member that reports more silent workers has probably lost its own
-/// connection.
-const MAX_SILENT_WORKERS: usize = 2;
-/// One member's reports of silence count for up to one in this many of the workers it reports on.
-const MAX_SILENT_DIVISOR: usize = 4;
+/// The number of workers that one member may always report as unresponsive; more are allowed by
+/// [`MAX_UNRESPONSIVE_DIVISOR`]. A member that reports even more has probably lost its own connection.
+const MAX_UNRESPONSIVE_WORKERS: usize = 2;
+/// A member may report up to one in this many of the workers that it reports on as unresponsive.
+const MAX_UNRESPONSIVE_DIVISOR: usize = 4;
 /// A worker counts as one that a member reports on for this time after a report.
 const REPORT_RETENTION: Nanos = 10_000 * MILLISECOND;
 
@@ -115,7 +114,7 @@
 
 struct WorkerReport {
     received_at: Nanos,
-    silent: bool,
+    unresponsive: bool,
 }
 
 /// The latest reports of one member, by worker.
@@ -125,20 +124,23 @@
 }
 
 impl Reporter {
-    /// Records a report; returns the number of workers that the member reports as silent.
-    fn record(&mut self, now: Nanos, worker: WorkerId, silent: bool) -> usize {
+    /// Records a report; returns the number of workers that the member reports as unresponsive.
+    fn record(&mut self, now: Nanos, worker: WorkerId, unresponsive: bool) -> usize {
         self.workers
             .retain(|_, report| now < report.received_at + REPORT_RETENTION);
         let report = WorkerReport {
             received_at: now,
-            silent,
+            unresponsive,
         };
         self.workers.insert(worker, report);
-        self.workers.values().filter(|report| report.silent).count()
+        self.workers
+            .values()
+            .filter(|report| report.unresponsive)
+            .count()
     }
 
-    fn max_silent(&self) -> usize {
-        MAX_SILENT_WORKERS.max(self.workers.len() / MAX_SILENT_DIVISOR)
+    fn max_unresponsive(&self) -> usize {
+        MAX_UNRESPONSIVE_WORKERS.max(self.workers.len() / MAX_UNRESPONSIVE_DIVISOR)
     }
 }
 
@@ -146,7 +148,7 @@
 #[derive(Default)]
 pub struct LoadReceiver {
     reporters: BTreeMap<Name, Reporter>,
-    /// The number of reports of silence that were ignored.
+    /// The number of reports of unresponsive workers that were ignored.
     pub ignored_silence: u64,
 }
 
@@ -154,16 +156,16 @@
     /// Returns the adjusted report.
     ///
     /// The work that the worker is expected to have completed since the report is subtracted. Reports of
-    /// silence beyond the limit are changed to an unknown speed, since to a member whose own link is
-    /// down all workers are silent.
+    /// unresponsive workers beyond the limit are changed to an unknown speed, since to a member whose
+    /// own link is down all workers appear unresponsive.
     pub fn receive(&mut self, now: Nanos, from: &Name, mut load: PeerLoad, age: u8) -> PeerLoad {
         let completed = Nanos::from(age) * AGE_UNIT * Nanos::from(load.half_slots) / 2 / WORK_UNIT;
         load.work_units = load.work_units.saturating_sub(completed.min(65_535) as u16);
         let reporter = self.reporters.entry(from.clone()).or_default();
-        let silent = load.speed_code == PeerLoad::SPEED_UNRESPONSIVE;
-        let silent_workers = reporter.record(now, load.worker, silent);
-        if silent
-            && silent_workers > reporter.max_silent()
+        let unresponsive = load.speed_code == PeerLoad::SPEED_UNRESPONSIVE;
+        let unresponsive_workers = reporter.record(now, load.worker, unresponsive);
+        if unresponsive
+            && unresponsive_workers > reporter.max_unresponsive()
             && !is_active(Mutation::UnboundedSilenceReports)
         {
             self.ignored_silence += 1;
--- a/crates/cluster/src/peer_load/tests.rs
+++ b/crates/cluster/src/peer_load/tests.rs
@@ -1,4 +1,4 @@
-//! Batching of reports, the correction for their age, and the limit on reports of silence.
+//! Batching of reports, the correction for their age, and the limit on unresponsive workers.
 use super::*;
 
 fn load(worker: u8, work: u16) -> PeerLoad {
@@ -14,16 +14,16 @@
 }
 
 #[test]
-pub fn silence_reports_by_one_member_count_for_few_workers() {
+pub fn unresponsive_reports_by_one_member_count_for_few_workers() {
     let (mut receiver, name) = (LoadReceiver::default(), Name::from("n1"));
-    let silent = |worker: u8| PeerLoad {
+    let unresponsive = |worker: u8| PeerLoad {
         speed_code: PeerLoad::SPEED_UNRESPONSIVE,
         ..load(worker, 10)
     };
 
     let counted = (0..40)
         .filter(|worker| {
-            let load = receiver.receive(1, &name, silent(*worker), 0);
+            let load = receiver.receive(1, &name, unresponsive(*worker), 0);
             load.speed_code == PeerLoad::SPEED_UNRESPONSIVE
         })
         .count();
--- a/crates/cluster/src/register/tests.rs
+++ b/crates/cluster/src/register/tests.rs
@@ -65,7 +65,7 @@
 /// Run with `cargo test -p rosewall-cluster --release -- --ignored ten_thousand`.
 #[test]
 #[ignore = "takes minutes: run by the command above after changes to the register"]
-fn ten_thousand_random_schedules_violate_nothing() {
+fn ten_thousand_random_schedules_violate_no_invariant() {
     for seed in 0..10_000 {
         run_random_schedule(seed, replica_count_of(seed), 2_000);
     }
--- a/crates/cluster/src/simulated/tests/mutations.rs
+++ b/crates/cluster/src/simulated/tests/mutations.rs
@@ -27,7 +27,7 @@
         }
         Mutation::WrongRank => surviving_members_agree_within_three_seconds_after_kills(5, 1),
         Mutation::UnboundedSilenceReports => {
-            peer_load::tests::silence_reports_by_one_member_count_for_few_workers();
+            peer_load::tests::unresponsive_reports_by_one_member_count_for_few_workers();
         }
         _ => {
             for seed in 0..200 {
--- a/crates/cluster/tests/behaviour_lock.rs
+++ b/crates/cluster/tests/behaviour_lock.rs
@@ -114,12 +114,16 @@
         self.push(0, Event::Wake(at));
     }
 
-    fn act(&mut self, at: usize, act: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>)) {
+    fn with_cluster(
+        &mut self,
+        at: usize,
+        action: impl FnOnce(&mut Cluster, Nanos, &mut Vec<Effect>),
+    ) {
         let mut effects = Vec::new();
         let Some(cluster) = &mut self.clusters[at] else {
             return;
         };
-        act(cluster, self.now, &mut effects);
+        action(cluster, self.now, &mut effects);
         let next_timeout = cluster.next_timeout();
         self.push(
             next_timeout.saturating_sub(self.now) + 1_000,
@@ -209,14 +213,14 @@
         match below(&mut self.rng, 40) {
             0 => self.clusters[at] = None,
             1 => {
-                self.act(at, |cluster, _, effects| cluster.leave(effects));
+                self.with_cluster(at, |cluster, _, effects| cluster.leave(effects));
                 self.clusters[at] = None;
             }
             2..=4 if self.clusters[at].is_none() => self.start(at),
-            5..=14 => self.act(at, |cluster, now, effects| {
+            5..=14 => self.with_cluster(at, |cluster, now, effects| {
                 cluster.request_grant(now, id, work, effects)
             }),
-            15..=24 => self.act(at, |cluster, _, _| {
+            15..=24 => self.with_cluster(at, |cluster, _, _| {
                 cluster.set_warm_up_budget(id, 4 * SECOND, SECOND)
             }),
             _ => {
@@ -227,7 +231,7 @@
                     work_units: (work / (16 * MILLISECOND)) as u16,
                     speed_code: 130,
                 };
-                self.act(at, |cluster, now, _| cluster.send_load(now, to, load));
+                self.with_cluster(at, |cluster, now, _| cluster.send_load(now, to, load));
             }
         }
     }
@@ -240,14 +244,14 @@
             self.now = at;
             match event {
                 Event::Deliver { to, from, bytes } => {
-                    self.act(to, |cluster, now, effects| {
+                    self.with_cluster(to, |cluster, now, effects| {
                         cluster.handle_datagram(now, from, &bytes, effects)
                     });
                 }
                 Event::Wake(at) => {
                     let due = |cluster: &Cluster| cluster.next_timeout() <= self.now;
                     if self.clusters[at].as_ref().is_some_and(due) {
-                        self.act(at, |cluster, now, effects| {
+                        self.with_cluster(at, |cluster, now, effects| {
                             cluster.handle_timeout(now, effects)
                         });
                     }
@@ -358,13 +362,13 @@
         }
     }
 
-    fn act(
+    fn with_register(
         &mut self,
         at: usize,
-        act: impl FnOnce(&mut Register, Nanos, &mut Vec<register::Effect>),
+        action: impl FnOnce(&mut Register, Nanos, &mut Vec<register::Effect>),
     ) {
         let mut effects = Vec::new();
-        act(&mut self.registers[at], self.now, &mut effects);
+        action(&mut self.registers[at], self.now, &mut effects);
         for effect in effects {
             self.effects += 1;
             add_numbers(&mut self.digest, &[self.now, at as u64]);
@@ -380,18 +384,15 @@
                 add_message(digest, &message);
                 self.network.push((at as u8, to, message));
             }
-            register::Effect::Persist {
-                serial,
-                state: record,
-            } => {
+            register::Effect::Persist { serial, state } => {
                 add_numbers(digest, &[2, serial]);
-                add_ballot(digest, &record.promised);
-                if let Some(AcceptedValue { ballot, document }) = &record.accepted {
+                add_ballot(digest, &state.promised);
+                if let Some(AcceptedValue { ballot, document }) = &state.accepted {
                     add_ballot(digest, ballot);
                     add_document(digest, document);
                 }
-                add_document(digest, &record.committed);
-                self.writes.push((at, serial, record));
+                add_document(digest, &state.committed);
+                self.writes.push((at, serial, state));
             }
             register::Effect::Completed(outcome) => {
                 let numbers = match outcome {
@@ -416,7 +417,7 @@
                     .find_map(|register| register.document(&id));
                 if let Some(document) = found.cloned() {
                     let document = (*document).clone();
-                    self.act(at, |register, _, effects| {
+                    self.with_register(at, |register, _, effects| {
                         register.handle_fetched(id, document, effects);
                     });
                 }
@@ -439,7 +440,7 @@
             1..=4 => {
                 let based_on = self.registers[at].committed().version;
                 let text = format!("settings {number}");
-                self.act(at, |register, now, effects| {
+                self.with_register(at, |register, now, effects| {
                     register.propose(now, based_on, &text, effects)
                 });
             }
@@ -448,18 +449,18 @@
                 let (from, to, message) = self.network.swap_remove(index);
                 if below(&mut self.rng, 8) != 0 {
                     let to = usize::from(to);
-                    self.act(to, |register, now, effects| {
+                    self.with_register(to, |register, now, effects| {
                         register.handle_message(now, from, message, effects)
                     });
                 }
             }
             55..=89 if !self.writes.is_empty() => {
-                let (at, serial, record) = self.writes.remove(0);
+                let (at, serial, state) = self.writes.remove(0);
                 let succeeded = below(&mut self.rng, 30) != 0;
                 if succeeded {
-                    self.disks[at] = record;
+                    self.disks[at] = state;
                 }
-                self.act(at, |register, now, effects| {
+                self.with_register(at, |register, now, effects| {
                     register.handle_write_result(now, serial, succeeded, effects)
                 });
             }
@@ -468,7 +469,7 @@
                     .next_timeout()
                     .is_some_and(|due| due <= self.now)
                 {
-                    self.act(at, |register, now, effects| {
+                    self.with_register(at, |register, now, effects| {
                         register.handle_timeout(now, effects)
                     });
                 }
--- a/src/policy/subset/tests.rs
+++ b/src/policy/subset/tests.rs
@@ -83,7 +83,10 @@
 #[test_case(24, 9; "few workers")]
 #[test_case(50, 64; "fifty")]
 #[test_case(7, 3; "three workers")]
-fn dispatchers_of_two_workers_differ_by_one_at_most(dispatchers: u16, workers: u8) {
+fn the_numbers_of_dispatchers_of_any_two_workers_differ_by_at_most_one(
+    dispatchers: u16,
+    workers: u8,
+) {
     let mut count = vec![0; usize::from(workers)];
     for subset in subsets(dispatchers, workers) {
         let mut distinct = subset.clone();
