--- a/crates/cluster/src/cluster/effect.rs
+++ b/crates/cluster/src/cluster/effect.rs
@@ -13,7 +13,7 @@
         bytes: Vec<u8>,
     },
     /// Notify the dispatch decisions of this dispatcher's rank and the number of dispatchers; `None`
-    /// while it is not a member.
+    /// while this process is on standby or has never known another member.
     FleetView(Option<FleetPosition>),
     /// Notify the dispatch decisions of a warm-up grant, which may be used once.
     WarmUpGranted {
--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the rank and the number of dispatchers of the last [`Effect::FleetView`]; `None` while
-    /// this process is not a member.
+    /// this process is on standby or has never known another member.
     pub fn position(&self) -> Option<FleetPosition> {
         self.position
     }
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -57,7 +57,7 @@
         /// The missing key.
         key: &'static str,
     },
-    /// The quorum has a size other than 1, 3 or 5, or names a dispatcher twice.
+    /// The quorum is not empty and its size is not 1, 3 or 5, or it names a dispatcher twice.
     #[error(
         "{path}:{line}: keepers must name 1, 3 or 5 dispatchers, each once, got {count} different names"
     )]
--- a/crates/cluster/src/grants/issuer.rs
+++ b/crates/cluster/src/grants/issuer.rs
@@ -8,7 +8,7 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// The maximum validity of a grant. It is short, since the budget of a window also covers this part of
+/// The maximum validity of a grant. It is short, since the budget of a window also covers this much of
 /// the next window, and longer than a round trip between distant sites.
 const MAX_VALIDITY: Nanos = 100 * MILLISECOND;
 /// The number of answered requests of one process that are tracked to detect duplicates.
@@ -102,7 +102,7 @@
     /// Answers a request; returns `None` if nothing is granted.
     ///
     /// `lease_since` is the time since which this process has held the lease. Nothing is granted until
-    /// the grants of a previous holder must have expired.
+    /// the grants of a previous holder no longer count against the budget.
     pub fn issue(
         &mut self,
         now: Nanos,
@@ -144,8 +144,8 @@
         Some(GrantTerms { work, validity })
     }
 
-    /// Discards all issued grants after the loss of the lease. The next holder waits until these have
-    /// expired.
+    /// Discards all issued grants after the loss of the lease. The next holder waits until they no longer
+    /// count against the budget.
     pub fn clear(&mut self) {
         self.answered.clear();
         for budget in self.budgets.values_mut() {
--- a/crates/cluster/src/grants/mod.rs
+++ b/crates/cluster/src/grants/mod.rs
@@ -1,8 +1,8 @@
 //! Warm-up grants: permissions to send a stated amount of work to a warming worker within a short time.
 //!
 //! The lease holder issues grants ([`GrantIssuer`]) from the fleet-wide budget of a window, reduced by
-//! the work that it granted during the last window and validity of a grant. Therefore the work of no
-//! window exceeds the budget, regardless of when each grant is used; the budget of a lost grant stays
+//! the work that it granted during the last window plus the validity of a grant. So the work of no window
+//! exceeds the budget, regardless of when each grant is used; the budget of a lost grant stays
 //! unused until its window has passed. Every dispatcher requests and accepts grants ([`GrantHolder`]).
 mod holder;
 mod issuer;
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -11,8 +11,8 @@
 const GOSSIP_INTERVAL: Nanos = 100 * MILLISECOND;
 /// The number of random members that receive each gossip.
 const GOSSIP_FANOUT: usize = 3;
-/// The number of transmissions of an update, divided by the decimal logarithm of the number of
-/// members. At 20% loss an update misses one in a thousand members in less than one of a thousand
+/// An update is transmitted this many times the decimal logarithm of the number of members, which
+/// counts as at least 1. At 20% loss an update misses one in a thousand members in less than one of a thousand
 /// cases; anti-entropy repairs that.
 const RETRANSMIT_MULTIPLIER: f64 = 5.0;
 /// The maximum number of updates piggybacked on one datagram.
--- a/crates/cluster/src/membership/duplicate_name.rs
+++ b/crates/cluster/src/membership/duplicate_name.rs
@@ -20,7 +20,7 @@
     last_received_at: Nanos,
 }
 
-/// The standby state of this process; active while another process with its name is known.
+/// The standby state of this process; active while another process with this member's name is known.
 pub(super) struct Standby {
     other: Option<OtherProcess>,
     next_probe_at: Nanos,
--- a/crates/cluster/src/membership/probing.rs
+++ b/crates/cluster/src/membership/probing.rs
@@ -174,8 +174,8 @@
         });
     }
 
-    /// Returns the time between two probes. It is no shorter than a direct or indirect answer may
-    /// take; otherwise the faster probing during one suspicion would cause false ones.
+    /// Returns the time between two probes. While a member is suspected it is shorter, but no shorter
+    /// than a direct or indirect answer may take; otherwise one suspicion would cause others.
     fn period(&self, any_suspect: bool) -> Nanos {
         let full = PROBE_PERIOD * self.health_multiplier();
         let speedup = if any_suspect {
--- a/crates/cluster/src/membership/view.rs
+++ b/crates/cluster/src/membership/view.rs
@@ -7,7 +7,7 @@
 pub(super) struct ViewSummary {
     /// The number of running members, this one excluded.
     live_others: usize,
-    /// The sum of the digests of the other members' records, modulo 2^32.
+    /// The sum of the digests of the other running members' records, modulo 2^32.
     digest_sum: u32,
     /// Whether the view or a claimed rank has changed since [`Membership::take_view_changed`].
     changed: bool,
--- a/src/mutation.rs
+++ b/src/mutation.rs
@@ -54,9 +54,10 @@
     LeaseWithoutMajority,
     /// The duration of a lease starts at the reply instead of at the request.
     LeaseFromReply,
-    /// An issued grant is dropped after one window, though it may be used later.
+    /// An issued grant stops counting against the budget after one window, though it may be used later.
     ForgetIssuedGrant,
-    /// A new grant issuer does not wait for the grants of its predecessor to expire.
+    /// A new grant issuer does not wait until its predecessor's grants no longer count against the
+    /// budget.
     IssueWithoutHandoverWait,
     /// A duplicate grant request is granted again.
     GrantDuplicateRequest,
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -11,7 +11,8 @@
 use crate::timers::{attempt_of, attempt_timer};
 use crate::types::{Action, AttemptEnded, Nanos, Outcome, RequestId};
 
-/// A start is overdue after this multiple of the expected wait plus [`START_TOLERANCE`].
+/// A start is overdue after this multiple of the expected wait, plus the service time of a request
+/// that may be ahead, plus [`START_TOLERANCE`].
 const START_TOLERANCE_MULTIPLE: f64 = 1.5;
 
 /// Upper bound of the expected wait in the calculation of an overdue start, in nanoseconds.
@@ -20,7 +21,7 @@
 /// Time added to the tolerated wait for a start, in nanoseconds.
 const START_TOLERANCE: f64 = 0.3 * SECOND;
 
-/// Service times after which an attempt is overdue if workers do not report starts.
+/// Number of service times added to the tolerated wait if workers do not report starts.
 const UNREPORTED_SERVICE_TIMES: f64 = 2.0;
 
 /// A started attempt counts as an overrun after this multiple of its expected service time plus
@@ -47,8 +48,8 @@
 
 impl Worker {
     /// Adds the service-time factor of a completed request to the estimate. The first samples at a
-    /// warm worker weigh more. Samples at a warming worker weigh less, as it is slow because it is
-    /// warming up.
+    /// warm worker weigh more. Samples at a warming worker weigh less, as they are slow because of the
+    /// warm-up.
     fn observe_service_time_factor(&mut self, now: Nanos, factor: f64, is_warm: bool) {
         self.factor_samples = if is_warm {
             (self.factor_samples + 1.0).min(MAX_FACTOR_SAMPLES)
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -26,8 +26,8 @@
 const CONNECTION_WEIGHT: f64 = 0.6;
 pub(super) const UNRESPONSIVE_WEIGHT: f64 = 0.8;
 pub(super) const OVERRUN_WEIGHT: f64 = 0.15;
-/// Weight of an overdue start at a worker that has started other requests since. Such a worker is
-/// busy, not faulty.
+/// Weight of an overdue start at a worker that has started or completed other requests since the
+/// attempt was sent. Such a worker is busy, not faulty.
 pub(super) const BUSY_WEIGHT: f64 = 0.0;
 
 // Credits: each lowers the score by this fraction of itself.
--- a/src/policy/peer_load.rs
+++ b/src/policy/peer_load.rs
@@ -15,7 +15,8 @@
 /// mean request.
 const REPORT_TOLERANCE: f64 = 0.3;
 
-/// Maximum time between two reports of a load. The loss of one report does not let the load expire.
+/// Time after which the load at a worker in use is reported again, even if it has not changed. Less
+/// than half of the time after which peers let a report expire, so that one report may be lost.
 const REPORT_INTERVAL: Nanos = 4_000_000_000;
 
 /// Weight in the failure score of a peer's report that a worker is unresponsive.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -139,9 +139,9 @@
     }
 
     /// Returns the allowance by the rotation schedule. Dispatchers of neighbouring ranks use different
-    /// workers, so the `rotation_size` positions of the rotation cover all dispatchers that use this
-    /// worker. More dispatchers send at the same time as the worker warms up; the allowance of each
-    /// stays the same.
+    /// workers and share a position of the rotation, so its `rotation_size` positions cover all
+    /// dispatchers that use this worker. More dispatchers send at the same time as the worker warms up;
+    /// the allowance of each stays the same.
     fn scheduled_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpAllowance {
         let slow_start_factor = self.slow_start_factor(worker, now);
         let window = self.settings.overload_window.max(1.0);
@@ -245,8 +245,8 @@
     }
 
     /// Returns the reserved allowance at a warming worker. It belongs to the two dispatchers whose
-    /// configured ranks follow the worker's offset. It is 0 in the first window of a process, as an
-    /// earlier process may have used it.
+    /// configured ranks follow the worker's offset. It must not be used in the first window of a
+    /// process, as an earlier process of the dispatcher may have used it.
     fn reserved_allowance(&self, worker: &Worker, now: Nanos) -> WarmUpAllowance {
         let fraction = if self.has_fleet_view {
             RESERVED_FRACTION
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -108,8 +108,8 @@
 
     /// Returns the subset by rank, for dispatchers with a fleet view. The worker of a part advances
     /// from one rank to the next, so that the numbers of dispatchers of any two workers differ by at
-    /// most 1, and the subset depends on no rank but the own. An unreachable worker is replaced by
-    /// the next reachable one that is warm.
+    /// most 1, and the subset does not depend on the ranks of others. An unreachable worker is
+    /// replaced by the next reachable one that is warm.
     fn ranked_subset(&self, now: Nanos, eligible: &[usize], size: usize) -> Vec<usize> {
         let count = eligible.len();
         let is_reachable = |position: usize| !self.workers[eligible[position]].is_unreachable(now);
--- a/src/policy/worker_selection.rs
+++ b/src/policy/worker_selection.rs
@@ -256,8 +256,8 @@
             .attempts()
             .iter()
             .any(|attempt| attempt.worker == index);
-        // Own attempts count in addition to the wait, as other dispatchers observe the same state and
-        // send to the same worker.
+        // Own attempts are already part of the wait. They count again here, as other dispatchers
+        // observe the same state and send to the same worker.
         let own_load =
             (worker.remaining_work / estimate.slack + worker.slots_in_use) / worker.slots;
         let distance_cost = context.cost_per_position * distance as f64;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -215,7 +215,7 @@
     /// Fraction of its capacity that a worker has when it starts.
     pub(crate) slow_start_initial: f64,
     pub(crate) slow_start_duration: f64,
-    /// Multiple of its capacity above which a worker fails if it gets more within the overload window.
+    /// A worker fails if it gets more than this multiple of its capacity within the overload window.
     pub(crate) overload_multiple: f64,
     pub(crate) overload_window: f64,
     /// Whether the dispatcher has to poll the endpoint list.
--- a/src/start_delays.rs
+++ b/src/start_delays.rs
@@ -18,7 +18,8 @@
 /// last 7 to 20 attempts count.
 const LATE_WEIGHT: f64 = 0.05;
 
-/// Number of attempts that are retained. Earlier ones would have a weight below 0.001.
+/// Number of attempts that are retained. Earlier ones would have a weight below 0.001 in the mean
+/// delay.
 const MAX_RETAINED_ATTEMPTS: usize = 32;
 
 /// Upper bound of a delay as a fraction of the slack. No request with a longer expected wait is sent.
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -12,9 +12,11 @@
 /// State of a request. Transitions are defined by the state table in `policy::lifecycle`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestState {
-    /// No attempt is in flight, and none may have run.
+    /// No attempt is in flight. All earlier ones are known not to have run, or the request may run
+    /// more than once without harm.
     Pending,
-    /// One attempt is in flight. No earlier one may have run, or running it again is harmless.
+    /// One attempt is in flight. All earlier ones are known not to have run, or the request may run
+    /// more than once without harm.
     InFlight,
     /// No attempt is in flight; an earlier one may have run.
     PendingMayHaveRun,
@@ -49,9 +51,9 @@
     Nothing,
     /// The request is dispatched again.
     Redispatch,
-    /// The request is rejected: it did not run.
+    /// The request is answered as rejected, that is, as not run.
     Reject,
-    /// The request is answered as failed: it may have run.
+    /// The request is answered as failed, that is, as possibly run.
     Fail,
 }
 
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -71,7 +71,8 @@
     pub(crate) size: f64,
     /// Start time of the worker's process; 0 if it is long ago.
     pub(crate) started_at: Nanos,
-    /// Largest number of slots observed in use at once at workers of the same type.
+    /// Estimated number of slots: [`INITIAL_SLOTS`] at first, raised by the slots that workers of the
+    /// same type are observed to use at once or report as free.
     pub(crate) slots: f64,
     /// Ratio of actual to expected service time, from own requests and peers' reports.
     pub(crate) service_time_factor: f64,
@@ -83,8 +84,8 @@
     pub(crate) failure_score: FailureScore,
     /// Failure score of each request class, indexed by class.
     pub(crate) class_failure_scores: Vec<FailureScore>,
-    /// Whether an attempt has not started in time. The next start clears the flag and the failure
-    /// score.
+    /// Whether an attempt has not started in time, at a worker without any response since it was
+    /// sent. The next start clears the flag and the failure score.
     pub(crate) unresponsive: bool,
     /// Latest send time of the attempts that have started.
     pub(crate) latest_started_sent_at: Nanos,
@@ -163,8 +164,8 @@
     }
 
     /// Returns the expected wait of a new request for its start. Observations that are not repeated
-    /// converge to the fleet's means within about a second, which detects congestion of which each
-    /// dispatcher observes little.
+    /// converge to the fleet's means within about a second, so that congestion counts even if each
+    /// dispatcher observes little of it.
     pub(crate) fn expected_wait(&self, now: Nanos, slots_required: f64, fleet: FleetMeans) -> f64 {
         let others = fleet.other_slots
             + decay(
--- a/src/types.rs
+++ b/src/types.rs
@@ -159,8 +159,8 @@
     const SPEED_CODE_OF_ONE: f64 = 128.0;
     const SPEED_CODES_PER_OCTAVE: f64 = 32.0;
 
-    /// Creates a report of slots and of work in nanoseconds of one slot, rounded to the units of the
-    /// report.
+    /// Creates a report of slots and of work in nanoseconds of one slot. In the units of the report,
+    /// slots are rounded up and work is rounded down; larger values are limited to the maximum.
     pub fn new(worker: WorkerId, slots: f64, work: f64, speed_code: u8) -> Self {
         PeerLoad {
             worker,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Returns the speed code of a service-time factor, limited to 2 to 255.
+    /// Returns the speed code of a service-time factor, limited to the range from 2 to 255.
     pub fn encode_speed(service_time_factor: f64) -> u8 {
         (PeerLoad::SPEED_CODE_OF_ONE
             + PeerLoad::SPEED_CODES_PER_OCTAVE * service_time_factor.log2())
