--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -16,8 +16,8 @@
 pub const LEASE_DURATION: Nanos = 2_000 * MILLISECOND;
 /// Clock rates may be off by one part in this many: a hundred times the error of a quartz clock.
 const CLOCK_DRIFT_DIVISOR: Nanos = 100;
-/// The interval of lease requests. Two successive ones may be lost; the third is answered before the
-/// lease expires.
+/// The interval of lease requests. Three are sent before a lease expires, so two successive ones may be
+/// lost.
 const RENEW_INTERVAL: Nanos = LEASE_DURATION / 4;
 
 /// Returns a span on the local clock during which at least `span` passes on every other clock.
