--- a/crates/rosewalld/tests/daemon/connections.rs
+++ b/crates/rosewalld/tests/daemon/connections.rs
@@ -4,6 +4,10 @@
     Daemon, Discovery, StubResponse, Worker, configuration, endpoint_json, request, response_queue,
 };
 use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+/// A close by the worker becomes visible at the socket of the daemon only after a delay.
+const CLOSE_VISIBLE_AFTER: Duration = Duration::from_millis(100);
 
 #[test]
 fn connections_are_reused_on_both_sides() {
@@ -37,8 +41,10 @@
     while worker.closed_connections.load(Ordering::SeqCst) == 0 {
         std::thread::yield_now();
     }
+    std::thread::sleep(CLOSE_VISIBLE_AFTER);
     assert_eq!(daemon.client().exchange("two", "charge", 5.0).status, 200);
     assert_eq!(daemon.counter("pool_stale"), 1);
+    assert_eq!(worker.accepted_connections.load(Ordering::SeqCst), 2);
 }
 
 /// Some workers drop idle connections without notice. A request whose last byte has not been written did not run, and is
