--- a/crates/rosewalld/tests/daemon/shutdown.rs
+++ b/crates/rosewalld/tests/daemon/shutdown.rs
@@ -1,6 +1,23 @@
 //! Graceful shutdown at SIGTERM.
-use crate::start_fleet;
+use crate::{Fleet, start_fleet};
 use rosewall_cluster_testbed::stubs::{StubResponse, counter_in, request};
+use std::time::{Duration, Instant};
+
+const ATTEMPTS_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Waits until the workers have received this many requests. Each has then taken its response from the shared queue, so
+/// that a later request cannot take it.
+fn wait_for_attempts(fleet: &Fleet, count: usize) {
+    let deadline = Instant::now() + ATTEMPTS_TIMEOUT;
+    while fleet.attempts() < count {
+        assert!(
+            Instant::now() < deadline,
+            "the workers have received {} of {count} requests",
+            fleet.attempts()
+        );
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
 
 #[test]
 fn shutdown_answers_active_requests_and_closes_the_listener() {
@@ -17,12 +34,15 @@
     assert_eq!(idle.get("/healthz"), 200);
     soon.send(request("soon", "charge", 60.0, "", "x").as_bytes());
     fleet.daemon.wait_for_counter("attempts", 1);
+    wait_for_attempts(&fleet, 1);
     never.send(request("never", "charge", 60.0, "", "x").as_bytes());
     fleet.daemon.wait_for_counter("attempts", 2);
+    wait_for_attempts(&fleet, 2);
     // An attempt that times out is retried, but not at the end of the shutdown.
     let mut again = fleet.daemon.client();
     again.send(request("again", "thumb", 60.0, "", "x").as_bytes());
     fleet.daemon.wait_for_counter("attempts", 3);
+    wait_for_attempts(&fleet, 3);
     fleet.daemon.signal("TERM");
     let answer_of_soon = soon.read_response().unwrap();
     assert_eq!(
