--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -24,7 +24,8 @@
 use warm_up::WarmingWorker;
 pub use warm_up::WorkArrival;
 
-/// Tolerance on all time limits of the rules, for the latency of the network.
+/// Time by which an event may exceed a deadline, grace period or retry window, for the latency of
+/// the network.
 pub const SLACK: Nanos = 50 * MS;
 
 /// Maximum number of violations kept per simulation, as one fault often causes many of the same
@@ -44,7 +45,8 @@
     /// window, and rejected requests are safe to repeat.
     #[serde(rename = "effect")]
     Idempotency,
-    /// A draining or removed worker gets no new requests after the grace period.
+    /// A worker gets no new requests from a dispatcher to which it was never published, or after
+    /// the grace period of its draining or removal.
     Drain,
     /// A worker is not overloaded while it warms up.
     #[serde(rename = "cold")]
@@ -63,7 +65,7 @@
     /// A shutdown completes in time.
     #[serde(rename = "stop")]
     Shutdown,
-    /// The dispatcher neither panics nor runs without ever waiting.
+    /// A dispatcher starts, does not panic, and waits for an event within 200,000 task polls.
     Program,
 }
 
@@ -138,7 +140,8 @@
         self.killed_dispatchers.insert(host);
     }
 
-    /// Ends the simulation: reports each sent request that has not ended.
+    /// Ends each sent request that has not ended, and reports a violation if a response was
+    /// required.
     pub fn finish(&mut self, now: Nanos) {
         for request in 0..self.requests.len() {
             let record = &self.requests[request];
--- a/crates/simulation/src/checker/counts.rs
+++ b/crates/simulation/src/checker/counts.rs
@@ -12,25 +12,25 @@
     /// Requests rejected with status 503, which promises that a retry is safe.
     #[serde(rename = "declined")]
     pub rejected: u64,
-    /// Requests answered with any other status, without this promise.
+    /// Requests answered with any other status; of these only 429 gives this promise.
     #[serde(rename = "reversed")]
     pub failed: u64,
     /// Requests ended by a disconnect of the client.
     #[serde(rename = "left")]
     pub disconnected: u64,
-    /// Requests that ended without a response, where no rule required one or a violation was
-    /// reported.
+    /// Requests that ended without a response, either because no rule required one or with a
+    /// reported violation.
     #[serde(rename = "excused")]
     pub exempted: u64,
     /// Number of attempts that reached a worker.
     #[serde(rename = "postings")]
     pub attempts: u64,
-    /// Requests answered with a result before the deadline.
+    /// Requests answered with a result by the deadline plus [`SLACK`](super::SLACK).
     pub in_time: u64,
     /// Worker processes that got more than N + 2 * sqrt(N) + 2 requests of mean work within the
     /// overload window while warming up, at least two thirds of the work from dispatchers that had
-    /// been notified of the start. N is the number that the rules allow. The measure is the
-    /// operators' and separate from [`Rule::SlowStart`](super::Rule::SlowStart).
+    /// been notified of the start. N is the number that the rules allow. The operators defined this
+    /// measure; [`Rule::SlowStart`](super::Rule::SlowStart) has its own limit of 1.1 * N.
     #[serde(rename = "fell_by_root")]
     pub overloaded_workers: u64,
     /// Counts by class, in the order of the scenario.
@@ -42,6 +42,6 @@
 pub struct ClassCounts {
     /// Number of requests that clients created.
     pub requests: u64,
-    /// Requests answered with a result before the deadline.
+    /// Requests answered with a result by the deadline plus [`SLACK`](super::SLACK).
     pub in_time: u64,
 }
--- a/crates/simulation/src/checker/record.rs
+++ b/crates/simulation/src/checker/record.rs
@@ -15,8 +15,9 @@
     Answered(u16),
     /// The client disconnected.
     Disconnected,
-    /// The request got no response. Either no rule required one, or the violation has been
-    /// reported.
+    /// The request got no response. No rule requires one if the dispatcher was killed or never
+    /// accepted the request, the request was invalid, or the client does not read the response;
+    /// otherwise the violation has been reported.
     Exempted,
 }
 
--- a/crates/simulation/src/checker/responses.rs
+++ b/crates/simulation/src/checker/responses.rs
@@ -35,7 +35,7 @@
         self.end_if_active(now, request, Outcome::Disconnected);
     }
 
-    /// Ends a request that got no response without a violation.
+    /// Ends a request that got no response, and reports no violation.
     pub fn exempt(&mut self, now: Nanos, request: RequestIndex) {
         self.end_if_active(now, request, Outcome::Exempted);
     }
@@ -51,7 +51,7 @@
     }
 
     /// Checks the success of a second request with the same id, which is a violation unless the
-    /// first was rejected.
+    /// first was rejected: otherwise the first was still active or had been sent to a worker.
     pub fn reused_request_id_succeeded(&mut self, now: Nanos, request: RequestIndex) {
         if self.requests[request].outcome() != Some(Outcome::Answered(503)) {
             self.report_violation(
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Ends a request that got no complete response, and reports a violation unless none was
+    /// Ends a request that got no complete response, and reports a violation if a response was
     /// required.
     pub fn response_lost(&mut self, now: Nanos, request: RequestIndex, reason: &str) {
         let record = &self.requests[request];
--- a/crates/simulation/src/checker/tests.rs
+++ b/crates/simulation/src/checker/tests.rs
@@ -205,7 +205,7 @@
 #[test]
 fn an_invalid_request_that_reaches_a_worker_violates_a_rule() {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
-    let request = checker.request_created(0, WORK, Some("it has no id"));
+    let request = checker.request_created(0, WORK, Some("request id missing"));
 
     attempt(&mut checker, START, request, 0);
 
--- a/crates/simulation/src/checker/warm_up.rs
+++ b/crates/simulation/src/checker/warm_up.rs
@@ -5,7 +5,8 @@
 use rosewall::types::Nanos;
 use std::collections::VecDeque;
 
-/// Factor on the budget of a warming worker that is tolerated, as arrivals are random.
+/// Maximum work of a warming worker relative to its budget. A tenth above the budget is tolerated,
+/// as arrivals are random.
 const BUDGET_TOLERANCE: f64 = 1.1;
 
 /// Work that arrived within a sliding window.
@@ -132,7 +133,9 @@
             self.report_violation(
                 now,
                 Rule::SlowStart,
-                format!("worker {worker} is warming up and was sent {percent:.0}% of its limit"),
+                format!(
+                    "worker {worker} is overloaded while warming up; dispatchers notified of its start sent {percent:.0}% of its limit"
+                ),
             );
         }
         overloaded
--- a/crates/simulation/src/client.rs
+++ b/crates/simulation/src/client.rs
@@ -109,7 +109,7 @@
                 let clients = self.clone();
                 self.context.kernel.spawn(async move {
                     clients.context.kernel.sleep_until(ENVIRONMENT, at).await;
-                    // The client ends when its connection breaks.
+                    // The client ends when its connect fails or its connection breaks.
                     let _ = clients.misbehave(kind, dispatcher, rng).await;
                 });
             }
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Takes an idle connection, or opens a new one if none is idle; returns `None` if the connect
-    /// fails.
+    /// Takes the last stored connection, or opens a new one if there is none or it is no longer
+    /// idle; returns `None` if the connect fails.
     async fn idle_or_new_connection(&self, dispatcher: usize) -> Option<ClientConnection> {
         if let Some(connection) = self.idle_connections.borrow_mut()[dispatcher].pop()
             && connection.stream.readiness() == Readiness::Idle
--- a/crates/simulation/src/client/misbehaving.rs
+++ b/crates/simulation/src/client/misbehaving.rs
@@ -72,7 +72,8 @@
 }
 
 impl Clients {
-    /// Runs one client that breaks the protocol; returns `None` if its connection breaks.
+    /// Runs one client that breaks the protocol; returns `None` if its connect fails or its
+    /// connection breaks.
     pub(super) async fn misbehave(
         &self,
         kind: Misbehaviour,
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Simulated discovery: one agent per dispatcher, which receives changes with a delay and publishes
-//! them in the discovery protocol. Under a fault an agent does not answer, publishes incorrect
-//! or outdated lists, or moves to another address.
+//! them in the discovery protocol. Under a fault an agent does not answer at one or both of its two
+//! addresses, or publishes incorrect or outdated lists.
 mod faults;
 mod list;
 
@@ -24,7 +24,7 @@
 const LISTEN_BACKLOG: usize = 64;
 /// The upper bound of the `wait` parameter of a poll.
 const MAX_WAIT_MS: u64 = 60_000;
-/// The fraction of polls that are answered with a snapshot although a delta is possible.
+/// The fraction of polls that are answered with a snapshot, of those for which a delta is possible.
 const SNAPSHOT_SHARE: f64 = 0.2;
 /// A body that no dispatcher can parse.
 const MALFORMED_BODY: &str = "{\"seq\":9,\"whole\":true,\"hosts\":[{}]}";
@@ -299,7 +299,8 @@
         let VisibleList { list, faulty } = self.visible_list();
         let host = stream.peer();
         let malformed = kernel.now() < self.malformed_until.get();
-        // A delta requires a list without faults, and a version that is not newer than the list.
+        // A delta applies only to the list that the dispatcher has: the published list must be free
+        // of faults, and the dispatcher's version not newer.
         let needs_snapshot = faulty || poll.since.is_none_or(|since| since > list.version);
         let snapshot = needs_snapshot || kernel.random(|rng| rng.chance(SNAPSHOT_SHARE));
         let since = if snapshot { None } else { poll.since };
--- a/crates/simulation/src/kernel.rs
+++ b/crates/simulation/src/kernel.rs
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Records an event at the current time in the timeline; `a` and `b` are part of the digest,
-    /// `text` is not.
+    /// Records an event at the current time in the timeline. The time, the kind, `a` and `b` are
+    /// part of the digest, `text` is not.
     pub fn record(&self, event: TimelineEvent, a: u64, b: u64, text: impl FnOnce() -> String) {
         self.timeline
             .borrow_mut()
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,7 @@
 //! Deterministic simulation of dispatchers with network, clients, workers and discovery on a
 //! virtual clock. The dispatchers run the daemon's own code, drivers included; everything else is
 //! simulated. A checker with its own record of events reports violations of the rules. The same
-//! seed always gives the same simulation.
+//! scenario and seed always give the same simulation, byte for byte.
 
 pub mod checker;
 mod client;
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -1,4 +1,4 @@
-//! Mutation testing of the checker: searches a simulation that detects a given mutation of the
+//! Mutation testing of the checker: searches for a simulation that detects a given mutation of the
 //! dispatcher.
 use crate::checker::Rule;
 use crate::generate::generate;
--- a/crates/simulation/src/network/datagram.rs
+++ b/crates/simulation/src/network/datagram.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// The maximum number of datagrams queued at a socket; further ones are dropped. About the size of
-/// a socket buffer.
+/// The maximum number of datagrams queued at a socket; further ones are dropped. A socket buffer
+/// holds about as many.
 const MAX_QUEUED: usize = 200;
 
 /// Treatment of datagrams while no fault is active.
@@ -39,7 +39,7 @@
     from: SocketAddr,
 }
 
-/// A fault at some addresses: the time until which it is active at each.
+/// A datagram fault, with the time at which it ends for each affected address.
 #[derive(Default)]
 struct Outage(BTreeMap<SocketAddr, Nanos>);
 
--- a/crates/simulation/src/network/link.rs
+++ b/crates/simulation/src/network/link.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns the time at which the byte at this offset was written, or 0 if it was not written
-    /// yet.
+    /// yet. The result is correct only for bytes of the last 256 writes.
     pub fn written_at(&self, offset: u64) -> Nanos {
         let log = self.log.borrow();
         let index = log.partition_point(|write| write.end <= offset);
--- a/crates/simulation/src/network/listener.rs
+++ b/crates/simulation/src/network/listener.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// A listener at one address. Dropping it resets the connections in its backlog.
+/// A listener at one address. Dropping it closes it and resets the connections in its backlog.
 pub struct VirtualListener {
     network: Rc<Network>,
     host: HostId,
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -19,8 +19,8 @@
     /// Short description of the scenario; empty by default.
     #[serde(default)]
     pub name: String,
-    /// Seed of all random choices: latencies, partial reads and writes, arrivals, connections hit
-    /// by a fault.
+    /// Seed of all random choices: latencies, partial reads and writes, arrivals, and the requests,
+    /// connections or workers that a fault affects.
     pub seed: u64,
     /// Time during which clients send requests, in milliseconds.
     pub length_ms: u64,
@@ -174,8 +174,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Grace period in which a worker may still get new requests after it was published as
-    /// draining, in milliseconds.
+    /// Grace period in which a worker may still get new requests from a dispatcher after it was
+    /// published to that dispatcher as draining or removed, in milliseconds.
     #[serde(rename = "grace_ms")]
     pub drain_grace_ms: u64,
     /// Multiple of its current capacity that a worker may get within the overload window while it
@@ -285,8 +285,8 @@
     /// Speed factor of each slot; 1 by default.
     #[serde(default = "unit")]
     pub speed: f64,
-    /// Whether a queued request is dropped once its connection has closed. Otherwise all complete
-    /// requests execute.
+    /// Whether a queued request is dropped once its connection has closed. Otherwise each request
+    /// that was received completely executes.
     #[serde(default, rename = "drops_left")]
     pub cancels_queued: bool,
     /// Factor on `Limits::idle_ms` after which the worker closes idle connections; 1 by default.
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -57,8 +57,8 @@
     /// Changes during the fault reach a dispatcher late, by the duration.
     #[serde(rename = "list-late")]
     EndpointsDelayed,
-    /// A dispatcher gets the list, and its version, of the duration ago, and the current list again
-    /// after the duration.
+    /// A dispatcher gets the list, with its version, that was current one duration earlier. After
+    /// the duration it gets the current list again.
     #[serde(rename = "list-back")]
     EndpointsStale,
     /// A dispatcher's list omits the share of the workers for the duration.
--- a/crates/simulation/src/scenario/file.rs
+++ b/crates/simulation/src/scenario/file.rs
@@ -24,7 +24,7 @@
         #[source]
         problem: Problem,
     },
-    /// A value is invalid that the file does not contain.
+    /// A value that the file does not contain is invalid, such as a missing list.
     #[error("{0}")]
     Invalid(#[source] Problem),
     /// The scenario cannot be expressed as TOML.
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -43,7 +43,7 @@
         }
         if shrinker.smallest == before {
             return Scenario {
-                name: format!("shrunk from seed {}, violates {rule:?}", scenario.seed),
+                name: format!("shrunk from seed {}, breaks {rule:?}", scenario.seed),
                 ..before
             };
         }
@@ -64,7 +64,7 @@
             .any(|violation| violation.rule == self.rule)
     }
 
-    /// Accepts a candidate if it still violates the rule; returns whether it does.
+    /// Accepts a candidate if it still violates the rule; returns whether it was accepted.
     fn accept(&mut self, candidate: Scenario) -> bool {
         if !self.violates(&candidate) {
             return false;
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -216,7 +216,7 @@
             }
             self.run_until_idle();
         }
-        // Without a further event a timer advances the clock to `until`.
+        // A timer advances the clock to `until`, as no event may be scheduled for that time.
         kernel.spawn(kernel.sleep_until(ENVIRONMENT, until));
         self.run_until_idle();
         while kernel.next_event_at().is_some_and(|at| at <= until) {
--- a/crates/simulation/src/simulation/dispatchers.rs
+++ b/crates/simulation/src/simulation/dispatchers.rs
@@ -18,7 +18,8 @@
 /// The maximum drain time after the stop signal; requests drain for the longest deadline if that is
 /// shorter.
 pub(super) const MAX_SHUTDOWN_DRAIN: Nanos = 3_000 * MS;
-/// The time after the drain time at which the process is killed.
+/// The time after the drain time at which a process that still runs is ended, which violates
+/// [`Rule::Shutdown`].
 pub(super) const SHUTDOWN_MARGIN: Nanos = 700 * MS;
 
 const LISTEN_PORT: u16 = 3000;
@@ -118,7 +119,8 @@
         Ok(())
     }
 
-    /// Returns how far the wall clock of a dispatcher is ahead; the same at each start.
+    /// Returns how far the wall clock of a dispatcher is ahead of the virtual clock; the same at
+    /// each start.
     fn clock_offset(&self, dispatcher: usize) -> Nanos {
         let max_skew = self
             .scenario
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -102,7 +102,7 @@
     }
 
     /// Sends the new state of a worker to all agents, each after a random delay within
-    /// `notice_delay`.
+    /// `notice_delay` plus the additional delay of the agent.
     pub fn publish_endpoint(
         &self,
         worker: WorkerIndex,
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -37,8 +37,8 @@
 }
 
 impl Environment {
-    /// Waits for the time of a fault, injects it, and undoes it after its duration unless it ends by
-    /// itself.
+    /// Waits for the time of a fault, injects it, and undoes it after its duration unless it ends
+    /// by itself.
     pub async fn inject(self: Rc<Self>, fault: Fault) {
         let kernel = &self.context.kernel;
         kernel
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -22,8 +22,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The probability, while responses are malformed, that a worker answers before it has read a
-/// request.
+/// The probability, for each awaited request to which the fault of malformed responses applies,
+/// that a worker answers before it has read the request.
 const EARLY_RESPONSE_SHARE: f64 = 0.05;
 
 /// A fault that is active until a given time, and its extent.
--- a/crates/simulation/src/worker/execution.rs
+++ b/crates/simulation/src/worker/execution.rs
@@ -96,7 +96,8 @@
         self.reject(stream, &text).await
     }
 
-    /// Waits for a slot, runs the attempt and responds; returns `None` if the connection closed.
+    /// Waits for a slot, runs the attempt and responds, or rejects it if the queue is full. Returns
+    /// `None` if the connection closed, which does not stop a running attempt.
     pub async fn run(&self, stream: &mut VirtualStream) -> Option<Persistence> {
         let process = &self.process;
         if process.running.get() < process.spec.slots {
--- a/crates/simulation/tests/drawn_simulations.rs
+++ b/crates/simulation/tests/drawn_simulations.rs
@@ -67,7 +67,7 @@
 
 /// Guards against an overload of a warming worker that is smaller than the others of its type. Of
 /// eight workers with the same listed size, the warming one has the capacity of 1.6 slots and most
-/// others of 2.8 to 4, while budgets follow the lowest quartile of the type. Found among 20,000
+/// others of 2.8 to 4, while budgets follow the lower quartile of the type. Found among 20,000
 /// seeds.
 #[test]
 fn a_warming_worker_with_less_capacity_than_its_type_is_not_overloaded() {
