--- a/crates/simulation/src/checker/responses.rs
+++ b/crates/simulation/src/checker/responses.rs
@@ -142,9 +142,9 @@
     fn check_deadline(&mut self, now: Nanos, request: RequestIndex, status: u16) {
         let record = &self.requests[request];
         let class = record.class;
-        let late = record.deadline.saturating_add(SLACK);
-        if now > late {
-            let by = (now - late) as f64 / 1e6;
+        let limit = record.deadline.saturating_add(SLACK);
+        if now > limit {
+            let by = (now - limit) as f64 / 1e6;
             self.report_violation(
                 now,
                 Rule::Answer,
--- a/crates/simulation/src/checker/tests.rs
+++ b/crates/simulation/src/checker/tests.rs
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn an_attempt_after_the_client_disconnected_violates_a_rule() {
+fn an_attempt_sent_after_the_client_disconnected_violates_the_sent_after_end_rule() {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
     let request = sent_request(&mut checker);
     checker.client_disconnected(START, request);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_invalid_request_that_reaches_a_worker_violates_a_rule() {
+fn an_invalid_request_that_reaches_a_worker_violates_the_invalid_request_rule() {
     let mut checker = checker(Idempotency::Idempotent, RetryScope::All);
     let request = checker.request_created(0, WORK, Some("request id missing"));
 
@@ -224,7 +224,7 @@
     checker.endpoint_published(START, DISPATCHER, WORKER, published);
     // 4 times the initial capacity of 0.2 over a window of 2 s.
     let budget = 4.0 * 0.2 * (2_000 * MS) as f64;
-    let mut arrives = |work: f64| {
+    let mut overloads = |work: f64| {
         let arrival = WorkArrival {
             dispatcher: DISPATCHER,
             worker: WORKER,
@@ -234,8 +234,8 @@
         checker.work_arrived(START, &arrival)
     };
 
-    assert!(!arrives(budget));
-    assert!(arrives(budget));
+    assert!(!overloads(budget));
+    assert!(overloads(budget));
 
     assert_eq!(violated(&checker), [Rule::SlowStart]);
     assert_eq!(checker.counts().overloaded_workers, 1);
--- a/crates/simulation/src/checker/warm_up.rs
+++ b/crates/simulation/src/checker/warm_up.rs
@@ -116,9 +116,9 @@
         warming.all.push(now, arrival.work);
 
         let limit = budget * BUDGET_TOLERANCE;
-        let expected_requests = budget / self.mean_work.max(1.0);
+        let allowed_requests = budget / self.mean_work.max(1.0);
         let limit_with_deviation =
-            (expected_requests + 2.0 * expected_requests.sqrt() + 2.0) * self.mean_work;
+            (allowed_requests + 2.0 * allowed_requests.sqrt() + 2.0) * self.mean_work;
         let overloaded = warming.all.sum > limit;
         let at_fault = notified && warming.mostly_from_notified();
         let percent = warming.from_notified.sum / limit * 100.0;
