--- a/crates/simulation/src/checker/attempts.rs
+++ b/crates/simulation/src/checker/attempts.rs
@@ -71,7 +71,7 @@
     }
 
     /// Checks that the request had not ended and its deadline had not passed when the attempt was
-    /// sent.
+    /// sent. [`SLACK`] is tolerated, except for a rejected non-idempotent request.
     fn check_not_ended(&self, request: RequestIndex, origin: &AttemptOrigin) -> Option<Finding> {
         let record = &self.requests[request];
         let idempotency = self.classes[record.class].idempotency;
@@ -142,8 +142,8 @@
         Some((Rule::Idempotency, format!("request {request} {problem}")))
     }
 
-    /// Checks that the worker was published as ready to the dispatcher, or was within the grace
-    /// period after that.
+    /// Checks that the dispatcher's last published list has the worker as ready, or that the grace
+    /// period since the worker was published as not ready had not ended.
     fn check_endpoint(
         &self,
         request: RequestIndex,
--- a/crates/simulation/src/client/exchange.rs
+++ b/crates/simulation/src/client/exchange.rs
@@ -8,8 +8,8 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rosewall::types::Nanos;
 
-/// How long a client waits beyond the latest time that the rules allow, so that a late response is
-/// observed as late.
+/// Time for which a client waits beyond the latest time that the rules allow, so that a late
+/// response is observed as late.
 pub(super) const LATE_RESPONSE_WAIT: Nanos = 20 * MS;
 
 /// The fraction of requests with a large body.
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -215,8 +215,8 @@
             let removed = endpoint
                 .as_ref()
                 .is_none_or(|endpoint| endpoint.state == EndpointState::Removed);
-            // A snapshot omits removed workers, so it removes a worker only at a dispatcher that
-            // knows the worker.
+            // A snapshot omits removed workers, so it removes a worker only at a dispatcher to which
+            // the worker was published.
             if since.is_none() && removed && !checker.known_workers(host).contains(&worker) {
                 continue;
             }
--- a/crates/simulation/src/discovery/list.rs
+++ b/crates/simulation/src/discovery/list.rs
@@ -8,7 +8,7 @@
 /// The entry of one worker in an endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Whether the worker is ready, draining or removed.
+    /// Published state: ready, draining or removed.
     pub state: EndpointState,
     /// The listen address of the worker.
     pub address: SocketAddr,
--- a/crates/simulation/src/http.rs
+++ b/crates/simulation/src/http.rs
@@ -40,7 +40,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether the connection closes after this message.
+    /// Returns whether the connection closes after this message.
     pub fn closes_connection(&self) -> bool {
         self.field("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
--- a/crates/simulation/src/network/link.rs
+++ b/crates/simulation/src/network/link.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Whether neither side is open and nothing is in transit.
+    /// Returns whether neither side is open and nothing is in transit.
     pub fn is_done(&self) -> bool {
         let empty = |direction: &Direction| direction.in_transit.is_empty();
         self.open == [false; 2] && self.directions.iter().all(empty)
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -18,9 +18,9 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// The time until discovery detects the start of a process.
+/// The range of the time until discovery detects the start of a process.
 const START_NOTICE_DELAY: RangeInclusive<Nanos> = 5 * MS..=400 * MS;
-/// The time until discovery detects the end of a process.
+/// The range of the time until discovery detects the end of a process.
 const END_NOTICE_DELAY: RangeInclusive<Nanos> = 5 * MS..=800 * MS;
 
 /// The ports of the two addresses of a discovery agent.
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -13,9 +13,9 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// The time until discovery detects that a worker is draining.
+/// The range of the time until discovery detects that a worker is draining.
 const DRAIN_NOTICE_DELAY: RangeInclusive<Nanos> = 0..=300 * MS;
-/// The time until discovery detects that a host is lost.
+/// The range of the time until discovery detects that a host is lost.
 const HOST_LOST_NOTICE_DELAY: RangeInclusive<Nanos> = 500 * MS..=1500 * MS;
 /// The lowest descriptor limit to which a fault reduces a dispatcher.
 const MIN_DESCRIPTORS: usize = 64;
--- a/crates/simulation/src/simulation/runtime.rs
+++ b/crates/simulation/src/simulation/runtime.rs
@@ -16,7 +16,7 @@
     pub(super) executor: Weak<LocalExecutor<'static>>,
     /// Number of tasks of the dispatcher.
     pub(super) tasks: Rc<Cell<usize>>,
-    /// How far the dispatcher's wall clock is ahead of the virtual clock.
+    /// Time by which the dispatcher's wall clock is ahead of the virtual clock.
     pub(super) clock_offset: Nanos,
 }
 
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -37,7 +37,8 @@
 }
 
 impl FaultInterval {
-    /// Whether the fault affects the current event; random if it affects only a fraction of events.
+    /// Returns whether the fault affects the current event; random if it affects only a fraction of
+    /// events.
     fn affects_now(&self, kernel: &Kernel) -> bool {
         kernel.now() < self.until
             && (self.share >= 1.0 || kernel.random(|rng| rng.chance(self.share)))
@@ -174,7 +175,7 @@
         &self.spec
     }
 
-    /// Whether the process has not ended.
+    /// Returns whether the process has not ended.
     pub fn is_alive(&self) -> bool {
         self.alive.borrow().is_some()
     }
