--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -22,8 +22,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The probability, while responses are malformed, that a worker answers before it has read a
-/// request.
+/// The probability, for each awaited request to which the fault of malformed responses applies,
+/// that a worker answers before it has read the request.
 const EARLY_RESPONSE_SHARE: f64 = 0.05;
 
 /// A fault that is active until a given time, and its extent.
@@ -37,7 +37,8 @@
 }
 
 impl FaultInterval {
-    /// Whether the fault affects the current event; random if it affects only a fraction of events.
+    /// Returns whether the fault affects the current event; random if it affects only a fraction of
+    /// events.
     fn affects_now(&self, kernel: &Kernel) -> bool {
         kernel.now() < self.until
             && (self.share >= 1.0 || kernel.random(|rng| rng.chance(self.share)))
@@ -174,7 +175,7 @@
         &self.spec
     }
 
-    /// Whether the process has not ended.
+    /// Returns whether the process has not ended.
     pub fn is_alive(&self) -> bool {
         self.alive.borrow().is_some()
     }
