--- a/crates/cluster-testbed/src/scale/fleet/measure.rs
+++ b/crates/cluster-testbed/src/scale/fleet/measure.rs
@@ -60,7 +60,7 @@
         self.started = report.started;
         self.running = report.running;
         self.connects = report.connects;
-        self.worst_warm_up_window = report.worst_warm_up_window;
+        self.worst_window = report.worst_window;
         self.replaced_workers = report.replaced_workers;
     }
 
--- a/crates/cluster-testbed/src/scale/measurement.rs
+++ b/crates/cluster-testbed/src/scale/measurement.rs
@@ -100,7 +100,7 @@
     pub cpu_us_per_start: f64,
     /// Largest ratio over all windows of a worker that warms up of the work received to the overload limit.
     #[serde(rename = "cold_worst")]
-    pub worst_warm_up_window: f64,
+    pub worst_window: f64,
     /// Workers that were replaced and had to warm up.
     #[serde(rename = "cold")]
     pub replaced_workers: u64,
--- a/crates/cluster-testbed/src/scale/metrics.rs
+++ b/crates/cluster-testbed/src/scale/metrics.rs
@@ -31,7 +31,7 @@
     ("urgent_p99_ms", |m| m.urgent.p99),
     ("usual_p99_ms", |m| m.non_urgent.p99),
     ("failed", |m| unsuccessful_share(m)),
-    ("cold_worst", |m| m.worst_warm_up_window),
+    ("cold_worst", |m| m.worst_window),
     ("memory_mb", |m| m.memory_mb),
 ];
 
--- a/crates/cluster-testbed/src/scale/workers.rs
+++ b/crates/cluster-testbed/src/scale/workers.rs
@@ -50,8 +50,8 @@
     number: usize,
     free_slots: Receiver<()>,
     release_slot: Sender<()>,
-    warm_up_started: Cell<Option<Instant>>,
-    received_during_warm_up: RefCell<Vec<ReceivedWork>>,
+    warm_up_started_at: Cell<Option<Instant>>,
+    received_since_replacement: RefCell<Vec<ReceivedWork>>,
     lost: Cell<bool>,
 }
 
@@ -65,23 +65,23 @@
             number,
             free_slots,
             release_slot,
-            warm_up_started: Cell::default(),
-            received_during_warm_up: RefCell::default(),
+            warm_up_started_at: Cell::default(),
+            received_since_replacement: RefCell::default(),
             lost: Cell::default(),
         }
     }
 
     /// Replaces the worker by a new one at the same address, which has to warm up.
     fn replace(&self) {
-        self.warm_up_started.set(Some(Instant::now()));
-        self.received_during_warm_up.borrow_mut().clear();
+        self.warm_up_started_at.set(Some(Instant::now()));
+        self.received_since_replacement.borrow_mut().clear();
         self.lost.set(false);
     }
 
     /// Returns the largest ratio over all windows of the work received to the overload limit; 0 for a worker that was not
     /// replaced.
-    fn worst_warm_up_window(&self, config: &WorkersConfig) -> f64 {
-        let Some(started) = self.warm_up_started.get() else {
+    fn worst_window(&self, config: &WorkersConfig) -> f64 {
+        let Some(started) = self.warm_up_started_at.get() else {
             return 0.0;
         };
         let slow_start = &config.slow_start;
@@ -90,7 +90,7 @@
             let age = at.saturating_duration_since(started);
             warm_rate * slow_start.capacity_share(age) * slow_start.window.as_secs_f64()
         };
-        let received = self.received_during_warm_up.borrow();
+        let received = self.received_since_replacement.borrow();
         let window_share = |at: Instant| {
             let within = received
                 .iter()
@@ -213,9 +213,9 @@
         worker: &'a Worker,
         request: &Request,
     ) -> Option<OccupiedSlot<'a>> {
-        if worker.warm_up_started.get().is_some() {
+        if worker.warm_up_started_at.get().is_some() {
             worker
-                .received_during_warm_up
+                .received_since_replacement
                 .borrow_mut()
                 .push(ReceivedWork {
                     at: Instant::now(),
@@ -238,7 +238,7 @@
     }
 
     fn run_duration(&self, worker: &Worker, request: &Request) -> Duration {
-        let capacity_share = worker.warm_up_started.get().map_or(1.0, |started| {
+        let capacity_share = worker.warm_up_started_at.get().map_or(1.0, |started| {
             self.config.slow_start.capacity_share(started.elapsed())
         });
         Duration::from_secs_f64(request.work.as_secs_f64() / capacity_share)
@@ -273,14 +273,14 @@
         let worst = self
             .workers
             .iter()
-            .map(|worker| worker.worst_warm_up_window(&self.config));
-        let cold = self
+            .map(|worker| worker.worst_window(&self.config));
+        let replaced = self
             .workers
             .iter()
-            .filter(|worker| worker.warm_up_started.get().is_some());
+            .filter(|worker| worker.warm_up_started_at.get().is_some());
         WorkersReport {
-            worst_warm_up_window: worst.fold(0.0, f64::max),
-            replaced_workers: cold.count() as u64,
+            worst_window: worst.fold(0.0, f64::max),
+            replaced_workers: replaced.count() as u64,
             ..self.recorder.report()
         }
     }
--- a/crates/cluster-testbed/src/scale/workers/report.rs
+++ b/crates/cluster-testbed/src/scale/workers/report.rs
@@ -69,7 +69,7 @@
     pub bytes_out: u64,
     /// Largest ratio over all windows of a worker that warms up of the work received to the overload limit.
     #[serde(rename = "cold_worst")]
-    pub worst_warm_up_window: f64,
+    pub worst_window: f64,
     /// Workers that were replaced and had to warm up.
     #[serde(rename = "cold")]
     pub replaced_workers: u64,
--- a/crates/cluster-testbed/tests/scale.rs
+++ b/crates/cluster-testbed/tests/scale.rs
@@ -138,7 +138,7 @@
 #[test_case(0, 0 => 250; "one zone")]
 #[test_case(0, 2 => 1_000; "two zones of a region")]
 #[test_case(2, 3 => 40_000; "two regions")]
-fn latency_between_zones_in_us(one: usize, other: usize) -> u128 {
+fn latency_depends_on_zones_and_regions(one: usize, other: usize) -> u128 {
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
     Latencies {
         within_zone: ms(0.25),
@@ -171,7 +171,7 @@
 #[test_case(30 => vec![0, 3, 6, 1, 4]; "five, with at most two per region")]
 #[test_case(7 => vec![0, 3, 6, 1, 4]; "the smallest fleet with five")]
 #[test_case(4 => vec![0]; "one in a smaller fleet")]
-fn quorum_members_of_a_fleet(dispatchers: usize) -> Vec<usize> {
+fn fleet_has_five_quorum_members_or_one(dispatchers: usize) -> Vec<usize> {
     Plan {
         dispatchers,
         ..Plan::default()
--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -145,11 +145,11 @@
 
 #[test]
 fn rules_are_kept_as_dispatchers_restart_one_after_the_other() {
-    let rolls = (0..5).map(|at| Fault::new(1_000 + 1_600 * at as u64, FaultKind::Restart, [at]));
+    let restarts = (0..5).map(|at| Fault::new(1_000 + 1_600 * at as u64, FaultKind::Restart, [at]));
     run_without_violations(&scenario(
         5,
         10.0,
-        rolls
+        restarts
             .chain([Fault::add_workers(2_000, 1), Fault::add_workers(5_000, 1)])
             .collect(),
     ));
@@ -190,7 +190,7 @@
         report
             .violations
             .iter()
-            .any(|broken| broken.rule == Rule::SlowStart),
+            .any(|violation| violation.rule == Rule::SlowStart),
         "not found: {:?}",
         report.slow_start
     );
