--- a/crates/cluster-testbed/src/checker.rs
+++ b/crates/cluster-testbed/src/checker.rs
@@ -153,7 +153,7 @@
             if let Some(window) = overload {
                 let share = window.share_of_limit;
                 let description = format!(
-                    "worker {number} received {share:.2} of its overload limit while warming up"
+                    "worker {number} received {share:.2} times its overload limit in one window while warming up"
                 );
                 violations.push(self.violation(Rule::SlowStart, window.from, description));
             }
--- a/crates/cluster-testbed/src/checker/record.rs
+++ b/crates/cluster-testbed/src/checker/record.rs
@@ -53,7 +53,7 @@
 }
 
 impl Outage {
-    /// Whether this outage is of `dispatcher` and overlaps a time span.
+    /// Whether `dispatcher` was down in this outage at any moment of a time span.
     pub(super) fn overlaps(&self, dispatcher: usize, from: Instant, to: Instant) -> bool {
         self.dispatcher == dispatcher && self.from <= to && self.to.is_none_or(|end| end >= from)
     }
--- a/crates/cluster-testbed/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -71,7 +71,9 @@
         source: toml::de::Error,
     },
     /// A value of a scenario or plan is out of range.
-    #[error("RW-RIG-RANGE: {key} must be {allowed}, got {value}; change it in the scenario")]
+    #[error(
+        "RW-RIG-RANGE: {key} must be {allowed}, got {value}; change it in the scenario or on the command line"
+    )]
     OutOfRange {
         /// Key of the value in the scenario or plan.
         key: &'static str,
--- a/crates/cluster-testbed/src/scale/discovery/list.rs
+++ b/crates/cluster-testbed/src/scale/discovery/list.rs
@@ -28,7 +28,7 @@
     pub changes: u64,
     /// Followers that have sent a watch.
     pub followers: u64,
-    /// Milliseconds from a change until the last follower had applied it, mean over all changes.
+    /// Milliseconds from a change until the last follower had applied it, mean over the changes that all have applied.
     #[serde(rename = "taken_mean_ms")]
     pub applied_mean_ms: f64,
     /// Maximum of these times.
--- a/crates/cluster-testbed/src/scale/fleet/agreement.rs
+++ b/crates/cluster-testbed/src/scale/fleet/agreement.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Whether each view has this many members and a unique rank.
+/// Whether each view has this many members, and the ranks are 0, 1, 2 and so on, each once.
 fn all_agree(mut views: Vec<MembershipView>, members: usize) -> bool {
     views.sort_unstable();
     let mut ranked = views.iter().enumerate();
@@ -52,8 +52,8 @@
         Ok(views)
     }
 
-    /// Waits until all running dispatchers see exactly each other, with unique ranks; returns the seconds from `from` to
-    /// the first moment of stable agreement.
+    /// Waits until the view of each running dispatcher has as many members as run, with unique ranks; returns the seconds
+    /// from `from` to the first moment of stable agreement.
     pub(super) fn wait_for_agreement(&mut self, from: Instant) -> Result<f64, TestbedError> {
         let deadline = Instant::now() + AGREEMENT_TIMEOUT;
         let running = self.should_run.iter().filter(|up| **up).count();
--- a/crates/cluster-testbed/src/scale/fleet/events.rs
+++ b/crates/cluster-testbed/src/scale/fleet/events.rs
@@ -12,7 +12,7 @@
 const REPLACE_INTERVAL_S: f64 = 0.01;
 /// Step between the workers of consecutive list changes, which spreads the changes over workers.
 const CHANGE_STRIDE: usize = 7;
-/// Share of a worker after a list change; the next change sets it back to 1. The difference affects no decision.
+/// Share of a worker after a list change; its next change sets it back to 1. The difference affects no decision.
 const CHANGED_SHARE: f64 = 1.001;
 /// Regions that the fault `cut` separates.
 const PARTITION: Partition = Partition { one: 0, other: 1 };
--- a/crates/cluster-testbed/src/scale/fleet/setup.rs
+++ b/crates/cluster-testbed/src/scale/fleet/setup.rs
@@ -14,7 +14,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Serial number of the next fleet of this process, which makes folders and addresses unique.
+/// Serial number of the next fleet of this process, which gives each of them its own folder and subnet.
 static NEXT_SERIAL: AtomicU32 = AtomicU32::new(0);
 
 /// First answer of a process of simulated workers or discovery.
--- a/crates/cluster-testbed/src/scale/http.rs
+++ b/crates/cluster-testbed/src/scale/http.rs
@@ -22,7 +22,8 @@
 }
 
 impl MessageReader {
-    /// Reads the next message; `None` once the connection is closed. `on_read` is called with the bytes of each read.
+    /// Reads the next message; `None` once the connection is closed. `on_read` is called with the byte count of each
+    /// read.
     pub async fn next(
         &mut self,
         stream: &mut Async<TcpStream>,
--- a/crates/cluster-testbed/src/scale/measurement.rs
+++ b/crates/cluster-testbed/src/scale/measurement.rs
@@ -55,7 +55,7 @@
     /// Seconds from the last event of a fault until all members agreed; 0 without faults or without a cluster.
     #[serde(rename = "healed_s")]
     pub recovery_s: f64,
-    /// Seconds from a change until the last dispatcher had applied it, mean over all changes.
+    /// Seconds from a change until the last dispatcher had applied it, mean over the changes that all have applied.
     pub change_mean_s: f64,
     /// Maximum of these times.
     #[serde(rename = "change_most_s")]
@@ -79,7 +79,7 @@
     /// Maximum of these times.
     #[serde(rename = "ready_most_s")]
     pub ready_max_s: f64,
-    /// Real dispatchers that restarted.
+    /// Restarts of real dispatchers that were ready by the end of the measured time.
     pub restarts: usize,
     /// Outcomes of requests.
     #[serde(rename = "asked")]
@@ -98,7 +98,7 @@
     /// CPU time of all real dispatchers per started request, in microseconds, including their idle cost.
     #[serde(rename = "cpu_us_start")]
     pub cpu_us_per_start: f64,
-    /// Largest ratio over all windows of a worker that warms up of the work received to the overload limit.
+    /// Largest ratio, over all windows of all replaced workers, of the work received to the overload limit.
     #[serde(rename = "cold_worst")]
     pub worst_window: f64,
     /// Workers that were replaced and had to warm up.
--- a/crates/cluster-testbed/src/scale/output.rs
+++ b/crates/cluster-testbed/src/scale/output.rs
@@ -18,7 +18,7 @@
     }
     if measurement.replaced_workers > 0 {
         println!(
-            "  {} workers replaced; while warming up, the worst window had {:.2} of the overload limit",
+            "  {} workers replaced; their worst window had {:.2} of the overload limit",
             measurement.replaced_workers, measurement.worst_window
         );
     }
--- a/crates/cluster-testbed/src/scale/plan/fault.rs
+++ b/crates/cluster-testbed/src/scale/plan/fault.rs
@@ -13,9 +13,9 @@
 pub struct Fault {
     /// Kind of the fault.
     pub kind: FaultKind,
-    /// Start, in seconds from the start of the measured time; default 0.
+    /// Start, in seconds from the start of the measured time.
     pub at_s: f64,
-    /// Count, duration or place, depending on the kind; default 1.
+    /// Count, number of seconds, or number of a zone or region, depending on the kind; default 1.
     #[serde(rename = "figure")]
     pub value: f64,
     /// Duration in seconds, for kinds that end; default 3.
@@ -33,7 +33,7 @@
     Release,
     /// VALUE workers are replaced by new ones that have to warm up.
     Replace,
-    /// One of VALUE machines is lost for a time, with all dispatchers and workers on it.
+    /// One of VALUE machines, at least two, is lost for a time, with all dispatchers and workers on it.
     Rack,
     /// Zone number VALUE is lost for a time.
     Zone,
--- a/crates/cluster-testbed/src/scale/workers.rs
+++ b/crates/cluster-testbed/src/scale/workers.rs
@@ -40,7 +40,7 @@
     pub slow_start: SlowStart,
 }
 
-/// Work that arrived while a worker warmed up.
+/// Work that a replaced worker received, during its warm-up or later.
 struct ReceivedWork {
     at: Instant,
     work_s: f64,
@@ -78,8 +78,8 @@
         self.lost.set(false);
     }
 
-    /// Returns the largest ratio over all windows of the work received to the overload limit; 0 for a worker that was not
-    /// replaced.
+    /// Returns the largest ratio, over all windows since the replacement, of the work received to the overload
+    /// limit; 0 for a worker that was not replaced.
     fn worst_window(&self, config: &WorkersConfig) -> f64 {
         let Some(started) = self.warm_up_started_at.get() else {
             return 0.0;
--- a/crates/cluster-testbed/src/scale/workers/report.rs
+++ b/crates/cluster-testbed/src/scale/workers/report.rs
@@ -67,7 +67,7 @@
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
-    /// Largest ratio over all windows of a worker that warms up of the work received to the overload limit.
+    /// Largest ratio, over all windows of all replaced workers, of the work received to the overload limit.
     #[serde(rename = "cold_worst")]
     pub worst_window: f64,
     /// Workers that were replaced and had to warm up.
--- a/crates/cluster-testbed/src/scenario.rs
+++ b/crates/cluster-testbed/src/scenario.rs
@@ -128,12 +128,12 @@
     /// Time in milliseconds until a worker has its full capacity.
     #[serde(rename = "time_ms")]
     pub duration_ms: u64,
-    /// Warm-up budget per window, as a multiple of the present capacity of a worker. More work is an overload.
+    /// Multiple of its present capacity above which a worker is overloaded if it receives more within the window.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
     /// Length in milliseconds of the window over which received work is summed.
     pub window_ms: u64,
-    /// Multiple in the settings of dispatchers, in place of `overload_multiple`. A larger value tests that the checker
+    /// Multiple in the settings of dispatchers, or `None` for `overload_multiple`. A larger value tests that the checker
     /// detects overload.
     #[serde(rename = "told_multiple")]
     pub configured_multiple: Option<f64>,
--- a/crates/cluster-testbed/src/scenario/fault.rs
+++ b/crates/cluster-testbed/src/scenario/fault.rs
@@ -50,7 +50,7 @@
 pub struct Fault {
     /// Time of its beginning in milliseconds after the start of the clients.
     pub at_ms: u64,
-    /// Effect.
+    /// Kind, which determines the effect and which of the other fields apply.
     #[serde(rename = "what")]
     pub kind: FaultKind,
     /// Numbers of the affected dispatchers or workers, from 0.
--- a/crates/cluster-testbed/src/stubs/discovery.rs
+++ b/crates/cluster-testbed/src/stubs/discovery.rs
@@ -18,7 +18,7 @@
     changed_endpoints: Vec<Value>,
     /// Whether connections are closed without an answer.
     down: bool,
-    /// Version from which the newest watch was sent; 0 if it requested a snapshot.
+    /// Version that the newest watch named; 0 if it requested a snapshot.
     watched_version: u64,
     /// Number of watches received.
     watches: u32,
@@ -203,7 +203,8 @@
         );
     }
 
-    /// Publishes changes, and the full list for watches that missed a change. Does not wait for the daemon.
+    /// Publishes changes, and the full list for new watches and for those that missed a change. Does not wait for the
+    /// daemon.
     pub fn publish(&self, changed: Vec<Value>, all: Vec<Value>) {
         self.change(|state| {
             state.version += 1;
--- a/crates/cluster-testbed/src/stubs/worker/response.rs
+++ b/crates/cluster-testbed/src/stubs/worker/response.rs
@@ -11,7 +11,7 @@
 const NOT_STARTED_RESPONSE: &str =
     "HTTP/1.1 503 Other\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 const LAST_CHUNK: &str = "0\r\n\r\n";
-/// Length in bytes of a line that the daemon rejects.
+/// Length in bytes of an id that makes its line longer than the daemon accepts.
 const OVERSIZED_LINE: usize = 70_000;
 /// Number of progress lines per write.
 const LINES_AT_ONCE: usize = 1_000;
--- a/crates/cluster-testbed/src/testbed/dispatchers.rs
+++ b/crates/cluster-testbed/src/testbed/dispatchers.rs
@@ -10,7 +10,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Limit on the wait for each step of the start: the log line and the health endpoint.
+/// Limit on each of the two waits of a start, for the log line and for the health endpoint. A process that exceeds it
+/// counts as failed.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time for a process to exit after SIGTERM. It is killed afterwards, as the platform does.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/cluster-testbed/src/testbed/faults.rs
+++ b/crates/cluster-testbed/src/testbed/faults.rs
@@ -69,7 +69,7 @@
     outbound: true,
 };
 
-/// Returns the worker fault that is active as long as a fault of this kind, if there is one.
+/// Returns the worker fault that a fault of this kind activates for its duration, or `None` if it activates none.
 fn worker_fault(kind: FaultKind) -> Option<WorkerFault> {
     match kind {
         FaultKind::Hang => Some(WorkerFault::Hang),
--- a/crates/cluster-testbed/src/testbed/report.rs
+++ b/crates/cluster-testbed/src/testbed/report.rs
@@ -29,7 +29,7 @@
     /// Fraction of requests that did not succeed.
     #[serde(rename = "missed")]
     pub unsuccessful_share: f64,
-    /// Use of the warm-up budget of each worker that warmed up.
+    /// Work that each worker received while it warmed up, for workers that joined during the run.
     #[serde(rename = "cold")]
     pub slow_start: Vec<SlowStartUse>,
     /// Highest work per concurrency slot of any warm worker, relative to their mean, in the last third of the run.
@@ -39,7 +39,7 @@
     pub datagrams: u64,
     /// Number of datagrams lost between dispatchers.
     pub lost: u64,
-    /// Forwarded datagram bytes per second and dispatcher.
+    /// Forwarded datagram bytes per second and dispatcher, over the dispatchers at the start.
     #[serde(rename = "bytes")]
     pub bytes_per_second: f64,
 }
--- a/crates/cluster-testbed/src/testbed/setup.rs
+++ b/crates/cluster-testbed/src/testbed/setup.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Serial number that distinguishes the testbeds of one process.
+/// Serial number of the next testbed of this process, which gives each of them its own folder and subnet.
 static NEXT_SERIAL: AtomicU32 = AtomicU32::new(0);
 
 fn create_folder(pid: u32, serial: u32) -> Result<PathBuf, TestbedError> {
--- a/crates/cluster-testbed/src/worker.rs
+++ b/crates/cluster-testbed/src/worker.rs
@@ -16,7 +16,7 @@
     pub initial_share: f64,
     /// Time until the worker has its full capacity.
     pub duration: Duration,
-    /// Warm-up budget per window, as a multiple of the present capacity. More work is an overload.
+    /// Multiple of its present capacity above which the worker is overloaded if it receives more within the window.
     pub overload_multiple: f64,
     /// Window over which received work is summed.
     pub window: Duration,
--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -119,7 +119,11 @@
         Fault::add_workers(2_000, 2),
     ];
     let report = run_without_violations(&scenario(8, 10.0, faults));
-    assert!(report.lost > 100, "no datagram was lost");
+    assert!(
+        report.lost > 100,
+        "{} datagrams were lost, expected more than 100",
+        report.lost
+    );
 }
 
 #[test]
@@ -191,12 +195,12 @@
             .violations
             .iter()
             .any(|violation| violation.rule == Rule::SlowStart),
-        "not found: {:?}",
+        "the exceeded budget was not reported: {:?}",
         report.slow_start
     );
 }
 
-/// Waits until each of `dispatchers` lists exactly these as members, and returns the time taken.
+/// Waits until the views of `dispatchers` agree, as [`Testbed::members_agree`] checks, and returns the time taken.
 fn wait_for_agreement(testbed: &Testbed, dispatchers: &[usize], within: Duration) -> Duration {
     let started_at = Instant::now();
     while !testbed.members_agree(dispatchers) {
--- a/crates/rosewalld/tests/teardown.rs
+++ b/crates/rosewalld/tests/teardown.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// A change that a silent watch missed must apply within 6 s of the start of the silence, or within 2 s of the end of the
-/// wait of its request, which may be 20 s for a polled list.
+/// A change that a silent watch missed must be applied within 6 s of the start of the silence, or within 2 s of the end
+/// of the wait of its request, which may be 20 s for a polled list.
 #[test_case("pushed", 6; "a pushed list")]
 #[test_case("on_request", 22; "a polled list")]
 fn a_drain_missed_by_a_silent_watch_is_applied_in_time(mode: &str, seconds: u64) {
@@ -89,8 +89,8 @@
     assert_first_worker_is_avoided(&fleet.daemon, &fleet.workers);
 }
 
-/// A change must apply as soon as its agent answers again, since some drains are announced only a few hundred ms ahead.
-/// After its failure, the agent has no record of earlier requests.
+/// A change must be applied as soon as its agent answers again, since some drains are announced only a few hundred ms
+/// ahead. After its failure, the agent has no record of earlier requests.
 #[test_case(false; "the same agent")]
 #[test_case(true; "the agent of a new configuration")]
 fn a_drain_is_applied_soon_after_a_discovery_agent_has_recovered(moves: bool) {
