--- a/crates/cluster-testbed/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -77,7 +77,7 @@
     OutOfRange {
         /// Key of the value in the scenario or plan.
         key: &'static str,
-        /// Rejected value, as a whole number, with 0 for negative values.
+        /// Rejected value, as a whole number, with 0 for negative values. For `fault.who`, the `at_ms` of the fault.
         value: u64,
         /// Allowed range, as text.
         allowed: &'static str,
