--- a/crates/cluster-testbed/src/error.rs
+++ b/crates/cluster-testbed/src/error.rs
@@ -71,11 +71,13 @@
         source: toml::de::Error,
     },
     /// A value of a scenario or plan is out of range.
-    #[error("RW-RIG-RANGE: {key} must be {allowed}, got {value}; change it in the scenario")]
+    #[error(
+        "RW-RIG-RANGE: {key} must be {allowed}, got {value}; change it in the scenario or on the command line"
+    )]
     OutOfRange {
         /// Key of the value in the scenario or plan.
         key: &'static str,
-        /// Rejected value, as a whole number, with 0 for negative values.
+        /// Rejected value, as a whole number, with 0 for negative values. For `fault.who`, the `at_ms` of the fault.
         value: u64,
         /// Allowed range, as text.
         allowed: &'static str,
--- a/crates/rosewalld/tests/cluster.rs
+++ b/crates/rosewalld/tests/cluster.rs
@@ -119,7 +119,11 @@
         Fault::add_workers(2_000, 2),
     ];
     let report = run_without_violations(&scenario(8, 10.0, faults));
-    assert!(report.lost > 100, "no datagram was lost");
+    assert!(
+        report.lost > 100,
+        "{} datagrams were lost, expected more than 100",
+        report.lost
+    );
 }
 
 #[test]
@@ -145,11 +149,11 @@
 
 #[test]
 fn rules_are_kept_as_dispatchers_restart_one_after_the_other() {
-    let rolls = (0..5).map(|at| Fault::new(1_000 + 1_600 * at as u64, FaultKind::Restart, [at]));
+    let restarts = (0..5).map(|at| Fault::new(1_000 + 1_600 * at as u64, FaultKind::Restart, [at]));
     run_without_violations(&scenario(
         5,
         10.0,
-        rolls
+        restarts
             .chain([Fault::add_workers(2_000, 1), Fault::add_workers(5_000, 1)])
             .collect(),
     ));
@@ -190,13 +194,13 @@
         report
             .violations
             .iter()
-            .any(|broken| broken.rule == Rule::SlowStart),
-        "not found: {:?}",
+            .any(|violation| violation.rule == Rule::SlowStart),
+        "the exceeded budget was not reported: {:?}",
         report.slow_start
     );
 }
 
-/// Waits until each of `dispatchers` lists exactly these as members, and returns the time taken.
+/// Waits until the views of `dispatchers` agree, as [`Testbed::members_agree`] checks, and returns the time taken.
 fn wait_for_agreement(testbed: &Testbed, dispatchers: &[usize], within: Duration) -> Duration {
     let started_at = Instant::now();
     while !testbed.members_agree(dispatchers) {
