--- a/crates/cluster-testbed/src/stubs/discovery.rs
+++ b/crates/cluster-testbed/src/stubs/discovery.rs
@@ -167,6 +167,10 @@
         let mut end = WatchEnd::Changed;
         while !state.down && state.abandon_count == abandon_count {
             let is_newest = watch.version == Some(state.version);
+            if !is_newest {
+                // A change that coincides with the end of the wait is still sent.
+                end = WatchEnd::Changed;
+            }
             if !state.unresponsive && (!is_newest || end == WatchEnd::Expired) {
                 break;
             }
